--- a/core/crconfig/dump.go
+++ b/core/crconfig/dump.go
@@ -32,7 +32,7 @@
 		Values:     len(s.conf.values),
 		List:       s.list.Revision(),
 		Instances:  s.list.Len(),
-		WantList:   s.listing.want,
+		WantList:   s.nextList.want,
 		Ready:      s.ready,
 		Trusted:    s.trusted,
 		Reader:     s.watch.reader,
@@ -41,11 +41,11 @@
 		Reachable:  len(s.peers),
 		PeersHeard: len(s.haves),
 	}
-	if s.next != nil {
-		d.Want = s.next.rev
+	if s.nextConf != nil {
+		d.Want = s.nextConf.rev
 		d.Missing = len(s.missing())
-		d.Pulling = s.next.peer
-		d.Direct = s.next.direct
+		d.Pulling = s.nextConf.peer
+		d.Direct = s.nextConf.direct
 	}
 	for _, r := range s.refused {
 		d.Refused = append(d.Refused, rev(r.rev))
--- a/core/crconfig/fetch.go
+++ b/core/crconfig/fetch.go
@@ -48,22 +48,22 @@
 		s.checkSame(r, s.conf.digest, d)
 		return
 	}
-	if s.next != nil && r == s.next.rev {
-		s.checkSame(r, s.next.digest, d)
+	if s.nextConf != nil && r == s.nextConf.rev {
+		s.checkSame(r, s.nextConf.digest, d)
 	}
 	if from == "" {
 		s.offered = version{r, d}
-		if s.next != nil && s.next.atPeer {
+		if s.nextConf != nil && s.nextConf.atPeer {
 			// What a peer holds whole comes first: the platform may name a
 			// configuration whose values it can not give, and waiting for that
 			// one would keep out a withdrawal that all peers have.
 			return
 		}
 	}
-	if s.next == nil || r > s.next.rev {
+	if s.nextConf == nil || r > s.nextConf.rev {
 		s.begin(r, d)
 	}
-	f := s.next
+	f := s.nextConf
 	if f.rev != r || f.digest != d {
 		return
 	}
@@ -96,16 +96,16 @@
 		reads:  make(map[Digest]crid.Instant),
 		tried:  make(map[crid.Daemon]bool),
 	}
-	if s.next != nil {
-		f.atPeer = s.next.atPeer
-		f.atPeerSince = s.next.atPeerSince
+	if s.nextConf != nil {
+		f.atPeer = s.nextConf.atPeer
+		f.atPeerSince = s.nextConf.atPeerSince
 	}
-	s.next = f
+	s.nextConf = f
 }
 
 // missing returns the entries still wanted; at first the manifest itself.
 func (s *State) missing() []Entry {
-	f := s.next
+	f := s.nextConf
 	if f.raw == nil {
 		return []Entry{{Name: ManifestName, Digest: f.digest}}
 	}
@@ -129,7 +129,7 @@
 
 // advance takes the next step towards a newer configuration.
 func (s *State) advance(now crid.Instant) {
-	f := s.next
+	f := s.nextConf
 	if f == nil || !s.heard {
 		return
 	}
@@ -171,7 +171,7 @@
 // pullNext asks a peer not tried yet; when there is none it begins anew after a
 // pause, and settles when to read the platform instead.
 func (s *State) pullNext(now crid.Instant) {
-	f := s.next
+	f := s.nextConf
 	holder, ok := s.holder()
 	if ok {
 		f.peer = holder
@@ -203,7 +203,7 @@
 	first := s.rng.IntN(len(s.peers))
 	for i := range s.peers {
 		d := s.peers[(first+i)%len(s.peers)].Daemon
-		if s.haves[d].Conf == s.next.rev && s.haves[d].Manifest == s.next.digest && !s.next.tried[d] {
+		if s.haves[d].Conf == s.nextConf.rev && s.haves[d].Manifest == s.nextConf.digest && !s.nextConf.tried[d] {
 			return d, true
 		}
 	}
@@ -212,7 +212,7 @@
 
 // readMissing reads from the platform, within this tick's budget.
 func (s *State) readMissing(now crid.Instant) {
-	f := s.next
+	f := s.nextConf
 	for _, e := range s.missing() {
 		if due, ok := f.reads[e.Digest]; ok {
 			if !now.Before(due) {
@@ -231,7 +231,7 @@
 
 // read takes the end of a platform read.
 func (s *State) read(now crid.Instant, ev Read) {
-	f := s.next
+	f := s.nextConf
 	if f == nil {
 		return
 	}
@@ -248,7 +248,7 @@
 
 // readFailed turns to the peers, and to the platform again later.
 func (s *State) readFailed(now crid.Instant) {
-	f := s.next
+	f := s.nextConf
 	s.watch.fails++
 	if !f.atPeer {
 		s.postpone(now)
@@ -262,7 +262,7 @@
 // postpone drops what only the platform named and could not give, until the
 // next watch names it again, and turns to the newest that a peer holds.
 func (s *State) postpone(now crid.Instant) {
-	s.next = nil
+	s.nextConf = nil
 	s.offered = version{}
 	s.watch.seen = 0
 	s.watch.notBefore = now.Add(s.backoff(s.watch.fails))
@@ -274,7 +274,7 @@
 
 // collect keeps whole bytes whose digest was checked.
 func (s *State) collect(d Digest, data []byte) {
-	f := s.next
+	f := s.nextConf
 	if d != f.digest {
 		s.pieces[d] = data
 		return
@@ -290,7 +290,7 @@
 
 // install validates the whole and puts it in force.
 func (s *State) install(now crid.Instant) {
-	f := s.next
+	f := s.nextConf
 	byName := make(map[string][]byte, len(f.manifest.Entries))
 	values := make(map[Digest][]byte, len(f.manifest.Entries))
 	for _, e := range f.manifest.Entries {
@@ -305,7 +305,7 @@
 	}
 	former := s.conf.rev
 	s.conf = held{rev: f.rev, digest: f.digest, raw: f.raw, manifest: f.manifest, values: values, snapshot: snapshot}
-	s.next = nil
+	s.nextConf = nil
 	clear(s.pieces)
 	s.report(NumberInForce, "revision", rev(f.rev), "former", rev(former))
 	s.emit(InForce{Now: now, Snapshot: snapshot})
@@ -315,13 +315,13 @@
 
 // refuse drops a configuration whole; the former stays in force.
 func (s *State) refuse(err error) {
-	f := s.next
+	f := s.nextConf
 	s.refused = append(s.refused, version{f.rev, f.digest})
 	if len(s.refused) > maxRefused {
 		s.refused = s.refused[1:]
 	}
 	text := err.Error()
 	s.report(NumberRefused, "revision", rev(f.rev), "inforce", rev(s.conf.rev), "error", text[:min(len(text), maxText)])
-	s.next = nil
+	s.nextConf = nil
 	clear(s.pieces)
 }
--- a/core/crconfig/list.go
+++ b/core/crconfig/list.go
@@ -34,7 +34,7 @@
 // offeredList takes word of a list from a peer. Who waits for its share of the
 // platform's rate turns to the peer instead.
 func (s *State) offeredList(r crid.Revision) {
-	l := &s.listing
+	l := &s.nextList
 	l.learn(s.list.Revision(), r)
 	if l.direct && !l.busy && s.watch.limited && r >= l.want {
 		l.direct = false
@@ -46,7 +46,7 @@
 // daemon reads it. The moment of the first read is drawn at random: a share of
 // the rate holds on average only, and fresh daemons begin together.
 func (s *State) readListFrom(now crid.Instant) {
-	l := &s.listing
+	l := &s.nextList
 	if l.busy || l.direct || (!s.watch.reader && len(s.peers) > 0) {
 		return
 	}
@@ -59,9 +59,9 @@
 
 // advanceList takes the next step towards a newer list.
 func (s *State) advanceList(now crid.Instant) {
-	l := &s.listing
+	l := &s.nextList
 	if l.want <= s.list.Revision() {
-		s.listing = listFetch{}
+		s.nextList = listFetch{}
 		return
 	}
 	if l.busy && now.Before(l.due) {
@@ -91,7 +91,7 @@
 }
 
 func (s *State) pullList(now crid.Instant) {
-	l := &s.listing
+	l := &s.nextList
 	holder, ok := s.listHolder()
 	if !ok {
 		s.listFailed(now)
@@ -112,7 +112,7 @@
 	first := s.rng.IntN(len(s.peers))
 	for i := range s.peers {
 		d := s.peers[(first+i)%len(s.peers)].Daemon
-		if s.haves[d].List >= s.listing.want {
+		if s.haves[d].List >= s.nextList.want {
 			return d, true
 		}
 	}
@@ -121,7 +121,7 @@
 
 // listFailed tries another peer after a pause, and in the end the platform.
 func (s *State) listFailed(now crid.Instant) {
-	l := &s.listing
+	l := &s.nextList
 	l.busy = false
 	l.direct = false
 	l.tries++
@@ -152,7 +152,7 @@
 }
 
 func (s *State) listPush(now crid.Instant, from crid.Daemon, msg ListPush) {
-	l := &s.listing
+	l := &s.nextList
 	if !l.busy || l.peer != from || msg.Rev <= s.list.Revision() {
 		return
 	}
@@ -185,32 +185,32 @@
 // does not look away then, and nothing else would tell of instances that are
 // missing here.
 func (s *State) listUnread(fault Fault) {
-	if fault == FaultAway || s.listing.told {
+	if fault == FaultAway || s.nextList.told {
 		return
 	}
-	s.listing.told = true
-	s.report(NumberListUnread, "want", rev(s.listing.want), "held", rev(s.list.Revision()))
+	s.nextList.told = true
+	s.report(NumberListUnread, "want", rev(s.nextList.want), "held", rev(s.list.Revision()))
 }
 
 func (s *State) listRead(now crid.Instant, ev ListRead) {
 	if ev.Fault != FaultNone {
 		s.listUnread(ev.Fault)
-		if s.listing.busy && s.listing.peer == "" {
+		if s.nextList.busy && s.nextList.peer == "" {
 			s.listFailed(now)
 		}
 		return
 	}
 	if ev.List.Revision() > s.list.Revision() {
 		s.setList(now, ev.List)
-	} else if s.listing.busy && s.listing.peer == "" {
+	} else if s.nextList.busy && s.nextList.peer == "" {
 		s.listFailed(now)
 	}
 }
 
 func (s *State) setList(now crid.Instant, list crinstance.List) {
 	s.adopt(list)
-	want := s.listing.want
-	s.listing = listFetch{want: want}
+	want := s.nextList.want
+	s.nextList = listFetch{want: want}
 	s.emit(crinstance.Listed{Now: now, List: list})
 	s.spread()
 }
--- a/core/crconfig/pull.go
+++ b/core/crconfig/pull.go
@@ -11,7 +11,7 @@
 
 // pull asks the chosen peer for what is missing.
 func (s *State) pull(now crid.Instant) {
-	f := s.next
+	f := s.nextConf
 	var wants []Want
 	for _, e := range s.missing() {
 		if len(wants) == maxWants {
@@ -46,14 +46,14 @@
 // another must neither count nor disturb. Parts that do not fit are left out;
 // a peer that sends nothing else is given up when its time is over.
 func (s *State) push(now crid.Instant, from crid.Daemon, msg Push) {
-	f := s.next
+	f := s.nextConf
 	if f == nil || f.peer != from {
 		return
 	}
 	took := false
 	for _, p := range msg.Parts {
 		took = s.takePart(from, p) || took
-		if s.next != f || f.peer == "" {
+		if s.nextConf != f || f.peer == "" {
 			return
 		}
 	}
@@ -68,7 +68,7 @@
 
 // takePart appends a part that continues what is here; it reports whether it did.
 func (s *State) takePart(from crid.Daemon, p Part) bool {
-	f := s.next
+	f := s.nextConf
 	have := f.parts[p.Digest]
 	wanted := slices.ContainsFunc(s.missing(), func(e Entry) bool { return e.Digest == p.Digest })
 	if !wanted || p.Off != len(have) || len(p.Data) == 0 || p.Size >= MaxValue || len(have)+len(p.Data) > p.Size {
--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -59,7 +59,7 @@
 // spend asks for one platform call, other than for a list that waits: the list
 // goes first, since peers become known by it.
 func (s *State) spend() bool {
-	if s.listing.direct && (s.watch.limited || !s.watch.reader) {
+	if s.nextList.direct && (s.watch.limited || !s.watch.reader) {
 		return false
 	}
 	return s.spendOn(1)
@@ -286,7 +286,7 @@
 	w.notBefore = now.Add(minWatch)
 	s.learn(now, ev.Head.Conf, ev.Head.Manifest, "")
 	if ev.Head.List > s.list.Revision() {
-		s.listing.learn(s.list.Revision(), ev.Head.List)
+		s.nextList.learn(s.list.Revision(), ev.Head.List)
 		s.readListFrom(now)
 	}
 }
--- a/core/crconfig/spread.go
+++ b/core/crconfig/spread.go
@@ -156,7 +156,7 @@
 
 // checkCaught notices that this daemon has the newest of what its sources told.
 func (s *State) checkCaught() {
-	if s.caught || !s.heard || s.conf.rev == 0 || (s.next != nil && s.next.atPeer) {
+	if s.caught || !s.heard || s.conf.rev == 0 || (s.nextConf != nil && s.nextConf.atPeer) {
 		return
 	}
 	s.caught = true
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -38,7 +38,7 @@
 	rng       *rand.Rand
 
 	conf     held
-	next     *fetch            // a newer configuration under way; nil for none
+	nextConf     *fetch            // a newer configuration under way; nil for none
 	offered  version           // newest that the platform named
 	pieces   map[Digest][]byte // whole values of what is under way
 	refused  []version
@@ -46,7 +46,7 @@
 	list     crinstance.List
 	listed   int  // live instances of this domain on the list
 	voter    bool // this daemon is one of the list's voters
-	listing  listFetch
+	nextList  listFetch
 	changes  changes // for peers with an older list
 
 	peers   []crmember.Peer // reachable ones, sorted by daemon
@@ -236,7 +236,7 @@
 	if behind := s.isBehind(now); behind != s.behind {
 		s.behind = behind
 		if behind {
-			s.report(NumberBehind, "want", rev(s.next.rev), "inforce", rev(s.conf.rev))
+			s.report(NumberBehind, "want", rev(s.nextConf.rev), "inforce", rev(s.conf.rev))
 		}
 	}
 	trusted := s.Trusted(now)
@@ -256,7 +256,7 @@
 // the platform names does not count, since a value that the platform names but
 // can not give would otherwise stop the whole fleet.
 func (s *State) isBehind(now crid.Instant) bool {
-	f := s.next
+	f := s.nextConf
 	return f != nil && f.atPeer && now.Sub(f.atPeerSince) > s.params.BehindMax
 }
 
