--- a/core/crconfig/dump.go
+++ b/core/crconfig/dump.go
@@ -2,8 +2,8 @@
 
 import "camphorroad/core/crid"
 
-// Dumped is the reducer's state for the state dump; it holds no secret.
-type Dumped struct {
+// Dump is the reducer's state for the state dump; it holds no secret.
+type Dump struct {
 	Revision   crid.Revision `json:"revision"`
 	Manifest   string        `json:"manifest"`
 	Values     int           `json:"values"`
@@ -26,7 +26,7 @@
 
 // Dump returns the state as a JSON-ready value.
 func (s *State) Dump() any {
-	d := Dumped{
+	d := Dump{
 		Revision:   s.conf.rev,
 		Manifest:   s.conf.digest.String(),
 		Values:     len(s.conf.values),
--- a/core/crconfig/fault_test.go
+++ b/core/crconfig/fault_test.go
@@ -179,7 +179,7 @@
 	f.run(time.Second)
 	for _, d := range f.alive() {
 		if life := f.daemons[d]; life != nil {
-			f.killIn("", life.Dump().(crconfig.Dumped).Ranked)
+			f.killIn("", life.Dump().(crconfig.Dump).Ranked)
 		}
 	}
 	f.until(t, f.plat.publish(content{}), 60*time.Second)
--- a/lab/crfleet/call.go
+++ b/lab/crfleet/call.go
@@ -96,7 +96,7 @@
 	Standing bool
 	Revision int64
 	Member   crmember.Dump
-	Config   crconfig.Dumped
+	Config   crconfig.Dump
 	Health   crhealth.Dump
 	Raw      []byte // the whole dump
 }
