--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -39,7 +39,7 @@
 	params.flaws = flaws
 	r := &rig{State: New(params)}
 	r.Step(crevent.Started{Now: 1, Self: name, Incarnation: 5})
-	r.Step(crconfig.InForce{Now: 1, Snapshot: limitOf(100, 20)})
+	r.Step(crconfig.Applied{Now: 1, Snapshot: limitOf(100, 20)})
 	return r
 }
 
@@ -288,10 +288,10 @@
 	g := NewWithT(t)
 	x := minting(flaws{})
 	x.ask(ms(3000), 1)
-	x.Step(crconfig.InForce{Now: ms(3001), Snapshot: limitOf(10, 12)})
+	x.Step(crconfig.Applied{Now: ms(3001), Snapshot: limitOf(10, 12)})
 	g.Expect(x.ask(ms(3002), 20).Tokens).To(Equal(11), "one is outstanding")
 	x.Step(crevent.Tick{Now: ms(5100)})
-	x.Step(crconfig.InForce{Now: ms(9000), Snapshot: limitOf(10, 15)})
+	x.Step(crconfig.Applied{Now: ms(9000), Snapshot: limitOf(10, 15)})
 	g.Expect(x.ask(ms(9001), 20).Tokens).To(Equal(12))
 }
 
--- a/core/craccount/chaos_test.go
+++ b/core/craccount/chaos_test.go
@@ -211,7 +211,7 @@
 			for round := range 30 {
 				w.snap = crpolicy.NewSnapshot(crid.Revision(round+2), nil, limits[round%2:round%2+1])
 				for _, nd := range w.nodes {
-					ev := crconfig.InForce{Snapshot: w.snap}
+					ev := crconfig.Applied{Snapshot: w.snap}
 					w.at(time.Duration(w.rng.Int64N(int64(4*time.Second))), func() {
 						ev.Now = w.clock(nd)
 						w.step(nd, ev)
--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -146,7 +146,7 @@
 		s.takeTenure(ev)
 	case crmember.Peers:
 		s.takePeers(ev)
-	case crconfig.InForce:
+	case crconfig.Applied:
 		s.takeConfig(ev.Snapshot)
 	case crevent.Received:
 		s.receive(ev.From, ev.Msg)
--- a/core/craccount/net_test.go
+++ b/core/craccount/net_test.go
@@ -159,7 +159,7 @@
 	nd.paused, nd.dead, nd.leaving = 0, false, false
 	now := w.clock(nd)
 	w.step(nd, crevent.Started{Now: now, Self: nd.name, Incarnation: nd.inc})
-	w.step(nd, crconfig.InForce{Now: now, Snapshot: w.snap})
+	w.step(nd, crconfig.Applied{Now: now, Snapshot: w.snap})
 	w.tellPeers()
 	w.tellTenure(nd, crmember.Tenure{Members: w.members})
 }
--- a/core/crconfig/fetch.go
+++ b/core/crconfig/fetch.go
@@ -308,7 +308,7 @@
 	s.nextConf = nil
 	clear(s.pieces)
 	s.report(NumberInForce, "revision", rev(f.rev), "former", rev(former))
-	s.emit(InForce{Now: now, Snapshot: snapshot})
+	s.emit(Applied{Now: now, Snapshot: snapshot})
 	s.spread()
 	s.learn(now, s.offered.rev, s.offered.digest, "")
 }
--- a/core/crconfig/fleet_test.go
+++ b/core/crconfig/fleet_test.go
@@ -250,7 +250,7 @@
 			}
 		case crevent.Report:
 			life.reports[e.Number]++
-		case crconfig.InForce:
+		case crconfig.Applied:
 			life.inForce = append(life.inForce, e.Snapshot.Revision())
 		case crconfig.WatchPlatform:
 			f.call()
--- a/core/crconfig/notice.go
+++ b/core/crconfig/notice.go
@@ -25,14 +25,14 @@
 	"camphorroad/core/crpolicy"
 )
 
-// InForce tells the sibling reducers and the shell of a new configuration.
-type InForce struct {
+// Applied tells the sibling reducers and the shell of a new configuration.
+type Applied struct {
 	Now      crid.Instant
 	Snapshot *crpolicy.Snapshot
 }
 
 // At implements crevent.Event.
-func (e InForce) At() crid.Instant { return e.Now }
+func (e Applied) At() crid.Instant { return e.Now }
 
 // EffectName implements crevent.Effect.
-func (InForce) EffectName() string { return "inforce" }
+func (Applied) EffectName() string { return "inforce" }
--- a/core/crhealth/crhealth.go
+++ b/core/crhealth/crhealth.go
@@ -100,7 +100,7 @@
 		s.stopping = true
 	case crinstance.Listed:
 		s.takeList(ev.List)
-	case crconfig.InForce:
+	case crconfig.Applied:
 		s.snapshot = ev.Snapshot
 	case crmember.Peers:
 		s.takePeers(ev.Peers)
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -85,7 +85,7 @@
 	case crmember.Peers:
 		s.in.Peers = eff.Peers
 		s.dirty = s.dirty || !eff.Passing // sampled peers are never lost, so the view is the same
-	case crconfig.InForce:
+	case crconfig.Applied:
 		s.inForce(eff)
 	case crconfig.WatchPlatform, crconfig.ReadPlatform, crconfig.ReadList:
 		go s.reader.perform(eff)
@@ -125,7 +125,7 @@
 	s.dirty = true
 }
 
-func (s *shell) inForce(eff crconfig.InForce) {
+func (s *shell) inForce(eff crconfig.Applied) {
 	_ = s.loop.Post(crmember.Advertise{Now: eff.Now, Conf: uint64(eff.Snapshot.Revision())})
 	first := s.view.Load() == nil
 	in := s.in
--- a/io/crtrace/event.go
+++ b/io/crtrace/event.go
@@ -189,7 +189,7 @@
 		return []any{eff.To, eff.Msg.MessageKind(), redactMessage(eff.Msg)}
 	case crinstance.Listed:
 		return []any{eff.Now, eff.List.Revision(), eff.List.Instances()}
-	case crconfig.InForce:
+	case crconfig.Applied:
 		return []any{eff.Now, eff.Snapshot.Revision()}
 	}
 	return eff
--- a/io/crtrace/invariant.go
+++ b/io/crtrace/invariant.go
@@ -43,7 +43,7 @@
 
 func (inv *invariants) one(now crid.Instant, eff crevent.Effect) error {
 	switch eff := eff.(type) {
-	case crconfig.InForce:
+	case crconfig.Applied:
 		inv.floor.snapshot = eff.Snapshot
 		return inv.force(eff.Snapshot.Revision())
 	case crinstance.Listed:
--- a/io/crtrace/note.go
+++ b/io/crtrace/note.go
@@ -21,7 +21,7 @@
 		switch eff := eff.(type) {
 		case crevent.Report:
 			p.report.Reported[eff.Number]++
-		case crconfig.InForce:
+		case crconfig.Applied:
 			p.report.Revisions = append(p.report.Revisions, eff.Snapshot.Revision())
 		case crmember.Tenure:
 			p.report.tenure(eff)
--- a/io/crtrace/trace_test.go
+++ b/io/crtrace/trace_test.go
@@ -177,7 +177,7 @@
 // Each invariant is broken once, since a check that can not fail proves nothing.
 func TestInvariantsCanFail(t *testing.T) {
 	force := func(rev crid.Revision) crevent.Effect {
-		return crconfig.InForce{Snapshot: crpolicy.NewSnapshot(rev, nil, nil)}
+		return crconfig.Applied{Snapshot: crpolicy.NewSnapshot(rev, nil, nil)}
 	}
 	tenure := func(list crid.Revision, until crid.Instant) crevent.Effect {
 		return crmember.Tenure{Active: list, Until: until}
@@ -219,7 +219,7 @@
 	policy := crpolicy.NewSnapshot(1, []crpolicy.Service{{Name: "booking", Floor: 2}}, nil)
 	start := []crevent.Effect{
 		crinstance.Listed{List: crinstance.NewList(1, instances)},
-		crconfig.InForce{Snapshot: policy},
+		crconfig.Applied{Snapshot: policy},
 		crmember.Peers{Peers: []crmember.Peer{{Daemon: "b", Reachable: true}, {Daemon: "c", Reachable: true}}},
 	}
 	lost := crmember.Peers{Peers: []crmember.Peer{{Daemon: "b", Reachable: true}, {Daemon: "c"}}}
