--- a/core/crconfig/effect.go
+++ b/core/crconfig/effect.go
@@ -55,8 +55,8 @@
 // EffectName implements crevent.Effect.
 func (ReadPlatform) EffectName() string { return "readplatform" }
 
-// Read answers ReadPlatform.
-type Read struct {
+// ReadResult answers ReadPlatform.
+type ReadResult struct {
 	Now    crid.Instant
 	Digest Digest
 	Data   []byte // not changed afterwards
@@ -64,7 +64,7 @@
 }
 
 // At implements crevent.Event.
-func (e Read) At() crid.Instant { return e.Now }
+func (e ReadResult) At() crid.Instant { return e.Now }
 
 // ReadList asks the shell to read the platform's list of instances.
 type ReadList struct{}
--- a/core/crconfig/fetch.go
+++ b/core/crconfig/fetch.go
@@ -230,7 +230,7 @@
 }
 
 // read takes the end of a platform read.
-func (s *State) read(now crid.Instant, ev Read) {
+func (s *State) read(now crid.Instant, ev ReadResult) {
 	f := s.nextConf
 	if f == nil {
 		return
--- a/core/crconfig/fleet_test.go
+++ b/core/crconfig/fleet_test.go
@@ -333,7 +333,7 @@
 	case a.list.Revision() > 0:
 		return crconfig.ListRead{Now: now, List: a.list, Fault: fault}
 	}
-	return crconfig.Read{Now: now, Digest: a.digest, Data: a.data, Fault: fault}
+	return crconfig.ReadResult{Now: now, Digest: a.digest, Data: a.data, Fault: fault}
 }
 
 // run lets time pass; all ticks come at one moment, which is the worst for the
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -38,7 +38,7 @@
 	rng       *rand.Rand
 
 	conf     held
-	nextConf     *fetch            // a newer configuration under way; nil for none
+	nextConf *fetch            // a newer configuration under way; nil for none
 	offered  version           // newest that the platform named
 	pieces   map[Digest][]byte // whole values of what is under way
 	refused  []version
@@ -46,7 +46,7 @@
 	list     crinstance.List
 	listed   int  // live instances of this domain on the list
 	voter    bool // this daemon is one of the list's voters
-	nextList  listFetch
+	nextList listFetch
 	changes  changes // for peers with an older list
 
 	peers   []crmember.Peer // reachable ones, sorted by daemon
@@ -136,7 +136,7 @@
 		}
 	case WatchResult:
 		s.watched(now, ev)
-	case Read:
+	case ReadResult:
 		s.read(now, ev)
 	case ListRead:
 		s.listRead(now, ev)
--- a/io/crplatform/perform.go
+++ b/io/crplatform/perform.go
@@ -28,7 +28,7 @@
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		data, err := port.Value(ctx, e.Name, e.Digest)
-		return crconfig.Read{Now: now(), Digest: e.Digest, Data: data, Fault: FaultOf(err)}, true
+		return crconfig.ReadResult{Now: now(), Digest: e.Digest, Data: data, Fault: FaultOf(err)}, true
 	case crconfig.ReadList:
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
--- a/io/crtrace/event.go
+++ b/io/crtrace/event.go
@@ -93,7 +93,7 @@
 			return nil, fmt.Errorf("%w: %w", ErrRecord, err)
 		}
 		return encode(kindReceived, received{Now: ev.Now, From: ev.From, Msg: msg})
-	case crconfig.Read:
+	case crconfig.ReadResult:
 		return encode(kindRead, redactRead(ev))
 	case crconfig.ListRead:
 		return encode(kindListRead, listRead{Now: ev.Now, Rev: ev.List.Revision(), Instances: ev.List.Instances(), Fault: ev.Fault})
@@ -106,7 +106,7 @@
 }
 
 // redactRead keeps a digest that does not fit the data from fitting the filler.
-func redactRead(ev crconfig.Read) read {
+func redactRead(ev crconfig.ReadResult) read {
 	fits := crconfig.DigestOf(ev.Data) == ev.Digest
 	r := read{Now: ev.Now, Value: redact(ev.Digest, 0, len(ev.Data), ev.Data), Fault: ev.Fault}
 	if !fits && ev.Fault == crconfig.FaultNone {
@@ -164,7 +164,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRecord, err)
 	}
-	return crconfig.Read{Now: r.Now, Digest: r.Value.Digest, Data: data, Fault: r.Fault}, nil
+	return crconfig.ReadResult{Now: r.Now, Digest: r.Value.Digest, Data: data, Fault: r.Fault}, nil
 }
 
 // sum digests the effects of one event.
--- a/io/crtrace/redact_test.go
+++ b/io/crtrace/redact_test.go
@@ -29,8 +29,8 @@
 	})
 	half := len(value) - 16 // the hash is cut in two
 	events := []crevent.Event{
-		crconfig.Read{Now: 1, Digest: digest, Data: value},
-		crconfig.Read{Now: 1, Digest: crconfig.Digest{1}, Data: value},
+		crconfig.ReadResult{Now: 1, Digest: digest, Data: value},
+		crconfig.ReadResult{Now: 1, Digest: crconfig.Digest{1}, Data: value},
 		crevent.Received{Now: 2, From: "b", Msg: crconfig.Push{Parts: []crconfig.Part{
 			{Digest: digest, Size: len(value), Data: value[:half]},
 			{Digest: digest, Off: half, Size: len(value), Data: value[half:]},
