--- a/core/crconfig/effect.go
+++ b/core/crconfig/effect.go
@@ -72,12 +72,12 @@
 // EffectName implements crevent.Effect.
 func (ReadList) EffectName() string { return "readlist" }
 
-// ListRead answers ReadList.
-type ListRead struct {
+// ListResult answers ReadList.
+type ListResult struct {
 	Now   crid.Instant
 	List  crinstance.List
 	Fault Fault
 }
 
 // At implements crevent.Event.
-func (e ListRead) At() crid.Instant { return e.Now }
+func (e ListResult) At() crid.Instant { return e.Now }
--- a/core/crconfig/fleet_test.go
+++ b/core/crconfig/fleet_test.go
@@ -331,7 +331,7 @@
 	case a.head != nil:
 		return crconfig.WatchResult{Now: now, Head: *a.head, Fault: fault}
 	case a.list.Revision() > 0:
-		return crconfig.ListRead{Now: now, List: a.list, Fault: fault}
+		return crconfig.ListResult{Now: now, List: a.list, Fault: fault}
 	}
 	return crconfig.ReadResult{Now: now, Digest: a.digest, Data: a.data, Fault: fault}
 }
--- a/core/crconfig/list.go
+++ b/core/crconfig/list.go
@@ -192,7 +192,7 @@
 	s.report(NumberListUnread, "want", rev(s.nextList.want), "held", rev(s.list.Revision()))
 }
 
-func (s *State) listRead(now crid.Instant, ev ListRead) {
+func (s *State) listRead(now crid.Instant, ev ListResult) {
 	if ev.Fault != FaultNone {
 		s.listUnread(ev.Fault)
 		if s.nextList.busy && s.nextList.peer == "" {
--- a/core/crconfig/list_test.go
+++ b/core/crconfig/list_test.go
@@ -84,7 +84,7 @@
 		told  bool
 	}{{crconfig.FaultAway, false}, {crconfig.FaultMissing, true}, {crconfig.FaultMissing, false}} {
 		told := false
-		for _, e := range p.Step(crconfig.ListRead{Now: p.now, Fault: want.fault}) {
+		for _, e := range p.Step(crconfig.ListResult{Now: p.now, Fault: want.fault}) {
 			report, ok := e.(crevent.Report)
 			told = told || ok && report.Number == crconfig.NumberListUnread
 		}
--- a/core/crconfig/notice.go
+++ b/core/crconfig/notice.go
@@ -17,7 +17,7 @@
 //	if s.Ready() && s.Trusted(now) { ... }
 //
 // The shell answers every [WatchPlatform], [ReadPlatform] and [ReadList] effect
-// with one [WatchResult], [ReadResult] and [ListRead] event.
+// with one [WatchResult], [ReadResult] and [ListResult] event.
 package crconfig
 
 import (
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -138,7 +138,7 @@
 		s.watched(now, ev)
 	case ReadResult:
 		s.read(now, ev)
-	case ListRead:
+	case ListResult:
 		s.listRead(now, ev)
 	default:
 		return nil
--- a/io/crplatform/perform.go
+++ b/io/crplatform/perform.go
@@ -33,7 +33,7 @@
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		list, err := port.Instances(ctx)
-		return crconfig.ListRead{Now: now(), List: list, Fault: FaultOf(err)}, true
+		return crconfig.ListResult{Now: now(), List: list, Fault: FaultOf(err)}, true
 	}
 	return nil, false
 }
--- a/io/crtrace/event.go
+++ b/io/crtrace/event.go
@@ -95,7 +95,7 @@
 		return encode(kindReceived, received{Now: ev.Now, From: ev.From, Msg: msg})
 	case crconfig.ReadResult:
 		return encode(kindRead, redactRead(ev))
-	case crconfig.ListRead:
+	case crconfig.ListResult:
 		return encode(kindListRead, listRead{Now: ev.Now, Rev: ev.List.Revision(), Instances: ev.List.Instances(), Fault: ev.Fault})
 	}
 	kind, ok := c.kinds[reflect.TypeOf(ev)]
@@ -125,7 +125,7 @@
 	case kindListRead:
 		var l listRead
 		err := rec.decode(&l)
-		return crconfig.ListRead{Now: l.Now, List: crinstance.NewList(l.Rev, l.Instances), Fault: l.Fault}, err
+		return crconfig.ListResult{Now: l.Now, List: crinstance.NewList(l.Rev, l.Instances), Fault: l.Fault}, err
 	}
 	t, ok := c.types[rec.Kind]
 	if !ok {
