--- a/core/crconfig/manifest.go
+++ b/core/crconfig/manifest.go
@@ -8,8 +8,8 @@
 	"camphorroad/core/crpolicy"
 )
 
-// MaxValue is the size in bytes that a value of the platform stays below.
-const MaxValue = 1 << 20
+// MaxValueSize is the size in bytes that a value of the platform stays below.
+const MaxValueSize = 1 << 20
 
 // Digest is the SHA-256 of a value's bytes; values are addressed by it.
 type Digest [sha256.Size]byte
--- a/core/crconfig/pull.go
+++ b/core/crconfig/pull.go
@@ -71,7 +71,7 @@
 	f := s.nextConf
 	have := f.parts[p.Digest]
 	wanted := slices.ContainsFunc(s.missing(), func(e Entry) bool { return e.Digest == p.Digest })
-	if !wanted || p.Off != len(have) || len(p.Data) == 0 || p.Size >= MaxValue || len(have)+len(p.Data) > p.Size {
+	if !wanted || p.Off != len(have) || len(p.Data) == 0 || p.Size >= MaxValueSize || len(have)+len(p.Data) > p.Size {
 		return false
 	}
 	data := append(have, p.Data...)
--- a/io/crplatform/client.go
+++ b/io/crplatform/client.go
@@ -156,11 +156,11 @@
 	default:
 		return nil, oops.Wrapf(ErrAway, "status %d", resp.StatusCode)
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, crconfig.MaxValue))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, crconfig.MaxValueSize))
 	if err != nil {
 		return nil, oops.Wrapf(ErrAway, "%v", err)
 	}
-	if len(data) >= crconfig.MaxValue {
+	if len(data) >= crconfig.MaxValueSize {
 		return nil, oops.Wrapf(ErrTooLarge, "%s", req.URL.Path)
 	}
 	return data, nil
--- a/io/crplatform/client_test.go
+++ b/io/crplatform/client_test.go
@@ -124,7 +124,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/v1/value/large":
-			_, _ = w.Write(make([]byte, crconfig.MaxValue))
+			_, _ = w.Write(make([]byte, crconfig.MaxValueSize))
 		case "/v1/value/other":
 			_, _ = w.Write([]byte("other bytes"))
 		default:
--- a/io/crpolicyfile/bundle.go
+++ b/io/crpolicyfile/bundle.go
@@ -80,8 +80,8 @@
 	if b.manifest, err = mode.Marshal(m); err != nil {
 		return Bundle{}, oops.Wrapf(err, "encode the manifest")
 	}
-	if len(b.manifest) >= crconfig.MaxValue {
-		return Bundle{}, oops.Errorf("the manifest has %d bytes, the platform holds less than %d", len(b.manifest), crconfig.MaxValue)
+	if len(b.manifest) >= crconfig.MaxValueSize {
+		return Bundle{}, oops.Errorf("the manifest has %d bytes, the platform holds less than %d", len(b.manifest), crconfig.MaxValueSize)
 	}
 	return b, nil
 }
@@ -120,8 +120,8 @@
 		if err != nil {
 			return nil, oops.Wrapf(err, "encode a shard of %ss", kind)
 		}
-		if len(data) >= crconfig.MaxValue {
-			return nil, oops.Errorf("%s shard %d has %d bytes, the platform holds less than %d", kind, i, len(data), crconfig.MaxValue)
+		if len(data) >= crconfig.MaxValueSize {
+			return nil, oops.Errorf("%s shard %d has %d bytes, the platform holds less than %d", kind, i, len(data), crconfig.MaxValueSize)
 		}
 		values = append(values, Value{Name: shardName(kind, i), Data: data})
 	}
--- a/io/crpolicyfile/load.go
+++ b/io/crpolicyfile/load.go
@@ -39,7 +39,7 @@
 		if e.Name <= last {
 			return crconfig.Manifest{}, oops.Wrapf(ErrManifest, "entry %q is out of order or twice", e.Name)
 		}
-		if e.Size <= 0 || e.Size >= crconfig.MaxValue {
+		if e.Size <= 0 || e.Size >= crconfig.MaxValueSize {
 			return crconfig.Manifest{}, oops.Wrapf(ErrManifest, "entry %q has %d bytes", e.Name, e.Size)
 		}
 		last = e.Name
