--- a/core/crconfig/effect.go
+++ b/core/crconfig/effect.go
@@ -14,8 +14,8 @@
 const (
 	// FaultNone: answered.
 	FaultNone Fault = iota
-	// FaultAway: no usable answer in time.
-	FaultAway
+	// FaultUnavailable: no usable answer in time.
+	FaultUnavailable
 	// FaultStale: an answer from before what the platform had said earlier.
 	FaultStale
 	// FaultMissing: the platform does not hold it, or holds too much.
--- a/core/crconfig/fleet_test.go
+++ b/core/crconfig/fleet_test.go
@@ -323,7 +323,7 @@
 	fault := crconfig.FaultNone
 	switch {
 	case a.away:
-		fault = crconfig.FaultAway
+		fault = crconfig.FaultUnavailable
 	case a.bad:
 		fault = crconfig.FaultMissing
 	}
--- a/core/crconfig/list.go
+++ b/core/crconfig/list.go
@@ -185,7 +185,7 @@
 // does not look away then, and nothing else would tell of instances that are
 // missing here.
 func (s *State) listUnread(fault Fault) {
-	if fault == FaultAway || s.nextList.told {
+	if fault == FaultUnavailable || s.nextList.told {
 		return
 	}
 	s.nextList.told = true
--- a/core/crconfig/list_test.go
+++ b/core/crconfig/list_test.go
@@ -82,7 +82,7 @@
 	for i, want := range []struct {
 		fault crconfig.Fault
 		told  bool
-	}{{crconfig.FaultAway, false}, {crconfig.FaultMissing, true}, {crconfig.FaultMissing, false}} {
+	}{{crconfig.FaultUnavailable, false}, {crconfig.FaultMissing, true}, {crconfig.FaultMissing, false}} {
 		told := false
 		for _, e := range p.Step(crconfig.ListResult{Now: p.now, Fault: want.fault}) {
 			report, ok := e.(crevent.Report)
--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -232,7 +232,7 @@
 func (s *State) startWatch(now crid.Instant) {
 	w := &s.watch
 	if w.busy && !now.Before(w.due) {
-		s.watched(now, WatchResult{Now: now, Fault: FaultAway})
+		s.watched(now, WatchResult{Now: now, Fault: FaultUnavailable})
 	}
 	starting := !s.heard && !w.answered
 	if w.busy || now.Before(w.notBefore) || (!w.reader && !starting) || !s.spend() {
--- a/io/crplatform/perform.go
+++ b/io/crplatform/perform.go
@@ -48,5 +48,5 @@
 	case errors.Is(err, ErrNotFound), errors.Is(err, ErrTooLarge):
 		return crconfig.FaultMissing
 	}
-	return crconfig.FaultAway
+	return crconfig.FaultUnavailable
 }
