--- a/core/crconfig/message.go
+++ b/core/crconfig/message.go
@@ -12,7 +12,7 @@
 	Manifest Digest        `cbor:"m"`
 	List     crid.Revision `cbor:"l"` // zero: none
 	Away     bool          `cbor:"a"` // the sender can not read the platform
-	Ask      uint64        `cbor:"q"` // not zero: the sender wants a Have back with this as Echo
+	Nonce    uint64        `cbor:"q"` // not zero: the sender wants a Have back with this as Echo
 	Echo     uint64        `cbor:"e"` // Ask of what this answers
 	Reply    bool          `cbor:"r"` // this is an answer; it is never answered
 }
--- a/core/crconfig/push_test.go
+++ b/core/crconfig/push_test.go
@@ -35,8 +35,8 @@
 	effects := p.Step(crevent.Tick{Now: p.now})
 	for _, e := range effects {
 		if send, ok := e.(crevent.Send); ok {
-			if have, ok := send.Msg.(crconfig.Have); ok && have.Ask != 0 {
-				p.ask = have.Ask
+			if have, ok := send.Msg.(crconfig.Have); ok && have.Nonce != 0 {
+				p.ask = have.Nonce
 			}
 		}
 	}
--- a/core/crconfig/spread.go
+++ b/core/crconfig/spread.go
@@ -45,11 +45,11 @@
 	s.learn(now, msg.Conf, msg.Manifest, from)
 	s.offeredList(msg.List)
 	lacks := msg.Conf < s.conf.rev || msg.List < s.list.Revision()
-	if msg.Reply || (!lacks && msg.Ask == 0) {
+	if msg.Reply || (!lacks && msg.Nonce == 0) {
 		return
 	}
 	reply := s.myHave()
-	reply.Echo = msg.Ask
+	reply.Echo = msg.Nonce
 	reply.Reply = true
 	s.send(from, reply)
 }
@@ -61,7 +61,7 @@
 	}
 	s.asked = s.chooseAsked()
 	msg := s.myHave()
-	msg.Ask = s.ask
+	msg.Nonce = s.ask
 	for _, d := range s.asked {
 		if !s.told[d] {
 			s.send(d, msg)
