--- a/core/crconfig/message.go
+++ b/core/crconfig/message.go
@@ -8,13 +8,13 @@
 
 // Have tells a peer what this daemon has in force.
 type Have struct {
-	Conf     crid.Revision `cbor:"c"` // zero: none
-	Manifest Digest        `cbor:"m"`
-	List     crid.Revision `cbor:"l"` // zero: none
-	Away     bool          `cbor:"a"` // the sender can not read the platform
-	Nonce    uint64        `cbor:"q"` // not zero: the sender wants a Have back with this as Echo
-	Echo     uint64        `cbor:"e"` // Ask of what this answers
-	Reply    bool          `cbor:"r"` // this is an answer; it is never answered
+	Conf                crid.Revision `cbor:"c"` // zero: none
+	Manifest            Digest        `cbor:"m"`
+	List                crid.Revision `cbor:"l"` // zero: none
+	PlatformUnavailable bool          `cbor:"a"` // the sender can not read the platform
+	Nonce               uint64        `cbor:"q"` // not zero: the sender wants a Have back with this as Echo
+	Echo                uint64        `cbor:"e"` // Ask of what this answers
+	Reply               bool          `cbor:"r"` // this is an answer; it is never answered
 }
 
 // MessageKind implements crevent.Message.
--- a/core/crconfig/spread.go
+++ b/core/crconfig/spread.go
@@ -6,7 +6,7 @@
 )
 
 func (s *State) myHave() Have {
-	return Have{Conf: s.conf.rev, Manifest: s.conf.digest, List: s.list.Revision(), Away: s.watch.away}
+	return Have{Conf: s.conf.rev, Manifest: s.conf.digest, List: s.list.Revision(), PlatformUnavailable: s.watch.away}
 }
 
 // spread tells a few random peers what this daemon has.
