--- a/core/crconfig/message.go
+++ b/core/crconfig/message.go
@@ -28,7 +28,7 @@
 // Want names a value and how much of it the asker has.
 type Want struct {
 	Digest Digest `cbor:"d"`
-	Off    int    `cbor:"o"` // bytes
+	Offset int    `cbor:"o"` // bytes
 }
 
 // MessageKind implements crevent.Message.
--- a/core/crconfig/pull.go
+++ b/core/crconfig/pull.go
@@ -17,7 +17,7 @@
 		if len(wants) == maxWants {
 			break
 		}
-		wants = append(wants, Want{Digest: e.Digest, Off: len(f.parts[e.Digest])})
+		wants = append(wants, Want{Digest: e.Digest, Offset: len(f.parts[e.Digest])})
 	}
 	f.due = now.Add(s.params.PullTimeout << min(f.tries/3, maxShift))
 	s.send(f.peer, Pull{Want: wants})
@@ -32,12 +32,12 @@
 		if want.Digest == s.conf.digest {
 			data, ok = s.conf.raw, s.conf.rev > 0
 		}
-		if !ok || want.Off < 0 || want.Off >= len(data) || room == 0 {
+		if !ok || want.Offset < 0 || want.Offset >= len(data) || room == 0 {
 			continue
 		}
-		n := min(room, len(data)-want.Off)
+		n := min(room, len(data)-want.Offset)
 		room -= n
-		parts = append(parts, Part{Digest: want.Digest, Off: want.Off, Size: len(data), Data: data[want.Off : want.Off+n]})
+		parts = append(parts, Part{Digest: want.Digest, Off: want.Offset, Size: len(data), Data: data[want.Offset : want.Offset+n]})
 	}
 	s.send(to, Push{Parts: parts})
 }
