--- a/core/crconfig/message.go
+++ b/core/crconfig/message.go
@@ -43,7 +43,7 @@
 // Part is a stretch of a value.
 type Part struct {
 	Digest Digest `cbor:"d"`
-	Off    int    `cbor:"o"` // bytes before Data
+	Offset int    `cbor:"o"` // bytes before Data
 	Size   int    `cbor:"s"` // bytes of the whole value
 	Data   []byte `cbor:"b"`
 }
--- a/core/crconfig/pull.go
+++ b/core/crconfig/pull.go
@@ -37,7 +37,7 @@
 		}
 		n := min(room, len(data)-want.Offset)
 		room -= n
-		parts = append(parts, Part{Digest: want.Digest, Off: want.Offset, Size: len(data), Data: data[want.Offset : want.Offset+n]})
+		parts = append(parts, Part{Digest: want.Digest, Offset: want.Offset, Size: len(data), Data: data[want.Offset : want.Offset+n]})
 	}
 	s.send(to, Push{Parts: parts})
 }
@@ -71,7 +71,7 @@
 	f := s.nextConf
 	have := f.parts[p.Digest]
 	wanted := slices.ContainsFunc(s.missing(), func(e Entry) bool { return e.Digest == p.Digest })
-	if !wanted || p.Off != len(have) || len(p.Data) == 0 || p.Size >= MaxValueSize || len(have)+len(p.Data) > p.Size {
+	if !wanted || p.Offset != len(have) || len(p.Data) == 0 || p.Size >= MaxValueSize || len(have)+len(p.Data) > p.Size {
 		return false
 	}
 	data := append(have, p.Data...)
--- a/io/crtrace/redact.go
+++ b/io/crtrace/redact.go
@@ -74,7 +74,7 @@
 	}
 	var p push
 	for _, part := range m.Parts {
-		p.Parts = append(p.Parts, redact(part.Digest, part.Off, part.Size, part.Data))
+		p.Parts = append(p.Parts, redact(part.Digest, part.Offset, part.Size, part.Data))
 	}
 	return p
 }
@@ -86,7 +86,7 @@
 		if err != nil {
 			return nil, err
 		}
-		m.Parts = append(m.Parts, crconfig.Part{Digest: part.Digest, Off: part.Off, Size: part.Size, Data: data})
+		m.Parts = append(m.Parts, crconfig.Part{Digest: part.Digest, Offset: part.Off, Size: part.Size, Data: data})
 	}
 	return m, nil
 }
--- a/io/crtrace/redact_test.go
+++ b/io/crtrace/redact_test.go
@@ -33,7 +33,7 @@
 		crconfig.ReadResult{Now: 1, Digest: crconfig.Digest{1}, Data: value},
 		crevent.Received{Now: 2, From: "b", Msg: crconfig.Push{Parts: []crconfig.Part{
 			{Digest: digest, Size: len(value), Data: value[:half]},
-			{Digest: digest, Off: half, Size: len(value), Data: value[half:]},
+			{Digest: digest, Offset: half, Size: len(value), Data: value[half:]},
 		}}},
 	}
 	for _, ev := range events {
