--- a/core/crconfig/list.go
+++ b/core/crconfig/list.go
@@ -132,14 +132,14 @@
 }
 
 func (s *State) serveList(to crid.Daemon, msg ListPull) {
-	if s.list.Revision() == 0 || msg.Off < 0 {
+	if s.list.Revision() == 0 || msg.Offset < 0 {
 		return
 	}
 	if changed, gone, ok := s.changes.after(msg.Have, s.list, s.params.PushItems); ok {
 		s.send(to, ListPush{Rev: s.list.Revision(), Since: msg.Have, Gone: gone, Total: len(changed), Instances: changed})
 		return
 	}
-	off := msg.Off
+	off := msg.Offset
 	if msg.Rev != 0 && msg.Rev != s.list.Revision() {
 		off = 0 // the list has changed under the asker; begin anew
 	}
@@ -174,7 +174,7 @@
 	l.got = append(l.got, msg.Instances...)
 	if len(l.got) < msg.Total {
 		l.due = now.Add(s.params.PullTimeout)
-		s.send(from, ListPull{Rev: l.rev, Off: len(l.got)})
+		s.send(from, ListPull{Rev: l.rev, Offset: len(l.got)})
 		return
 	}
 	s.setList(now, crinstance.NewList(l.rev, slices.Clone(l.got)))
