--- a/core/crconfig/list.go
+++ b/core/crconfig/list.go
@@ -148,7 +148,7 @@
 		return
 	}
 	end := min(off+s.params.PushItems, len(all))
-	s.send(to, ListPush{Rev: s.list.Revision(), Off: off, Total: len(all), Instances: all[off:end]})
+	s.send(to, ListPush{Rev: s.list.Revision(), Offset: off, Total: len(all), Instances: all[off:end]})
 }
 
 func (s *State) listPush(now crid.Instant, from crid.Daemon, msg ListPush) {
@@ -164,11 +164,11 @@
 		}
 		return
 	}
-	if msg.Off == 0 {
+	if msg.Offset == 0 {
 		l.rev = msg.Rev
 		l.got = nil
 	}
-	if msg.Rev != l.rev || msg.Off != len(l.got) || (len(msg.Instances) == 0 && msg.Total > msg.Off) {
+	if msg.Rev != l.rev || msg.Offset != len(l.got) || (len(msg.Instances) == 0 && msg.Total > msg.Offset) {
 		return
 	}
 	l.got = append(l.got, msg.Instances...)
--- a/core/crconfig/message.go
+++ b/core/crconfig/message.go
@@ -67,7 +67,7 @@
 	Rev       crid.Revision         `cbor:"r"`
 	Since     crid.Revision         `cbor:"s"` // not zero: only what changed since that list
 	Gone      []crid.Daemon         `cbor:"g"` // removed since then
-	Off       int                   `cbor:"o"`
+	Offset    int                   `cbor:"o"`
 	Total     int                   `cbor:"t"`
 	Instances []crinstance.Instance `cbor:"i"`
 }
