--- a/core/crconfig/list.go
+++ b/core/crconfig/list.go
@@ -102,7 +102,7 @@
 	l.due = now.Add(s.params.PullTimeout)
 	l.rev = 0
 	l.got = nil
-	s.send(holder, ListPull{Have: s.list.Revision()})
+	s.send(holder, ListPull{Base: s.list.Revision()})
 }
 
 func (s *State) listHolder() (crid.Daemon, bool) {
@@ -135,8 +135,8 @@
 	if s.list.Revision() == 0 || msg.Offset < 0 {
 		return
 	}
-	if changed, gone, ok := s.changes.after(msg.Have, s.list, s.params.PushItems); ok {
-		s.send(to, ListPush{Rev: s.list.Revision(), Since: msg.Have, Gone: gone, Total: len(changed), Instances: changed})
+	if changed, gone, ok := s.changes.after(msg.Base, s.list, s.params.PushItems); ok {
+		s.send(to, ListPush{Rev: s.list.Revision(), Since: msg.Base, Gone: gone, Total: len(changed), Instances: changed})
 		return
 	}
 	off := msg.Offset
--- a/core/crconfig/message.go
+++ b/core/crconfig/message.go
@@ -54,7 +54,7 @@
 // ListPull asks a peer for its list of instances from an offset, or for what
 // changed since the list that the asker has.
 type ListPull struct {
-	Have   crid.Revision `cbor:"h"` // the asker's list; zero: none, or the whole is wanted
+	Base   crid.Revision `cbor:"h"` // the asker's list; zero: none, or the whole is wanted
 	Rev    crid.Revision `cbor:"r"` // of the list that Off counts in; zero: any
 	Offset int           `cbor:"o"` // instances
 }
