--- a/core/crconfig/message.go
+++ b/core/crconfig/message.go
@@ -65,7 +65,7 @@
 // ListPush is a stretch of a list of instances, or its difference to a former.
 type ListPush struct {
 	Rev       crid.Revision         `cbor:"r"`
-	Since     crid.Revision         `cbor:"s"` // not zero: only what changed since that list
+	Base      crid.Revision         `cbor:"s"` // not zero: only what changed since that list
 	Gone      []crid.Daemon         `cbor:"g"` // removed since then
 	Offset    int                   `cbor:"o"`
 	Total     int                   `cbor:"t"`
