--- a/core/crconfig/list.go
+++ b/core/crconfig/list.go
@@ -136,7 +136,7 @@
 		return
 	}
 	if changed, gone, ok := s.changes.after(msg.Base, s.list, s.params.PushItems); ok {
-		s.send(to, ListPush{Rev: s.list.Revision(), Base: msg.Base, Gone: gone, Total: len(changed), Instances: changed})
+		s.send(to, ListPush{Rev: s.list.Revision(), Base: msg.Base, Removed: gone, Total: len(changed), Instances: changed})
 		return
 	}
 	off := msg.Offset
@@ -160,7 +160,7 @@
 		// The list may have been replaced since the asking; a difference to
 		// another list would leave out what changed in between.
 		if msg.Base == s.list.Revision() {
-			s.setList(now, patch(s.list, msg.Rev, msg.Instances, msg.Gone))
+			s.setList(now, patch(s.list, msg.Rev, msg.Instances, msg.Removed))
 		}
 		return
 	}
--- a/core/crconfig/list_test.go
+++ b/core/crconfig/list_test.go
@@ -60,13 +60,13 @@
 	p.Step(list(5, "a", "self", "old"))
 	p.hear("a", crconfig.Have{List: 7})
 	p.Step(list(6, "a", "self", "old", "other"))
-	push := crconfig.ListPush{Rev: 7, Base: 5, Gone: []crid.Daemon{"old"}}
+	push := crconfig.ListPush{Rev: 7, Base: 5, Removed: []crid.Daemon{"old"}}
 	p.hear("a", push)
 	if got := p.List().Revision(); got != 6 {
 		t.Errorf("went to %d", got)
 	}
 	push.Base = 6
-	push.Gone = append(push.Gone, "other")
+	push.Removed = append(push.Removed, "other")
 	p.hear("a", push)
 	if got := p.List(); got.Revision() != 7 || got.Len() != 2 {
 		t.Errorf("has %d at %d", got.Len(), got.Revision())
--- a/core/crconfig/message.go
+++ b/core/crconfig/message.go
@@ -66,7 +66,7 @@
 type ListPush struct {
 	Rev       crid.Revision         `cbor:"r"`
 	Base      crid.Revision         `cbor:"s"` // not zero: only what changed since that list
-	Gone      []crid.Daemon         `cbor:"g"` // removed since then
+	Removed   []crid.Daemon         `cbor:"g"` // removed since then
 	Offset    int                   `cbor:"o"`
 	Total     int                   `cbor:"t"`
 	Instances []crinstance.Instance `cbor:"i"`
