--- a/core/crconfig/dump.go
+++ b/core/crconfig/dump.go
@@ -9,7 +9,7 @@
 	Values     int           `json:"values"`
 	List       crid.Revision `json:"list"`
 	Instances  int           `json:"instances"`
-	Want       crid.Revision `json:"want"`    // newer configuration on its way; zero for none
+	Next       crid.Revision `json:"want"`    // newer configuration on its way; zero for none
 	Missing    int           `json:"missing"` // values of it
 	Pulling    crid.Daemon   `json:"pulling"` // peer it is pulled from
 	Direct     bool          `json:"direct"`  // it is read from the platform
@@ -42,7 +42,7 @@
 		PeersHeard: len(s.haves),
 	}
 	if s.nextConf != nil {
-		d.Want = s.nextConf.rev
+		d.Next = s.nextConf.rev
 		d.Missing = len(s.missing())
 		d.Pulling = s.nextConf.peer
 		d.Direct = s.nextConf.direct
