--- a/core/crconfig/dump.go
+++ b/core/crconfig/dump.go
@@ -13,7 +13,7 @@
 	Missing    int           `json:"missing"` // values of it
 	Pulling    crid.Daemon   `json:"pulling"` // peer it is pulled from
 	Direct     bool          `json:"direct"`  // it is read from the platform
-	WantList   crid.Revision `json:"wantlist"`
+	NextList   crid.Revision `json:"wantlist"`
 	Refused    []string      `json:"refused"` // revisions
 	Ready      bool          `json:"ready"`
 	Trusted    bool          `json:"trusted"` // at the last tick
@@ -32,7 +32,7 @@
 		Values:     len(s.conf.values),
 		List:       s.list.Revision(),
 		Instances:  s.list.Len(),
-		WantList:   s.nextList.want,
+		NextList:   s.nextList.want,
 		Ready:      s.ready,
 		Trusted:    s.trusted,
 		Reader:     s.watch.reader,
