--- a/core/crconfig/dump.go
+++ b/core/crconfig/dump.go
@@ -4,24 +4,24 @@
 
 // Dump is the reducer's state for the state dump; it holds no secret.
 type Dump struct {
-	Revision   crid.Revision `json:"revision"`
-	Manifest   string        `json:"manifest"`
-	Values     int           `json:"values"`
-	List       crid.Revision `json:"list"`
-	Instances  int           `json:"instances"`
-	Next       crid.Revision `json:"want"`    // newer configuration on its way; zero for none
-	Missing    int           `json:"missing"` // values of it
-	Pulling    crid.Daemon   `json:"pulling"` // peer it is pulled from
-	Direct     bool          `json:"direct"`  // it is read from the platform
-	NextList   crid.Revision `json:"wantlist"`
-	Refused    []string      `json:"refused"` // revisions
-	Ready      bool          `json:"ready"`
-	Trusted    bool          `json:"trusted"` // at the last tick
-	Reader     bool          `json:"reader"`
-	Ranked     []crid.Daemon `json:"ranked"` // readers and spares of the domain
-	Away       bool          `json:"away"`   // the platform, for this daemon
-	Reachable  int           `json:"reachable"`
-	PeersHeard int           `json:"heard"`
+	Revision      crid.Revision `json:"revision"`
+	Manifest      string        `json:"manifest"`
+	Values        int           `json:"values"`
+	List          crid.Revision `json:"list"`
+	Instances     int           `json:"instances"`
+	Next          crid.Revision `json:"want"`    // newer configuration on its way; zero for none
+	MissingValues int           `json:"missing"` // values of it
+	Pulling       crid.Daemon   `json:"pulling"` // peer it is pulled from
+	Direct        bool          `json:"direct"`  // it is read from the platform
+	NextList      crid.Revision `json:"wantlist"`
+	Refused       []string      `json:"refused"` // revisions
+	Ready         bool          `json:"ready"`
+	Trusted       bool          `json:"trusted"` // at the last tick
+	Reader        bool          `json:"reader"`
+	Ranked        []crid.Daemon `json:"ranked"` // readers and spares of the domain
+	Away          bool          `json:"away"`   // the platform, for this daemon
+	Reachable     int           `json:"reachable"`
+	PeersHeard    int           `json:"heard"`
 }
 
 // Dump returns the state as a JSON-ready value.
@@ -43,7 +43,7 @@
 	}
 	if s.nextConf != nil {
 		d.Next = s.nextConf.rev
-		d.Missing = len(s.missing())
+		d.MissingValues = len(s.missing())
 		d.Pulling = s.nextConf.peer
 		d.Direct = s.nextConf.direct
 	}
