--- a/core/crconfig/dump.go
+++ b/core/crconfig/dump.go
@@ -11,7 +11,7 @@
 	Instances     int           `json:"instances"`
 	Next          crid.Revision `json:"want"`    // newer configuration on its way; zero for none
 	MissingValues int           `json:"missing"` // values of it
-	Pulling       crid.Daemon   `json:"pulling"` // peer it is pulled from
+	PullingFrom   crid.Daemon   `json:"pulling"` // peer it is pulled from
 	Direct        bool          `json:"direct"`  // it is read from the platform
 	NextList      crid.Revision `json:"wantlist"`
 	Refused       []string      `json:"refused"` // revisions
@@ -44,7 +44,7 @@
 	if s.nextConf != nil {
 		d.Next = s.nextConf.rev
 		d.MissingValues = len(s.missing())
-		d.Pulling = s.nextConf.peer
+		d.PullingFrom = s.nextConf.peer
 		d.Direct = s.nextConf.direct
 	}
 	for _, r := range s.refused {
