--- a/core/crconfig/dump.go
+++ b/core/crconfig/dump.go
@@ -12,7 +12,7 @@
 	Next          crid.Revision `json:"want"`    // newer configuration on its way; zero for none
 	MissingValues int           `json:"missing"` // values of it
 	PullingFrom   crid.Daemon   `json:"pulling"` // peer it is pulled from
-	Direct        bool          `json:"direct"`  // it is read from the platform
+	FromPlatform  bool          `json:"direct"`  // it is read from the platform
 	NextList      crid.Revision `json:"wantlist"`
 	Refused       []string      `json:"refused"` // revisions
 	Ready         bool          `json:"ready"`
@@ -45,7 +45,7 @@
 		d.Next = s.nextConf.rev
 		d.MissingValues = len(s.missing())
 		d.PullingFrom = s.nextConf.peer
-		d.Direct = s.nextConf.direct
+		d.FromPlatform = s.nextConf.direct
 	}
 	for _, r := range s.refused {
 		d.Refused = append(d.Refused, rev(r.rev))
