--- a/core/crconfig/dump.go
+++ b/core/crconfig/dump.go
@@ -14,7 +14,7 @@
 	PullingFrom   crid.Daemon   `json:"pulling"` // peer it is pulled from
 	FromPlatform  bool          `json:"direct"`  // it is read from the platform
 	NextList      crid.Revision `json:"wantlist"`
-	Refused       []string      `json:"refused"` // revisions
+	Rejected      []string      `json:"refused"` // revisions
 	Ready         bool          `json:"ready"`
 	Trusted       bool          `json:"trusted"` // at the last tick
 	Reader        bool          `json:"reader"`
@@ -48,7 +48,7 @@
 		d.FromPlatform = s.nextConf.direct
 	}
 	for _, r := range s.refused {
-		d.Refused = append(d.Refused, rev(r.rev))
+		d.Rejected = append(d.Rejected, rev(r.rev))
 	}
 	return d
 }
--- a/e2e/withdraw_test.go
+++ b/e2e/withdraw_test.go
@@ -170,7 +170,7 @@
 			return func() []string {
 				state, err := d.State(within(5 * time.Second))
 				must(err)
-				return state.Config.Refused
+				return state.Config.Rejected
 			}
 		}
 		for _, d := range f.Daemons() {
