--- a/core/crconfig/dump.go
+++ b/core/crconfig/dump.go
@@ -21,7 +21,7 @@
 	Ranked              []crid.Daemon `json:"ranked"` // readers and spares of the domain
 	PlatformUnavailable bool          `json:"away"`   // the platform, for this daemon
 	Reachable           int           `json:"reachable"`
-	PeersHeard          int           `json:"heard"`
+	KnownPeers          int           `json:"heard"`
 }
 
 // Dump returns the state as a JSON-ready value.
@@ -39,7 +39,7 @@
 		Ranked:              s.watch.ranked,
 		PlatformUnavailable: s.watch.away,
 		Reachable:           len(s.peers),
-		PeersHeard:          len(s.haves),
+		KnownPeers:          len(s.haves),
 	}
 	if s.nextConf != nil {
 		d.Next = s.nextConf.rev
