--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// UseDigests replaces the digest function. A replay needs it, since a trace
+// SetDigestFunc replaces the digest function. A replay needs it, since a trace
 // holds the digests of the published values but not what is in them.
-func (s *State) UseDigests(digestOf func([]byte) Digest) { s.digestOf = digestOf }
+func (s *State) SetDigestFunc(digestOf func([]byte) Digest) { s.digestOf = digestOf }
 
 // Ready reports whether the daemon may begin to serve: it has asked the
 // platform, or enough peers of several domains, and has the newest of what they
--- a/io/crtrace/replay.go
+++ b/io/crtrace/replay.go
@@ -101,7 +101,7 @@
 		return p.r.fail(err)
 	}
 	control := crdaemon.NewControl(h.Params, p.parse, p.load)
-	control.Config.UseDigests(digestOf)
+	control.Config.SetDigestFunc(digestOf)
 	p.root = control.Root
 	return nil
 }
