--- a/core/crconfig/params.go
+++ b/core/crconfig/params.go
@@ -9,7 +9,7 @@
 // Params are the reducer's settings.
 type Params struct {
 	Readers      int           // daemons of a domain that hold the watch
-	Spares       int           // daemons ranked next, which step in for readers that can not read
+	Standbys     int           `cbor:"Spares" json:"Spares"` // daemons ranked next, which step in for readers that can not read
 	Voters       int           // of a list, whom membership hears for certain; crmember's MaxVoters
 	Silence      time.Duration // after which a ranked daemon that is not heard is taken for away
 	Fanout       int           // peers told at a time of what this daemon has
@@ -37,7 +37,7 @@
 func DefaultParams() Params {
 	return Params{
 		Readers:      2,
-		Spares:       2,
+		Standbys:     2,
 		Voters:       crmember.DefaultParams().MaxVoters,
 		Silence:      3 * time.Second,
 		Fanout:       3,
--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -152,7 +152,7 @@
 	former := s.watch.fellows
 	s.watch.ranked = nil
 	s.watch.fellows = make(map[crid.Daemon]crid.Instant)
-	for _, c := range all[:min(s.params.Readers+s.params.Spares, len(all))] {
+	for _, c := range all[:min(s.params.Readers+s.params.Standbys, len(all))] {
 		s.watch.ranked = append(s.watch.ranked, c.daemon)
 		if c.unsure && c.daemon != s.self {
 			s.watch.fellows[c.daemon] = cmp.Or(former[c.daemon], now)
