--- a/core/crconfig/params.go
+++ b/core/crconfig/params.go
@@ -11,7 +11,7 @@
 	Readers      int           // daemons of a domain that hold the watch
 	Standbys     int           `cbor:"Spares" json:"Spares"` // daemons ranked next, which step in for readers that can not read
 	Voters       int           // of a list, whom membership hears for certain; crmember's MaxVoters
-	Silence      time.Duration // after which a ranked daemon that is not heard is taken for away
+	PeerTimeout  time.Duration `cbor:"Silence" json:"Silence"` // after which a ranked daemon that is not heard is taken for away
 	Fanout       int           // peers told at a time of what this daemon has
 	SpreadEvery  time.Duration // between two tellings
 	PullTimeout  time.Duration // after which a silent peer is given up; doubles with every third
@@ -39,7 +39,7 @@
 		Readers:      2,
 		Standbys:     2,
 		Voters:       crmember.DefaultParams().MaxVoters,
-		Silence:      3 * time.Second,
+		PeerTimeout:  3 * time.Second,
 		Fanout:       3,
 		SpreadEvery:  500 * time.Millisecond,
 		PullTimeout:  300 * time.Millisecond,
--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -199,7 +199,7 @@
 		return s.watch.away
 	}
 	heard, unsure := s.watch.fellows[d]
-	return s.haves[d].PlatformUnavailable || (unsure && now.Sub(heard) > s.params.Silence)
+	return s.haves[d].PlatformUnavailable || (unsure && now.Sub(heard) > s.params.PeerTimeout)
 }
 
 // fellows are the other ranked daemons of the domain; they tell one another
