--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -161,7 +161,7 @@
 	s.watch.credit = s.rng.Float64()
 	s.watch.aloneAfter = s.params.Grace + s.jitter(s.params.spread())
 	s.forget(ev.Now)
-	s.spreadAt = ev.Now.Add(s.jitter(s.params.SpreadEvery))
+	s.spreadAt = ev.Now.Add(s.jitter(s.params.GossipInterval))
 }
 
 func (s *State) tick(now crid.Instant) {
@@ -169,7 +169,7 @@
 	s.refill(now)
 	s.startWatch(now)
 	if !now.Before(s.spreadAt) {
-		s.spreadAt = now.Add(s.params.SpreadEvery)
+		s.spreadAt = now.Add(s.params.GossipInterval)
 		s.askPeers()
 		s.tell(s.fellows())
 		s.spread()
