--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -239,7 +239,7 @@
 		return
 	}
 	wait := s.watchWait()
-	timeout := wait + s.params.AnswerTime
+	timeout := wait + s.params.ResponseTimeout
 	w.busy = true
 	w.due = now.Add(timeout)
 	w.after = max(s.conf.rev, s.list.Revision(), w.seen)
