--- a/core/crconfig/params.go
+++ b/core/crconfig/params.go
@@ -20,7 +20,7 @@
 	PushItems       int           // instances in one message
 	ReadsPerTick    int           // platform calls per 50 ms of a settled reader
 	ReadTimeout     time.Duration // of one platform call other than a watch
-	ReaderWait      time.Duration // for which a settled reader's watch waits: a silence leaves its domain deaf for as long
+	WatchWait       time.Duration `cbor:"ReaderWait" json:"ReaderWait"` // for which a settled reader's watch waits: a silence leaves its domain deaf for as long
 	ResponseTimeout time.Duration `cbor:"AnswerTime" json:"AnswerTime"` // of a watch, beyond its wait
 	Fleet           int           // daemons that may start, or lose their peers, at once
 	PlatformRate    int           // platform calls a second that all but the settled readers may make together
@@ -48,7 +48,7 @@
 		PushItems:       400,
 		ReadsPerTick:    2,
 		ReadTimeout:     5 * time.Second,
-		ReaderWait:      4 * time.Second,
+		WatchWait:       4 * time.Second,
 		ResponseTimeout: 1500 * time.Millisecond,
 		Fleet:           6000,
 		PlatformRate:    1200,
--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -252,10 +252,10 @@
 func (s *State) watchWait() time.Duration {
 	switch {
 	case s.isSettled():
-		return s.params.ReaderWait
+		return s.params.WatchWait
 	case s.watch.reader:
 		half := time.Duration(2 / s.params.share() * float64(time.Second))
-		return max(half, s.params.ReaderWait)
+		return max(half, s.params.WatchWait)
 	}
 	return 0
 }
