--- a/core/crconfig/fleet_test.go
+++ b/core/crconfig/fleet_test.go
@@ -136,7 +136,7 @@
 
 func quick() crconfig.Params {
 	p := crconfig.DefaultParams()
-	p.Fleet = 100
+	p.FleetSize = 100
 	return p
 }
 
--- a/core/crconfig/params.go
+++ b/core/crconfig/params.go
@@ -22,7 +22,7 @@
 	ReadTimeout     time.Duration // of one platform call other than a watch
 	WatchWait       time.Duration `cbor:"ReaderWait" json:"ReaderWait"` // for which a settled reader's watch waits: a silence leaves its domain deaf for as long
 	ResponseTimeout time.Duration `cbor:"AnswerTime" json:"AnswerTime"` // of a watch, beyond its wait
-	Fleet           int           // daemons that may start, or lose their peers, at once
+	FleetSize       int           `cbor:"Fleet" json:"Fleet"`           // daemons that may start, or lose their peers, at once
 	PlatformRate    int           // platform calls a second that all but the settled readers may make together
 	Settle          time.Duration // for which a rank must last before the watch starts
 	Grace           time.Duration // in which a fresh daemon without peers waits for some
@@ -50,7 +50,7 @@
 		ReadTimeout:     5 * time.Second,
 		WatchWait:       4 * time.Second,
 		ResponseTimeout: 1500 * time.Millisecond,
-		Fleet:           6000,
+		FleetSize:       6000,
 		PlatformRate:    1200,
 		Settle:          2 * time.Second,
 		Grace:           3 * time.Second,
@@ -66,16 +66,16 @@
 // platform without being a settled reader. However many do so, all of them
 // together stay within PlatformRate.
 func (p Params) share() float64 {
-	return float64(p.PlatformRate) / float64(max(p.Fleet, 1))
+	return float64(p.PlatformRate) / float64(max(p.FleetSize, 1))
 }
 
 // spread is the time over which daemons scatter a step that all may take at once.
 func (p Params) spread() time.Duration {
-	return time.Duration(p.Fleet) * 4 * time.Second / time.Duration(max(p.PlatformRate, 1))
+	return time.Duration(p.FleetSize) * 4 * time.Second / time.Duration(max(p.PlatformRate, 1))
 }
 
 // pages is the number of platform calls that a list of the whole fleet takes.
-func (p Params) pages() float64 { return float64(1 + p.Fleet/pageInstances) }
+func (p Params) pages() float64 { return float64(1 + p.FleetSize/pageInstances) }
 
 // pageInstances is the number of instances that the platform tells in a call of
 // less than a megabyte, with some nine targets each.
--- a/core/crconfig/spread_bench_test.go
+++ b/core/crconfig/spread_bench_test.go
@@ -92,7 +92,7 @@
 		{300, crconfig.DefaultParams()},
 		{1000, crconfig.DefaultParams()},
 	} {
-		b.Run(fmt.Sprintf("daemons=%d/fleet=%d", c.n, c.params.Fleet), func(b *testing.B) {
+		b.Run(fmt.Sprintf("daemons=%d/fleet=%d", c.n, c.params.FleetSize), func(b *testing.B) {
 			var took time.Duration
 			var f *fleet
 			for b.Loop() {
--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -153,7 +153,7 @@
 	s.recorder = rec
 	s.steers = make(map[crid.Service]crhealth.Steer)
 	params := crdaemon.DefaultParams()
-	params.Config.Fleet = cfg.Platform.Fleet
+	params.Config.FleetSize = cfg.Platform.Fleet
 	params.Health = healthParams(cfg.Policy)
 	opts := crcontrol.Options{
 		Clock: crclock.Now, Do: s.do, Before: s.before, Wake: s.wallet.Wanted(), Stepped: m.stepped,
--- a/io/crplatform/perform_test.go
+++ b/io/crplatform/perform_test.go
@@ -20,7 +20,7 @@
 	p.SetInstances([]crinstance.Instance{{Daemon: "self", Domain: "m", State: crinstance.StateLive}})
 	publish(t, p, "one")
 	params := crconfig.DefaultParams()
-	params.Fleet = 1
+	params.FleetSize = 1
 	s := crconfig.New(params, crpolicyfile.ParseManifest, crpolicyfile.Load)
 	now := crid.Instant(0)
 	clock := func() crid.Instant { return now }
