--- a/core/crconfig/params.go
+++ b/core/crconfig/params.go
@@ -24,7 +24,7 @@
 	ResponseTimeout time.Duration `cbor:"AnswerTime" json:"AnswerTime"` // of a watch, beyond its wait
 	FleetSize       int           `cbor:"Fleet" json:"Fleet"`           // daemons that may start, or lose their peers, at once
 	PlatformRate    int           // platform calls a second that all but the settled readers may make together
-	Settle          time.Duration // for which a rank must last before the watch starts
+	SettleTime      time.Duration `cbor:"Settle" json:"Settle"` // for which a rank must last before the watch starts
 	Grace           time.Duration // in which a fresh daemon without peers waits for some
 	Ask             int           // peers asked by a fresh daemon
 	Backoff         time.Duration // after a first failure of the platform or of all peers
@@ -52,7 +52,7 @@
 		ResponseTimeout: 1500 * time.Millisecond,
 		FleetSize:       6000,
 		PlatformRate:    1200,
-		Settle:          2 * time.Second,
+		SettleTime:      2 * time.Second,
 		Grace:           3 * time.Second,
 		Ask:             8,
 		Backoff:         time.Second,
--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -95,7 +95,7 @@
 		s.watch.rankedAt = now
 	}
 	s.watch.mine = mine
-	settle := s.params.Settle
+	settle := s.params.SettleTime
 	s.watch.limited = s.isLimited()
 	if s.watch.limited {
 		settle = s.watch.aloneAfter
