--- a/core/crconfig/fetch.go
+++ b/core/crconfig/fetch.go
@@ -192,7 +192,7 @@
 	if s.watch.reader {
 		return s.backoff(s.watch.fails)
 	}
-	return s.params.Grace + s.jitter(s.params.spread())
+	return s.params.PeerGrace + s.jitter(s.params.spread())
 }
 
 // holder picks a peer that has the wanted configuration in force.
--- a/core/crconfig/params.go
+++ b/core/crconfig/params.go
@@ -25,7 +25,7 @@
 	FleetSize       int           `cbor:"Fleet" json:"Fleet"`           // daemons that may start, or lose their peers, at once
 	PlatformRate    int           // platform calls a second that all but the settled readers may make together
 	SettleTime      time.Duration `cbor:"Settle" json:"Settle"` // for which a rank must last before the watch starts
-	Grace           time.Duration // in which a fresh daemon without peers waits for some
+	PeerGrace       time.Duration `cbor:"Grace" json:"Grace"`   // in which a fresh daemon without peers waits for some
 	Ask             int           // peers asked by a fresh daemon
 	Backoff         time.Duration // after a first failure of the platform or of all peers
 	BackoffMax      time.Duration // after many
@@ -53,7 +53,7 @@
 		FleetSize:       6000,
 		PlatformRate:    1200,
 		SettleTime:      2 * time.Second,
-		Grace:           3 * time.Second,
+		PeerGrace:       3 * time.Second,
 		Ask:             8,
 		Backoff:         time.Second,
 		BackoffMax:      30 * time.Second,
--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -119,7 +119,7 @@
 	if now.Before(s.until) {
 		s.watch.heardAt = now
 	}
-	s.watch.alone = s.sampled && now.Sub(s.watch.heardAt) >= s.params.Grace
+	s.watch.alone = s.sampled && now.Sub(s.watch.heardAt) >= s.params.PeerGrace
 }
 
 // isLimited reports whether many daemons may believe themselves ranked first:
--- a/core/crconfig/spread.go
+++ b/core/crconfig/spread.go
@@ -108,7 +108,7 @@
 		return
 	}
 	if len(s.peers) == 0 {
-		s.heard = s.watch.answered && now.Sub(s.startedAt) >= s.params.Grace
+		s.heard = s.watch.answered && now.Sub(s.startedAt) >= s.params.PeerGrace
 		return
 	}
 	answered := 0
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -159,7 +159,7 @@
 	s.watch.refilledAt = ev.Now
 	s.watch.heardAt = ev.Now
 	s.watch.credit = s.rng.Float64()
-	s.watch.aloneAfter = s.params.Grace + s.jitter(s.params.spread())
+	s.watch.aloneAfter = s.params.PeerGrace + s.jitter(s.params.spread())
 	s.forget(ev.Now)
 	s.spreadAt = ev.Now.Add(s.jitter(s.params.GossipInterval))
 }
