--- a/core/crconfig/params.go
+++ b/core/crconfig/params.go
@@ -26,7 +26,7 @@
 	PlatformRate    int           // platform calls a second that all but the settled readers may make together
 	SettleTime      time.Duration `cbor:"Settle" json:"Settle"` // for which a rank must last before the watch starts
 	PeerGrace       time.Duration `cbor:"Grace" json:"Grace"`   // in which a fresh daemon without peers waits for some
-	Ask             int           // peers asked by a fresh daemon
+	QueryFanout     int           `cbor:"Ask" json:"Ask"`       // peers asked by a fresh daemon
 	Backoff         time.Duration // after a first failure of the platform or of all peers
 	BackoffMax      time.Duration // after many
 	ReaderPause     time.Duration // the most that a reader pauses after a failed watch: its domain waits for it
@@ -54,7 +54,7 @@
 		PlatformRate:    1200,
 		SettleTime:      2 * time.Second,
 		PeerGrace:       3 * time.Second,
-		Ask:             8,
+		QueryFanout:     8,
 		Backoff:         time.Second,
 		BackoffMax:      30 * time.Second,
 		ReaderPause:     2 * time.Second,
--- a/core/crconfig/spread.go
+++ b/core/crconfig/spread.go
@@ -72,7 +72,7 @@
 // chooseAsked keeps the asked peers that are still reachable, and fills up with
 // others, one domain after the other.
 func (s *State) chooseAsked() []crid.Daemon {
-	chosen := make(map[crid.Daemon]bool, s.params.Ask)
+	chosen := make(map[crid.Daemon]bool, s.params.QueryFanout)
 	perDomain := make(map[crid.Domain]int)
 	var asked []crid.Daemon
 	add := func(p crmember.Peer) {
@@ -89,10 +89,10 @@
 	if len(s.peers) > 0 {
 		first = s.rng.IntN(len(s.peers))
 	}
-	for level := 0; level < s.params.Ask && len(asked) < s.params.Ask; level++ {
+	for level := 0; level < s.params.QueryFanout && len(asked) < s.params.QueryFanout; level++ {
 		for i := range s.peers {
 			p := s.peers[(first+i)%len(s.peers)]
-			if len(asked) < s.params.Ask && !chosen[p.Daemon] && perDomain[p.Domain] <= level {
+			if len(asked) < s.params.QueryFanout && !chosen[p.Daemon] && perDomain[p.Domain] <= level {
 				add(p)
 			}
 		}
@@ -133,10 +133,10 @@
 // daemons, one of them dead and the platform away, the two others must go on.
 func (s *State) quorum() int {
 	peers := max(len(s.asked), s.members-1, 1)
-	if peers < s.params.Ask {
+	if peers < s.params.QueryFanout {
 		return (peers + 1) / 2
 	}
-	return s.params.Ask/2 + 1
+	return s.params.QueryFanout/2 + 1
 }
 
 // forget turns this daemon's knowledge of what is newest into old fact: it was
