--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -303,7 +303,7 @@
 	w.away = true
 	pause := s.backoff(w.fails)
 	if s.isSettled() {
-		pause = min(pause, s.params.ReaderPause)
+		pause = min(pause, s.params.ReaderBackoffMax)
 	}
 	w.notBefore = now.Add(pause)
 	w.fails++
