--- a/core/crconfig/fetch.go
+++ b/core/crconfig/fetch.go
@@ -307,7 +307,7 @@
 	s.conf = held{rev: f.rev, digest: f.digest, raw: f.raw, manifest: f.manifest, values: values, snapshot: snapshot}
 	s.nextConf = nil
 	clear(s.pieces)
-	s.report(NumberInForce, "revision", rev(f.rev), "former", rev(former))
+	s.report(EventApplied, "revision", rev(f.rev), "former", rev(former))
 	s.emit(Applied{Now: now, Snapshot: snapshot})
 	s.spread()
 	s.learn(now, s.offered.rev, s.offered.digest, "")
--- a/core/crconfig/number.go
+++ b/core/crconfig/number.go
@@ -2,7 +2,7 @@
 
 // Numbers of the reported events; docs/events.md describes each.
 const (
-	NumberInForce       = 500
+	EventApplied        = 500
 	NumberStale         = 501
 	NumberRefused       = 502
 	NumberPlatformAway  = 503
--- a/io/crlog/catalogue_config.go
+++ b/io/crlog/catalogue_config.go
@@ -5,7 +5,7 @@
 func configEntries() []Entry {
 	return []Entry{
 		{
-			crconfig.NumberInForce, LevelInfo, "configuration in force",
+			crconfig.EventApplied, LevelInfo, "configuration in force",
 			"a configuration came into force",
 			"new policy and keys act", none,
 		},
