--- a/core/crconfig/fault_test.go
+++ b/core/crconfig/fault_test.go
@@ -61,7 +61,7 @@
 	f.run(10 * time.Second)
 	loud := 0
 	for _, d := range f.alive() {
-		loud += f.daemons[d].reports[crconfig.NumberStale]
+		loud += f.daemons[d].reports[crconfig.EventStalePlatform]
 		if f.daemons[d].Revision() != rev {
 			t.Errorf("%s went back to %d", d, f.daemons[d].Revision())
 		}
--- a/core/crconfig/number.go
+++ b/core/crconfig/number.go
@@ -3,7 +3,7 @@
 // Numbers of the reported events; docs/events.md describes each.
 const (
 	EventApplied        = 500
-	NumberStale         = 501
+	EventStalePlatform  = 501
 	NumberRefused       = 502
 	NumberPlatformAway  = 503
 	NumberPlatformBack  = 504
--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -296,7 +296,7 @@
 	switch {
 	case ev.Fault == FaultStale && ev.Head != w.told:
 		w.told = ev.Head
-		s.report(NumberStale, "platform", rev(ev.Head.Rev), "known", rev(w.after))
+		s.report(EventStalePlatform, "platform", rev(ev.Head.Rev), "known", rev(w.after))
 	case ev.Fault != FaultStale && !w.away:
 		s.report(NumberPlatformAway, "inforce", rev(s.conf.rev))
 	}
--- a/io/crlog/catalogue_config.go
+++ b/io/crlog/catalogue_config.go
@@ -10,7 +10,7 @@
 			"new policy and keys act", none,
 		},
 		{
-			crconfig.NumberStale, LevelError, "older revision not taken",
+			crconfig.EventStalePlatform, LevelError, "older revision not taken",
 			"the platform shows an older revision than it or a peer had shown",
 			"nothing; the newer stays in force", "restore the platform, or publish again until its revision is above",
 		},
