--- a/core/crconfig/fault_test.go
+++ b/core/crconfig/fault_test.go
@@ -84,7 +84,7 @@
 	f.run(9 * time.Second)
 	refused := 0
 	for _, d := range f.alive() {
-		refused += f.daemons[d].reports[crconfig.NumberRefused]
+		refused += f.daemons[d].reports[crconfig.EventRejected]
 		if f.daemons[d].Revision() != 2 || !f.daemons[d].Trusted(f.clock(d)) {
 			t.Errorf("%s has %d", d, f.daemons[d].Revision())
 		}
--- a/core/crconfig/fetch.go
+++ b/core/crconfig/fetch.go
@@ -321,7 +321,7 @@
 		s.refused = s.refused[1:]
 	}
 	text := err.Error()
-	s.report(NumberRefused, "revision", rev(f.rev), "inforce", rev(s.conf.rev), "error", text[:min(len(text), maxText)])
+	s.report(EventRejected, "revision", rev(f.rev), "inforce", rev(s.conf.rev), "error", text[:min(len(text), maxText)])
 	s.nextConf = nil
 	clear(s.pieces)
 }
--- a/core/crconfig/number.go
+++ b/core/crconfig/number.go
@@ -4,7 +4,7 @@
 const (
 	EventApplied        = 500
 	EventStalePlatform  = 501
-	NumberRefused       = 502
+	EventRejected       = 502
 	NumberPlatformAway  = 503
 	NumberPlatformBack  = 504
 	NumberBadPush       = 505
--- a/io/crlog/catalogue_config.go
+++ b/io/crlog/catalogue_config.go
@@ -15,7 +15,7 @@
 			"nothing; the newer stays in force", "restore the platform, or publish again until its revision is above",
 		},
 		{
-			crconfig.NumberRefused, LevelError, "configuration refused",
+			crconfig.EventRejected, LevelError, "configuration refused",
 			"a configuration failed validation and was refused whole",
 			"the change does not act", "read the field `error`, mend the files, publish again",
 		},
