--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -298,7 +298,7 @@
 		w.told = ev.Head
 		s.report(EventStalePlatform, "platform", rev(ev.Head.Rev), "known", rev(w.after))
 	case ev.Fault != FaultStale && !w.away:
-		s.report(NumberPlatformAway, "inforce", rev(s.conf.rev))
+		s.report(EventPlatformUnavailable, "inforce", rev(s.conf.rev))
 	}
 	w.away = true
 	pause := s.backoff(w.fails)
--- a/e2e/trace_test.go
+++ b/e2e/trace_test.go
@@ -129,7 +129,7 @@
 		Eventually(f.Daemon(0).Log, inForce, "50ms").Should(ContainSubstring(`"former":"1"`))
 		report := replay(f.Daemon(0), "away")
 		Expect(report.Revisions).To(HaveLen(2))
-		Expect(report.Reported).To(HaveKey(crconfig.NumberPlatformAway))
+		Expect(report.Reported).To(HaveKey(crconfig.EventPlatformUnavailable))
 		Expect(report.Reported).NotTo(HaveKey(crmember.EventStandingLost))
 	})
 
--- a/io/crlog/catalogue_config.go
+++ b/io/crlog/catalogue_config.go
@@ -20,7 +20,7 @@
 			"the change does not act", "read the field `error`, mend the files, publish again",
 		},
 		{
-			crconfig.NumberPlatformAway, LevelWarn, "platform away",
+			crconfig.EventPlatformUnavailable, LevelWarn, "platform away",
 			"the platform does not answer this reader",
 			"nothing; changes come from other readers, or late", "mend the platform or the network to it",
 		},
