--- a/core/crconfig/number.go
+++ b/core/crconfig/number.go
@@ -6,7 +6,7 @@
 	EventStalePlatform       = 501
 	EventRejected            = 502
 	EventPlatformUnavailable = 503
-	NumberPlatformBack       = 504
+	EventPlatformRecovered   = 504
 	NumberBadPush            = 505
 	NumberTwoManifests       = 506
 	NumberBehind             = 507
--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -277,7 +277,7 @@
 		return
 	}
 	if w.away {
-		s.report(NumberPlatformBack, "revision", rev(ev.Head.Rev))
+		s.report(EventPlatformRecovered, "revision", rev(ev.Head.Rev))
 	}
 	w.away = false
 	w.answered = true
--- a/io/crlog/catalogue_config.go
+++ b/io/crlog/catalogue_config.go
@@ -25,7 +25,7 @@
 			"nothing; changes come from other readers, or late", "mend the platform or the network to it",
 		},
 		{
-			crconfig.NumberPlatformBack, LevelInfo, "platform back",
+			crconfig.EventPlatformRecovered, LevelInfo, "platform back",
 			"the platform answers again",
 			none, none,
 		},
