--- a/core/crconfig/number.go
+++ b/core/crconfig/number.go
@@ -7,7 +7,7 @@
 	EventRejected            = 502
 	EventPlatformUnavailable = 503
 	EventPlatformRecovered   = 504
-	NumberBadPush            = 505
+	EventCorruptPush         = 505
 	NumberTwoManifests       = 506
 	NumberBehind             = 507
 	NumberReaderStarted      = 508
--- a/core/crconfig/pull.go
+++ b/core/crconfig/pull.go
@@ -81,7 +81,7 @@
 	}
 	delete(f.parts, p.Digest)
 	if s.digestOf(data) != p.Digest {
-		s.report(NumberBadPush, "from", string(from), "digest", p.Digest.String())
+		s.report(EventCorruptPush, "from", string(from), "digest", p.Digest.String())
 		s.giveUp(f)
 		return false
 	}
--- a/core/crconfig/push_test.go
+++ b/core/crconfig/push_test.go
@@ -124,7 +124,7 @@
 	raw := slices.Clone(b.raw)
 	raw[0] ^= 1
 	effects := p.hear(first, crconfig.Push{Parts: []crconfig.Part{{Digest: b.digest(), Size: len(raw), Data: raw}}})
-	if !reported(effects, crconfig.NumberBadPush) {
+	if !reported(effects, crconfig.EventCorruptPush) {
 		t.Error("the bad bytes were not reported")
 	}
 	if to, _ := pulled(effects); to != second {
--- a/io/crlog/catalogue_config.go
+++ b/io/crlog/catalogue_config.go
@@ -30,7 +30,7 @@
 			none, none,
 		},
 		{
-			crconfig.NumberBadPush, LevelWarn, "altered value",
+			crconfig.EventCorruptPush, LevelWarn, "altered value",
 			"a peer sent bytes that do not match their digest",
 			"nothing; another peer is asked", "if it repeats, replace the instance in the field `from`",
 		},
