--- a/core/crconfig/fetch.go
+++ b/core/crconfig/fetch.go
@@ -82,7 +82,7 @@
 func (s *State) checkSame(r crid.Revision, ours, theirs Digest) {
 	if ours != theirs && s.conflict != r {
 		s.conflict = r // once a revision: the peer tells it twice a second
-		s.report(NumberTwoManifests, "revision", rev(r), "ours", ours.String(), "other", theirs.String())
+		s.report(EventConflictingManifests, "revision", rev(r), "ours", ours.String(), "other", theirs.String())
 	}
 }
 
--- a/core/crconfig/number.go
+++ b/core/crconfig/number.go
@@ -2,18 +2,18 @@
 
 // Numbers of the reported events; docs/events.md describes each.
 const (
-	EventApplied             = 500
-	EventStalePlatform       = 501
-	EventRejected            = 502
-	EventPlatformUnavailable = 503
-	EventPlatformRecovered   = 504
-	EventCorruptPush         = 505
-	NumberTwoManifests       = 506
-	NumberBehind             = 507
-	NumberReaderStarted      = 508
-	NumberReaderStopped      = 509
-	NumberTrustLost          = 510
-	NumberTrustRegained      = 511
-	NumberReady              = 512
-	NumberListUnread         = 513
+	EventApplied              = 500
+	EventStalePlatform        = 501
+	EventRejected             = 502
+	EventPlatformUnavailable  = 503
+	EventPlatformRecovered    = 504
+	EventCorruptPush          = 505
+	EventConflictingManifests = 506
+	NumberBehind              = 507
+	NumberReaderStarted       = 508
+	NumberReaderStopped       = 509
+	NumberTrustLost           = 510
+	NumberTrustRegained       = 511
+	NumberReady               = 512
+	NumberListUnread          = 513
 )
--- a/core/crconfig/push_test.go
+++ b/core/crconfig/push_test.go
@@ -172,7 +172,7 @@
 	p := newPuller("a")
 	p.bring(t, "a", 3, makeBundle(content{}))
 	other := makeBundle(content{Keys: []string{"x"}})
-	if !reported(p.hear("a", crconfig.Have{Conf: 3, Manifest: other.digest()}), crconfig.NumberTwoManifests) {
+	if !reported(p.hear("a", crconfig.Have{Conf: 3, Manifest: other.digest()}), crconfig.EventConflictingManifests) {
 		t.Error("not reported")
 	}
 }
--- a/io/crlog/catalogue_config.go
+++ b/io/crlog/catalogue_config.go
@@ -35,7 +35,7 @@
 			"nothing; another peer is asked", "if it repeats, replace the instance in the field `from`",
 		},
 		{
-			crconfig.NumberTwoManifests, LevelError, "two manifests",
+			crconfig.EventConflictingManifests, LevelError, "two manifests",
 			"two manifests were shown under one revision",
 			"parts of the fleet may differ", "publish again; find why the platform changed a published revision",
 		},
