--- a/core/crconfig/list.go
+++ b/core/crconfig/list.go
@@ -189,7 +189,7 @@
 		return
 	}
 	s.nextList.told = true
-	s.report(NumberListUnread, "want", rev(s.nextList.want), "held", rev(s.list.Revision()))
+	s.report(EventListUnusable, "want", rev(s.nextList.want), "held", rev(s.list.Revision()))
 }
 
 func (s *State) listRead(now crid.Instant, ev ListResult) {
--- a/core/crconfig/list_test.go
+++ b/core/crconfig/list_test.go
@@ -86,7 +86,7 @@
 		told := false
 		for _, e := range p.Step(crconfig.ListResult{Now: p.now, Fault: want.fault}) {
 			report, ok := e.(crevent.Report)
-			told = told || ok && report.Number == crconfig.NumberListUnread
+			told = told || ok && report.Number == crconfig.EventListUnusable
 		}
 		if told != want.told {
 			t.Errorf("read %d: told %v, want %v", i, told, want.told)
--- a/core/crconfig/number.go
+++ b/core/crconfig/number.go
@@ -15,5 +15,5 @@
 	NumberTrustLost           = 510
 	NumberTrustRegained       = 511
 	NumberReady               = 512
-	NumberListUnread          = 513
+	EventListUnusable         = 513
 )
--- a/io/crlog/catalogue_config.go
+++ b/io/crlog/catalogue_config.go
@@ -70,7 +70,7 @@
 			"it begins to serve", none,
 		},
 		{
-			crconfig.NumberListUnread, LevelWarn, "list of instances not taken",
+			crconfig.EventListUnusable, LevelWarn, "list of instances not taken",
 			"the platform names a newer list of instances and gives none that can be used: an older one, or more than a megabyte in an answer",
 			"work goes on by the list held; new instances get none, and those that left are tried", "mend the platform's list, or its pages",
 		},
