--- a/core/crconfig/number.go
+++ b/core/crconfig/number.go
@@ -9,7 +9,7 @@
 	EventPlatformRecovered    = 504
 	EventCorruptPush          = 505
 	EventConflictingManifests = 506
-	NumberBehind              = 507
+	EventBehind               = 507
 	NumberReaderStarted       = 508
 	NumberReaderStopped       = 509
 	NumberTrustLost           = 510
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -236,7 +236,7 @@
 	if behind := s.isBehind(now); behind != s.behind {
 		s.behind = behind
 		if behind {
-			s.report(NumberBehind, "want", rev(s.nextConf.rev), "inforce", rev(s.conf.rev))
+			s.report(EventBehind, "want", rev(s.nextConf.rev), "inforce", rev(s.conf.rev))
 		}
 	}
 	trusted := s.Trusted(now)
--- a/io/crlog/catalogue_config.go
+++ b/io/crlog/catalogue_config.go
@@ -40,7 +40,7 @@
 			"parts of the fleet may differ", "publish again; find why the platform changed a published revision",
 		},
 		{
-			crconfig.NumberBehind, LevelError, "behind a peer",
+			crconfig.EventBehind, LevelError, "behind a peer",
 			"a peer has had a newer configuration for 9 s that could not be got",
 			"this daemon refuses requests as not run", "look at 503, 505 and the network of this instance",
 		},
