--- a/core/crconfig/number.go
+++ b/core/crconfig/number.go
@@ -10,7 +10,7 @@
 	EventCorruptPush          = 505
 	EventConflictingManifests = 506
 	EventBehind               = 507
-	NumberReaderStarted       = 508
+	EventReaderStarted        = 508
 	NumberReaderStopped       = 509
 	NumberTrustLost           = 510
 	NumberTrustRegained       = 511
--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -107,7 +107,7 @@
 	s.watch.reader = reader
 	number := NumberReaderStopped
 	if reader {
-		number = NumberReaderStarted
+		number = EventReaderStarted
 	}
 	s.report(number, "domain", string(s.domain))
 }
--- a/io/crlog/catalogue_config.go
+++ b/io/crlog/catalogue_config.go
@@ -45,7 +45,7 @@
 			"this daemon refuses requests as not run", "look at 503, 505 and the network of this instance",
 		},
 		{
-			crconfig.NumberReaderStarted, LevelInfo, "watch started",
+			crconfig.EventReaderStarted, LevelInfo, "watch started",
 			"this daemon began to watch the platform for its domain",
 			none, none,
 		},
