--- a/core/crconfig/number.go
+++ b/core/crconfig/number.go
@@ -11,7 +11,7 @@
 	EventConflictingManifests = 506
 	EventBehind               = 507
 	EventReaderStarted        = 508
-	NumberReaderStopped       = 509
+	EventReaderStopped        = 509
 	NumberTrustLost           = 510
 	NumberTrustRegained       = 511
 	NumberReady               = 512
--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -105,7 +105,7 @@
 		return
 	}
 	s.watch.reader = reader
-	number := NumberReaderStopped
+	number := EventReaderStopped
 	if reader {
 		number = EventReaderStarted
 	}
--- a/io/crlog/catalogue_config.go
+++ b/io/crlog/catalogue_config.go
@@ -50,7 +50,7 @@
 			none, none,
 		},
 		{
-			crconfig.NumberReaderStopped, LevelInfo, "watch stopped",
+			crconfig.EventReaderStopped, LevelInfo, "watch stopped",
 			"this daemon ceased to watch the platform",
 			none, none,
 		},
