--- a/core/crconfig/fault_test.go
+++ b/core/crconfig/fault_test.go
@@ -108,7 +108,7 @@
 	rev = f.plat.publish(content{Keys: []string{"k", "m"}})
 	f.run(30 * time.Second)
 	for _, d := range f.alive() {
-		if !f.daemons[d].Trusted(f.clock(d)) || f.daemons[d].reports[crconfig.NumberTrustLost] > 0 {
+		if !f.daemons[d].Trusted(f.clock(d)) || f.daemons[d].reports[crconfig.EventTrustLost] > 0 {
 			t.Errorf("%s stopped trusting", d)
 		}
 	}
--- a/core/crconfig/number.go
+++ b/core/crconfig/number.go
@@ -12,7 +12,7 @@
 	EventBehind               = 507
 	EventReaderStarted        = 508
 	EventReaderStopped        = 509
-	NumberTrustLost           = 510
+	EventTrustLost            = 510
 	NumberTrustRegained       = 511
 	NumberReady               = 512
 	EventListUnusable         = 513
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -244,7 +244,7 @@
 		return
 	}
 	s.trusted = trusted
-	number := NumberTrustLost
+	number := EventTrustLost
 	if trusted {
 		number = NumberTrustRegained
 	}
--- a/io/crlog/catalogue_config.go
+++ b/io/crlog/catalogue_config.go
@@ -55,7 +55,7 @@
 			none, none,
 		},
 		{
-			crconfig.NumberTrustLost, LevelWarn, "configuration not trusted",
+			crconfig.EventTrustLost, LevelWarn, "configuration not trusted",
 			"no standing, or peers were not yet asked anew",
 			"this daemon refuses requests as not run", "look at the network of this instance if 511 does not follow; the others go on",
 		},
