--- a/core/crconfig/number.go
+++ b/core/crconfig/number.go
@@ -13,7 +13,7 @@
 	EventReaderStarted        = 508
 	EventReaderStopped        = 509
 	EventTrustLost            = 510
-	NumberTrustRegained       = 511
+	EventTrustRegained        = 511
 	NumberReady               = 512
 	EventListUnusable         = 513
 )
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -246,7 +246,7 @@
 	s.trusted = trusted
 	number := EventTrustLost
 	if trusted {
-		number = NumberTrustRegained
+		number = EventTrustRegained
 	}
 	s.report(number, "inforce", rev(s.conf.rev))
 }
--- a/io/crlog/catalogue_config.go
+++ b/io/crlog/catalogue_config.go
@@ -60,7 +60,7 @@
 			"this daemon refuses requests as not run", "look at the network of this instance if 511 does not follow; the others go on",
 		},
 		{
-			crconfig.NumberTrustRegained, LevelInfo, "configuration trusted",
+			crconfig.EventTrustRegained, LevelInfo, "configuration trusted",
 			"this daemon may act on its configuration again",
 			"requests are served", none,
 		},
