--- a/core/crconfig/number.go
+++ b/core/crconfig/number.go
@@ -14,6 +14,6 @@
 	EventReaderStopped        = 509
 	EventTrustLost            = 510
 	EventTrustRegained        = 511
-	NumberReady               = 512
+	EventReady                = 512
 	EventListUnusable         = 513
 )
--- a/core/crconfig/spread.go
+++ b/core/crconfig/spread.go
@@ -167,5 +167,5 @@
 		return
 	}
 	s.ready = true
-	s.report(NumberReady, "inforce", rev(s.conf.rev), "list", rev(s.list.Revision()))
+	s.report(EventReady, "inforce", rev(s.conf.rev), "list", rev(s.list.Revision()))
 }
--- a/io/crlog/catalogue_config.go
+++ b/io/crlog/catalogue_config.go
@@ -65,7 +65,7 @@
 			"requests are served", none,
 		},
 		{
-			crconfig.NumberReady, LevelInfo, "configuration complete",
+			crconfig.EventReady, LevelInfo, "configuration complete",
 			"it has the newest configuration and list that its sources told",
 			"it begins to serve", none,
 		},
