--- a/core/crconfig/delta.go
+++ b/core/crconfig/delta.go
@@ -8,45 +8,45 @@
 	"camphorroad/core/crinstance"
 )
 
-// maxGone bounds the memory of instances that left the list.
-const maxGone = 5000
+// maxRemoved bounds the number of remembered instances that are no longer listed.
+const maxRemoved = 5000
 
-// changes remembers under which list each instance was last seen to change, so
-// that a peer with an older list is sent the difference. A change that happened
-// between two lists seen here is noted under the later: a peer in between is
-// sent it too, which does no harm.
-type changes struct {
-	since crid.Revision // lists from this one on can be brought up to date
-	at    map[crid.Daemon]crid.Revision
-	gone  map[crid.Daemon]crid.Revision
+// changeLog records the list revision at which each instance last changed, so
+// that a peer with an older list is sent a diff. A change that happened between
+// two lists received here is recorded under the later revision. A peer with a
+// list in between is sent that change too, which does no harm.
+type changeLog struct {
+	base      crid.Revision // oldest revision that a diff can start from
+	changedAt map[crid.Daemon]crid.Revision
+	removedAt map[crid.Daemon]crid.Revision
 }
 
-func (c *changes) reset(since crid.Revision) {
-	c.since = since
-	c.at = make(map[crid.Daemon]crid.Revision)
-	c.gone = make(map[crid.Daemon]crid.Revision)
+func (c *changeLog) reset(base crid.Revision) {
+	c.base = base
+	c.changedAt = make(map[crid.Daemon]crid.Revision)
+	c.removedAt = make(map[crid.Daemon]crid.Revision)
 }
 
-// record notes what differs between two lists.
-func (c *changes) record(former, list crinstance.List) {
-	if former.Revision() == 0 {
+// record adds the differences between two lists.
+func (c *changeLog) record(previous, list crinstance.List) {
+	if previous.Revision() == 0 {
 		c.reset(list.Revision())
 		return
 	}
 	for _, in := range list.Instances() {
-		old, ok := former.Find(in.Daemon)
+		old, ok := previous.Find(in.Daemon)
 		if !ok || !sameInstance(old, in) {
-			c.at[in.Daemon] = list.Revision()
-			delete(c.gone, in.Daemon)
+			c.changedAt[in.Daemon] = list.Revision()
+			delete(c.removedAt, in.Daemon)
 		}
 	}
-	for _, in := range former.Instances() {
+	for _, in := range previous.Instances() {
 		if _, ok := list.Find(in.Daemon); !ok {
-			c.gone[in.Daemon] = list.Revision()
-			delete(c.at, in.Daemon)
+			c.removedAt[in.Daemon] = list.Revision()
+			delete(c.changedAt, in.Daemon)
 		}
 	}
-	if len(c.gone) > maxGone {
+	if len(c.removedAt) > maxRemoved {
 		c.reset(list.Revision())
 	}
 }
@@ -55,37 +55,37 @@
 	return a.Domain == b.Domain && a.Addr == b.Addr && a.State == b.State && slices.Equal(a.Targets, b.Targets)
 }
 
-// after returns what changed in a list after a revision; ok is false where that
-// is not known, or is more than limit.
-func (c *changes) after(r crid.Revision, list crinstance.List, limit int) (changed []crinstance.Instance, gone []crid.Daemon, ok bool) {
-	if r == 0 || r < c.since || r > list.Revision() {
+// diff returns the changes from the base revision to the list. It reports false
+// if they are not known or exceed limit.
+func (c *changeLog) diff(base crid.Revision, list crinstance.List, limit int) (changed []crinstance.Instance, removed []crid.Daemon, ok bool) {
+	if base == 0 || base < c.base || base > list.Revision() {
 		return nil, nil, false
 	}
-	for _, d := range slices.Sorted(maps.Keys(c.at)) {
-		if c.at[d] <= r {
+	for _, d := range slices.Sorted(maps.Keys(c.changedAt)) {
+		if c.changedAt[d] <= base {
 			continue
 		}
 		if in, ok := list.Find(d); ok {
 			changed = append(changed, in)
 		}
 	}
-	for _, d := range slices.Sorted(maps.Keys(c.gone)) {
-		if c.gone[d] > r {
-			gone = append(gone, d)
+	for _, d := range slices.Sorted(maps.Keys(c.removedAt)) {
+		if c.removedAt[d] > base {
+			removed = append(removed, d)
 		}
 	}
-	return changed, gone, len(changed)+len(gone) <= limit
+	return changed, removed, len(changed)+len(removed) <= limit
 }
 
-// patch brings a list up to a later revision.
-func patch(list crinstance.List, r crid.Revision, changed []crinstance.Instance, gone []crid.Daemon) crinstance.List {
-	drop := make(map[crid.Daemon]bool, len(changed)+len(gone))
+// applyDiff applies a diff to a list.
+func applyDiff(list crinstance.List, r crid.Revision, changed []crinstance.Instance, removed []crid.Daemon) crinstance.List {
+	replaced := make(map[crid.Daemon]bool, len(changed)+len(removed))
 	for _, in := range changed {
-		drop[in.Daemon] = true
+		replaced[in.Daemon] = true
 	}
-	for _, d := range gone {
-		drop[d] = true
+	for _, d := range removed {
+		replaced[d] = true
 	}
-	all := slices.DeleteFunc(list.Instances(), func(in crinstance.Instance) bool { return drop[in.Daemon] })
+	all := slices.DeleteFunc(list.Instances(), func(in crinstance.Instance) bool { return replaced[in.Daemon] })
 	return crinstance.NewList(r, slices.Concat(all, changed))
 }
--- a/core/crconfig/effect.go
+++ b/core/crconfig/effect.go
@@ -7,26 +7,26 @@
 	"camphorroad/core/crinstance"
 )
 
-// Fault says how a call to the platform ended.
+// Fault is the outcome of a call to the platform.
 type Fault uint8
 
-// The ends of a call.
+// The outcomes of a call.
 const (
-	// FaultNone: answered.
+	// FaultNone means that the call succeeded.
 	FaultNone Fault = iota
-	// FaultUnavailable: no usable answer in time.
+	// FaultUnavailable means that no usable response arrived in time.
 	FaultUnavailable
-	// FaultStale: an answer from before what the platform had said earlier.
+	// FaultStale means that the response is older than an earlier one.
 	FaultStale
-	// FaultMissing: the platform does not hold it, or holds too much.
+	// FaultMissing means that the platform does not have the value, or that the value is too large.
 	FaultMissing
 )
 
 // ManifestName is the name under which the platform holds the manifest.
 const ManifestName = "manifest"
 
-// WatchPlatform asks the shell to wait for a head newer than After. With a
-// Wait of zero it is a plain read. Timeout bounds the whole call.
+// WatchPlatform asks the shell to wait for a head newer than After. A zero Wait
+// is a plain read. Timeout bounds the whole call.
 type WatchPlatform struct {
 	After   crid.Revision
 	Wait    time.Duration
@@ -59,7 +59,7 @@
 type ReadResult struct {
 	Now    crid.Instant
 	Digest Digest
-	Data   []byte // not changed afterwards
+	Data   []byte // must not be modified
 	Fault  Fault
 }
 
--- a/core/crconfig/fault_test.go
+++ b/core/crconfig/fault_test.go
@@ -14,27 +14,27 @@
 	"camphorroad/core/crpolicy"
 )
 
-// The platform is down while one daemon is replaced. Its callers would meet a
-// daemon that never gets ready, though all its peers have the configuration.
-func TestStartWithPlatformDownIsReadyFromPeers(t *testing.T) {
-	f := settled(t, 12, 3)
-	f.plat.away = true
+// A daemon is replaced while the platform is unavailable. It must become ready
+// from its peers, which have the configuration.
+func TestReadyFromPeersWhilePlatformUnavailable(t *testing.T) {
+	f := newSettledFleet(t, 12, 3)
+	f.platform.unavailable = true
 	f.kill("d0003")
 	f.run(time.Second)
 	f.start("d0003")
-	took := f.until(t, 2, 10*time.Second)
+	took := f.runUntilApplied(t, 2, 10*time.Second)
 	if d := f.daemons["d0003"]; !d.Ready() || !d.Trusted(f.clock("d0003")) {
 		t.Errorf("not ready: %+v", d.Dump())
 	}
 	t.Logf("ready after %s", took)
 }
 
-// The platform is down and no peer has a configuration. A daemon that called
-// itself ready would refuse every caller as unknown.
-func TestStartWithNothingIsNotReady(t *testing.T) {
-	f := newFleet(4, 2, quick())
-	f.plat.publish(content{})
-	f.plat.away = true
+// The platform is unavailable and no peer has a configuration. A daemon that
+// became ready would refuse every caller as unknown.
+func TestNotReadyWithoutConfiguration(t *testing.T) {
+	f := newFleet(4, 2, smallFleetParams())
+	f.platform.publish(content{})
+	f.platform.unavailable = true
 	f.start(f.names...)
 	f.run(20 * time.Second)
 	for _, d := range f.alive() {
@@ -42,110 +42,108 @@
 			t.Errorf("%s is ready", d)
 		}
 	}
-	f.plat.away = false
-	f.until(t, 2, 40*time.Second)
+	f.platform.unavailable = false
+	f.runUntilApplied(t, 2, 40*time.Second)
 }
 
-// The platform comes back from a backup and shows an older revision, or flaps
-// between two. Withdrawn keys would come to life again, for a while or for good.
-func TestOlderRevisionIsIgnoredLoudly(t *testing.T) {
-	f := settled(t, 12, 3)
-	rev := f.plat.publish(content{Keys: []string{}})
-	f.until(t, rev, 9*time.Second)
-	calls := f.plat.calls
+// The platform is restored from a backup and serves an older revision, or
+// alternates between two. Applying the older one would make withdrawn keys valid
+// again.
+func TestOlderRevisionIsIgnoredAndReported(t *testing.T) {
+	f := newSettledFleet(t, 12, 3)
+	rev := f.platform.publish(content{Keys: []string{}})
+	f.runUntilApplied(t, rev, 9*time.Second)
+	calls := f.platform.calls
 	for range 20 {
-		f.plat.back = 1 - f.plat.back
+		f.platform.lag = 1 - f.platform.lag
 		f.run(time.Second)
 	}
-	f.plat.back = 1
+	f.platform.lag = 1
 	f.run(10 * time.Second)
-	loud := 0
+	reports := 0
 	for _, d := range f.alive() {
-		loud += f.daemons[d].reports[crconfig.EventStalePlatform]
+		reports += f.daemons[d].reports[crconfig.EventStalePlatform]
 		if f.daemons[d].Revision() != rev {
-			t.Errorf("%s went back to %d", d, f.daemons[d].Revision())
+			t.Errorf("%s went back to revision %d", d, f.daemons[d].Revision())
 		}
 	}
-	if loud == 0 {
-		t.Error("nobody reported the stale platform")
+	if reports == 0 {
+		t.Error("no daemon reported the stale platform")
 	}
-	if spent := f.plat.calls - calls; spent > 400 {
-		t.Errorf("%d calls in 30 s of flapping", spent)
+	if extra := f.platform.calls - calls; extra > 400 {
+		t.Errorf("%d calls in 30 s of alternating revisions", extra)
 	}
-	f.plat.back = 0
-	f.until(t, f.plat.publish(content{Keys: []string{"new"}}), 60*time.Second)
+	f.platform.lag = 0
+	f.runUntilApplied(t, f.platform.publish(content{Keys: []string{"new"}}), 60*time.Second)
 }
 
-// A publisher that skips the check, or has another version, publishes what does
-// not pass. Half of it in force would refuse or admit the wrong callers.
-func TestBadConfigurationIsRefusedWhole(t *testing.T) {
-	f := settled(t, 12, 3)
-	f.plat.publish(content{Bad: true})
+// A publisher that skips validation, or has another version, publishes an invalid
+// configuration. Applying a part of it would refuse or admit the wrong callers.
+func TestInvalidConfigurationIsRejected(t *testing.T) {
+	f := newSettledFleet(t, 12, 3)
+	f.platform.publish(content{Bad: true})
 	f.run(9 * time.Second)
-	refused := 0
+	reports := 0
 	for _, d := range f.alive() {
-		refused += f.daemons[d].reports[crconfig.EventRejected]
+		reports += f.daemons[d].reports[crconfig.EventRejected]
 		if f.daemons[d].Revision() != 2 || !f.daemons[d].Trusted(f.clock(d)) {
-			t.Errorf("%s has %d", d, f.daemons[d].Revision())
+			t.Errorf("%s has revision %d", d, f.daemons[d].Revision())
 		}
 	}
-	if refused == 0 {
-		t.Error("nobody reported it")
+	if reports == 0 {
+		t.Error("no daemon reported the rejected configuration")
 	}
-	f.until(t, f.plat.publish(content{}), 9*time.Second)
+	f.runUntilApplied(t, f.platform.publish(content{}), 9*time.Second)
 }
 
-// The platform names a new configuration but can not give its values. Daemons
-// that waited for it would refuse all callers in time; they must go on.
-func TestNamedButUnreadableDoesNotStopTheFleet(t *testing.T) {
-	f := settled(t, 12, 3)
-	f.plat.lost = true
-	rev := f.plat.publish(content{Keys: []string{"k", "l"}})
+// The platform announces a new configuration but can not serve its values.
+// Daemons that waited for it would eventually refuse all callers.
+func TestUnreadableValuesDoNotStopTheFleet(t *testing.T) {
+	f := newSettledFleet(t, 12, 3)
+	f.platform.unreadable = true
+	rev := f.platform.publish(content{Keys: []string{"k", "l"}})
 	f.run(3 * time.Second)
-	f.plat.lost = false
-	f.until(t, rev, 9*time.Second)
-	f.plat.lost = true
-	rev = f.plat.publish(content{Keys: []string{"k", "m"}})
+	f.platform.unreadable = false
+	f.runUntilApplied(t, rev, 9*time.Second)
+	f.platform.unreadable = true
+	rev = f.platform.publish(content{Keys: []string{"k", "m"}})
 	f.run(30 * time.Second)
 	for _, d := range f.alive() {
 		if !f.daemons[d].Trusted(f.clock(d)) || f.daemons[d].reports[crconfig.EventTrustLost] > 0 {
-			t.Errorf("%s stopped trusting", d)
+			t.Errorf("%s lost trust", d)
 		}
 	}
-	f.plat.lost = false
-	f.until(t, rev, 60*time.Second)
+	f.platform.unreadable = false
+	f.runUntilApplied(t, rev, 60*time.Second)
 }
 
-// Both readers of a domain die at once. Without others taking over, the domain
-// would learn of changes late or never.
-func TestReadersDieAndRankMovesOn(t *testing.T) {
-	f := settled(t, 12, 1)
-	former := f.readers()
-	if len(former) != 2 {
-		t.Fatalf("readers %v", former)
+// Both readers of a domain fail at once. Unless standbys replace them, the domain
+// receives changes late or never.
+func TestStandbysReplaceFailedReaders(t *testing.T) {
+	f := newSettledFleet(t, 12, 1)
+	previous := f.readers()
+	if len(previous) != 2 {
+		t.Fatalf("readers %v", previous)
 	}
-	for _, d := range former {
+	for _, d := range previous {
 		f.kill(d)
 	}
 	f.run(3 * time.Second)
-	if now := f.readers(); len(now) != 2 || now[0] == former[0] || now[1] == former[1] {
-		t.Errorf("readers %v after %v", now, former)
+	if current := f.readers(); len(current) != 2 || current[0] == previous[0] || current[1] == previous[1] {
+		t.Errorf("readers %v after %v", current, previous)
 	}
-	f.until(t, f.plat.publish(content{}), 9*time.Second)
+	f.runUntilApplied(t, f.platform.publish(content{}), 9*time.Second)
 }
 
-// Above 31 daemons membership hears most peers only now and then. Daemons that
-// take whom they do not hear just now for gone would nearly all hold the watch:
-// thousands of calls at each change, and the platform refuses those beyond its
-// rate. Then readers die, those of whom membership tells and those of whom it
-// does not, and in the end all that rank anywhere; somebody has to go on reading
-// while the list still names them, or changes and withdrawals arrive no more.
-func TestSampledFleetHasTwoReadersADomain(t *testing.T) {
+// Above 31 daemons, membership only samples most peers. If daemons took a peer
+// that was not sampled for lost, nearly all would become readers and exceed the
+// platform's rate. If ranked daemons fail, others must replace them.
+func TestSampledFleetHasTwoReadersPerDomain(t *testing.T) {
 	f := newFleet(200, 5, crconfig.DefaultParams())
 	f.sampled = true
-	rev := f.plat.publish(content{})
+	rev := f.platform.publish(content{})
 	f.start(f.names...)
-	f.until(t, rev, 60*time.Second)
+	f.runUntilApplied(t, rev, 60*time.Second)
 	expect := func(when string) {
 		t.Helper()
 		f.run(10 * time.Second)
@@ -155,214 +153,213 @@
 	}
 	f.run(20 * time.Second)
 	expect("at rest")
-	calls := f.plat.calls
-	f.until(t, f.plat.publish(content{}), 9*time.Second)
+	calls := f.platform.calls
+	f.runUntilApplied(t, f.platform.publish(content{}), 9*time.Second)
 	f.run(time.Second)
-	if n := f.plat.calls - calls; n > 35 {
+	if n := f.platform.calls - calls; n > 35 {
 		t.Errorf("%d calls for a change", n)
 	}
-	voters := crmember.Voters(f.plat.list, 0, crmember.DefaultParams().MaxVoters)
-	f.killIn("m0", voters)
-	expect("after the voters of one died")
-	f.killIn("m0", f.readers())
-	expect("after two of whom membership does not tell died")
+	voters := crmember.Voters(f.platform.list, 0, crmember.DefaultParams().MaxVoters)
+	f.killInDomain("m0", voters)
+	expect("after the voters of one failed")
+	f.killInDomain("m0", f.readers())
+	expect("after two sampled readers failed")
 	weight := func(d crid.Daemon) uint64 { return xxhash.Sum64String("reader/" + string(d)) }
 	byWeight := slices.SortedFunc(slices.Values(f.names), func(a, b crid.Daemon) int { return cmp.Compare(weight(a), weight(b)) })
 	perDomain := make(map[crid.Domain]int)
-	f.killIn("", slices.DeleteFunc(byWeight, func(d crid.Daemon) bool { // all that would rank if voters did not come first
+	f.killInDomain("", slices.DeleteFunc(byWeight, func(d crid.Daemon) bool { // all daemons that would rank without the preference for voters
 		perDomain[f.domains[d]]++
 		return perDomain[f.domains[d]] > 6
 	}))
 	f.run(5 * time.Second)
-	f.until(t, f.plat.publish(content{}), 9*time.Second)
-	f.killIn("", voters)
+	f.runUntilApplied(t, f.platform.publish(content{}), 9*time.Second)
+	f.killInDomain("", voters)
 	f.run(time.Second)
 	for _, d := range f.alive() {
-		if life := f.daemons[d]; life != nil {
-			f.killIn("", life.Dump().(crconfig.Dump).Ranked)
+		if node := f.daemons[d]; node != nil {
+			f.killInDomain("", node.Dump().(crconfig.Dump).Ranked)
 		}
 	}
-	f.until(t, f.plat.publish(content{}), 60*time.Second)
+	f.runUntilApplied(t, f.platform.publish(content{}), 60*time.Second)
 }
 
-// killIn kills daemons of a domain, or of all for an empty one.
-func (f *fleet) killIn(domain crid.Domain, names []crid.Daemon) {
+// killInDomain kills those daemons that are in a domain, or all of them if domain
+// is empty.
+func (f *fleet) killInDomain(domain crid.Domain, names []crid.Daemon) {
 	for _, d := range names {
 		if domain == "" || f.domains[d] == domain {
 			delete(f.daemons, d)
 		}
 	}
-	f.membership()
+	f.updateMembership()
 }
 
-func keyGone(t *testing.T, f *fleet, rev crid.Revision) {
+func expectKeyRejected(t *testing.T, f *fleet, rev crid.Revision) {
 	t.Helper()
-	took := f.until(t, rev, 9*time.Second)
+	took := f.runUntilApplied(t, rev, 9*time.Second)
 	for _, d := range f.alive() {
 		if _, ok := f.daemons[d].Snapshot().AccountByKey(crpolicy.HashKey("k")); ok {
-			t.Errorf("%s still takes the key", d)
+			t.Errorf("%s still accepts the key", d)
 		}
 	}
-	t.Logf("gone everywhere after %s", took)
+	t.Logf("rejected everywhere after %s", took)
 }
 
-// A key is withdrawn while callers use it. They must be refused within seconds
-// at every daemon.
-func TestWithdrawnKeyIsGoneEverywhere(t *testing.T) {
-	f := settled(t, 24, 3)
-	keyGone(t, f, f.plat.publish(content{Keys: []string{}}))
+// A key that callers use is withdrawn. Every daemon must refuse it within seconds.
+func TestWithdrawnKeyIsRejectedEverywhere(t *testing.T) {
+	f := newSettledFleet(t, 24, 3)
+	expectKeyRejected(t, f, f.platform.publish(content{Keys: []string{}}))
 }
 
-// The network loses three messages in ten. A withdrawn key would go on working
-// at the daemons that are told last.
-func TestWithdrawnKeyIsGoneUnderLoss(t *testing.T) {
-	f := settled(t, 100, 3)
+// The network loses 30% of the messages. The withdrawal must still reach every daemon in time.
+func TestWithdrawnKeyIsRejectedUnderMessageLoss(t *testing.T) {
+	f := newSettledFleet(t, 100, 3)
 	f.loss = 0.3
-	keyGone(t, f, f.plat.publish(content{Keys: []string{}}))
+	expectKeyRejected(t, f, f.platform.publish(content{Keys: []string{}}))
 }
 
-// Answers of the platform no longer reach one reader, though its own calls go
-// out; its domain has another. The withdrawal must not wait for the deaf one.
-func TestWithdrawnKeyIsGoneWithAReaderCutOneWay(t *testing.T) {
+// Responses of the platform do not reach one reader, or both, though their calls
+// go out. The withdrawal must not wait for these readers.
+func TestWithdrawnKeyIsRejectedWithOneWayPartition(t *testing.T) {
 	for _, both := range []bool{false, true} {
-		f := settled(t, 12, 1)
-		f.plat.cutFrom = map[crid.Daemon]bool{f.readers()[0]: true}
+		f := newSettledFleet(t, 12, 1)
+		f.platform.unreachableFrom = map[crid.Daemon]bool{f.readers()[0]: true}
 		if both {
-			f.plat.cutFrom[f.readers()[1]] = true
+			f.platform.unreachableFrom[f.readers()[1]] = true
 			f.run(6 * time.Second)
 		}
-		keyGone(t, f, f.plat.publish(content{Keys: []string{}}))
+		expectKeyRejected(t, f, f.platform.publish(content{Keys: []string{}}))
 	}
 }
 
-// One daemon loses all its links. It can not hear of a withdrawal, so it must
-// stop; the others, whose platform is away as well, must go on.
-func TestCutOffAloneStopsTrustingWhileTheFleetGoesOn(t *testing.T) {
-	f := settled(t, 12, 3)
-	f.plat.away = true
-	alone := crid.Daemon("d0005")
-	f.cut = func(from, to crid.Daemon) bool { return from == alone || to == alone }
-	f.membership()
+// One daemon is partitioned from all others while the platform is unavailable. It
+// can not learn of a withdrawal and must stop; the others must continue.
+func TestIsolatedDaemonLosesTrust(t *testing.T) {
+	f := newSettledFleet(t, 12, 3)
+	f.platform.unavailable = true
+	isolated := crid.Daemon("d0005")
+	f.blocked = func(from, to crid.Daemon) bool { return from == isolated || to == isolated }
+	f.updateMembership()
 	f.run(time.Hour / 60)
 	for _, d := range f.alive() {
-		if got := f.daemons[d].Trusted(f.clock(d)); got == (d == alone) {
-			t.Errorf("%s trusts: %v", d, got)
+		if got := f.daemons[d].Trusted(f.clock(d)); got == (d == isolated) {
+			t.Errorf("%s: Trusted() = %v", d, got)
 		}
 	}
-	f.plat.away = false
-	f.cut = nil
-	f.membership()
-	f.until(t, f.plat.publish(content{}), 60*time.Second)
+	f.platform.unavailable = false
+	f.blocked = nil
+	f.updateMembership()
+	f.runUntilApplied(t, f.platform.publish(content{}), 60*time.Second)
 	f.run(time.Second)
-	if !f.daemons[alone].Trusted(f.clock(alone)) {
-		t.Error("trust did not come back")
+	if !f.daemons[isolated].Trusted(f.clock(isolated)) {
+		t.Error("trust was not regained")
 	}
 }
 
-// A daemon was cut off for a minute, in which a key was withdrawn, and is linked
-// again. Not for a moment may it take the key once it acts again.
-func TestRelinkedDaemonNeverTrustsTheWithdrawnKey(t *testing.T) {
-	f := settled(t, 12, 3)
-	alone := crid.Daemon("d0005")
-	f.cut = func(from, to crid.Daemon) bool { return from == alone || to == alone }
-	f.plat.cutFrom = map[crid.Daemon]bool{alone: true}
-	f.membership()
+// A key is withdrawn while a daemon is partitioned for a minute. After it
+// reconnects, the daemon must not accept the key at any time.
+func TestReconnectedDaemonNeverTrustsWithdrawnKey(t *testing.T) {
+	f := newSettledFleet(t, 12, 3)
+	isolated := crid.Daemon("d0005")
+	f.blocked = func(from, to crid.Daemon) bool { return from == isolated || to == isolated }
+	f.platform.unreachableFrom = map[crid.Daemon]bool{isolated: true}
+	f.updateMembership()
 	f.run(10 * time.Second)
-	rev := f.plat.publish(content{Keys: []string{}})
+	rev := f.platform.publish(content{Keys: []string{}})
 	f.run(50 * time.Second)
-	f.cut = nil
-	f.membership()
-	d := f.daemons[alone]
+	f.blocked = nil
+	f.updateMembership()
+	d := f.daemons[isolated]
 	for range 5000 {
 		f.run(time.Millisecond)
-		if d.Trusted(f.clock(alone)) && d.Revision() < rev {
-			t.Fatal("it trusts the former configuration")
+		if d.Trusted(f.clock(isolated)) && d.Revision() < rev {
+			t.Fatal("the daemon trusts the previous configuration")
 		}
 	}
-	if !d.Trusted(f.clock(alone)) {
-		t.Errorf("trust did not come back: %+v", d.Dump())
+	if !d.Trusted(f.clock(isolated)) {
+		t.Errorf("trust was not regained: %+v", d.Dump())
 	}
 }
 
-// Of three daemons one is dead and the platform is away; then the link between
-// the two others breaks and comes back, and one of them is replaced. Nobody is
-// left to ask but the other one, and callers depend on both.
-func TestTwoOfThreeGoOnWithoutThePlatform(t *testing.T) {
-	f := settled(t, 3, 3)
-	f.plat.away = true
+// One of three daemons is lost and the platform is unavailable. Then the link
+// between the other two fails for a while, and one of them is replaced. Both must
+// continue with only each other to query.
+func TestTwoOfThreeContinueWithoutPlatform(t *testing.T) {
+	f := newSettledFleet(t, 3, 3)
+	f.platform.unavailable = true
 	f.kill("d0002")
 	f.run(5 * time.Second)
-	f.peers = false
-	f.membership()
+	f.connected = false
+	f.updateMembership()
 	f.run(10 * time.Second)
-	f.peers = true
-	f.membership()
+	f.connected = true
+	f.updateMembership()
 	f.run(3 * time.Second)
 	f.kill("d0001")
 	f.start("d0001")
 	f.run(3 * time.Second)
 	for _, d := range f.alive() {
 		if !f.daemons[d].Ready() || !f.daemons[d].Trusted(f.clock(d)) {
-			t.Errorf("%s does not go on: %+v", d, f.daemons[d].Dump())
+			t.Errorf("%s does not continue: %+v", d, f.daemons[d].Dump())
 		}
 	}
 }
 
-// Every daemon of a fleet starts in the same instant, after a power cut say,
-// first without knowing a peer. The platform would refuse calls over its rate,
-// and with them the calls of everybody else.
-func TestAllStartAtOnceStaysWithinTheRate(t *testing.T) {
+// All daemons of a fleet start at the same time, such as after a power failure,
+// at first without known peers. Above its rate the platform refuses calls, also
+// those of other clients.
+func TestSimultaneousStartStaysWithinPlatformRate(t *testing.T) {
 	const n, domains, peerless = 600, 9, 35
 	f := newFleet(n, domains, crconfig.DefaultParams())
-	rev := f.plat.publish(content{})
-	f.plat.pages = 3 // as of 5,500
-	f.peers = false
+	rev := f.platform.publish(content{})
+	f.platform.listCalls = 3 // as for 5,500 instances
+	f.connected = false
 	f.start(f.names...)
-	f.run(peerless * time.Second) // nobody has a peer before everybody has a list
-	f.peers = true
-	f.membership()
-	f.until(t, rev, 60*time.Second)
+	f.run(peerless * time.Second) // no daemon has a peer before all daemons have a list
+	f.connected = true
+	f.updateMembership()
+	f.runUntilApplied(t, rev, 60*time.Second)
 	f.run(5 * time.Second)
-	alone, later := 0, 0
-	for second, calls := range f.plat.perSec {
+	peakWithoutPeers, peakWithPeers := 0, 0
+	for second, calls := range f.platform.callsPerSecond {
 		if second < peerless {
-			alone = max(alone, calls)
+			peakWithoutPeers = max(peakWithoutPeers, calls)
 		} else {
-			later = max(later, calls)
+			peakWithPeers = max(peakWithPeers, calls)
 		}
 	}
-	t.Logf("%d daemons: %d calls in %s; busiest second %d without peers, %d with", n, f.plat.calls, f.now, alone, later)
-	// Settled readers keep to 2 calls a tick: 18 of them make 720 a second,
-	// whatever the size. That leaves 1,280 a second for 5,500 others.
-	if limit := 1280 * n / 5500; alone > limit {
-		t.Errorf("%d calls in one second, more than %d", alone, limit)
+	t.Logf("%d daemons: %d calls in %s; busiest second %d without peers, %d with", n, f.platform.calls, f.now, peakWithoutPeers, peakWithPeers)
+	// Confirmed readers make at most 2 calls a tick: 18 of them make 720 a second,
+	// whatever the size of the fleet. That leaves 1,280 a second for 5,500 others.
+	if limit := 1280 * n / 5500; peakWithoutPeers > limit {
+		t.Errorf("%d calls in one second, more than %d", peakWithoutPeers, limit)
 	}
-	if limit := 1280*n/5500 + 720; later > limit {
-		t.Errorf("%d calls in one second, more than %d", later, limit)
+	if limit := 1280*n/5500 + 720; peakWithPeers > limit {
+		t.Errorf("%d calls in one second, more than %d", peakWithPeers, limit)
 	}
 }
 
-// applyTime is the time in which what was published has to be in force everywhere.
-const applyTime = 9 * time.Second
+// maxApplyTime is the time within which a published change must be applied everywhere.
+const maxApplyTime = 9 * time.Second
 
-// Watches that a short silence swallowed leave their readers deaf until their wait is over.
-func TestAChangeIsInForceInTimeAfterASilentPlatform(t *testing.T) {
+// Watches that a short outage left unanswered keep their readers from changes until the wait is over.
+func TestChangeIsAppliedInTimeAfterUnresponsivePlatform(t *testing.T) {
 	for _, n := range []int{3, 12, 120} {
-		f := settled(t, n, 3)
-		f.plat.silent = true
+		f := newSettledFleet(t, n, 3)
+		f.platform.unresponsive = true
 		f.run(time.Second)
-		f.plat.silent = false
-		f.until(t, f.plat.publish(content{Keys: []string{"new"}}), applyTime)
+		f.platform.unresponsive = false
+		f.runUntilApplied(t, f.platform.publish(content{Keys: []string{"new"}}), maxApplyTime)
 	}
 }
 
-// Pauses that grew in a long outage keep all readers away from a platform that is back.
-func TestAChangeIsInForceInTimeAfterALongOutage(t *testing.T) {
-	f := settled(t, 3, 3)
+// A backoff that grew in a long outage keeps all readers from a platform that has recovered.
+func TestChangeIsAppliedInTimeAfterLongOutage(t *testing.T) {
+	f := newSettledFleet(t, 3, 3)
 	for range 12 {
-		f.plat.away = true
+		f.platform.unavailable = true
 		f.run(2*time.Minute + time.Duration(f.rng.Int64N(int64(time.Minute))))
-		f.plat.away = false
-		f.until(t, f.plat.publish(content{Keys: []string{"new"}}), applyTime)
+		f.platform.unavailable = false
+		f.runUntilApplied(t, f.platform.publish(content{Keys: []string{"new"}}), maxApplyTime)
 	}
 }
--- a/core/crconfig/fetch.go
+++ b/core/crconfig/fetch.go
@@ -7,103 +7,104 @@
 	"camphorroad/core/crid"
 )
 
-// maxRefused bounds the memory of refused configurations.
-const maxRefused = 32
+// maxRejected bounds the number of remembered configurations that failed validation.
+const maxRejected = 32
 
-// maxText bounds an error's text in a report.
-const maxText = 300
+// maxErrorBytes bounds the length of an error text in a report.
+const maxErrorBytes = 300
 
-// version names one published configuration.
+// version identifies one published configuration.
 type version struct {
 	rev    crid.Revision
 	digest Digest
 }
 
-// fetch is a newer configuration on its way.
+// fetch is the state of fetching a newer configuration.
 type fetch struct {
-	rev         crid.Revision
-	digest      Digest
-	raw         []byte
-	manifest    Manifest
-	parts       map[Digest][]byte // beginnings
-	atPeer      bool              // some peer has it in force
-	atPeerSince crid.Instant
-	direct      bool // read from the platform
-	reads       map[Digest]crid.Instant
-	peer        crid.Daemon // asked now; empty: none
-	due         crid.Instant
-	tried       map[crid.Daemon]bool
-	tries       int
-	notBefore   crid.Instant
-	selfAt      crid.Instant // when to read the platform ourselves; zero: not yet decided
+	rev             crid.Revision
+	digest          Digest
+	raw             []byte
+	manifest        Manifest
+	partial         map[Digest][]byte // values received in part
+	heldByPeer      bool              // some peer has applied it
+	heldByPeerSince crid.Instant
+	fromPlatform    bool // read it from the platform instead of a peer
+	readDeadlines   map[Digest]crid.Instant
+	peer            crid.Daemon // peer with a pull in flight; empty: none
+	deadline        crid.Instant
+	tried           map[crid.Daemon]bool
+	attempts        int
+	retryAt         crid.Instant
+	fallbackAt      crid.Instant // when to fall back to the platform; zero: not scheduled
 }
 
-// learn takes word of a configuration from a peer, or from the platform where
-// from is empty.
-func (s *State) learn(now crid.Instant, r crid.Revision, d Digest, from crid.Daemon) {
-	if r == 0 || r < s.conf.rev || slices.Contains(s.refused, version{r, d}) {
+// observe handles the announcement of a configuration by a peer, or by the
+// platform if from is empty.
+func (s *State) observe(now crid.Instant, r crid.Revision, d Digest, from crid.Daemon) {
+	if r == 0 || r < s.conf.rev || slices.Contains(s.rejected, version{r, d}) {
 		return
 	}
 	if r == s.conf.rev {
-		s.checkSame(r, s.conf.digest, d)
+		s.checkConflict(r, s.conf.digest, d)
 		return
 	}
 	if s.nextConf != nil && r == s.nextConf.rev {
-		s.checkSame(r, s.nextConf.digest, d)
+		s.checkConflict(r, s.nextConf.digest, d)
 	}
 	if from == "" {
-		s.offered = version{r, d}
-		if s.nextConf != nil && s.nextConf.atPeer {
-			// What a peer holds whole comes first: the platform may name a
-			// configuration whose values it can not give, and waiting for that
-			// one would keep out a withdrawal that all peers have.
+		s.announced = version{r, d}
+		if s.nextConf != nil && s.nextConf.heldByPeer {
+			// A configuration that a peer has applied is fetched first. The platform
+			// may announce a configuration whose values it can not serve, and waiting
+			// for that one would delay a withdrawal that all peers have applied.
 			return
 		}
 	}
 	if s.nextConf == nil || r > s.nextConf.rev {
-		s.begin(r, d)
+		s.startFetch(r, d)
 	}
 	f := s.nextConf
 	if f.rev != r || f.digest != d {
 		return
 	}
 	if from == "" {
-		f.direct = f.direct || s.watch.reader
+		f.fromPlatform = f.fromPlatform || s.watch.reader
 		return
 	}
-	if !f.atPeer {
-		f.atPeer = true
-		f.atPeerSince = now
+	if !f.heldByPeer {
+		f.heldByPeer = true
+		f.heldByPeerSince = now
 	}
 }
 
-// checkSame reports two manifests under one revision, which no honest platform
-// publishes; the first stays.
-func (s *State) checkSame(r crid.Revision, ours, theirs Digest) {
-	if ours != theirs && s.conflict != r {
-		s.conflict = r // once a revision: the peer tells it twice a second
-		s.report(EventConflictingManifests, "revision", rev(r), "ours", ours.String(), "other", theirs.String())
+// checkConflict reports two different manifests with the same revision, which a
+// correct platform never publishes. The first one stays.
+func (s *State) checkConflict(r crid.Revision, ours, other Digest) {
+	if ours != other && s.conflictRev != r {
+		s.conflictRev = r // report once a revision, since peers repeat it twice a second
+		s.report(EventConflictingManifests, "revision", rev(r), "ours", ours.String(), "other", other.String())
 	}
 }
 
-// begin turns to a newer configuration. For how long one was missing is counted
-// on, so that a quick row of changes does not hide that none arrives.
-func (s *State) begin(r crid.Revision, d Digest) {
+// startFetch begins to fetch a newer configuration. It keeps heldByPeerSince, so
+// that frequent changes do not hide that none of them is applied here.
+func (s *State) startFetch(r crid.Revision, d Digest) {
 	f := &fetch{
-		rev:    r,
-		digest: d,
-		parts:  make(map[Digest][]byte),
-		reads:  make(map[Digest]crid.Instant),
-		tried:  make(map[crid.Daemon]bool),
+		rev:           r,
+		digest:        d,
+		partial:       make(map[Digest][]byte),
+		readDeadlines: make(map[Digest]crid.Instant),
+		tried:         make(map[crid.Daemon]bool),
 	}
 	if s.nextConf != nil {
-		f.atPeer = s.nextConf.atPeer
-		f.atPeerSince = s.nextConf.atPeerSince
+		f.heldByPeer = s.nextConf.heldByPeer
+		f.heldByPeerSince = s.nextConf.heldByPeerSince
 	}
 	s.nextConf = f
 }
 
-// missing returns the entries still wanted; at first the manifest itself.
+// missing returns the entries still to be fetched. Until the manifest is here, it
+// is the only one.
 func (s *State) missing() []Entry {
 	f := s.nextConf
 	if f.raw == nil {
@@ -118,85 +119,86 @@
 	return entries
 }
 
-// value finds bytes that are here already, of this or the former configuration.
+// value returns a value that was already fetched, for the next configuration or
+// the active one.
 func (s *State) value(d Digest) ([]byte, bool) {
-	if data, ok := s.pieces[d]; ok {
+	if data, ok := s.fetched[d]; ok {
 		return data, true
 	}
 	data, ok := s.conf.values[d]
 	return data, ok
 }
 
-// advance takes the next step towards a newer configuration.
-func (s *State) advance(now crid.Instant) {
+// advanceFetch takes the next step in fetching a newer configuration.
+func (s *State) advanceFetch(now crid.Instant) {
 	f := s.nextConf
-	if f == nil || !s.heard {
+	if f == nil || !s.quorumReached {
 		return
 	}
 	if f.raw != nil && len(s.missing()) == 0 {
-		s.install(now)
+		s.apply(now)
 		return
 	}
-	if f.direct && f.atPeer && s.watch.limited && len(f.reads) == 0 {
-		f.direct = false // a peer is quicker than this daemon's share of the rate
+	if f.fromPlatform && f.heldByPeer && s.watch.unconfirmed && len(f.readDeadlines) == 0 {
+		f.fromPlatform = false // a peer is faster than this daemon's share of the platform rate
 	}
-	if f.direct {
+	if f.fromPlatform {
 		s.readMissing(now)
 		return
 	}
-	if f.peer != "" && now.Before(f.due) {
+	if f.peer != "" && now.Before(f.deadline) {
 		return
 	}
 	if f.peer != "" {
-		s.giveUp(f)
+		s.dropPeer(f)
 	}
-	if f.selfAt != 0 && !now.Before(f.selfAt) {
-		f.direct = true
-		f.selfAt = 0
+	if f.fallbackAt != 0 && !now.Before(f.fallbackAt) {
+		f.fromPlatform = true
+		f.fallbackAt = 0
 		s.readMissing(now)
 		return
 	}
-	if !now.Before(f.notBefore) {
-		s.pullNext(now)
+	if !now.Before(f.retryAt) {
+		s.pullFromNextPeer(now)
 	}
 }
 
-// giveUp turns from the peer that is asked to the next one.
-func (s *State) giveUp(f *fetch) {
+// dropPeer stops pulling from the current peer.
+func (s *State) dropPeer(f *fetch) {
 	f.tried[f.peer] = true
 	f.peer = ""
-	f.tries++
+	f.attempts++
 }
 
-// pullNext asks a peer not tried yet; when there is none it begins anew after a
-// pause, and settles when to read the platform instead.
-func (s *State) pullNext(now crid.Instant) {
+// pullFromNextPeer pulls from a peer that was not tried yet. Without one it
+// starts over after a pause. It also schedules the fallback to the platform.
+func (s *State) pullFromNextPeer(now crid.Instant) {
 	f := s.nextConf
-	holder, ok := s.holder()
+	holder, ok := s.pickHolder()
 	if ok {
 		f.peer = holder
-		s.pull(now)
+		s.sendPull(now)
 	}
-	if f.selfAt == 0 && (!ok || f.tries >= s.params.PullTries) {
-		f.selfAt = now.Add(s.selfDelay())
+	if f.fallbackAt == 0 && (!ok || f.attempts >= s.params.PullTries) {
+		f.fallbackAt = now.Add(s.fallbackDelay())
 	}
 	if !ok {
 		clear(f.tried)
-		f.notBefore = now.Add(s.params.PullTimeout + s.jitter(s.params.PullTimeout))
+		f.retryAt = now.Add(s.params.PullTimeout + s.jitter(s.params.PullTimeout))
 	}
 }
 
-// selfDelay spreads the daemons that find no peer to help over time, so that
-// all of them together stay within the platform's rate.
-func (s *State) selfDelay() time.Duration {
+// fallbackDelay staggers the fallback of all daemons without a suitable peer, so
+// that together they stay within the platform's rate.
+func (s *State) fallbackDelay() time.Duration {
 	if s.watch.reader {
-		return s.backoff(s.watch.fails)
+		return s.backoff(s.watch.failures)
 	}
-	return s.params.PeerGrace + s.jitter(s.params.spread())
+	return s.params.PeerGrace + s.jitter(s.params.staggerWindow())
 }
 
-// holder picks a peer that has the wanted configuration in force.
-func (s *State) holder() (crid.Daemon, bool) {
+// pickHolder returns a random untried peer that has applied the configuration.
+func (s *State) pickHolder() (crid.Daemon, bool) {
 	if len(s.peers) == 0 {
 		return "", false
 	}
@@ -210,86 +212,87 @@
 	return "", false
 }
 
-// readMissing reads from the platform, within this tick's budget.
+// readMissing reads the missing values from the platform, within the rate limit.
 func (s *State) readMissing(now crid.Instant) {
 	f := s.nextConf
 	for _, e := range s.missing() {
-		if due, ok := f.reads[e.Digest]; ok {
+		if due, ok := f.readDeadlines[e.Digest]; ok {
 			if !now.Before(due) {
 				s.readFailed(now)
 				return
 			}
 			continue
 		}
-		if !s.spend() {
+		if !s.takeCall() {
 			return
 		}
-		f.reads[e.Digest] = now.Add(s.params.ReadTimeout)
+		f.readDeadlines[e.Digest] = now.Add(s.params.ReadTimeout)
 		s.emit(ReadPlatform{Name: e.Name, Digest: e.Digest})
 	}
 }
 
-// read takes the end of a platform read.
-func (s *State) read(now crid.Instant, ev ReadResult) {
+// handleReadResult handles the result of a platform read.
+func (s *State) handleReadResult(now crid.Instant, ev ReadResult) {
 	f := s.nextConf
 	if f == nil {
 		return
 	}
-	if _, ok := f.reads[ev.Digest]; !ok {
+	if _, ok := f.readDeadlines[ev.Digest]; !ok {
 		return
 	}
-	delete(f.reads, ev.Digest)
+	delete(f.readDeadlines, ev.Digest)
 	if ev.Fault != FaultNone || s.digestOf(ev.Data) != ev.Digest {
 		s.readFailed(now)
 		return
 	}
-	s.collect(ev.Digest, ev.Data)
+	s.addValue(ev.Digest, ev.Data)
 }
 
-// readFailed turns to the peers, and to the platform again later.
+// readFailed switches to pulling from peers, and schedules another fallback to the platform.
 func (s *State) readFailed(now crid.Instant) {
 	f := s.nextConf
-	s.watch.fails++
-	if !f.atPeer {
-		s.postpone(now)
+	s.watch.failures++
+	if !f.heldByPeer {
+		s.abandonFetch(now)
 		return
 	}
-	f.direct = false
-	clear(f.reads)
-	f.selfAt = now.Add(s.selfDelay())
+	f.fromPlatform = false
+	clear(f.readDeadlines)
+	f.fallbackAt = now.Add(s.fallbackDelay())
 }
 
-// postpone drops what only the platform named and could not give, until the
-// next watch names it again, and turns to the newest that a peer holds.
-func (s *State) postpone(now crid.Instant) {
+// abandonFetch drops a configuration that no peer has and that the platform
+// could not serve, until the next watch announces it again. It then starts to
+// fetch the newest configuration that a peer has applied.
+func (s *State) abandonFetch(now crid.Instant) {
 	s.nextConf = nil
-	s.offered = version{}
-	s.watch.seen = 0
-	s.watch.notBefore = now.Add(s.backoff(s.watch.fails))
+	s.announced = version{}
+	s.watch.platformRev = 0
+	s.watch.nextAt = now.Add(s.backoff(s.watch.failures))
 	for _, p := range s.peers {
 		have := s.haves[p.Daemon]
-		s.learn(now, have.Conf, have.Manifest, p.Daemon)
+		s.observe(now, have.Conf, have.Manifest, p.Daemon)
 	}
 }
 
-// collect keeps whole bytes whose digest was checked.
-func (s *State) collect(d Digest, data []byte) {
+// addValue stores a complete value whose digest was verified.
+func (s *State) addValue(d Digest, data []byte) {
 	f := s.nextConf
 	if d != f.digest {
-		s.pieces[d] = data
+		s.fetched[d] = data
 		return
 	}
 	m, err := s.parse(data)
 	if err != nil {
-		s.refuse(err)
+		s.reject(err)
 		return
 	}
 	f.raw = data
 	f.manifest = m
 }
 
-// install validates the whole and puts it in force.
-func (s *State) install(now crid.Instant) {
+// apply validates the complete configuration and makes it the active one.
+func (s *State) apply(now crid.Instant) {
 	f := s.nextConf
 	byName := make(map[string][]byte, len(f.manifest.Entries))
 	values := make(map[Digest][]byte, len(f.manifest.Entries))
@@ -300,28 +303,28 @@
 	}
 	snapshot, err := s.load(f.rev, f.manifest, byName)
 	if err != nil {
-		s.refuse(err)
+		s.reject(err)
 		return
 	}
-	former := s.conf.rev
-	s.conf = held{rev: f.rev, digest: f.digest, raw: f.raw, manifest: f.manifest, values: values, snapshot: snapshot}
+	previous := s.conf.rev
+	s.conf = activeConf{rev: f.rev, digest: f.digest, raw: f.raw, manifest: f.manifest, values: values, snapshot: snapshot}
 	s.nextConf = nil
-	clear(s.pieces)
-	s.report(EventApplied, "revision", rev(f.rev), "former", rev(former))
+	clear(s.fetched)
+	s.report(EventApplied, "revision", rev(f.rev), "former", rev(previous))
 	s.emit(Applied{Now: now, Snapshot: snapshot})
-	s.spread()
-	s.learn(now, s.offered.rev, s.offered.digest, "")
+	s.gossip()
+	s.observe(now, s.announced.rev, s.announced.digest, "")
 }
 
-// refuse drops a configuration whole; the former stays in force.
-func (s *State) refuse(err error) {
+// reject drops a configuration that failed validation; the active one stays.
+func (s *State) reject(err error) {
 	f := s.nextConf
-	s.refused = append(s.refused, version{f.rev, f.digest})
-	if len(s.refused) > maxRefused {
-		s.refused = s.refused[1:]
+	s.rejected = append(s.rejected, version{f.rev, f.digest})
+	if len(s.rejected) > maxRejected {
+		s.rejected = s.rejected[1:]
 	}
 	text := err.Error()
-	s.report(EventRejected, "revision", rev(f.rev), "inforce", rev(s.conf.rev), "error", text[:min(len(text), maxText)])
+	s.report(EventRejected, "revision", rev(f.rev), "inforce", rev(s.conf.rev), "error", text[:min(len(text), maxErrorBytes)])
 	s.nextConf = nil
-	clear(s.pieces)
+	clear(s.fetched)
 }
--- a/core/crconfig/fleet_test.go
+++ b/core/crconfig/fleet_test.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	tick  = 50 * time.Millisecond
-	hop   = 2 * time.Millisecond // one way between daemons, and to the platform
-	lease = 3 * time.Second      // of standing, while a peer is heard
+	tick    = 50 * time.Millisecond
+	latency = 2 * time.Millisecond // one-way latency between daemons, and to the platform
+	lease   = 3 * time.Second      // of contact, while a peer is reachable
 )
 
-// bundle is one published configuration; bad ones fail validation.
+// bundle is one published configuration; it is invalid if its content is Bad.
 type bundle struct {
 	raw    []byte
 	values map[crconfig.Digest][]byte
@@ -34,7 +34,7 @@
 	Bad  bool     `json:"bad"`
 }
 
-func makeBundle(c content) bundle {
+func newBundle(c content) bundle {
 	data, _ := json.Marshal(c)
 	d := crconfig.DigestOf(data)
 	raw, _ := json.Marshal(crconfig.Manifest{Entries: []crconfig.Entry{{Name: d.String(), Size: len(data)}}})
@@ -43,7 +43,7 @@
 
 func (b bundle) digest() crconfig.Digest { return crconfig.DigestOf(b.raw) }
 
-// parse takes the digest from the entry's name, as JSON leaves it out.
+// parse takes the digest from the entry's name, since JSON omits the digest.
 func parse(raw []byte) (crconfig.Manifest, error) {
 	var m crconfig.Manifest
 	if err := json.Unmarshal(raw, &m); err != nil {
@@ -78,49 +78,49 @@
 	ev crevent.Event
 }
 
-type waiter struct {
+type pendingWatch struct {
 	after crid.Revision
 	until time.Duration
 }
 
-// daemon is one life of a daemon.
+// daemon is one run of a daemon process.
 type daemon struct {
 	*crconfig.State
-	offset  time.Duration // of its clock
-	reports map[int]int
-	waits   *waiter
-	inForce []crid.Revision
-	peersAt int // peers at the last notice
+	offset    time.Duration // of its clock
+	reports   map[int]int
+	watch     *pendingWatch
+	applied   []crid.Revision
+	peerCount int // peers at the last membership update
 }
 
-// fleet runs reducers in simulated time. It is a small fake: its network has one
-// delay, and membership is told to the reducers as it is.
+// fleet runs reducers in simulated time. Its network has a fixed latency, and the
+// reducers are given the true membership.
 type fleet struct {
-	now     time.Duration
-	rng     *rand.Rand
-	params  crconfig.Params
-	names   []crid.Daemon
-	domains map[crid.Daemon]crid.Domain
-	daemons map[crid.Daemon]*daemon
-	queue   map[time.Duration][]event // by millisecond
-	plat    *platform
-	cut     func(from, to crid.Daemon) bool
-	peers   bool    // membership works
-	sampled bool    // membership is told as in a large fleet
-	loss    float64 // of messages between daemons
-	msgs    int
-	listed  int // instances sent between daemons
+	now           time.Duration
+	rng           *rand.Rand
+	params        crconfig.Params
+	names         []crid.Daemon
+	domains       map[crid.Daemon]crid.Domain
+	daemons       map[crid.Daemon]*daemon
+	queue         map[time.Duration][]event // by millisecond
+	platform      *platform
+	blocked       func(from, to crid.Daemon) bool
+	connected     bool    // links between daemons work
+	sampled       bool    // membership samples peers, as in a large fleet
+	loss          float64 // of messages between daemons
+	messages      int
+	instancesSent int // instances sent in list pushes
 }
 
 func newFleet(n, domains int, params crconfig.Params) *fleet {
 	f := &fleet{
-		rng:     rand.New(rand.NewPCG(1, 2)),
-		params:  params,
-		domains: make(map[crid.Daemon]crid.Domain),
-		daemons: make(map[crid.Daemon]*daemon),
-		queue:   make(map[time.Duration][]event),
-		peers:   true,
-		plat:    &platform{pages: 1, heads: []crconfig.Head{{}}, values: make(map[crconfig.Digest][]byte), perSec: make(map[int]int)},
+		rng:       rand.New(rand.NewPCG(1, 2)),
+		params:    params,
+		domains:   make(map[crid.Daemon]crid.Domain),
+		daemons:   make(map[crid.Daemon]*daemon),
+		queue:     make(map[time.Duration][]event),
+		connected: true,
+		platform:  &platform{listCalls: 1, heads: []crconfig.Head{{}}, values: make(map[crconfig.Digest][]byte), callsPerSecond: make(map[int]int)},
 	}
 	var instances []crinstance.Instance
 	for i := range n {
@@ -129,12 +129,12 @@
 		f.domains[d] = crid.Domain(fmt.Sprintf("m%d", i%domains))
 		instances = append(instances, crinstance.Instance{Daemon: d, Domain: f.domains[d], State: crinstance.StateLive})
 	}
-	f.plat.list = crinstance.NewList(1, instances)
-	f.plat.heads = []crconfig.Head{{Rev: 1, List: 1}}
+	f.platform.list = crinstance.NewList(1, instances)
+	f.platform.heads = []crconfig.Head{{Rev: 1, List: 1}}
 	return f
 }
 
-func quick() crconfig.Params {
+func smallFleetParams() crconfig.Params {
 	p := crconfig.DefaultParams()
 	p.FleetSize = 100
 	return p
@@ -142,81 +142,81 @@
 
 func (f *fleet) start(names ...crid.Daemon) {
 	for _, d := range names {
-		life := &daemon{
+		node := &daemon{
 			State:   crconfig.New(f.params, parse, load),
 			offset:  time.Duration(f.rng.Int64N(int64(time.Hour))),
 			reports: make(map[int]int),
 		}
-		f.daemons[d] = life
+		f.daemons[d] = node
 		f.step(d, crevent.Started{Now: f.clock(d), Self: d, Domain: f.domains[d], Incarnation: 1, Seed: f.rng.Uint64()})
 	}
-	f.membership()
+	f.updateMembership()
 }
 
 func (f *fleet) kill(d crid.Daemon) {
 	delete(f.daemons, d)
-	f.membership()
+	f.updateMembership()
 }
 
 func (f *fleet) clock(d crid.Daemon) crid.Instant {
 	return crid.Instant(f.now + f.daemons[d].offset)
 }
 
-func (f *fleet) linked(a, b crid.Daemon) bool {
-	return f.peers && (f.cut == nil || (!f.cut(a, b) && !f.cut(b, a)))
+func (f *fleet) connectedTo(a, b crid.Daemon) bool {
+	return f.connected && (f.blocked == nil || (!f.blocked(a, b) && !f.blocked(b, a)))
 }
 
-// membership tells every daemon its peers: those linked both ways.
-func (f *fleet) membership() {
+// updateMembership gives every daemon its peers: those linked in both directions.
+func (f *fleet) updateMembership() {
 	if f.sampled {
-		f.sampleMembership()
+		f.updateSampledMembership()
 		return
 	}
 	for _, d := range f.alive() {
 		var peers []crmember.Peer
 		for _, p := range f.alive() {
-			if p != d && f.linked(d, p) {
+			if p != d && f.connectedTo(d, p) {
 				peers = append(peers, crmember.Peer{Daemon: p, Domain: f.domains[p], Reachable: true})
 			}
 		}
-		f.daemons[d].peersAt = len(peers)
+		f.daemons[d].peerCount = len(peers)
 		f.step(d, crmember.Peers{Now: f.clock(d), Peers: peers})
 	}
 }
 
-// sampleMembership tells peers as crmember does above MaxVoters: whom the list
-// names, truly whether a voter is reachable, and of the others only who was in a
-// sample within the last horizon.
-func (f *fleet) sampleMembership() {
+// updateSampledMembership gives every daemon its peers as crmember does above
+// MaxVoters: all listed peers, with the true reachability of voters. Other peers
+// are reachable only if they were in a sample within the last horizon.
+func (f *fleet) updateSampledMembership() {
 	params := crmember.DefaultParams()
-	voters := crmember.Voters(f.plat.list, 0, params.MaxVoters)
+	voters := crmember.Voters(f.platform.list, 0, params.MaxVoters)
 	n := len(f.names)
-	near := make([]bool, n*n)
+	sampled := make([]bool, n*n)
 	for i := range f.names {
 		for range params.Sample * int(params.Horizon/params.Interval) {
 			j := f.rng.IntN(n)
-			near[i*n+j], near[j*n+i] = true, true
+			sampled[i*n+j], sampled[j*n+i] = true, true
 		}
 	}
-	up := func(d, p crid.Daemon) bool { return f.daemons[p] != nil && (p == d || f.linked(d, p)) }
+	up := func(d, p crid.Daemon) bool { return f.daemons[p] != nil && (p == d || f.connectedTo(d, p)) }
 	for i, d := range f.names {
 		if f.daemons[d] == nil {
 			continue
 		}
-		heard := 0
+		reachableVoters := 0
 		peers := make([]crmember.Peer, 0, n)
-		_, votes := slices.BinarySearch(voters, d)
+		_, isVoter := slices.BinarySearch(voters, d)
 		for j, p := range f.names {
 			_, voter := slices.BinarySearch(voters, p)
-			reachable := up(d, p) && (voter || votes || near[i*n+j])
+			reachable := up(d, p) && (voter || isVoter || sampled[i*n+j])
 			if reachable && voter {
-				heard++
+				reachableVoters++
 			}
 			if p != d {
 				peers = append(peers, crmember.Peer{Daemon: p, Domain: f.domains[p], Reachable: reachable, Sampled: !voter})
 			}
 		}
-		f.daemons[d].peersAt = max(0, heard-len(voters)/2) // a majority of the voters
+		f.daemons[d].peerCount = max(0, reachableVoters-len(voters)/2) // a majority of the voters
 		f.step(d, crmember.Peers{Now: f.clock(d), Peers: peers})
 	}
 }
@@ -231,65 +231,65 @@
 	return alive
 }
 
-func (f *fleet) post(delay time.Duration, to crid.Daemon, ev crevent.Event) {
+func (f *fleet) schedule(delay time.Duration, to crid.Daemon, ev crevent.Event) {
 	at := f.now + delay
 	f.queue[at] = append(f.queue[at], event{to: to, ev: ev})
 }
 
 func (f *fleet) step(d crid.Daemon, ev crevent.Event) {
-	life := f.daemons[d]
-	for _, e := range life.Step(ev) {
+	node := f.daemons[d]
+	for _, e := range node.Step(ev) {
 		switch e := e.(type) {
 		case crevent.Send:
-			f.msgs++
+			f.messages++
 			if push, ok := e.Msg.(crconfig.ListPush); ok {
-				f.listed += len(push.Instances)
+				f.instancesSent += len(push.Instances)
 			}
-			if f.daemons[e.To] != nil && f.carries(d, e.To) {
-				f.post(hop, e.To, received{from: d, msg: e.Msg})
+			if f.daemons[e.To] != nil && f.delivers(d, e.To) {
+				f.schedule(latency, e.To, received{from: d, msg: e.Msg})
 			}
 		case crevent.Report:
-			life.reports[e.Number]++
+			node.reports[e.Number]++
 		case crconfig.Applied:
-			life.inForce = append(life.inForce, e.Snapshot.Revision())
+			node.applied = append(node.applied, e.Snapshot.Revision())
 		case crconfig.WatchPlatform:
-			f.call()
-			life.waits = &waiter{after: e.After, until: f.now + e.Wait}
+			f.countCall()
+			node.watch = &pendingWatch{after: e.After, until: f.now + e.Wait}
 		case crconfig.ReadPlatform:
-			f.call()
-			data, ok := f.plat.values[e.Digest]
-			f.reply(d, answer{digest: e.Digest, data: data, bad: !ok || f.plat.lost})
+			f.countCall()
+			data, ok := f.platform.values[e.Digest]
+			f.reply(d, answer{digest: e.Digest, data: data, unreadable: !ok || f.platform.unreadable})
 		case crconfig.ReadList:
-			for range f.plat.pages {
-				f.call()
+			for range f.platform.listCalls {
+				f.countCall()
 			}
-			f.reply(d, answer{list: f.plat.list})
+			f.reply(d, answer{list: f.platform.list})
 		}
 	}
 }
 
-// carries reports whether a message gets through.
-func (f *fleet) carries(from, to crid.Daemon) bool {
-	if !f.peers || (f.cut != nil && f.cut(from, to)) {
+// delivers reports whether a message arrives.
+func (f *fleet) delivers(from, to crid.Daemon) bool {
+	if !f.connected || (f.blocked != nil && f.blocked(from, to)) {
 		return false
 	}
 	return f.loss == 0 || f.rng.Float64() >= f.loss
 }
 
-func (f *fleet) call() {
-	f.plat.calls++
-	f.plat.perSec[int(f.now/time.Second)]++
+func (f *fleet) countCall() {
+	f.platform.calls++
+	f.platform.callsPerSecond[int(f.now/time.Second)]++
 }
 
 func (f *fleet) reply(d crid.Daemon, a answer) {
-	if f.plat.silent {
+	if f.platform.unresponsive {
 		return
 	}
-	a.away = f.plat.away || f.plat.cutFrom[d]
-	f.post(2*hop, d, a)
+	a.unavailable = f.platform.unavailable || f.platform.unreachableFrom[d]
+	f.schedule(2*latency, d, a)
 }
 
-// received and answer get their instants on delivery, on the receiver's clock.
+// received and answer get their timestamps on delivery, from the receiver's clock.
 type received struct {
 	crevent.Event
 	from crid.Daemon
@@ -298,12 +298,12 @@
 
 type answer struct {
 	crevent.Event
-	digest crconfig.Digest
-	data   []byte
-	list   crinstance.List
-	head   *crconfig.Head
-	bad    bool
-	away   bool
+	digest      crconfig.Digest
+	data        []byte
+	list        crinstance.List
+	head        *crconfig.Head
+	unreadable  bool
+	unavailable bool
 }
 
 func (f *fleet) deliver(e event) {
@@ -322,9 +322,9 @@
 func (a answer) at(now crid.Instant) crevent.Event {
 	fault := crconfig.FaultNone
 	switch {
-	case a.away:
+	case a.unavailable:
 		fault = crconfig.FaultUnavailable
-	case a.bad:
+	case a.unreadable:
 		fault = crconfig.FaultMissing
 	}
 	switch {
@@ -336,8 +336,8 @@
 	return crconfig.ReadResult{Now: now, Digest: a.digest, Data: a.data, Fault: fault}
 }
 
-// run lets time pass; all ticks come at one moment, which is the worst for the
-// platform's rate.
+// run advances the simulated time. All daemons tick at the same time, which is
+// the worst case for the platform's rate.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.now += time.Millisecond
@@ -353,38 +353,39 @@
 
 func (f *fleet) tick() {
 	if f.sampled && f.now%time.Second == 0 {
-		f.membership()
+		f.updateMembership()
 	}
 	for _, d := range f.alive() {
-		life := f.daemons[d]
-		if life.peersAt > 0 {
+		node := f.daemons[d]
+		if node.peerCount > 0 {
 			now := f.clock(d)
 			f.step(d, crmember.Tenure{Now: now, Active: 1, Members: f.names, Contact: now.Add(lease)})
 		}
 		f.step(d, crevent.Tick{Now: f.clock(d)})
-		f.wake(d)
+		f.completeWatch(d)
 	}
 }
 
-func (f *fleet) wake(d crid.Daemon) {
-	life := f.daemons[d]
-	w := life.waits
+func (f *fleet) completeWatch(d crid.Daemon) {
+	node := f.daemons[d]
+	w := node.watch
 	if w == nil {
 		return
 	}
-	if f.plat.silent {
-		life.waits = nil
+	if f.platform.unresponsive {
+		node.watch = nil
 		return
 	}
-	head := f.plat.head()
-	if f.plat.away || f.plat.cutFrom[d] || head.Rev != w.after || f.now >= w.until {
-		life.waits = nil
+	head := f.platform.head()
+	if f.platform.unavailable || f.platform.unreachableFrom[d] || head.Rev != w.after || f.now >= w.until {
+		node.watch = nil
 		f.reply(d, answer{head: &head})
 	}
 }
 
-// until runs until all living daemons have the revision, and returns the time.
-func (f *fleet) until(t testing.TB, rev crid.Revision, limit time.Duration) time.Duration {
+// runUntilApplied runs until all living daemons have applied the revision, and
+// returns the time that it took.
+func (f *fleet) runUntilApplied(t testing.TB, rev crid.Revision, limit time.Duration) time.Duration {
 	t.Helper()
 	from := f.now
 	for f.now-from < limit {
@@ -395,7 +396,7 @@
 	}
 	for _, d := range f.alive() {
 		if f.daemons[d].Revision() < rev {
-			t.Fatalf("%s has %d, not %d, after %s: %+v", d, f.daemons[d].Revision(), rev, limit, f.daemons[d].Dump())
+			t.Fatalf("%s has revision %d, want %d, after %s: %+v", d, f.daemons[d].Revision(), rev, limit, f.daemons[d].Dump())
 		}
 	}
 	return limit
@@ -411,13 +412,13 @@
 	return readers
 }
 
-// settled is a fleet with one configuration in force everywhere.
-func settled(t testing.TB, n, domains int) *fleet {
+// newSettledFleet returns a fleet in which every daemon has applied one configuration.
+func newSettledFleet(t testing.TB, n, domains int) *fleet {
 	t.Helper()
-	f := newFleet(n, domains, quick())
-	rev := f.plat.publish(content{Keys: []string{"k"}})
+	f := newFleet(n, domains, smallFleetParams())
+	rev := f.platform.publish(content{Keys: []string{"k"}})
 	f.start(f.names...)
-	f.until(t, rev, 30*time.Second)
+	f.runUntilApplied(t, rev, 30*time.Second)
 	f.run(3 * time.Second)
 	return f
 }
--- a/core/crconfig/head.go
+++ b/core/crconfig/head.go
@@ -7,13 +7,13 @@
 	"camphorroad/core/crid"
 )
 
-// Head is the platform's word on what is newest. The platform has one revision
-// counter for all it publishes.
+// Head is the newest state that the platform publishes. The platform has one
+// revision counter for everything it publishes.
 type Head struct {
-	Rev      crid.Revision `json:"rev"`      // the larger of the two below
-	Conf     crid.Revision `json:"conf"`     // of the manifest; zero: none published
-	Manifest Digest        `json:"manifest"` // of the manifest's bytes
-	List     crid.Revision `json:"list"`     // of the list of instances; zero: none
+	Rev      crid.Revision `json:"rev"`      // the larger of Conf and List
+	Conf     crid.Revision `json:"conf"`     // revision of the manifest; zero: none published
+	Manifest Digest        `json:"manifest"` // digest of the manifest
+	List     crid.Revision `json:"list"`     // revision of the list of instances; zero: none published
 }
 
 var errDigest = errors.New("a digest is 64 hex digits")
--- a/core/crconfig/list.go
+++ b/core/crconfig/list.go
@@ -9,81 +9,81 @@
 	"camphorroad/core/crmember"
 )
 
-// listFetch is a newer list of instances on its way.
+// listFetch is the state of fetching a newer list of instances.
 type listFetch struct {
-	want      crid.Revision // zero: none
-	direct    bool
-	busy      bool        // a platform read or a pull runs
-	peer      crid.Daemon // asked now; empty: the platform
-	due       crid.Instant
-	rev       crid.Revision // of the instances gathered so far
-	got       []crinstance.Instance
-	tries     int
-	notBefore crid.Instant
-	selfAt    crid.Instant
-	told      bool // that the platform's list can not be used
+	want             crid.Revision // revision to fetch; zero: none
+	fromPlatform     bool
+	inFlight         bool        // a platform read or a pull is in flight
+	peer             crid.Daemon // peer with a pull in flight; empty: the platform
+	deadline         crid.Instant
+	rev              crid.Revision // revision of instances
+	instances        []crinstance.Instance
+	attempts         int
+	retryAt          crid.Instant
+	fallbackAt       crid.Instant
+	unusableReported bool // reported that the platform's list can not be used
 }
 
-func (l *listFetch) learn(have, r crid.Revision) {
+func (l *listFetch) observe(have, r crid.Revision) {
 	if r > have && r > l.want {
 		l.want = r
-		l.told = false
+		l.unusableReported = false
 	}
 }
 
-// offeredList takes word of a list from a peer. Who waits for its share of the
-// platform's rate turns to the peer instead.
-func (s *State) offeredList(r crid.Revision) {
+// observeList handles the announcement of a list by a peer. A daemon that waits
+// for its share of the platform rate pulls from the peer instead.
+func (s *State) observeList(r crid.Revision) {
 	l := &s.nextList
-	l.learn(s.list.Revision(), r)
-	if l.direct && !l.busy && s.watch.limited && r >= l.want {
-		l.direct = false
-		l.notBefore = 0
+	l.observe(s.list.Revision(), r)
+	if l.fromPlatform && !l.inFlight && s.watch.unconfirmed && r >= l.want {
+		l.fromPlatform = false
+		l.retryAt = 0
 	}
 }
 
-// readListFrom settles whether, after a watch that named a newer list, this
-// daemon reads it. The moment of the first read is drawn at random: a share of
-// the rate holds on average only, and fresh daemons begin together.
-func (s *State) readListFrom(now crid.Instant) {
+// scheduleListRead decides whether this daemon reads a newer list that a watch
+// announced. The time of the first read is random: the share of the rate holds
+// on average only, and new daemons often start together.
+func (s *State) scheduleListRead(now crid.Instant) {
 	l := &s.nextList
-	if l.busy || l.direct || (!s.watch.reader && len(s.peers) > 0) {
+	if l.inFlight || l.fromPlatform || (!s.watch.reader && len(s.peers) > 0) {
 		return
 	}
-	l.direct = true
-	if s.watch.limited {
-		call := time.Duration(float64(time.Second) / s.params.share())
-		l.notBefore = now.Add(call + s.jitter(time.Duration(s.params.pages())*call))
+	l.fromPlatform = true
+	if s.watch.unconfirmed {
+		call := time.Duration(float64(time.Second) / s.params.rateShare())
+		l.retryAt = now.Add(call + s.jitter(time.Duration(s.params.listCalls())*call))
 	}
 }
 
-// advanceList takes the next step towards a newer list.
-func (s *State) advanceList(now crid.Instant) {
+// advanceListFetch takes the next step in fetching a newer list.
+func (s *State) advanceListFetch(now crid.Instant) {
 	l := &s.nextList
 	if l.want <= s.list.Revision() {
 		s.nextList = listFetch{}
 		return
 	}
-	if l.busy && now.Before(l.due) {
+	if l.inFlight && now.Before(l.deadline) {
 		return
 	}
-	if l.busy {
-		s.listFailed(now)
+	if l.inFlight {
+		s.listFetchFailed(now)
 	}
-	if now.Before(l.notBefore) {
+	if now.Before(l.retryAt) {
 		return
 	}
-	if l.selfAt != 0 && !now.Before(l.selfAt) {
-		l.direct = true
-		l.selfAt = 0
+	if l.fallbackAt != 0 && !now.Before(l.fallbackAt) {
+		l.fromPlatform = true
+		l.fallbackAt = 0
 	}
-	if l.direct && !s.spendOn(s.params.pages()) {
+	if l.fromPlatform && !s.takeCalls(s.params.listCalls()) {
 		return
 	}
-	if l.direct {
-		l.busy = true
+	if l.fromPlatform {
+		l.inFlight = true
 		l.peer = ""
-		l.due = now.Add(s.params.ReadTimeout)
+		l.deadline = now.Add(s.params.ReadTimeout)
 		s.emit(ReadList{})
 		return
 	}
@@ -92,20 +92,20 @@
 
 func (s *State) pullList(now crid.Instant) {
 	l := &s.nextList
-	holder, ok := s.listHolder()
+	holder, ok := s.pickListHolder()
 	if !ok {
-		s.listFailed(now)
+		s.listFetchFailed(now)
 		return
 	}
-	l.busy = true
+	l.inFlight = true
 	l.peer = holder
-	l.due = now.Add(s.params.PullTimeout)
+	l.deadline = now.Add(s.params.PullTimeout)
 	l.rev = 0
-	l.got = nil
+	l.instances = nil
 	s.send(holder, ListPull{Base: s.list.Revision()})
 }
 
-func (s *State) listHolder() (crid.Daemon, bool) {
+func (s *State) pickListHolder() (crid.Daemon, bool) {
 	if len(s.peers) == 0 {
 		return "", false
 	}
@@ -119,110 +119,110 @@
 	return "", false
 }
 
-// listFailed tries another peer after a pause, and in the end the platform.
-func (s *State) listFailed(now crid.Instant) {
+// listFetchFailed schedules a retry with another peer and the fallback to the platform.
+func (s *State) listFetchFailed(now crid.Instant) {
 	l := &s.nextList
-	l.busy = false
-	l.direct = false
-	l.tries++
-	l.notBefore = now.Add(s.backoff(0))
-	if l.selfAt == 0 {
-		l.selfAt = now.Add(s.selfDelay())
+	l.inFlight = false
+	l.fromPlatform = false
+	l.attempts++
+	l.retryAt = now.Add(s.backoff(0))
+	if l.fallbackAt == 0 {
+		l.fallbackAt = now.Add(s.fallbackDelay())
 	}
 }
 
-func (s *State) serveList(to crid.Daemon, msg ListPull) {
+func (s *State) serveListPull(to crid.Daemon, msg ListPull) {
 	if s.list.Revision() == 0 || msg.Offset < 0 {
 		return
 	}
-	if changed, gone, ok := s.changes.after(msg.Base, s.list, s.params.PushItems); ok {
-		s.send(to, ListPush{Rev: s.list.Revision(), Base: msg.Base, Removed: gone, Total: len(changed), Instances: changed})
+	if changed, removed, ok := s.changes.diff(msg.Base, s.list, s.params.PushItems); ok {
+		s.send(to, ListPush{Rev: s.list.Revision(), Base: msg.Base, Removed: removed, Total: len(changed), Instances: changed})
 		return
 	}
-	off := msg.Offset
+	offset := msg.Offset
 	if msg.Rev != 0 && msg.Rev != s.list.Revision() {
-		off = 0 // the list has changed under the asker; begin anew
+		offset = 0 // the list changed between two pulls; start over
 	}
 	all := s.list.Instances()
-	if off > len(all) {
+	if offset > len(all) {
 		return
 	}
-	end := min(off+s.params.PushItems, len(all))
-	s.send(to, ListPush{Rev: s.list.Revision(), Offset: off, Total: len(all), Instances: all[off:end]})
+	end := min(offset+s.params.PushItems, len(all))
+	s.send(to, ListPush{Rev: s.list.Revision(), Offset: offset, Total: len(all), Instances: all[offset:end]})
 }
 
-func (s *State) listPush(now crid.Instant, from crid.Daemon, msg ListPush) {
+func (s *State) handleListPush(now crid.Instant, from crid.Daemon, msg ListPush) {
 	l := &s.nextList
-	if !l.busy || l.peer != from || msg.Rev <= s.list.Revision() {
+	if !l.inFlight || l.peer != from || msg.Rev <= s.list.Revision() {
 		return
 	}
 	if msg.Base != 0 {
-		// The list may have been replaced since the asking; a difference to
-		// another list would leave out what changed in between.
+		// The local list may have been replaced since the pull. A diff against
+		// another list would leave out the changes in between.
 		if msg.Base == s.list.Revision() {
-			s.setList(now, patch(s.list, msg.Rev, msg.Instances, msg.Removed))
+			s.applyList(now, applyDiff(s.list, msg.Rev, msg.Instances, msg.Removed))
 		}
 		return
 	}
 	if msg.Offset == 0 {
 		l.rev = msg.Rev
-		l.got = nil
+		l.instances = nil
 	}
-	if msg.Rev != l.rev || msg.Offset != len(l.got) || (len(msg.Instances) == 0 && msg.Total > msg.Offset) {
+	if msg.Rev != l.rev || msg.Offset != len(l.instances) || (len(msg.Instances) == 0 && msg.Total > msg.Offset) {
 		return
 	}
-	l.got = append(l.got, msg.Instances...)
-	if len(l.got) < msg.Total {
-		l.due = now.Add(s.params.PullTimeout)
-		s.send(from, ListPull{Rev: l.rev, Offset: len(l.got)})
+	l.instances = append(l.instances, msg.Instances...)
+	if len(l.instances) < msg.Total {
+		l.deadline = now.Add(s.params.PullTimeout)
+		s.send(from, ListPull{Rev: l.rev, Offset: len(l.instances)})
 		return
 	}
-	s.setList(now, crinstance.NewList(l.rev, slices.Clone(l.got)))
+	s.applyList(now, crinstance.NewList(l.rev, slices.Clone(l.instances)))
 }
 
-// listUnread tells once for each list that the platform answers, but not with a
-// list that can be used: it serves an older one, or too much at once. The platform
-// does not look away then, and nothing else would tell of instances that are
-// missing here.
-func (s *State) listUnread(fault Fault) {
-	if fault == FaultUnavailable || s.nextList.told {
+// reportUnusableList reports, once for each list, that the platform responds but
+// serves an older list, or one that is too large. The platform does not count as
+// unavailable then, and nothing else would report that instances are missing
+// here.
+func (s *State) reportUnusableList(fault Fault) {
+	if fault == FaultUnavailable || s.nextList.unusableReported {
 		return
 	}
-	s.nextList.told = true
+	s.nextList.unusableReported = true
 	s.report(EventListUnusable, "want", rev(s.nextList.want), "held", rev(s.list.Revision()))
 }
 
-func (s *State) listRead(now crid.Instant, ev ListResult) {
+func (s *State) handleListResult(now crid.Instant, ev ListResult) {
 	if ev.Fault != FaultNone {
-		s.listUnread(ev.Fault)
-		if s.nextList.busy && s.nextList.peer == "" {
-			s.listFailed(now)
+		s.reportUnusableList(ev.Fault)
+		if s.nextList.inFlight && s.nextList.peer == "" {
+			s.listFetchFailed(now)
 		}
 		return
 	}
 	if ev.List.Revision() > s.list.Revision() {
-		s.setList(now, ev.List)
-	} else if s.nextList.busy && s.nextList.peer == "" {
-		s.listFailed(now)
+		s.applyList(now, ev.List)
+	} else if s.nextList.inFlight && s.nextList.peer == "" {
+		s.listFetchFailed(now)
 	}
 }
 
-func (s *State) setList(now crid.Instant, list crinstance.List) {
-	s.adopt(list)
+func (s *State) applyList(now crid.Instant, list crinstance.List) {
+	s.storeList(list)
 	want := s.nextList.want
 	s.nextList = listFetch{want: want}
 	s.emit(crinstance.Listed{Now: now, List: list})
-	s.spread()
+	s.gossip()
 }
 
-func (s *State) adopt(list crinstance.List) {
+func (s *State) storeList(list crinstance.List) {
 	s.changes.record(s.list, list)
 	s.list = list
 	s.voter = slices.Contains(crmember.Voters(list, 0, s.params.Voters), s.self)
-	s.listed = 0
+	s.domainSize = 0
 	for _, in := range list.Instances() {
 		if in.Domain == s.domain && !in.Leaving() {
-			s.listed++
+			s.domainSize++
 		}
 	}
 }
--- a/core/crconfig/list_test.go
+++ b/core/crconfig/list_test.go
@@ -11,15 +11,15 @@
 	"camphorroad/core/crinstance"
 )
 
-// Instances come, change and go all day. Were each list sent whole, 5,500
-// daemons would spend ten times their bytes on it; were a difference applied to
-// another list, a removed instance would get work for ever.
-func TestListsSpreadAsDifferences(t *testing.T) {
-	f := settled(t, 60, 3)
-	from := f.listed
+// The list of instances changes all day. Sent as a whole, each change would cost
+// 5,500 daemons ten times the bytes. Applied to another list, a diff would keep
+// removed instances in use.
+func TestListsAreSentAsDiffs(t *testing.T) {
+	f := newSettledFleet(t, 60, 3)
+	before := f.instancesSent
 	rounds := 20
 	for i := range rounds {
-		instances := f.plat.list.Instances()
+		instances := f.platform.list.Instances()
 		switch i % 3 {
 		case 0:
 			instances[i].State = crinstance.StateLeaving
@@ -31,25 +31,25 @@
 				Targets: []crinstance.Target{{Name: "t", Service: "s"}},
 			})
 		}
-		f.plat.relist(instances)
+		f.platform.publishList(instances)
 		f.run(time.Duration(50+i*37) * time.Millisecond)
 	}
 	f.run(9 * time.Second)
 	for _, d := range f.alive() {
-		if got := f.daemons[d].List(); !reflect.DeepEqual(got, f.plat.list) {
-			t.Errorf("%s has %d at %d, not %d at %d", d, got.Len(), got.Revision(), f.plat.list.Len(), f.plat.list.Revision())
+		if got := f.daemons[d].List(); !reflect.DeepEqual(got, f.platform.list) {
+			t.Errorf("%s has %d instances at revision %d, want %d at %d", d, got.Len(), got.Revision(), f.platform.list.Len(), f.platform.list.Revision())
 		}
 	}
-	t.Logf("%d instances sent, %.1f a change and daemon", f.listed-from, float64(f.listed-from)/float64(rounds*60))
-	if f.listed-from > 3*rounds*60 {
-		t.Error("lists are sent whole")
+	t.Logf("%d instances sent, %.1f per change and daemon", f.instancesSent-before, float64(f.instancesSent-before)/float64(rounds*60))
+	if f.instancesSent-before > 3*rounds*60 {
+		t.Error("lists are sent as a whole")
 	}
 }
 
-// While a difference is on its way the asker reads another list. Applied to that
-// one, the difference would lose what changed between the two.
-func TestDifferenceToAnotherListIsNotApplied(t *testing.T) {
-	p := newPuller("a")
+// The receiver replaces its list while a diff is in flight. Applied to the new
+// list, the diff would lose the changes between the two.
+func TestDiffAgainstAnotherListIsNotApplied(t *testing.T) {
+	p := newHarness("a")
 	list := func(rev crid.Revision, names ...crid.Daemon) crinstance.Listed {
 		var instances []crinstance.Instance
 		for _, d := range names {
@@ -58,38 +58,38 @@
 		return crinstance.Listed{Now: p.now, List: crinstance.NewList(rev, instances)}
 	}
 	p.Step(list(5, "a", "self", "old"))
-	p.hear("a", crconfig.Have{List: 7})
+	p.receive("a", crconfig.Have{List: 7})
 	p.Step(list(6, "a", "self", "old", "other"))
 	push := crconfig.ListPush{Rev: 7, Base: 5, Removed: []crid.Daemon{"old"}}
-	p.hear("a", push)
+	p.receive("a", push)
 	if got := p.List().Revision(); got != 6 {
-		t.Errorf("went to %d", got)
+		t.Errorf("applied the diff: revision %d", got)
 	}
 	push.Base = 6
 	push.Removed = append(push.Removed, "other")
-	p.hear("a", push)
+	p.receive("a", push)
 	if got := p.List(); got.Revision() != 7 || got.Len() != 2 {
-		t.Errorf("has %d at %d", got.Len(), got.Revision())
+		t.Errorf("has %d instances at revision %d", got.Len(), got.Revision())
 	}
 }
 
-// The platform serves a list of the planned size in one answer, above what a
-// daemon takes. It does not look away; new instances just never get work, and
-// nobody knew why.
-func TestAListThatCanNotBeUsedIsToldOnce(t *testing.T) {
-	p := newPuller("a")
-	p.hear("a", crconfig.Have{List: 7})
+// The platform serves a list that is too large for a daemon. The platform does
+// not count as unavailable, and without a report the missing instances go
+// unnoticed.
+func TestUnusableListIsReportedOnce(t *testing.T) {
+	p := newHarness("a")
+	p.receive("a", crconfig.Have{List: 7})
 	for i, want := range []struct {
-		fault crconfig.Fault
-		told  bool
+		fault    crconfig.Fault
+		reported bool
 	}{{crconfig.FaultUnavailable, false}, {crconfig.FaultMissing, true}, {crconfig.FaultMissing, false}} {
-		told := false
+		reported := false
 		for _, e := range p.Step(crconfig.ListResult{Now: p.now, Fault: want.fault}) {
 			report, ok := e.(crevent.Report)
-			told = told || ok && report.Number == crconfig.EventListUnusable
+			reported = reported || ok && report.Number == crconfig.EventListUnusable
 		}
-		if told != want.told {
-			t.Errorf("read %d: told %v, want %v", i, told, want.told)
+		if reported != want.reported {
+			t.Errorf("read %d: reported %v, want %v", i, reported, want.reported)
 		}
 	}
 }
--- a/core/crconfig/machine_test.go
+++ b/core/crconfig/machine_test.go
@@ -10,8 +10,8 @@
 	"camphorroad/core/crid"
 )
 
-// seeded fixes rapid's seed, so that CI runs the same cases each time.
-func seeded(t *testing.T) {
+// fixRapidSeed fixes rapid's seed, so that CI runs the same cases each time.
+func fixRapidSeed(t *testing.T) {
 	t.Helper()
 	for name, value := range map[string]string{"rapid.seed": "20260101", "rapid.checks": "60"} {
 		if err := flag.Set(name, value); err != nil {
@@ -20,93 +20,93 @@
 	}
 }
 
-// machine drives several daemons through a faulty life.
-type machine struct {
+// stateMachine applies random faults to several daemons.
+type stateMachine struct {
 	f       *fleet
-	highest map[crid.Daemon]crid.Revision // over all lives of a name
-	maximum crid.Revision
-	newer   int // daemons that have the maximum
+	highest map[crid.Daemon]crid.Revision // highest revision over all runs of a daemon
+	newest  crid.Revision
+	holders int // daemons that have applied newest
 }
 
-func (m *machine) check(t *rapid.T) {
-	m.maximum = 0
+func (m *stateMachine) check(t *rapid.T) {
+	m.newest = 0
 	for _, d := range m.f.alive() {
-		life := m.f.daemons[d]
-		for _, rev := range life.inForce {
+		node := m.f.daemons[d]
+		for _, rev := range node.applied {
 			if rev < m.highest[d] {
-				t.Fatalf("%s went from %d to %d", d, m.highest[d], rev)
+				t.Fatalf("%s went from revision %d to %d", d, m.highest[d], rev)
 			}
 			m.highest[d] = rev
 		}
-		life.inForce = nil
-		m.maximum = max(m.maximum, life.Revision())
+		node.applied = nil
+		m.newest = max(m.newest, node.Revision())
 	}
-	m.newer = 0
+	m.holders = 0
 	for _, d := range m.f.alive() {
-		if m.f.daemons[d].Revision() == m.maximum {
-			m.newer++
+		if m.f.daemons[d].Revision() == m.newest {
+			m.holders++
 		}
 	}
 }
 
-// restart replaces a daemon, if the newest survives: the platform has it, or a
-// majority of all daemons have it without the one replaced.
-func (m *machine) restart(t *rapid.T) {
+// restart replaces a daemon if the newest configuration survives: the platform
+// serves it, or a majority of all daemons have it without the replaced one.
+func (m *stateMachine) restart(t *rapid.T) {
 	d := rapid.SampledFrom(m.f.names).Draw(t, "daemon")
-	fromPlatform := m.f.plat.back == 0 && !m.f.plat.away && m.f.plat.head().Conf >= m.maximum
-	others := m.newer
-	if m.f.daemons[d].Revision() == m.maximum {
+	fromPlatform := m.f.platform.lag == 0 && !m.f.platform.unavailable && m.f.platform.head().Conf >= m.newest
+	others := m.holders
+	if m.f.daemons[d].Revision() == m.newest {
 		others--
 	}
 	if !fromPlatform && others <= len(m.f.names)/2 {
-		t.Skip("the newest would be lost")
+		t.Skip("the newest configuration would be lost")
 	}
 	m.f.kill(d)
 	m.f.start(d)
 }
 
-// A fleet lives through publications, platforms that are away, stale or
-// unreadable, cut links and replaced daemons. A revision that goes back at any
-// daemon, also over its replacement, gives a withdrawn key its life back.
+// Random sequences of publications, platform faults, broken links and restarts.
+// A revision that decreases at a daemon, also across its restart, makes a
+// withdrawn key valid again.
 func TestRevisionNeverDecreases(t *testing.T) {
-	seeded(t)
+	fixRapidSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet(7, 3, quick())
-		f.plat.publish(content{})
+		f := newFleet(7, 3, smallFleetParams())
+		f.platform.publish(content{})
 		f.start(f.names...)
 		f.run(6 * time.Second)
-		m := &machine{f: f, highest: make(map[crid.Daemon]crid.Revision)}
+		m := &stateMachine{f: f, highest: make(map[crid.Daemon]crid.Revision)}
 		published := 0
 		t.Repeat(map[string]func(*rapid.T){
 			"": m.check,
 			"publish": func(t *rapid.T) {
 				published++
-				f.plat.publish(content{Keys: []string{string(f.names[published%7])}, Bad: rapid.Bool().Draw(t, "bad")})
+				f.platform.publish(content{Keys: []string{string(f.names[published%7])}, Bad: rapid.Bool().Draw(t, "bad")})
 			},
 			"platform": func(t *rapid.T) {
-				f.plat.away = rapid.Bool().Draw(t, "away")
-				f.plat.back = rapid.IntRange(0, 3).Draw(t, "back")
-				f.plat.lost = rapid.Bool().Draw(t, "lost")
+				f.platform.unavailable = rapid.Bool().Draw(t, "unavailable")
+				f.platform.lag = rapid.IntRange(0, 3).Draw(t, "lag")
+				f.platform.unreadable = rapid.Bool().Draw(t, "unreadable")
 			},
 			"cut": func(t *rapid.T) {
 				from := rapid.SampledFrom(f.names).Draw(t, "from")
 				to := rapid.SampledFrom(f.names).Draw(t, "to")
-				f.cut = func(a, b crid.Daemon) bool { return a == from && b == to }
-				f.membership()
+				f.blocked = func(a, b crid.Daemon) bool { return a == from && b == to }
+				f.updateMembership()
 			},
 			"restart": m.restart,
 			"wait": func(t *rapid.T) {
 				f.run(time.Duration(rapid.IntRange(1, 60).Draw(t, "ticks")) * tick)
 			},
 		})
-		f.plat.away, f.plat.back, f.plat.lost, f.cut = false, 0, false, nil
-		f.membership()
-		rev := f.plat.publish(content{Keys: []string{"last"}})
+		f.platform.unavailable, f.platform.lag, f.platform.unreadable, f.blocked = false, 0, false, nil
+		f.updateMembership()
+		rev := f.platform.publish(content{Keys: []string{"last"}})
 		f.run(40 * time.Second)
 		m.check(t)
 		for _, d := range f.names {
 			if f.daemons[d].Revision() != rev {
-				t.Fatalf("%s has %d, not %d, when all is mended: %+v", d, f.daemons[d].Revision(), rev, f.daemons[d].Dump())
+				t.Fatalf("%s has revision %d, want %d, after all faults ended: %+v", d, f.daemons[d].Revision(), rev, f.daemons[d].Dump())
 			}
 		}
 	})
--- a/core/crconfig/message.go
+++ b/core/crconfig/message.go
@@ -6,26 +6,26 @@
 	"camphorroad/core/crinstance"
 )
 
-// Have tells a peer what this daemon has in force.
+// Have announces to a peer the configuration and list that the sender has applied.
 type Have struct {
 	Conf                crid.Revision `cbor:"c"` // zero: none
 	Manifest            Digest        `cbor:"m"`
 	List                crid.Revision `cbor:"l"` // zero: none
-	PlatformUnavailable bool          `cbor:"a"` // the sender can not read the platform
-	Nonce               uint64        `cbor:"q"` // not zero: the sender wants a Have back with this as Echo
-	Echo                uint64        `cbor:"e"` // Ask of what this answers
-	Reply               bool          `cbor:"r"` // this is an answer; it is never answered
+	PlatformUnavailable bool          `cbor:"a"` // the sender's last call to the platform failed
+	Nonce               uint64        `cbor:"q"` // not zero: the receiver replies with this as Echo
+	Echo                uint64        `cbor:"e"` // Nonce of the message that this replies to
+	Reply               bool          `cbor:"r"` // this is a reply, which is never replied to
 }
 
 // MessageKind implements crevent.Message.
 func (Have) MessageKind() string { return "have" }
 
-// Pull asks a peer for bytes, by the digest of the value they belong to.
+// Pull asks a peer for values by digest.
 type Pull struct {
 	Want []Want `cbor:"w"`
 }
 
-// Want names a value and how much of it the asker has.
+// Want is a value and the number of its bytes that the sender already has.
 type Want struct {
 	Digest Digest `cbor:"d"`
 	Offset int    `cbor:"o"` // bytes
@@ -34,39 +34,39 @@
 // MessageKind implements crevent.Message.
 func (Pull) MessageKind() string { return "pull" }
 
-// Push answers a Pull with as much as one message may hold. Without parts it
-// says that the sender has none of it.
+// Push replies to a Pull, up to the size limit of one message. Without parts, the
+// sender has none of the values.
 type Push struct {
 	Parts []Part `cbor:"p"`
 }
 
-// Part is a stretch of a value.
+// Part is a range of a value.
 type Part struct {
 	Digest Digest `cbor:"d"`
 	Offset int    `cbor:"o"` // bytes before Data
-	Size   int    `cbor:"s"` // bytes of the whole value
+	Size   int    `cbor:"s"` // size of the whole value in bytes
 	Data   []byte `cbor:"b"`
 }
 
 // MessageKind implements crevent.Message.
 func (Push) MessageKind() string { return "push" }
 
-// ListPull asks a peer for its list of instances from an offset, or for what
-// changed since the list that the asker has.
+// ListPull asks a peer for its list of instances from an offset, or for a diff
+// against the list that the sender has.
 type ListPull struct {
-	Base   crid.Revision `cbor:"h"` // the asker's list; zero: none, or the whole is wanted
-	Rev    crid.Revision `cbor:"r"` // of the list that Off counts in; zero: any
-	Offset int           `cbor:"o"` // instances
+	Base   crid.Revision `cbor:"h"` // the sender's list; zero: it has none, or wants the whole list
+	Rev    crid.Revision `cbor:"r"` // list that Offset refers to; zero: any
+	Offset int           `cbor:"o"` // index of the first instance
 }
 
 // MessageKind implements crevent.Message.
 func (ListPull) MessageKind() string { return "listpull" }
 
-// ListPush is a stretch of a list of instances, or its difference to a former.
+// ListPush is a range of a list of instances, or a diff against an older list.
 type ListPush struct {
 	Rev       crid.Revision         `cbor:"r"`
-	Base      crid.Revision         `cbor:"s"` // not zero: only what changed since that list
-	Removed   []crid.Daemon         `cbor:"g"` // removed since then
+	Base      crid.Revision         `cbor:"s"` // not zero: a diff against that list
+	Removed   []crid.Daemon         `cbor:"g"` // removed since Base
 	Offset    int                   `cbor:"o"`
 	Total     int                   `cbor:"t"`
 	Instances []crinstance.Instance `cbor:"i"`
--- a/core/crconfig/notice.go
+++ b/core/crconfig/notice.go
@@ -1,14 +1,17 @@
-// Package crconfig decides which configuration is in force at a daemon, who
-// reads the platform, and from which peer a newer configuration or list of
-// instances is pulled.
+// Package crconfig decides which configuration a daemon applies. It elects the
+// daemons that read the platform and fetches newer configurations and lists of
+// instances from peers. The reducer of core/crdaemon runs it beside the other
+// reducers. The validated content of a configuration is a [crpolicy.Snapshot],
+// which crconfig only distributes.
 //
-// The platform numbers what it publishes with one growing revision. In every
-// failure domain a few daemons, ranked by rendezvous hashing over the reachable
-// ones, hold a watch on the platform. All daemons tell a few random peers twice
-// a second what they have; who hears of a newer revision pulls the missing
-// pieces, which are addressed by digest, from one peer at a time. A revision in
-// force is replaced by a larger one only, and a configuration that fails
-// validation is refused whole while the former stays.
+// The platform assigns one growing revision to everything it publishes. In every
+// failure domain a few readers, ranked by rendezvous hashing over the reachable
+// daemons, watch the platform. Standbys replace readers that fail. All daemons
+// gossip the revisions they have applied to a few random peers twice a second. A
+// daemon that learns of a newer revision pulls the missing values, which are
+// addressed by digest, from one peer at a time. The active configuration is only
+// ever replaced by one with a larger revision. A configuration that fails
+// validation is rejected as a whole, and the active one stays.
 //
 // # Usage
 //
@@ -16,8 +19,8 @@
 //	effects := s.Step(crevent.Started{Now: now, Self: "booking-1", Domain: "north", Seed: seed})
 //	if s.Ready() && s.Trusted(now) { ... }
 //
-// The shell answers every [WatchPlatform], [ReadPlatform] and [ReadList] effect
-// with one [WatchResult], [ReadResult] and [ListResult] event.
+// The shell responds to every [WatchPlatform], [ReadPlatform] and [ReadList]
+// effect with one [WatchResult], [ReadResult] and [ListResult] event.
 package crconfig
 
 import (
@@ -25,7 +28,7 @@
 	"camphorroad/core/crpolicy"
 )
 
-// Applied tells the sibling reducers and the shell of a new configuration.
+// Applied notifies the other reducers and the shell of a newly applied configuration.
 type Applied struct {
 	Now      crid.Instant
 	Snapshot *crpolicy.Snapshot
--- a/core/crconfig/params.go
+++ b/core/crconfig/params.go
@@ -8,29 +8,29 @@
 
 // Params are the reducer's settings.
 type Params struct {
-	Readers          int           // daemons of a domain that hold the watch
-	Standbys         int           `cbor:"Spares" json:"Spares"` // daemons ranked next, which step in for readers that can not read
-	Voters           int           // of a list, whom membership hears for certain; crmember's MaxVoters
-	PeerTimeout      time.Duration `cbor:"Silence" json:"Silence"` // after which a ranked daemon that is not heard is taken for away
-	Fanout           int           // peers told at a time of what this daemon has
-	GossipInterval   time.Duration `cbor:"SpreadEvery" json:"SpreadEvery"` // between two tellings
-	PullTimeout      time.Duration // after which a silent peer is given up; doubles with every third
-	PullTries        int           // peers tried before the platform is read instead
+	Readers          int           // daemons of a domain that watch the platform
+	Standbys         int           `cbor:"Spares" json:"Spares"` // daemons ranked next, which replace readers that can not read
+	Voters           int           // daemons of a list whose loss membership always detects; crmember's MaxVoters
+	PeerTimeout      time.Duration `cbor:"Silence" json:"Silence"` // after which a silent ranked daemon counts as unavailable
+	Fanout           int           // peers of one gossip round
+	GossipInterval   time.Duration `cbor:"SpreadEvery" json:"SpreadEvery"` // between two gossip rounds
+	PullTimeout      time.Duration // after which a pull fails; doubles after every third failure
+	PullTries        int           // failed pulls before the fallback to the platform
 	PushBytes        int           // of values in one message
 	PushItems        int           // instances in one message
-	ReadsPerTick     int           // platform calls per 50 ms of a settled reader
+	ReadsPerTick     int           // platform calls per 50 ms of a confirmed reader
 	ReadTimeout      time.Duration // of one platform call other than a watch
-	WatchWait        time.Duration `cbor:"ReaderWait" json:"ReaderWait"` // for which a settled reader's watch waits: a silence leaves its domain deaf for as long
-	ResponseTimeout  time.Duration `cbor:"AnswerTime" json:"AnswerTime"` // of a watch, beyond its wait
-	FleetSize        int           `cbor:"Fleet" json:"Fleet"`           // daemons that may start, or lose their peers, at once
-	PlatformRate     int           // platform calls a second that all but the settled readers may make together
-	SettleTime       time.Duration `cbor:"Settle" json:"Settle"` // for which a rank must last before the watch starts
-	PeerGrace        time.Duration `cbor:"Grace" json:"Grace"`   // in which a fresh daemon without peers waits for some
-	QueryFanout      int           `cbor:"Ask" json:"Ask"`       // peers asked by a fresh daemon
-	Backoff          time.Duration // after a first failure of the platform or of all peers
-	BackoffMax       time.Duration // after many
-	ReaderBackoffMax time.Duration `cbor:"ReaderPause" json:"ReaderPause"` // the most that a reader pauses after a failed watch: its domain waits for it
-	BehindMax        time.Duration // for which a peer's newer configuration may be missing before keys are distrusted
+	WatchWait        time.Duration `cbor:"ReaderWait" json:"ReaderWait"` // wait of a confirmed reader's watch; if the platform stops responding, its domain gets no changes for as long
+	ResponseTimeout  time.Duration `cbor:"AnswerTime" json:"AnswerTime"` // for the response to a watch, beyond its wait
+	FleetSize        int           `cbor:"Fleet" json:"Fleet"`           // daemons that may start, or lose their peers, at the same time
+	PlatformRate     int           // platform calls a second of all daemons but the confirmed readers
+	SettleTime       time.Duration `cbor:"Settle" json:"Settle"` // for which a daemon must be selected before it becomes a reader
+	PeerGrace        time.Duration `cbor:"Grace" json:"Grace"`   // for which a new daemon without peers waits for some
+	QueryFanout      int           `cbor:"Ask" json:"Ask"`       // peers queried by a new daemon
+	Backoff          time.Duration // after the first failure of the platform or of all peers
+	BackoffMax       time.Duration // upper bound of Backoff
+	ReaderBackoffMax time.Duration `cbor:"ReaderPause" json:"ReaderPause"` // upper bound of a confirmed reader's backoff, since its domain depends on it
+	BehindMax        time.Duration // for which a peer's newer configuration may be missing before trust is lost
 }
 
 // DefaultParams returns the settings for a fleet of up to 6,000 daemons.
@@ -62,21 +62,22 @@
 	}
 }
 
-// share is the rate, in platform calls a second, of one daemon that reads the
-// platform without being a settled reader. However many do so, all of them
-// together stay within PlatformRate.
-func (p Params) share() float64 {
+// rateShare is the rate, in platform calls a second, of one daemon that reads the
+// platform without being a confirmed reader. All such daemons together stay
+// within PlatformRate.
+func (p Params) rateShare() float64 {
 	return float64(p.PlatformRate) / float64(max(p.FleetSize, 1))
 }
 
-// spread is the time over which daemons scatter a step that all may take at once.
-func (p Params) spread() time.Duration {
+// staggerWindow is the time over which daemons stagger a step that all of them
+// may take at once.
+func (p Params) staggerWindow() time.Duration {
 	return time.Duration(p.FleetSize) * 4 * time.Second / time.Duration(max(p.PlatformRate, 1))
 }
 
-// pages is the number of platform calls that a list of the whole fleet takes.
-func (p Params) pages() float64 { return float64(1 + p.FleetSize/pageInstances) }
+// listCalls is the number of platform calls that a list of the whole fleet takes.
+func (p Params) listCalls() float64 { return float64(1 + p.FleetSize/instancesPerPage) }
 
-// pageInstances is the number of instances that the platform tells in a call of
-// less than a megabyte, with some nine targets each.
-const pageInstances = 1300
+// instancesPerPage is the number of instances, with about nine targets each, that
+// the platform returns in a response of less than a megabyte.
+const instancesPerPage = 1300
--- a/core/crconfig/platform_test.go
+++ b/core/crconfig/platform_test.go
@@ -6,25 +6,25 @@
 	"camphorroad/core/crinstance"
 )
 
-// platform is a fake of what is published, as of a moment.
+// platform is a fake platform.
 type platform struct {
-	heads   []crconfig.Head // oldest first
-	values  map[crconfig.Digest][]byte
-	list    crinstance.List
-	away    bool
-	silent  bool // takes calls, and answers none of those that wait or come
-	back    int  // serves a head this many changes old
-	calls   int
-	pages   int // calls that the list takes
-	perSec  map[int]int
-	lost    bool                 // values can not be read
-	cutFrom map[crid.Daemon]bool // one way: answers do not arrive
+	heads           []crconfig.Head // oldest first
+	values          map[crconfig.Digest][]byte
+	list            crinstance.List
+	unavailable     bool
+	unresponsive    bool // accepts calls without responding, also to pending watches
+	lag             int  // serves a head that is this many changes old
+	calls           int
+	listCalls       int // calls that a read of the list takes
+	callsPerSecond  map[int]int
+	unreadable      bool                 // values can not be read
+	unreachableFrom map[crid.Daemon]bool // responses do not reach these daemons
 }
 
-func (p *platform) head() crconfig.Head { return p.heads[max(0, len(p.heads)-1-p.back)] }
+func (p *platform) head() crconfig.Head { return p.heads[max(0, len(p.heads)-1-p.lag)] }
 
 func (p *platform) publish(c content) crid.Revision {
-	b := makeBundle(c)
+	b := newBundle(c)
 	for d, data := range b.values {
 		p.values[d] = data
 	}
@@ -36,8 +36,8 @@
 	return h.Rev
 }
 
-// relist changes the list of instances.
-func (p *platform) relist(instances []crinstance.Instance) crid.Revision {
+// publishList publishes a new list of instances.
+func (p *platform) publishList(instances []crinstance.Instance) crid.Revision {
 	h := p.heads[len(p.heads)-1]
 	h.Rev++
 	h.List = h.Rev
--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -11,96 +11,97 @@
 	"camphorroad/core/crmember"
 )
 
-// minWatch keeps a platform that answers every watch at once from being asked
-// without pause.
-const minWatch = 200 * time.Millisecond
+// minWatchInterval limits the rate of watches if the platform responds to each of
+// them at once.
+const minWatchInterval = 200 * time.Millisecond
 
-// maxShift keeps the doubling of a backoff from overflowing.
-const maxShift = 10
+// maxBackoffShift keeps the doubling of a backoff from overflowing.
+const maxBackoffShift = 10
 
-// watch is this daemon's part in reading the platform.
+// watch is this daemon's role in reading the platform.
 type watch struct {
-	ranked     []crid.Daemon                // first ones of the domain, with the spares
-	sight      int                          // daemons of the domain not known to be lost, with this one
-	fellows    map[crid.Daemon]crid.Instant // ranked ones that only their tellings show to be there, last heard
-	alone      bool                         // for long no majority was heard
-	heardAt    crid.Instant                 // when a majority was heard last, or this life began
-	rankedAt   crid.Instant                 // since when this daemon would be a reader
-	mine       bool                         // this daemon would be a reader
-	reader     bool
-	aloneAfter time.Duration // for which to wait for peers before watching without any
-	busy       bool
-	due        crid.Instant // by which the call must have ended
-	after      crid.Revision
-	notBefore  crid.Instant
-	fails      int
-	away       bool // the last call failed
-	answered   bool // some call succeeded in this life
-	seen       crid.Revision
-	told       Head // last stale head that was reported
-	budget     int  // calls left until the next tick, of a settled reader
-	limited    bool // this daemon sees too little of its domain to be a settled reader
-	credit     float64
-	refilledAt crid.Instant
+	ranked             []crid.Daemon                // readers and standbys of the domain, by rank
+	visible            int                          // daemons of the domain not known to be lost, including this one
+	lastHeard          map[crid.Daemon]crid.Instant // ranked daemons that membership only samples, by the time of their last Have
+	isolated           bool                         // no majority was reachable for PeerGrace
+	majorityAt         crid.Instant                 // when a majority was last reachable, or when this daemon started
+	selectedAt         crid.Instant                 // since when selected is true
+	selected           bool                         // this daemon is among its domain's readers
+	reader             bool
+	isolatedSettleTime time.Duration // SettleTime while unconfirmed
+	inFlight           bool
+	deadline           crid.Instant // of the call in flight
+	after              crid.Revision
+	nextAt             crid.Instant
+	failures           int
+	unavailable        bool // the last watch failed
+	succeeded          bool // some watch succeeded since the start or the last resync
+	platformRev        crid.Revision
+	reportedStale      Head // last stale head reported
+	tickBudget         int  // platform calls left in this tick, for a confirmed reader
+	unconfirmed        bool // this daemon sees too little of its domain to be a confirmed reader
+	tokens             float64
+	refilledAt         crid.Instant
 }
 
-// weight ranks a daemon among its domain's readers by rendezvous hashing.
+// weight is a daemon's rendezvous hash for the ranking of its domain's readers.
 func weight(d crid.Daemon) uint64 { return xxhash.Sum64String("reader/" + string(d)) }
 
-// refill renews what this daemon may call until the next tick.
+// refill resets the tick budget and refills the token bucket.
 func (s *State) refill(now crid.Instant) {
 	w := &s.watch
-	w.budget = s.params.ReadsPerTick
-	w.credit += now.Sub(w.refilledAt).Seconds() * s.params.share()
-	w.credit = min(w.credit, 1)
+	w.tickBudget = s.params.ReadsPerTick
+	w.tokens += now.Sub(w.refilledAt).Seconds() * s.params.rateShare()
+	w.tokens = min(w.tokens, 1)
 	w.refilledAt = now
 }
 
-// spend asks for one platform call, other than for a list that waits: the list
-// goes first, since peers become known by it.
-func (s *State) spend() bool {
-	if s.nextList.direct && (s.watch.limited || !s.watch.reader) {
+// takeCall consumes one platform call other than for a list. A list that waits
+// for the rate has priority, since peers become known through it.
+func (s *State) takeCall() bool {
+	if s.nextList.fromPlatform && (s.watch.unconfirmed || !s.watch.reader) {
 		return false
 	}
-	return s.spendOn(1)
+	return s.takeCalls(1)
 }
 
-// spendOn asks for platform calls of some cost. A settled reader has a budget a
-// tick; there are a few of them a domain. Everybody else has a share of the
-// platform's rate, and may owe it: after a power cut all daemons of the fleet
-// are without peers and read by themselves, and would otherwise fail together
-// on the platform's limit.
-func (s *State) spendOn(cost float64) bool {
+// takeCalls consumes platform calls. A confirmed reader has a budget per tick;
+// there are only a few of them in a domain. Every other daemon has a token bucket
+// filled with its share of the platform rate, whose balance may become negative.
+// After a power failure all daemons are without peers and read the platform
+// themselves. Without the bucket they would exceed the platform's rate limit, and
+// all their calls would fail.
+func (s *State) takeCalls(cost float64) bool {
 	w := &s.watch
-	if s.isSettled() {
-		if w.budget <= 0 {
+	if s.isConfirmedReader() {
+		if w.tickBudget <= 0 {
 			return false
 		}
-		w.budget--
+		w.tickBudget--
 		return true
 	}
-	if w.credit < 1 {
+	if w.tokens < 1 {
 		return false
 	}
-	w.credit -= cost
+	w.tokens -= cost
 	return true
 }
 
-// rank finds the domain's readers. A reader that can not read is passed over
-// for a spare, but keeps trying.
-func (s *State) rank(now crid.Instant) {
-	s.checkAlone(now)
-	mine := s.watch.alone || slices.Contains(s.readers(now), s.self)
-	if mine && !s.watch.mine {
-		s.watch.rankedAt = now
+// updateRole decides whether this daemon is a reader. A reader that can not read
+// is replaced by a standby, but keeps trying.
+func (s *State) updateRole(now crid.Instant) {
+	s.checkIsolated(now)
+	selected := s.watch.isolated || slices.Contains(s.readers(now), s.self)
+	if selected && !s.watch.selected {
+		s.watch.selectedAt = now
 	}
-	s.watch.mine = mine
+	s.watch.selected = selected
 	settle := s.params.SettleTime
-	s.watch.limited = s.isLimited()
-	if s.watch.limited {
-		settle = s.watch.aloneAfter
+	s.watch.unconfirmed = s.isUnconfirmed()
+	if s.watch.unconfirmed {
+		settle = s.watch.isolatedSettleTime
 	}
-	reader := mine && now.Sub(s.watch.rankedAt) >= settle
+	reader := selected && now.Sub(s.watch.selectedAt) >= settle
 	if reader == s.watch.reader {
 		return
 	}
@@ -112,57 +113,59 @@
 	s.report(number, "domain", string(s.domain))
 }
 
-// checkAlone notices, in a large fleet, that no majority was heard for long. The
-// list may still rank daemons that are all gone, so each that is left reads by
-// itself then, within its share of the rate.
-func (s *State) checkAlone(now crid.Instant) {
-	if now.Before(s.until) {
-		s.watch.heardAt = now
+// checkIsolated detects, in a sampled fleet, that no majority was reachable for
+// PeerGrace. All daemons that the list ranks may be lost then, so every remaining
+// daemon reads the platform itself, within its share of the rate.
+func (s *State) checkIsolated(now crid.Instant) {
+	if now.Before(s.contactUntil) {
+		s.watch.majorityAt = now
 	}
-	s.watch.alone = s.sampled && now.Sub(s.watch.heardAt) >= s.params.PeerGrace
+	s.watch.isolated = s.sampled && now.Sub(s.watch.majorityAt) >= s.params.PeerGrace
 }
 
-// isLimited reports whether many daemons may believe themselves ranked first:
-// less than half of the domain is in sight, or no majority is heard.
-func (s *State) isLimited() bool {
-	return s.list.Revision() == 0 || 2*s.watch.sight < s.listed || s.watch.alone
+// isUnconfirmed reports whether many daemons may select themselves as readers:
+// there is no list, less than half of the domain is visible, or this daemon is
+// isolated.
+func (s *State) isUnconfirmed() bool {
+	return s.list.Revision() == 0 || 2*s.watch.visible < s.domainSize || s.watch.isolated
 }
 
 // candidate is a daemon of the domain that may be a reader.
 type candidate struct {
-	daemon crid.Daemon
-	unsure bool // membership does not tell when it is gone
-	weight uint64
+	daemon  crid.Daemon
+	sampled bool // membership may not notice its loss
+	weight  uint64
 }
 
-// survey counts and ranks the domain's daemons anew. In a large fleet membership
-// hears the voters of the list for certain, and the others now and then. A rank
-// by who is heard just now would be another at each daemon, and most of them
-// would come out first; so who is not known to be lost is ranked, voters first.
-func (s *State) survey(now crid.Instant) {
-	unsure := s.sampled && !s.voter && s.list.Revision() > 0
-	all := []candidate{{daemon: s.self, unsure: unsure, weight: weight(s.self)}}
-	s.watch.sight = 1 + len(s.domains)
-	for _, p := range s.domains {
+// rankDomain counts and ranks the domain's daemons. In a large fleet, membership
+// always detects the loss of the list's voters, and only samples the other
+// daemons. A ranking of the daemons heard recently would differ between daemons,
+// and most of them would rank themselves first. So all daemons not known to be
+// lost are ranked, voters first.
+func (s *State) rankDomain(now crid.Instant) {
+	sampled := s.sampled && !s.voter && s.list.Revision() > 0
+	all := []candidate{{daemon: s.self, sampled: sampled, weight: weight(s.self)}}
+	s.watch.visible = 1 + len(s.domainPeers)
+	for _, p := range s.domainPeers {
 		if !p.Leaving {
-			all = append(all, candidate{daemon: p.Daemon, unsure: p.Sampled, weight: weight(p.Daemon)})
+			all = append(all, candidate{daemon: p.Daemon, sampled: p.Sampled, weight: weight(p.Daemon)})
 		}
 	}
 	slices.SortFunc(all, compareCandidates)
-	former := s.watch.fellows
+	previous := s.watch.lastHeard
 	s.watch.ranked = nil
-	s.watch.fellows = make(map[crid.Daemon]crid.Instant)
+	s.watch.lastHeard = make(map[crid.Daemon]crid.Instant)
 	for _, c := range all[:min(s.params.Readers+s.params.Standbys, len(all))] {
 		s.watch.ranked = append(s.watch.ranked, c.daemon)
-		if c.unsure && c.daemon != s.self {
-			s.watch.fellows[c.daemon] = cmp.Or(former[c.daemon], now)
+		if c.sampled && c.daemon != s.self {
+			s.watch.lastHeard[c.daemon] = cmp.Or(previous[c.daemon], now)
 		}
 	}
 }
 
 func compareCandidates(a, b candidate) int {
-	if a.unsure != b.unsure {
-		if a.unsure {
+	if a.sampled != b.sampled {
+		if a.sampled {
 			return 1
 		}
 		return -1
@@ -170,41 +173,43 @@
 	return cmp.Or(cmp.Compare(a.weight, b.weight), cmp.Compare(a.daemon, b.daemon))
 }
 
-// readers returns the ranked first, and a spare for each of them that is away.
+// readers returns the first of the ranking, and a standby for each of them that
+// is unavailable.
 func (s *State) readers(now crid.Instant) []crid.Daemon {
 	n := min(s.params.Readers, len(s.watch.ranked))
 	readers := slices.Clone(s.watch.ranked[:n])
-	lost := 0
+	unavailable := 0
 	for _, d := range readers {
-		if s.isAway(now, d) {
-			lost++
+		if s.isUnavailable(now, d) {
+			unavailable++
 		}
 	}
 	for _, d := range s.watch.ranked[n:] {
-		if lost == 0 {
+		if unavailable == 0 {
 			break
 		}
 		readers = append(readers, d)
-		if !s.isAway(now, d) {
-			lost--
+		if !s.isUnavailable(now, d) {
+			unavailable--
 		}
 	}
 	return readers
 }
 
-// isAway reports whether a ranked daemon says that it can not read, or where
-// only its tellings show that it is there, that none came for long.
-func (s *State) isAway(now crid.Instant, d crid.Daemon) bool {
+// isUnavailable reports whether a ranked daemon announces that it can not read
+// the platform, or is only sampled by membership and sent no Have for
+// PeerTimeout.
+func (s *State) isUnavailable(now crid.Instant, d crid.Daemon) bool {
 	if d == s.self {
-		return s.watch.away
+		return s.watch.unavailable
 	}
-	heard, unsure := s.watch.fellows[d]
-	return s.haves[d].PlatformUnavailable || (unsure && now.Sub(heard) > s.params.PeerTimeout)
+	lastHeard, sampled := s.watch.lastHeard[d]
+	return s.haves[d].PlatformUnavailable || (sampled && now.Sub(lastHeard) > s.params.PeerTimeout)
 }
 
-// fellows are the other ranked daemons of the domain; they tell one another
-// regularly whether they can read.
-func (s *State) fellows() []crid.Daemon {
+// otherRanked returns the other ranked daemons of the domain. Ranked daemons
+// regularly send each other whether they can read the platform.
+func (s *State) otherRanked() []crid.Daemon {
 	if !slices.Contains(s.watch.ranked, s.self) {
 		return nil
 	}
@@ -227,48 +232,50 @@
 	return s.peers[i], true
 }
 
-// startWatch begins a call: a reader's watch, or the one read of a start that
-// peers did not answer in time.
+// startWatch starts a call: a reader's watch, or the one read of a starting
+// daemon that has no quorum of peers yet.
 func (s *State) startWatch(now crid.Instant) {
 	w := &s.watch
-	if w.busy && !now.Before(w.due) {
-		s.watched(now, WatchResult{Now: now, Fault: FaultUnavailable})
+	if w.inFlight && !now.Before(w.deadline) {
+		s.handleWatchResult(now, WatchResult{Now: now, Fault: FaultUnavailable})
 	}
-	starting := !s.heard && !w.answered
-	if w.busy || now.Before(w.notBefore) || (!w.reader && !starting) || !s.spend() {
+	startupRead := !s.quorumReached && !w.succeeded
+	if w.inFlight || now.Before(w.nextAt) || (!w.reader && !startupRead) || !s.takeCall() {
 		return
 	}
-	wait := s.watchWait()
+	wait := s.watchDuration()
 	timeout := wait + s.params.ResponseTimeout
-	w.busy = true
-	w.due = now.Add(timeout)
-	w.after = max(s.conf.rev, s.list.Revision(), w.seen)
+	w.inFlight = true
+	w.deadline = now.Add(timeout)
+	w.after = max(s.conf.rev, s.list.Revision(), w.platformRev)
 	s.emit(WatchPlatform{After: w.after, Wait: wait, Timeout: timeout})
 }
 
-// watchWait is how long the next watch waits. A daemon that has only a share of the
-// platform's rate spends no more than half of it on watches, since it reads values
+// watchDuration is how long the next watch waits. An unconfirmed reader spends at
+// most half of its share of the platform rate on watches, since it reads values
 // within the same share.
-func (s *State) watchWait() time.Duration {
+func (s *State) watchDuration() time.Duration {
 	switch {
-	case s.isSettled():
+	case s.isConfirmedReader():
 		return s.params.WatchWait
 	case s.watch.reader:
-		half := time.Duration(2 / s.params.share() * float64(time.Second))
+		half := time.Duration(2 / s.params.rateShare() * float64(time.Second))
 		return max(half, s.params.WatchWait)
 	}
 	return 0
 }
 
-// isSettled reports whether this daemon is one of the few that read for a domain.
-func (s *State) isSettled() bool { return s.watch.reader && !s.watch.limited }
+// isConfirmedReader reports whether this daemon is one of the few readers of its
+// domain: it is selected, and sees enough of the domain to know that few others
+// are.
+func (s *State) isConfirmedReader() bool { return s.watch.reader && !s.watch.unconfirmed }
 
-// watched takes the end of a watch.
-func (s *State) watched(now crid.Instant, ev WatchResult) {
+// handleWatchResult handles the result of a watch.
+func (s *State) handleWatchResult(now crid.Instant, ev WatchResult) {
 	w := &s.watch
-	w.busy = false
-	// What the platform shows is measured against what was known when the call
-	// began: news that came from a peer meanwhile does not make it stale.
+	w.inFlight = false
+	// The head is compared with the revision known when the call began. A newer
+	// revision that a peer announced during the call does not make it stale.
 	if ev.Fault == FaultNone && ev.Head.Rev < w.after {
 		ev.Fault = FaultStale
 	}
@@ -276,41 +283,42 @@
 		s.watchFailed(now, ev)
 		return
 	}
-	if w.away {
+	if w.unavailable {
 		s.report(EventPlatformRecovered, "revision", rev(ev.Head.Rev))
 	}
-	w.away = false
-	w.answered = true
-	w.fails = 0
-	w.seen = ev.Head.Rev
-	w.notBefore = now.Add(minWatch)
-	s.learn(now, ev.Head.Conf, ev.Head.Manifest, "")
+	w.unavailable = false
+	w.succeeded = true
+	w.failures = 0
+	w.platformRev = ev.Head.Rev
+	w.nextAt = now.Add(minWatchInterval)
+	s.observe(now, ev.Head.Conf, ev.Head.Manifest, "")
 	if ev.Head.List > s.list.Revision() {
-		s.nextList.learn(s.list.Revision(), ev.Head.List)
-		s.readListFrom(now)
+		s.nextList.observe(s.list.Revision(), ev.Head.List)
+		s.scheduleListRead(now)
 	}
 }
 
 func (s *State) watchFailed(now crid.Instant, ev WatchResult) {
 	w := &s.watch
 	switch {
-	case ev.Fault == FaultStale && ev.Head != w.told:
-		w.told = ev.Head
+	case ev.Fault == FaultStale && ev.Head != w.reportedStale:
+		w.reportedStale = ev.Head
 		s.report(EventStalePlatform, "platform", rev(ev.Head.Rev), "known", rev(w.after))
-	case ev.Fault != FaultStale && !w.away:
+	case ev.Fault != FaultStale && !w.unavailable:
 		s.report(EventPlatformUnavailable, "inforce", rev(s.conf.rev))
 	}
-	w.away = true
-	pause := s.backoff(w.fails)
-	if s.isSettled() {
+	w.unavailable = true
+	pause := s.backoff(w.failures)
+	if s.isConfirmedReader() {
 		pause = min(pause, s.params.ReaderBackoffMax)
 	}
-	w.notBefore = now.Add(pause)
-	w.fails++
+	w.nextAt = now.Add(pause)
+	w.failures++
 }
 
-// backoff doubles with every failure; half of it is jitter.
-func (s *State) backoff(fails int) time.Duration {
-	d := min(s.params.Backoff<<min(fails, maxShift), s.params.BackoffMax)
+// backoff returns an exponential backoff with jitter: from half to one and a half
+// times the nominal duration.
+func (s *State) backoff(failures int) time.Duration {
+	d := min(s.params.Backoff<<min(failures, maxBackoffShift), s.params.BackoffMax)
 	return d/2 + s.jitter(d)
 }
--- a/core/crconfig/spread.go
+++ b/core/crconfig/spread.go
@@ -5,82 +5,82 @@
 	"camphorroad/core/crmember"
 )
 
-func (s *State) myHave() Have {
-	return Have{Conf: s.conf.rev, Manifest: s.conf.digest, List: s.list.Revision(), PlatformUnavailable: s.watch.away}
+func (s *State) localHave() Have {
+	return Have{Conf: s.conf.rev, Manifest: s.conf.digest, List: s.list.Revision(), PlatformUnavailable: s.watch.unavailable}
 }
 
-// spread tells a few random peers what this daemon has.
-func (s *State) spread() {
+// gossip sends this daemon's Have to a few random peers.
+func (s *State) gossip() {
 	if len(s.peers) <= s.params.Fanout {
 		for _, p := range s.peers {
-			s.send(p.Daemon, s.myHave())
+			s.send(p.Daemon, s.localHave())
 		}
 		return
 	}
 	for range s.params.Fanout {
 		p := s.peers[s.rng.IntN(len(s.peers))]
-		s.send(p.Daemon, s.myHave())
+		s.send(p.Daemon, s.localHave())
 	}
 }
 
-func (s *State) tell(daemons []crid.Daemon) {
+func (s *State) sendHave(daemons []crid.Daemon) {
 	for _, d := range daemons {
-		s.send(d, s.myHave())
+		s.send(d, s.localHave())
 	}
 }
 
-// have takes a peer's word. A peer that lacks something is told at once, so
-// that news travels both ways along each telling.
-func (s *State) have(now crid.Instant, from crid.Daemon, msg Have) {
+// handleHave handles a peer's Have. A peer that lacks something is sent a reply
+// at once, so that updates travel both ways.
+func (s *State) handleHave(now crid.Instant, from crid.Daemon, msg Have) {
 	if from == s.self {
 		return
 	}
 	s.haves[from] = msg
-	if _, ok := s.watch.fellows[from]; ok {
-		s.watch.fellows[from] = now
+	if _, ok := s.watch.lastHeard[from]; ok {
+		s.watch.lastHeard[from] = now
 	}
-	if msg.Echo != 0 && msg.Echo == s.ask {
-		s.told[from] = true
+	if msg.Echo != 0 && msg.Echo == s.nonce {
+		s.answered[from] = true
 	}
-	s.learn(now, msg.Conf, msg.Manifest, from)
-	s.offeredList(msg.List)
+	s.observe(now, msg.Conf, msg.Manifest, from)
+	s.observeList(msg.List)
 	lacks := msg.Conf < s.conf.rev || msg.List < s.list.Revision()
 	if msg.Reply || (!lacks && msg.Nonce == 0) {
 		return
 	}
-	reply := s.myHave()
+	reply := s.localHave()
 	reply.Echo = msg.Nonce
 	reply.Reply = true
 	s.send(from, reply)
 }
 
-// askPeers asks, at start, peers spread over the domains.
-func (s *State) askPeers() {
-	if s.heard {
+// queryPeers queries peers of several domains until the quorum is reached.
+func (s *State) queryPeers() {
+	if s.quorumReached {
 		return
 	}
-	s.asked = s.chooseAsked()
-	msg := s.myHave()
-	msg.Nonce = s.ask
-	for _, d := range s.asked {
-		if !s.told[d] {
+	s.queried = s.pickQueried()
+	msg := s.localHave()
+	msg.Nonce = s.nonce
+	for _, d := range s.queried {
+		if !s.answered[d] {
 			s.send(d, msg)
 		}
 	}
 }
 
-// chooseAsked keeps the asked peers that are still reachable, and fills up with
-// others, one domain after the other.
-func (s *State) chooseAsked() []crid.Daemon {
-	chosen := make(map[crid.Daemon]bool, s.params.QueryFanout)
+// pickQueried keeps the queried peers that are still reachable, and adds others
+// evenly over the domains.
+func (s *State) pickQueried() []crid.Daemon {
+	picked := make(map[crid.Daemon]bool, s.params.QueryFanout)
 	perDomain := make(map[crid.Domain]int)
-	var asked []crid.Daemon
+	var queried []crid.Daemon
 	add := func(p crmember.Peer) {
-		chosen[p.Daemon] = true
+		picked[p.Daemon] = true
 		perDomain[p.Domain]++
-		asked = append(asked, p.Daemon)
+		queried = append(queried, p.Daemon)
 	}
-	for _, d := range s.asked {
+	for _, d := range s.queried {
 		if p, ok := s.peer(d); ok {
 			add(p)
 		}
@@ -89,81 +89,82 @@
 	if len(s.peers) > 0 {
 		first = s.rng.IntN(len(s.peers))
 	}
-	for level := 0; level < s.params.QueryFanout && len(asked) < s.params.QueryFanout; level++ {
+	for level := 0; level < s.params.QueryFanout && len(queried) < s.params.QueryFanout; level++ {
 		for i := range s.peers {
 			p := s.peers[(first+i)%len(s.peers)]
-			if len(asked) < s.params.QueryFanout && !chosen[p.Daemon] && perDomain[p.Domain] <= level {
+			if len(queried) < s.params.QueryFanout && !picked[p.Daemon] && perDomain[p.Domain] <= level {
 				add(p)
 			}
 		}
 	}
-	return asked
+	return queried
 }
 
-// checkHeard decides whether enough sources were asked for the newest of them
-// to be taken. Before that nothing is fetched: a platform that is stale, or one
+// checkQuorum decides whether enough sources replied to fetch the newest
+// configuration among them. Nothing is fetched before: a stale platform, or one
 // lagging peer, would bring a withdrawn key back at every restart.
-func (s *State) checkHeard(now crid.Instant) {
-	if s.heard {
+func (s *State) checkQuorum(now crid.Instant) {
+	if s.quorumReached {
 		return
 	}
 	if len(s.peers) == 0 {
-		s.heard = s.watch.answered && now.Sub(s.startedAt) >= s.params.PeerGrace
+		s.quorumReached = s.watch.succeeded && now.Sub(s.startedAt) >= s.params.PeerGrace
 		return
 	}
-	answered := 0
-	all := make(map[crid.Domain]bool)
-	told := make(map[crid.Domain]bool)
-	for _, d := range s.asked {
+	replies := 0
+	domains := make(map[crid.Domain]bool)
+	answeredDomains := make(map[crid.Domain]bool)
+	for _, d := range s.queried {
 		p, ok := s.peer(d)
 		if !ok {
 			continue
 		}
-		all[p.Domain] = true
-		if s.told[d] {
-			answered++
-			told[p.Domain] = true
+		domains[p.Domain] = true
+		if s.answered[d] {
+			replies++
+			answeredDomains[p.Domain] = true
 		}
 	}
-	s.heard = answered >= s.quorum() && len(told) >= min(2, len(all))
+	s.quorumReached = replies >= s.quorum() && len(answeredDomains) >= min(2, len(domains))
 }
 
-// quorum is the number of answers that share a daemon with every majority of
-// the peers. Of a small fleet it is half of the peers and no more: with three
-// daemons, one of them dead and the platform away, the two others must go on.
+// quorum is the number of replies that must overlap every majority of the peers.
+// In a small fleet it is half of the peers: with three daemons, of which one is
+// lost, and the platform unavailable, the other two must continue.
 func (s *State) quorum() int {
-	peers := max(len(s.asked), s.members-1, 1)
+	peers := max(len(s.queried), s.members-1, 1)
 	if peers < s.params.QueryFanout {
 		return (peers + 1) / 2
 	}
 	return s.params.QueryFanout/2 + 1
 }
 
-// forget turns this daemon's knowledge of what is newest into old fact: it was
-// cut off, or has just been woken. A key may have been withdrawn meanwhile, so
-// trust waits until enough peers answered a question asked after now; answers
-// that lay in a queue echo an older one.
-func (s *State) forget(now crid.Instant) {
-	s.heard = false
-	s.caught = false
-	s.ask = s.rng.Uint64() | 1
-	s.told = make(map[crid.Daemon]bool)
-	s.asked = nil
+// resync discards what this daemon knows about the newest revisions, after it was
+// partitioned or suspended. A key may have been withdrawn meanwhile, so trust is
+// only regained when enough peers reply to a query with a new nonce. Replies that
+// were queued meanwhile echo an older nonce.
+func (s *State) resync(now crid.Instant) {
+	s.quorumReached = false
+	s.caughtUp = false
+	s.nonce = s.rng.Uint64() | 1
+	s.answered = make(map[crid.Daemon]bool)
+	s.queried = nil
 	s.startedAt = now
-	s.watch.answered = false
-	s.spreadAt = now
+	s.watch.succeeded = false
+	s.gossipAt = now
 }
 
-// checkCaught notices that this daemon has the newest of what its sources told.
-func (s *State) checkCaught() {
-	if s.caught || !s.heard || s.conf.rev == 0 || (s.nextConf != nil && s.nextConf.atPeer) {
+// checkCaughtUp detects that this daemon has applied the newest configuration
+// that its peers announced.
+func (s *State) checkCaughtUp() {
+	if s.caughtUp || !s.quorumReached || s.conf.rev == 0 || (s.nextConf != nil && s.nextConf.heldByPeer) {
 		return
 	}
-	s.caught = true
+	s.caughtUp = true
 }
 
 func (s *State) checkReady() {
-	if s.ready || !s.caught || s.list.Revision() == 0 {
+	if s.ready || !s.caughtUp || s.list.Revision() == 0 {
 		return
 	}
 	s.ready = true
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -14,8 +14,8 @@
 	"camphorroad/core/crpolicy"
 )
 
-// held is the configuration in force, with the bytes that peers may pull.
-type held struct {
+// activeConf is the applied configuration, with the bytes that peers may pull.
+type activeConf struct {
 	rev      crid.Revision
 	digest   Digest
 	raw      []byte // the manifest
@@ -37,40 +37,40 @@
 	startedAt crid.Instant
 	rng       *rand.Rand
 
-	conf     held
-	nextConf *fetch            // a newer configuration under way; nil for none
-	offered  version           // newest that the platform named
-	pieces   map[Digest][]byte // whole values of what is under way
-	refused  []version
-	conflict crid.Revision // for which two manifests were reported last
-	list     crinstance.List
-	listed   int  // live instances of this domain on the list
-	voter    bool // this daemon is one of the list's voters
-	nextList listFetch
-	changes  changes // for peers with an older list
+	conf        activeConf
+	nextConf    *fetch            // newer configuration being fetched; nil: none
+	announced   version           // newest version that the platform announced
+	fetched     map[Digest][]byte // complete values of nextConf
+	rejected    []version
+	conflictRev crid.Revision // revision whose conflicting manifests were reported last
+	list        crinstance.List
+	domainSize  int  // instances of this domain on the list that are not leaving
+	voter       bool // this daemon is one of the list's voters
+	nextList    listFetch
+	changes     changeLog // for diffs to peers with an older list
 
-	peers   []crmember.Peer // reachable ones, sorted by daemon
-	domains []crmember.Peer // those of this domain that are not known to be lost
-	sampled bool            // membership hears some peers only now and then
-	haves   map[crid.Daemon]Have
-	members int // daemons of the active list, with this one
-	until   crid.Instant
-	lapsed  bool // standing was lost and has not come back
-	trusted bool
-	behind  bool
+	peers        []crmember.Peer // reachable peers, sorted by daemon
+	domainPeers  []crmember.Peer // peers of this domain that are not known to be lost
+	sampled      bool            // membership only samples some peers
+	haves        map[crid.Daemon]Have
+	members      int // daemons of the active list, including this one
+	contactUntil crid.Instant
+	contactLost  bool // contact with the fleet was lost and not regained
+	trusted      bool
+	behind       bool
 
-	watch    watch
-	spreadAt crid.Instant
-	ask      uint64 // marks answers to questions of this life, or since trust was lost
-	asked    []crid.Daemon
-	told     map[crid.Daemon]bool // who answered ask
-	heard    bool                 // enough of them did
-	caught   bool                 // and the newest of what they told is in force
-	ready    bool
-	out      []crevent.Effect
+	watch         watch
+	gossipAt      crid.Instant
+	nonce         uint64 // identifies replies to queries since the start or the last resync
+	queried       []crid.Daemon
+	answered      map[crid.Daemon]bool // queried peers that echoed nonce
+	quorumReached bool                 // enough sources replied
+	caughtUp      bool                 // and the newest configuration they announced is applied
+	ready         bool
+	effects       []crevent.Effect
 }
 
-// New returns a reducer that waits for crevent.Started.
+// New returns a reducer that ignores all events before crevent.Started.
 func New(p Params, parse Parser, load Loader) *State {
 	return &State{
 		params:   p,
@@ -78,44 +78,46 @@
 		load:     load,
 		digestOf: DigestOf,
 		haves:    make(map[crid.Daemon]Have),
-		pieces:   make(map[Digest][]byte),
+		fetched:  make(map[Digest][]byte),
 	}
 }
 
 // SetDigestFunc replaces the digest function. A replay needs it, since a trace
-// holds the digests of the published values but not what is in them.
+// contains the digests of the published values but not their bytes.
 func (s *State) SetDigestFunc(digestOf func([]byte) Digest) { s.digestOf = digestOf }
 
-// Ready reports whether the daemon may begin to serve: it has asked the
-// platform, or enough peers of several domains, and has the newest of what they
-// told in force, and a list of instances. It never turns back; see Trusted.
+// Ready reports whether the daemon may begin to serve: the platform, or enough
+// peers of several domains, replied, the newest configuration among the replies
+// is applied, and there is a list of instances. Once true it stays true; see
+// Trusted.
 func (s *State) Ready() bool { return s.ready }
 
-// Trusted reports whether keys and policy may still be acted on: the daemon has
-// standing, has asked enough peers for news since it last lost standing, and no
-// peer has had a newer configuration for long that it could not get.
+// Trusted reports whether keys and policy may still be used: the daemon is in
+// contact with the fleet, has queried enough peers since it last regained
+// contact, and has not missed a peer's newer configuration for longer than
+// BehindMax.
 func (s *State) Trusted(now crid.Instant) bool {
-	return s.caught && now.Before(s.until) && !s.isBehind(now)
+	return s.caughtUp && now.Before(s.contactUntil) && !s.isBehind(now)
 }
 
-// Snapshot returns the configuration in force; nil for none.
+// Snapshot returns the applied configuration; nil: none.
 func (s *State) Snapshot() *crpolicy.Snapshot { return s.conf.snapshot }
 
-// Revision returns the revision in force; zero for none.
+// Revision returns the revision of the applied configuration; zero: none.
 func (s *State) Revision() crid.Revision { return s.conf.rev }
 
 // List returns the newest list of instances.
 func (s *State) List() crinstance.List { return s.list }
 
-// Reader reports whether this daemon holds the watch for its domain.
+// Reader reports whether this daemon watches the platform for its domain.
 func (s *State) Reader() bool { return s.watch.reader }
 
-// Step takes one event and returns what is to be done.
+// Step handles one event and returns the effects to perform.
 func (s *State) Step(ev crevent.Event) []crevent.Effect {
-	s.out = nil
+	s.effects = nil
 	if start, ok := ev.(crevent.Started); ok {
-		s.start(start)
-		return s.out
+		s.handleStarted(start)
+		return s.effects
 	}
 	if s.rng == nil {
 		return nil
@@ -123,56 +125,56 @@
 	now := ev.At()
 	switch ev := ev.(type) {
 	case crevent.Tick:
-		s.tick(now)
+		s.handleTick(now)
 	case crevent.Received:
 		s.receive(now, ev)
 	case crmember.Peers:
 		s.setPeers(now, ev.Peers)
 	case crmember.Tenure:
-		s.tenure(now, ev)
+		s.handleTenure(now, ev)
 	case crinstance.Listed:
 		if ev.List.Revision() > s.list.Revision() {
-			s.adopt(ev.List)
+			s.storeList(ev.List)
 		}
 	case WatchResult:
-		s.watched(now, ev)
+		s.handleWatchResult(now, ev)
 	case ReadResult:
-		s.read(now, ev)
+		s.handleReadResult(now, ev)
 	case ListResult:
-		s.listRead(now, ev)
+		s.handleListResult(now, ev)
 	default:
 		return nil
 	}
-	s.checkHeard(now)
-	s.advance(now)
-	s.advanceList(now)
-	s.checkCaught()
+	s.checkQuorum(now)
+	s.advanceFetch(now)
+	s.advanceListFetch(now)
+	s.checkCaughtUp()
 	s.checkReady()
-	return s.out
+	return s.effects
 }
 
-func (s *State) start(ev crevent.Started) {
+func (s *State) handleStarted(ev crevent.Started) {
 	s.self = ev.Self
 	s.domain = ev.Domain
 	s.rng = rand.New(rand.NewPCG(ev.Seed, uint64(ev.Incarnation)))
-	s.survey(ev.Now)
+	s.rankDomain(ev.Now)
 	s.watch.refilledAt = ev.Now
-	s.watch.heardAt = ev.Now
-	s.watch.credit = s.rng.Float64()
-	s.watch.aloneAfter = s.params.PeerGrace + s.jitter(s.params.spread())
-	s.forget(ev.Now)
-	s.spreadAt = ev.Now.Add(s.jitter(s.params.GossipInterval))
+	s.watch.majorityAt = ev.Now
+	s.watch.tokens = s.rng.Float64()
+	s.watch.isolatedSettleTime = s.params.PeerGrace + s.jitter(s.params.staggerWindow())
+	s.resync(ev.Now)
+	s.gossipAt = ev.Now.Add(s.jitter(s.params.GossipInterval))
 }
 
-func (s *State) tick(now crid.Instant) {
-	s.rank(now)
+func (s *State) handleTick(now crid.Instant) {
+	s.updateRole(now)
 	s.refill(now)
 	s.startWatch(now)
-	if !now.Before(s.spreadAt) {
-		s.spreadAt = now.Add(s.params.GossipInterval)
-		s.askPeers()
-		s.tell(s.fellows())
-		s.spread()
+	if !now.Before(s.gossipAt) {
+		s.gossipAt = now.Add(s.params.GossipInterval)
+		s.queryPeers()
+		s.sendHave(s.otherRanked())
+		s.gossip()
 	}
 	s.checkTrust(now)
 }
@@ -180,21 +182,21 @@
 func (s *State) receive(now crid.Instant, ev crevent.Received) {
 	switch msg := ev.Msg.(type) {
 	case Have:
-		s.have(now, ev.From, msg)
+		s.handleHave(now, ev.From, msg)
 	case Pull:
 		s.servePull(ev.From, msg)
 	case Push:
-		s.push(now, ev.From, msg)
+		s.handlePush(now, ev.From, msg)
 	case ListPull:
-		s.serveList(ev.From, msg)
+		s.serveListPull(ev.From, msg)
 	case ListPush:
-		s.listPush(now, ev.From, msg)
+		s.handleListPush(now, ev.From, msg)
 	}
 }
 
 func (s *State) setPeers(now crid.Instant, peers []crmember.Peer) {
 	s.peers = s.peers[:0:0]
-	s.domains = s.domains[:0:0]
+	s.domainPeers = s.domainPeers[:0:0]
 	s.sampled = false
 	reachable := make(map[crid.Daemon]bool, len(peers))
 	for _, p := range peers {
@@ -204,28 +206,29 @@
 			reachable[p.Daemon] = true
 		}
 		if p.Domain == s.domain && !p.Lost() {
-			s.domains = append(s.domains, p)
+			s.domainPeers = append(s.domainPeers, p)
 		}
 	}
-	s.survey(now)
+	s.rankDomain(now)
 	maps.DeleteFunc(s.haves, func(d crid.Daemon, _ Have) bool {
 		return !reachable[d] && !slices.Contains(s.watch.ranked, d)
 	})
-	s.rank(now)
+	s.updateRole(now)
 }
 
-// tenure takes news of this daemon's contact with the others. Contact, not
-// tenure, is what trust hangs on: during a handover to a new list of instances
-// nobody has tenure, while all go on telling one another of configurations.
-func (s *State) tenure(now crid.Instant, ev crmember.Tenure) {
-	if s.until != 0 && (ev.Contact == 0 || !now.Before(s.until)) {
-		s.lapsed = true
+// handleTenure handles a change of this daemon's contact with the fleet. Trust
+// depends on contact and not on tenure: during a handover to a new list of
+// instances no daemon has tenure, while all of them still exchange
+// configurations.
+func (s *State) handleTenure(now crid.Instant, ev crmember.Tenure) {
+	if s.contactUntil != 0 && (ev.Contact == 0 || !now.Before(s.contactUntil)) {
+		s.contactLost = true
 	}
-	if s.lapsed && now.Before(ev.Contact) {
-		s.lapsed = false
-		s.forget(now)
+	if s.contactLost && now.Before(ev.Contact) {
+		s.contactLost = false
+		s.resync(now)
 	}
-	s.until = ev.Contact
+	s.contactUntil = ev.Contact
 	if len(ev.Members) > 0 {
 		s.members = len(ev.Members)
 	}
@@ -251,22 +254,22 @@
 	s.report(number, "inforce", rev(s.conf.rev))
 }
 
-// isBehind reports whether a peer has a newer configuration in force that this
-// daemon could not get for too long: a key may be withdrawn there. What only
-// the platform names does not count, since a value that the platform names but
-// can not give would otherwise stop the whole fleet.
+// isBehind reports whether a peer has applied a newer configuration that this
+// daemon failed to get for longer than BehindMax: a key may be withdrawn there.
+// What only the platform announces does not count. Otherwise a value that the
+// platform announces but can not serve would stop the whole fleet.
 func (s *State) isBehind(now crid.Instant) bool {
 	f := s.nextConf
-	return f != nil && f.atPeer && now.Sub(f.atPeerSince) > s.params.BehindMax
+	return f != nil && f.heldByPeer && now.Sub(f.heldByPeerSince) > s.params.BehindMax
 }
 
-func (s *State) emit(e crevent.Effect) { s.out = append(s.out, e) }
+func (s *State) emit(e crevent.Effect) { s.effects = append(s.effects, e) }
 
 func (s *State) send(to crid.Daemon, msg crevent.Message) {
 	s.emit(crevent.Send{To: to, Msg: msg})
 }
 
-// report takes the fields as pairs of name and value.
+// report emits a crevent.Report; pairs alternates field names and values.
 func (s *State) report(number int, pairs ...string) {
 	fields := make(map[string]string, len(pairs)/2)
 	for i := 0; i+1 < len(pairs); i += 2 {
@@ -275,7 +278,7 @@
 	s.emit(crevent.Report{Number: number, Fields: fields})
 }
 
-// jitter draws a time from zero up to d.
+// jitter returns a random duration in [0,d).
 func (s *State) jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
--- a/io/crtrace/source_test.go
+++ b/io/crtrace/source_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := map[string]bool{"crevent.Received": true, "crconfig.Read": true, "crconfig.ListRead": true}
+	known := map[string]bool{"crevent.Received": true, "crconfig.ReadResult": true, "crconfig.ListResult": true}
 	for typ := range c.kinds {
 		known[typ.String()] = true
 	}
