--- a/core/crpolicy/keys.go
+++ b/core/crpolicy/keys.go
@@ -13,16 +13,16 @@
 // change copies the segments of its own keys only.
 const segmentKeys = 64
 
-// Clash says that one key belongs to two accounts. Whose a request would be
+// KeyConflict says that one key belongs to two accounts. Whose a request would be
 // were a matter of luck.
-type Clash struct {
+type KeyConflict struct {
 	Hash          KeyHash
 	First, Second crid.Account
 	Part          int // of the second
 }
 
 // Error tells the clash without the whole hash.
-func (c *Clash) Error() string {
+func (c *KeyConflict) Error() string {
 	return fmt.Sprintf("the hash %x… of account %s also belongs to account %s", c.Hash[:4], c.Second, c.First)
 }
 
@@ -69,7 +69,7 @@
 
 // renew returns the index of parts, made from that of the former ones. With a
 // clash the index is whole, and either account may be found.
-func (x *keyIndex) renew(former, parts []*Part) (*keyIndex, *Clash) {
+func (x *keyIndex) renew(former, parts []*Part) (*keyIndex, *KeyConflict) {
 	total, changed := 0, 0
 	for i, p := range parts {
 		total += p.size()
@@ -96,7 +96,7 @@
 	parts   []*Part
 	changed []bool
 	more    []int // keys to come, by segment
-	clash   *Clash
+	clash   *KeyConflict
 }
 
 // reserve copies the segments that change, without the refs to changed parts and
@@ -155,7 +155,7 @@
 		return
 	}
 	if first, ok := r.index.find(h, r.parts); ok {
-		r.clash = &Clash{
+		r.clash = &KeyConflict{
 			Hash:   h,
 			First:  r.parts[first.part].at(int(first.account)).Name,
 			Second: r.parts[part].at(account).Name,
--- a/core/crpolicy/snapshot.go
+++ b/core/crpolicy/snapshot.go
@@ -46,7 +46,7 @@
 	return s, nil
 }
 
-func assemble(former *Snapshot, rev crid.Revision, services []Service, parts []*Part) (*Snapshot, *Clash) {
+func assemble(former *Snapshot, rev crid.Revision, services []Service, parts []*Part) (*Snapshot, *KeyConflict) {
 	if former == nil {
 		former = &Snapshot{keys: emptyKeyIndex(0)}
 	}
--- a/io/crpolicyfile/loader.go
+++ b/io/crpolicyfile/loader.go
@@ -222,7 +222,7 @@
 		}
 	}
 	snapshot, err := crpolicy.Assemble(n.former.snapshot, rev, n.services, parts)
-	var clash *crpolicy.Clash
+	var clash *crpolicy.KeyConflict
 	if errors.As(err, &clash) {
 		n.checker(shardName(kindAccount, clash.Part), nil).add("account.keys", clash.Error(), hintClash)
 		return n.problems.err()
