--- a/core/crpolicy/part.go
+++ b/core/crpolicy/part.go
@@ -149,8 +149,8 @@
 	return int(xxhash.Sum64String(string(name)) % uint64(count))
 }
 
-// Stray returns an account that does not belong in this part, the i-th of count.
-func (p *Part) Stray(i, count int) (crid.Account, bool) {
+// Misplaced returns an account that does not belong in this part, the i-th of count.
+func (p *Part) Misplaced(i, count int) (crid.Account, bool) {
 	for _, a := range p.all() {
 		if Shard(a.Name, count) != i {
 			return a.Name, true
--- a/io/crpolicyfile/loader.go
+++ b/io/crpolicyfile/loader.go
@@ -173,7 +173,7 @@
 		if v.accounts == nil || (n.shards == n.former.shards && !n.changed(e.Name)) {
 			continue
 		}
-		if stray, ok := v.accounts.Stray(v.shard, n.shards); ok {
+		if stray, ok := v.accounts.Misplaced(v.shard, n.shards); ok {
 			n.checker(e.Name, nil).add("account", fmt.Sprintf("%s belongs in another value", stray),
 				"publish what `camphorroad policy build` made")
 		}
