--- a/core/crpolicy/crpolicy.go
+++ b/core/crpolicy/crpolicy.go
@@ -56,10 +56,10 @@
 
 // Probe is a known-answer request that tells a wrong target from a right one.
 type Probe struct {
-	Path   string        `cbor:"p"`
-	Status int           `cbor:"s"`
-	Body   string        `cbor:"b"` // the exact answer expected
-	Every  time.Duration `cbor:"e"`
+	Path     string        `cbor:"p"`
+	Status   int           `cbor:"s"`
+	Body     string        `cbor:"b"` // the exact answer expected
+	Interval time.Duration `cbor:"e"`
 }
 
 // Service is one service's policy.
--- a/io/crexit/watch.go
+++ b/io/crexit/watch.go
@@ -75,7 +75,7 @@
 	if svc == nil || svc.Probe.Path == "" {
 		return pollEvery
 	}
-	return max(svc.Probe.Every, probeLeast)
+	return max(svc.Probe.Interval, probeLeast)
 }
 
 // poll reads what the target says of itself. It is a hint only: these pages lag
--- a/io/crexit/watch_test.go
+++ b/io/crexit/watch_test.go
@@ -50,7 +50,7 @@
 	})
 	svc := crpolicy.Service{
 		Name: "s", Slots: 2, Queue: 2, Connections: 8, HealthPath: "/health", LoadPath: "/load",
-		Probe: crpolicy.Probe{Path: "/probe", Status: 200, Body: crupstream.ProbeAnswer, Every: 100 * time.Millisecond},
+		Probe: crpolicy.Probe{Path: "/probe", Status: 200, Body: crupstream.ProbeAnswer, Interval: 100 * time.Millisecond},
 	}
 	change(&svc)
 	w.Expect(w.exit.Apply(crpolicy.NewSnapshot(1, []crpolicy.Service{svc}, nil))).To(gomega.BeEmpty())
@@ -99,14 +99,14 @@
 // Every slot is held by requests that hang. A probe that waited behind them would
 // measure the queue and blame the target for it.
 func TestAProbeTakesASlot(t *testing.T) {
-	w := newWatched(t, func(s *crpolicy.Service) { s.Probe.Every = time.Hour })
+	w := newWatched(t, func(s *crpolicy.Service) { s.Probe.Interval = time.Hour })
 	w.lab.SetFault(crupstream.Fault{Kind: crupstream.FaultStall})
 	ctx, cancel := context.WithCancel(t.Context())
 	for n := range uint64(2) {
 		go w.exit.Run(ctx, w.exit.Own(), forward(n+1, crpolicy.ClassRepeat), nil)
 	}
 	w.Eventually(w.exit.InFlight).Should(gomega.BeEquivalentTo(2))
-	svc := crpolicy.Service{Name: "s", Slots: 2, Queue: 2, Probe: crpolicy.Probe{Path: "/probe", Status: 200, Every: 100 * time.Millisecond}}
+	svc := crpolicy.Service{Name: "s", Slots: 2, Queue: 2, Probe: crpolicy.Probe{Path: "/probe", Status: 200, Interval: 100 * time.Millisecond}}
 	w.exit.Apply(crpolicy.NewSnapshot(2, []crpolicy.Service{svc}, nil))
 	w.Consistently(w.last(&w.probes), 500*time.Millisecond).Should(gomega.Equal(-1))
 	cancel()
--- a/io/crpolicyfile/check.go
+++ b/io/crpolicyfile/check.go
@@ -130,7 +130,7 @@
 	}
 	c.path("probe.path", p.Path)
 	c.within("probe.status", p.Status, 100, 599)
-	c.span("probe.every", p.Every, minProbeEvery, maxTimeout)
+	c.span("probe.every", p.Interval, minProbeEvery, maxTimeout)
 }
 
 func (c checker) routes(svc crpolicy.Service) {
--- a/io/crpolicyfile/file.go
+++ b/io/crpolicyfile/file.go
@@ -177,10 +177,10 @@
 	}
 	if c.Probe != nil {
 		svc.Probe = crpolicy.Probe{
-			Path:   c.Probe.Path,
-			Status: c.Probe.Status,
-			Body:   c.Probe.Body,
-			Every:  duration(c.Probe.Every),
+			Path:     c.Probe.Path,
+			Status:   c.Probe.Status,
+			Body:     c.Probe.Body,
+			Interval: duration(c.Probe.Every),
 		}
 		if c.Probe.Path == "" {
 			r.add("probe.path", "missing", "give the path to ask, such as \"/probe\"")
--- a/io/crpolicyfile/policyfile_test.go
+++ b/io/crpolicyfile/policyfile_test.go
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	svc, _ := snap.Service("booking")
-	if snap.Revision() != 7 || svc.Floor != 8 || svc.Routes[1].Class != crpolicy.ClassOnce || svc.Probe.Every != 5*time.Second {
+	if snap.Revision() != 7 || svc.Floor != 8 || svc.Routes[1].Class != crpolicy.ClassOnce || svc.Probe.Interval != 5*time.Second {
 		t.Errorf("loaded %+v at %d", svc, snap.Revision())
 	}
 	if acct, ok := snap.AccountByKey(crpolicy.HashKey("test")); !ok || acct.Name != "survey-north" {
