--- a/core/crplan/crplan.go
+++ b/core/crplan/crplan.go
@@ -61,12 +61,12 @@
 
 // Account is a client account and its limit over the whole fleet.
 type Account struct {
-	Name     crid.Account
-	Keys     []string
-	Ranked   bool    // Priority goes before the route's
-	Priority int     // 0 is the most urgent
-	Rate     float64 // requests a second; zero: no limit
-	Burst    float64 // requests above the rate
+	Name        crid.Account
+	Keys        []string
+	HasPriority bool    `cbor:"Ranked" json:"Ranked"` // Priority goes before the route's
+	Priority    int     // 0 is the most urgent
+	Rate        float64 // requests a second; zero: no limit
+	Burst       float64 // requests above the rate
 }
 
 // Service is what a plan says of a service.
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -252,7 +252,7 @@
 }
 
 func (q *request) priority() int {
-	if q.account != nil && q.account.Ranked {
+	if q.account != nil && q.account.HasPriority {
 		return q.account.Priority
 	}
 	return q.route.Priority
