--- a/core/crplan/crplan.go
+++ b/core/crplan/crplan.go
@@ -31,16 +31,16 @@
 
 // Route says how the requests under one prefix of a host are handled.
 type Route struct {
-	Name       crid.Route
-	Host       string
-	Prefix     string // begins and ends with a slash
-	Class      crpolicy.Class
-	Timeout    time.Duration // longest wait of a caller; zero: none but its own
-	Objective  time.Duration // time within which an answer is worth most
-	Priority   int           // 0 is the most urgent
-	MaxTargets int           // targets that one request may be sent to
-	Open       bool          // needs no key
-	Shares     []Share
+	Name           crid.Route
+	Host           string
+	Prefix         string // begins and ends with a slash
+	Class          crpolicy.Class
+	Timeout        time.Duration // longest wait of a caller; zero: none but its own
+	Objective      time.Duration // time within which an answer is worth most
+	Priority       int           // 0 is the most urgent
+	MaxTargets     int           // targets that one request may be sent to
+	AllowAnonymous bool          `cbor:"Open" json:"Open"` // needs no key
+	Shares         []Share
 }
 
 // Pick returns the service for a point in [0,1), by the weights of the shares.
