--- a/core/crplan/crplan.go
+++ b/core/crplan/crplan.go
@@ -199,8 +199,8 @@
 // Limits returns the bounds of what a caller may send.
 func (p *Plan) Limits() Limits { return p.limits }
 
-// Keyed reports whether callers have to present a key at all.
-func (p *Plan) Keyed() bool { return len(p.accounts) > 0 }
+// RequiresKey reports whether callers have to present a key at all.
+func (p *Plan) RequiresKey() bool { return len(p.accounts) > 0 }
 
 // Service returns what the plan says of a service.
 func (p *Plan) Service(name crid.Service) (Service, bool) {
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -195,7 +195,7 @@
 	if account, ok := plan.Account(q.caller.Key); ok && q.caller.Key != "" {
 		q.account = account
 	}
-	if q.account == nil && plan.Keyed() && !route.AllowAnonymous {
+	if q.account == nil && plan.RequiresKey() && !route.AllowAnonymous {
 		return refusal(http.StatusUnauthorized, "unknown key", 0), false
 	}
 	q.service = route.Pick(rand.Float64())
@@ -248,7 +248,7 @@
 // isCall reports whether the request is a call of the target on this machine:
 // these carry no key where callers have to.
 func (q *request) isCall() bool {
-	return q.account == nil && q.route != nil && q.route.AllowAnonymous && q.view.Plan.Keyed()
+	return q.account == nil && q.route != nil && q.route.AllowAnonymous && q.view.Plan.RequiresKey()
 }
 
 func (q *request) priority() int {
