--- a/core/crplan/crplan.go
+++ b/core/crplan/crplan.go
@@ -208,8 +208,8 @@
 	return s, ok
 }
 
-// Account returns the account that a key belongs to.
-func (p *Plan) Account(key string) (*Account, bool) {
+// AccountByKey returns the account that a key belongs to.
+func (p *Plan) AccountByKey(key string) (*Account, bool) {
 	a, ok := p.keys[crpolicy.HashKey(key)]
 	return a, ok
 }
--- a/core/crplan/crplan_test.go
+++ b/core/crplan/crplan_test.go
@@ -41,10 +41,10 @@
 	accounts := []crplan.Account{{Name: "survey", Keys: []string{"k1", "k2"}}, {Name: "road", Keys: []string{"k3"}}}
 	p, err := crplan.New(1, nil, accounts, services, crplan.Limits{})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	a, ok := p.Account("k2")
+	a, ok := p.AccountByKey("k2")
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(a.Name).To(gomega.Equal(crid.Account("survey")))
-	_, ok = p.Account("")
+	_, ok = p.AccountByKey("")
 	g.Expect(ok).To(gomega.BeFalse())
 }
 
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -192,7 +192,7 @@
 		return refusal(http.StatusNotFound, "no route", 0), false
 	}
 	q.route = route
-	if account, ok := plan.Account(q.caller.Key); ok && q.caller.Key != "" {
+	if account, ok := plan.AccountByKey(q.caller.Key); ok && q.caller.Key != "" {
 		q.account = account
 	}
 	if q.account == nil && plan.RequiresKey() && !route.AllowAnonymous {
