--- a/core/crplan/crplan.go
+++ b/core/crplan/crplan.go
@@ -214,8 +214,8 @@
 	return a, ok
 }
 
-// AccountNamed returns the account of a name.
-func (p *Plan) AccountNamed(name crid.Account) (*Account, bool) {
+// Account returns the account of a name.
+func (p *Plan) Account(name crid.Account) (*Account, bool) {
 	a, ok := p.accounts[name]
 	return a, ok
 }
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -58,7 +58,7 @@
 	if v.Plan == nil {
 		return true, 0
 	}
-	a, known := v.Plan.AccountNamed(name)
+	a, known := v.Plan.Account(name)
 	if !known || a.Rate <= 0 {
 		return true, 0
 	}
