--- a/core/crhealth/stall_test.go
+++ b/core/crhealth/stall_test.go
@@ -52,7 +52,7 @@
 		if n.idle {
 			continue
 		}
-		ask := crroute.Ask{Now: n.clock(now), IntN: w.rng.IntN}
+		ask := crroute.PickInfo{Now: n.clock(now), IntN: w.rng.IntN}
 		if target, ok := (crroute.TwoChoices[*crroute.Target]{}).Pick(pool, ask); ok {
 			w.begin(n, target.Name(), now)
 		}
--- a/core/crroute/chooser.go
+++ b/core/crroute/chooser.go
@@ -7,8 +7,8 @@
 	"camphorroad/core/crid"
 )
 
-// Ask is what a choice depends on besides the pool.
-type Ask struct {
+// PickInfo is what a choice depends on besides the pool.
+type PickInfo struct {
 	Now   crid.Instant
 	Tried []crid.Target   // targets that this request was already sent to
 	IntN  func(n int) int // a random number in [0,n); safe for the caller's goroutine
@@ -17,7 +17,7 @@
 // Chooser picks a target of a pool. It must be safe for concurrent use.
 // It reports false when no target is left that may take new work.
 type Chooser[C Candidate] interface {
-	Pick(p *Pool[C], ask Ask) (C, bool)
+	Pick(p *Pool[C], ask PickInfo) (C, bool)
 }
 
 // draws bounds the random probes before the pool is searched one by one.
@@ -34,7 +34,7 @@
 var _ Chooser[*Target] = TwoChoices[*Target]{}
 
 // Pick implements Chooser.
-func (TwoChoices[C]) Pick(p *Pool[C], ask Ask) (C, bool) {
+func (TwoChoices[C]) Pick(p *Pool[C], ask PickInfo) (C, bool) {
 	near, okNear := twoOf(p.Local(), &ask)
 	away, okAway := twoOf(p.Remote(), &ask)
 	switch {
@@ -51,7 +51,7 @@
 	return leastBad(p, &ask)
 }
 
-func twoOf[C Candidate](candidates []C, ask *Ask) (C, bool) {
+func twoOf[C Candidate](candidates []C, ask *PickInfo) (C, bool) {
 	a, ok := draw(candidates, ask)
 	if !ok {
 		return a, false
@@ -66,7 +66,7 @@
 // draw returns a random usable candidate. One in slow start is passed over in
 // proportion to its weight: comparing its load alone would give it all work at
 // once, since a target just back is the idlest of all.
-func draw[C Candidate](candidates []C, ask *Ask) (C, bool) {
+func draw[C Candidate](candidates []C, ask *PickInfo) (C, bool) {
 	var none C
 	if len(candidates) == 0 {
 		return none, false
@@ -81,7 +81,7 @@
 }
 
 // search goes through all candidates and draws one by weight.
-func search[C Candidate](candidates []C, ask *Ask) (C, bool) {
+func search[C Candidate](candidates []C, ask *PickInfo) (C, bool) {
 	var found C
 	total := 0
 	for _, c := range candidates {
@@ -96,7 +96,7 @@
 	return found, total > 0
 }
 
-func (a *Ask) usable(c Candidate) bool {
+func (a *PickInfo) usable(c Candidate) bool {
 	return c.Status() == StatusReady && !c.Load().Avoided(a.Now) && !slices.Contains(a.Tried, c.Name())
 }
 
@@ -104,7 +104,7 @@
 // turn a wrong verdict into an outage. It takes those only avoided first, and
 // of them the one whose time of avoidance ends first. A leaving target is never
 // taken, for its process is about to go.
-func leastBad[C Candidate](p *Pool[C], ask *Ask) (C, bool) {
+func leastBad[C Candidate](p *Pool[C], ask *PickInfo) (C, bool) {
 	var best C
 	found := false
 	for _, c := range p.all {
@@ -138,7 +138,7 @@
 var _ Chooser[*Target] = (*RoundRobin[*Target])(nil)
 
 // Pick implements Chooser.
-func (r *RoundRobin[C]) Pick(p *Pool[C], ask Ask) (C, bool) {
+func (r *RoundRobin[C]) Pick(p *Pool[C], ask PickInfo) (C, bool) {
 	var none C
 	for range p.all {
 		c := p.all[r.next.Add(1)%uint64(len(p.all))]
--- a/core/crroute/crroute_test.go
+++ b/core/crroute/crroute_test.go
@@ -106,7 +106,7 @@
 	return crroute.NewTarget(crid.Target(name), "d", domain, status, weight, new(crroute.Load))
 }
 
-func spread(p *crroute.Pool[*crroute.Target], ask crroute.Ask, n int) map[crid.Target]int {
+func spread(p *crroute.Pool[*crroute.Target], ask crroute.PickInfo, n int) map[crid.Target]int {
 	seen := make(map[crid.Target]int)
 	for range n {
 		if c, ok := (crroute.TwoChoices[*crroute.Target]{}).Pick(p, ask); ok {
@@ -121,7 +121,7 @@
 	near := target("near", "a", crroute.StatusReady, crroute.FullWeight)
 	away := target("away", "b", crroute.StatusReady, crroute.FullWeight)
 	p := crroute.NewPool("a", []*crroute.Target{away, near})
-	ask := crroute.Ask{IntN: rand.New(rand.NewPCG(1, 2)).IntN}
+	ask := crroute.PickInfo{IntN: rand.New(rand.NewPCG(1, 2)).IntN}
 	g.Expect(spread(p, ask, 100)).To(gomega.Equal(map[crid.Target]int{"near": 100}))
 	for range 3 {
 		near.Load().Begin()
@@ -134,7 +134,7 @@
 	p := crroute.NewPool("a", []*crroute.Target{
 		target("cold", "a", crroute.StatusReady, 100), target("warm", "a", crroute.StatusReady, crroute.FullWeight),
 	})
-	seen := spread(p, crroute.Ask{IntN: rand.New(rand.NewPCG(1, 2)).IntN}, 10_000)
+	seen := spread(p, crroute.PickInfo{IntN: rand.New(rand.NewPCG(1, 2)).IntN}, 10_000)
 	g.Expect(seen["cold"]).To(gomega.BeNumerically("~", 1000, 300))
 }
 
@@ -148,7 +148,7 @@
 	sick := target("sick", "m", crroute.StatusEjected, crroute.FullWeight)
 	gone := target("gone", "m", crroute.StatusLeaving, crroute.FullWeight)
 	p := crroute.NewPool("m", []*crroute.Target{gone, sick, a, b})
-	ask := crroute.Ask{Now: 1000, IntN: rand.New(rand.NewPCG(1, 2)).IntN}
+	ask := crroute.PickInfo{Now: 1000, IntN: rand.New(rand.NewPCG(1, 2)).IntN}
 	a.Load().Unreachable(ask.Now)
 	a.Load().Unreachable(ask.Now)
 	g.Expect(spread(p, ask, 50)).To(gomega.Equal(map[crid.Target]int{"b": 50}))
@@ -158,7 +158,7 @@
 	g.Expect(spread(p, ask, 50)).To(gomega.Equal(map[crid.Target]int{"sick": 50}))
 	ask.Tried = append(ask.Tried, "sick")
 	g.Expect(spread(p, ask, 50)).To(gomega.BeEmpty(), "a leaving target takes nothing")
-	ask = crroute.Ask{Now: ask.Now.Add(time.Second), IntN: ask.IntN}
+	ask = crroute.PickInfo{Now: ask.Now.Add(time.Second), IntN: ask.IntN}
 	g.Expect(spread(p, ask, 50)).To(gomega.HaveLen(2), "avoidance ends by itself")
 }
 
@@ -173,7 +173,7 @@
 		broken.Load().Failed()
 	}
 	p := crroute.NewPool("m", []*crroute.Target{broken, good})
-	seen := spread(p, crroute.Ask{IntN: rand.New(rand.NewPCG(1, 2)).IntN}, 1000)
+	seen := spread(p, crroute.PickInfo{IntN: rand.New(rand.NewPCG(1, 2)).IntN}, 1000)
 	g.Expect(seen["broken"]).To(gomega.BeNumerically("<", 350))
 }
 
@@ -185,7 +185,7 @@
 	var rr crroute.RoundRobin[*crroute.Target]
 	seen := make(map[crid.Target]int)
 	for range 10 {
-		c, _ := rr.Pick(p, crroute.Ask{})
+		c, _ := rr.Pick(p, crroute.PickInfo{})
 		seen[c.Name()]++
 	}
 	g.Expect(seen).To(gomega.Equal(map[crid.Target]int{"a": 5, "b": 5}))
@@ -220,7 +220,7 @@
 	}
 	p := crroute.NewPool("0", targets)
 	var c crroute.Chooser[*crroute.Target] = crroute.TwoChoices[*crroute.Target]{}
-	ask := crroute.Ask{Now: crid.Instant(time.Hour), IntN: rand.New(rand.NewPCG(1, 2)).IntN}
+	ask := crroute.PickInfo{Now: crid.Instant(time.Hour), IntN: rand.New(rand.NewPCG(1, 2)).IntN}
 	b.ReportAllocs()
 	for b.Loop() {
 		_, _ = c.Pick(p, ask)
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -108,7 +108,7 @@
 		s.reason = "the service has no targets"
 		return nil, false
 	}
-	target, ok := s.entry.chooser.Pick(pool, crroute.Ask{Now: s.entry.opts.Clock(), Tried: s.tried, IntN: rand.IntN})
+	target, ok := s.entry.chooser.Pick(pool, crroute.PickInfo{Now: s.entry.opts.Clock(), Tried: s.tried, IntN: rand.IntN})
 	if !ok && s.reason == "" {
 		s.reason = "no target takes new work"
 	}
