--- a/core/crroute/chooser.go
+++ b/core/crroute/chooser.go
@@ -14,9 +14,9 @@
 	IntN  func(n int) int // a random number in [0,n); safe for the caller's goroutine
 }
 
-// Chooser picks a target of a pool. It must be safe for concurrent use.
+// Picker picks a target of a pool. It must be safe for concurrent use.
 // It reports false when no target is left that may take new work.
-type Chooser[C Candidate] interface {
+type Picker[C Candidate] interface {
 	Pick(p *Pool[C], ask PickInfo) (C, bool)
 }
 
@@ -31,7 +31,7 @@
 // unless another domain's are clearly less loaded.
 type TwoChoices[C Candidate] struct{}
 
-var _ Chooser[*Target] = TwoChoices[*Target]{}
+var _ Picker[*Target] = TwoChoices[*Target]{}
 
 // Pick implements Chooser.
 func (TwoChoices[C]) Pick(p *Pool[C], ask PickInfo) (C, bool) {
@@ -135,7 +135,7 @@
 	next atomic.Uint64
 }
 
-var _ Chooser[*Target] = (*RoundRobin[*Target])(nil)
+var _ Picker[*Target] = (*RoundRobin[*Target])(nil)
 
 // Pick implements Chooser.
 func (r *RoundRobin[C]) Pick(p *Pool[C], ask PickInfo) (C, bool) {
--- a/core/crroute/crroute_test.go
+++ b/core/crroute/crroute_test.go
@@ -219,7 +219,7 @@
 		targets = append(targets, target(fmt.Sprint(i), domain, crroute.StatusReady, crroute.FullWeight))
 	}
 	p := crroute.NewPool("0", targets)
-	var c crroute.Chooser[*crroute.Target] = crroute.TwoChoices[*crroute.Target]{}
+	var c crroute.Picker[*crroute.Target] = crroute.TwoChoices[*crroute.Target]{}
 	ask := crroute.PickInfo{Now: crid.Instant(time.Hour), IntN: rand.New(rand.NewPCG(1, 2)).IntN}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/core/crroute/pool.go
+++ b/core/crroute/pool.go
@@ -19,7 +19,7 @@
 // FullWeight is the weight of a target that is not in slow start.
 const FullWeight = 1000
 
-// Candidate is a target that a [Chooser] can pick.
+// Candidate is a target that a [Picker] can pick.
 type Candidate interface {
 	// Name is the target's name, unique in the fleet.
 	Name() crid.Target
--- a/core/crroute/table.go
+++ b/core/crroute/table.go
@@ -5,7 +5,7 @@
 // matches one route here and another at the upstream.
 //
 // A [Pool] holds the targets of one service as the control side last saw them,
-// each with a [Load] of atomic counters that outlives the pool. A [Chooser]
+// each with a [Load] of atomic counters that outlives the pool. A [Picker]
 // picks a target from it; [TwoChoices] is what the daemon uses, and
 // [RoundRobin] is the baseline it is measured against.
 //
--- a/io/crdaemon/policy.go
+++ b/io/crdaemon/policy.go
@@ -21,7 +21,7 @@
 	return params
 }
 
-func newChooser(p crsettings.Policy) crroute.Chooser[*crroute.Target] {
+func newChooser(p crsettings.Policy) crroute.Picker[*crroute.Target] {
 	if p.Choose == crsettings.ChooseRoundRobin {
 		return &crroute.RoundRobin[*crroute.Target]{}
 	}
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -64,10 +64,10 @@
 	Hop     Hop
 	Clock   func() crid.Instant
 	Observe func(service crid.Service, target crid.Target, account crid.Account, o Outcome, took time.Duration)
-	Chooser crroute.Chooser[*crroute.Target] // nil: TwoChoices
-	Replay  int                              // bytes of a body kept for another attempt
-	Held    int64                            // requests in flight at most
-	Idle    time.Duration                    // longest silence of a caller within a body, either way
+	Chooser crroute.Picker[*crroute.Target] // nil: TwoChoices
+	Replay  int                             // bytes of a body kept for another attempt
+	Held    int64                           // requests in flight at most
+	Idle    time.Duration                   // longest silence of a caller within a body, either way
 }
 
 // Counters count requests by outcome.
@@ -78,7 +78,7 @@
 // Entry serves callers. It is safe for concurrent use.
 type Entry struct {
 	opts     Options
-	chooser  crroute.Chooser[*crroute.Target]
+	chooser  crroute.Picker[*crroute.Target]
 	budget   *crforward.Budget
 	inflight atomic.Int64
 	stopping atomic.Bool
