--- a/core/crroute/load.go
+++ b/core/crroute/load.go
@@ -39,8 +39,8 @@
 // InFlight is the number of requests of this daemon on the target.
 func (l *Load) InFlight() int64 { return l.inFlight.Load() }
 
-// Hint notes the number of requests that the exit reported for the target.
-func (l *Load) Hint(n int64, now crid.Instant) {
+// SetReportedInFlight notes the number of requests that the exit reported for the target.
+func (l *Load) SetReportedInFlight(n int64, now crid.Instant) {
 	l.hint.Store(n)
 	l.hintAt.Store(int64(now))
 }
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -193,7 +193,7 @@
 func (s *serving) judge(n int, target *crroute.Target, ex *crhop.Exchange, started crid.Instant) bool {
 	now := s.entry.opts.Clock()
 	took := now.Sub(started)
-	target.Load().Hint(ex.Answer.InFlight, now)
+	target.Load().SetReportedInFlight(ex.Answer.InFlight, now)
 	switch ex.Answer.Kind {
 	case crhop.KindAnswer:
 		s.tracker.Head(n)
