--- a/core/crhealth/stall_test.go
+++ b/core/crhealth/stall_test.go
@@ -107,7 +107,7 @@
 		load.End()
 		switch a.result {
 		case ResultOK:
-			load.Answered()
+			load.RecordAnswer()
 		case ResultStalled:
 			load.Unreachable(n.clock(now))
 			w.stuck[a.target]--
--- a/core/crroute/crroute_test.go
+++ b/core/crroute/crroute_test.go
@@ -257,7 +257,7 @@
 	for range 5 {
 		drains.Shed(1)
 		busy.Shed(1)
-		busy.Answered()
+		busy.RecordAnswer()
 	}
 	g.Expect(drains.Avoided(2)).To(gomega.BeTrue())
 	g.Expect(busy.Avoided(2)).To(gomega.BeFalse())
--- a/core/crroute/load.go
+++ b/core/crroute/load.go
@@ -45,8 +45,8 @@
 	l.hintAt.Store(int64(now))
 }
 
-// Answered forgets all failures: the target was reached and answered.
-func (l *Load) Answered() {
+// RecordAnswer forgets all failures: the target was reached and answered.
+func (l *Load) RecordAnswer() {
 	if l.strikes.Load() != 0 {
 		l.strikes.Store(0)
 	}
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -257,7 +257,7 @@
 		target.Load().Failed()
 		s.observe(target, OutcomeFailed, took)
 	default:
-		target.Load().Answered()
+		target.Load().RecordAnswer()
 		s.observe(target, OutcomeOK, took)
 		return true
 	}
