--- a/core/crroute/crroute_test.go
+++ b/core/crroute/crroute_test.go
@@ -170,7 +170,7 @@
 	good := target("good", "m", crroute.StatusReady, crroute.FullWeight)
 	good.Load().Begin()
 	for range 5 {
-		broken.Load().Failed()
+		broken.Load().RecordFailure()
 	}
 	p := crroute.NewPool("m", []*crroute.Target{broken, good})
 	seen := spread(p, crroute.PickInfo{IntN: rand.New(rand.NewPCG(1, 2)).IntN}, 1000)
--- a/core/crroute/load.go
+++ b/core/crroute/load.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// Failed notes an answer that was a failure. A target that fails at once has
+// RecordFailure notes an answer that was a failure. A target that fails at once has
 // few requests in flight, and would look like the least loaded of all.
-func (l *Load) Failed() { l.strike() }
+func (l *Load) RecordFailure() { l.strike() }
 
 // Unreachable notes that the target could not be reached from this daemon, and
 // avoids it for a time that doubles up to ten seconds.
--- a/io/crentry/answer.go
+++ b/io/crentry/answer.go
@@ -38,7 +38,7 @@
 // that went away is none.
 func (s *serving) broke(err error) {
 	if errors.Is(err, crwire.ErrAborted) || errors.Is(err, errShort) {
-		s.target.Load().Failed()
+		s.target.Load().RecordFailure()
 		s.observe(s.target, OutcomeFailed, s.entry.opts.Clock().Sub(s.req.started))
 	}
 }
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -226,7 +226,7 @@
 			return false
 		}
 		s.wrong = ex.Answer.Fault == crhop.FaultWrong
-		target.Load().Failed()
+		target.Load().RecordFailure()
 		s.observe(target, outcomeOf(ex.Answer.Fault), took)
 	}
 	return false
@@ -254,7 +254,7 @@
 		target.Load().Shed(s.entry.opts.Clock())
 		s.observe(target, OutcomeShed, took)
 	case status >= http.StatusInternalServerError:
-		target.Load().Failed()
+		target.Load().RecordFailure()
 		s.observe(target, OutcomeFailed, took)
 	default:
 		target.Load().RecordAnswer()
