--- a/core/crhealth/stall_test.go
+++ b/core/crhealth/stall_test.go
@@ -109,7 +109,7 @@
 		case ResultOK:
 			load.RecordAnswer()
 		case ResultStalled:
-			load.Unreachable(n.clock(now))
+			load.RecordUnreachable(n.clock(now))
 			w.stuck[a.target]--
 		}
 		a.waiting.End()
--- a/core/crroute/crroute_test.go
+++ b/core/crroute/crroute_test.go
@@ -149,10 +149,10 @@
 	gone := target("gone", "m", crroute.StatusLeaving, crroute.FullWeight)
 	p := crroute.NewPool("m", []*crroute.Target{gone, sick, a, b})
 	ask := crroute.PickInfo{Now: 1000, IntN: rand.New(rand.NewPCG(1, 2)).IntN}
-	a.Load().Unreachable(ask.Now)
-	a.Load().Unreachable(ask.Now)
+	a.Load().RecordUnreachable(ask.Now)
+	a.Load().RecordUnreachable(ask.Now)
 	g.Expect(spread(p, ask, 50)).To(gomega.Equal(map[crid.Target]int{"b": 50}))
-	b.Load().Unreachable(ask.Now)
+	b.Load().RecordUnreachable(ask.Now)
 	g.Expect(spread(p, ask, 50)).To(gomega.Equal(map[crid.Target]int{"b": 50}), "its time ends first")
 	ask.Tried = []crid.Target{"a", "b"}
 	g.Expect(spread(p, ask, 50)).To(gomega.Equal(map[crid.Target]int{"sick": 50}))
@@ -241,7 +241,7 @@
 		l.Unready(now)
 	}
 	g.Expect(l.Avoided(now.Add(time.Second))).To(gomega.BeFalse(), "it must not add up: the target is well")
-	l.Unreachable(now)
+	l.RecordUnreachable(now)
 	until := l.AvoidedUntil()
 	l.Unready(now.Add(-time.Second))
 	g.Expect(l.AvoidedUntil()).To(gomega.Equal(until), "a longer avoidance stands")
--- a/core/crroute/load.go
+++ b/core/crroute/load.go
@@ -59,12 +59,12 @@
 // few requests in flight, and would look like the least loaded of all.
 func (l *Load) RecordFailure() { l.strike() }
 
-// Unreachable notes that the target could not be reached from this daemon, and
+// RecordUnreachable notes that the target could not be reached from this daemon, and
 // avoids it for a time that doubles up to ten seconds.
 //
 // In a one-way cut only some daemons lose a target. Ejecting it would take good
 // capacity from all others; going on would cost each request a timeout.
-func (l *Load) Unreachable(now crid.Instant) {
+func (l *Load) RecordUnreachable(now crid.Instant) {
 	l.avoidFor(avoidBase, l.strike(), now)
 }
 
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -203,7 +203,7 @@
 		s.reason = ex.Answer.Reason
 		switch ex.Answer.Fault {
 		case crhop.FaultConnect:
-			target.Load().Unreachable(now)
+			target.Load().RecordUnreachable(now)
 			s.observe(target, OutcomeFailed, took)
 		case crhop.FaultUnready:
 			// Its refusals are so quick that it looks the idlest of all. Were it
@@ -285,12 +285,12 @@
 	s.reason = "no answer from the target's daemon"
 	if errors.Is(err, crhop.ErrNotSent) {
 		s.tracker.Lost(n)
-		target.Load().Unreachable(now)
+		target.Load().RecordUnreachable(now)
 		s.observe(target, OutcomeUnreached, took)
 		return
 	}
 	if ctx.Err() == nil && s.body.fault() == nil {
-		target.Load().Unreachable(now)
+		target.Load().RecordUnreachable(now)
 		s.observe(target, lostOutcome(inTime), took)
 	}
 	if rv == nil || s.req.route.Class == crpolicy.ClassRepeat || !s.tracker.NeedsRevoke(n) {
