--- a/core/crroute/crroute_test.go
+++ b/core/crroute/crroute_test.go
@@ -255,8 +255,8 @@
 	g := gomega.NewWithT(t)
 	var drains, busy crroute.Load
 	for range 5 {
-		drains.Shed(1)
-		busy.Shed(1)
+		drains.RecordShed(1)
+		busy.RecordShed(1)
 		busy.RecordAnswer()
 	}
 	g.Expect(drains.Avoided(2)).To(gomega.BeTrue())
--- a/core/crroute/load.go
+++ b/core/crroute/load.go
@@ -68,11 +68,11 @@
 	l.avoidFor(avoidBase, l.strike(), now)
 }
 
-// Shed notes that the target turned a request away for load. One that answers
+// RecordShed notes that the target turned a request away for load. One that answers
 // nothing between several such refusals is avoided, too: it has nothing in
 // flight, and would look like the idlest of all. In an overload the targets that
 // do answer are not avoided, since an answer takes all strikes back.
-func (l *Load) Shed(now crid.Instant) {
+func (l *Load) RecordShed(now crid.Instant) {
 	if n := l.strike(); n >= shedRow {
 		l.avoidFor(shedBase, n-shedRow+1, now)
 	}
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -213,7 +213,7 @@
 			s.observe(target, OutcomeShed, took)
 		case crhop.FaultShed:
 			// As with an answer of the target itself that sheds.
-			target.Load().Shed(now)
+			target.Load().RecordShed(now)
 			s.observe(target, OutcomeShed, took)
 		default:
 			s.observe(target, OutcomeShed, took)
@@ -251,7 +251,7 @@
 	shed := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 	switch {
 	case shed:
-		target.Load().Shed(s.entry.opts.Clock())
+		target.Load().RecordShed(s.entry.opts.Clock())
 		s.observe(target, OutcomeShed, took)
 	case status >= http.StatusInternalServerError:
 		target.Load().RecordFailure()
