--- a/core/crroute/crroute_test.go
+++ b/core/crroute/crroute_test.go
@@ -234,16 +234,16 @@
 	g := gomega.NewWithT(t)
 	var l crroute.Load
 	now := crid.Instant(time.Minute)
-	l.Unready(now)
+	l.RecordNotReady(now)
 	g.Expect(l.Avoided(now)).To(gomega.BeTrue())
 	g.Expect(l.Avoided(now.Add(time.Second))).To(gomega.BeFalse())
 	for range 20 {
-		l.Unready(now)
+		l.RecordNotReady(now)
 	}
 	g.Expect(l.Avoided(now.Add(time.Second))).To(gomega.BeFalse(), "it must not add up: the target is well")
 	l.RecordUnreachable(now)
 	until := l.AvoidedUntil()
-	l.Unready(now.Add(-time.Second))
+	l.RecordNotReady(now.Add(-time.Second))
 	g.Expect(l.AvoidedUntil()).To(gomega.Equal(until), "a longer avoidance stands")
 }
 
--- a/core/crroute/load.go
+++ b/core/crroute/load.go
@@ -84,10 +84,10 @@
 	l.avoid.Store(int64(now.Add(pause)))
 }
 
-// Unready notes that the daemon beside the target has no policy for it yet, and
+// RecordNotReady notes that the daemon beside the target has no policy for it yet, and
 // avoids it for a moment. That says nothing against the target, so it does not
 // add to the time of the next avoidance.
-func (l *Load) Unready(now crid.Instant) {
+func (l *Load) RecordNotReady(now crid.Instant) {
 	if until := now.Add(avoidBase); l.AvoidedUntil().Before(until) {
 		l.avoid.Store(int64(until))
 	}
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -209,7 +209,7 @@
 			// Its refusals are so quick that it looks the idlest of all. Were it
 			// not passed over, it would draw the requests of a whole service, and
 			// those whose every attempt met the same daemon would be refused.
-			target.Load().Unready(now)
+			target.Load().RecordNotReady(now)
 			s.observe(target, OutcomeShed, took)
 		case crhop.FaultShed:
 			// As with an answer of the target itself that sheds.
