--- a/core/crroute/dump.go
+++ b/core/crroute/dump.go
@@ -27,7 +27,7 @@
 	Status   string        `json:"status"`
 	Weight   int           `json:"weight"`   // of FullWeight
 	InFlight int64         `json:"inflight"` // of this daemon
-	Strikes  int64         `json:"strikes"`  // failures since the last answer
+	Failures int64         `json:"strikes"`  // failures since the last answer
 	Avoided  time.Duration `json:"avoided"`  // for which this daemon still avoids it; zero: not avoided
 }
 
@@ -40,7 +40,7 @@
 		Status:   t.status.String(),
 		Weight:   t.weight,
 		InFlight: t.load.InFlight(),
-		Strikes:  t.load.strikes.Load(),
+		Failures: t.load.strikes.Load(),
 		Avoided:  max(0, t.load.AvoidedUntil().Sub(now)),
 	}
 }
