--- a/core/crroute/crroute_test.go
+++ b/core/crroute/crroute_test.go
@@ -74,9 +74,9 @@
 	for path, want := range map[string]crroute.PathFault{
 		"":                 crroute.PathRelative,
 		"kits":             crroute.PathRelative,
-		"/a/../hold":       crroute.PathDots,
-		"/a/..":            crroute.PathDots,
-		"/./a":             crroute.PathDots,
+		"/a/../hold":       crroute.PathDotSegment,
+		"/a/..":            crroute.PathDotSegment,
+		"/./a":             crroute.PathDotSegment,
 		"//hold":           crroute.PathEmpty,
 		"/a//b":            crroute.PathEmpty,
 		"/a%2fhold":        crroute.PathEncoded,
--- a/core/crroute/path.go
+++ b/core/crroute/path.go
@@ -10,12 +10,12 @@
 
 // The faults of a path.
 const (
-	PathRelative  PathFault = iota + 1 // does not start with a slash
-	PathDots                           // has a segment "." or ".."
-	PathEmpty                          // has an empty segment before its end
-	PathEncoded                        // encodes a slash, a backslash, a semicolon, a letter, a digit, "-", ".", "_" or "~"
-	PathMalformed                      // has a percent sign without two hexadecimal digits, or is encoded twice
-	PathForbidden                      // has a backslash, a semicolon, "?", "#", a space or a control character
+	PathRelative   PathFault = iota + 1 // does not start with a slash
+	PathDotSegment                      // has a segment "." or ".."
+	PathEmpty                           // has an empty segment before its end
+	PathEncoded                         // encodes a slash, a backslash, a semicolon, a letter, a digit, "-", ".", "_" or "~"
+	PathMalformed                       // has a percent sign without two hexadecimal digits, or is encoded twice
+	PathForbidden                       // has a backslash, a semicolon, "?", "#", a space or a control character
 )
 
 // String returns a short description for people.
@@ -23,7 +23,7 @@
 	switch f {
 	case PathRelative:
 		return "does not start with a slash"
-	case PathDots:
+	case PathDotSegment:
 		return "has a dot segment"
 	case PathEmpty:
 		return "has an empty segment"
@@ -84,7 +84,7 @@
 func checkSegment(segment string, last bool) PathFault {
 	switch segment {
 	case ".", "..":
-		return PathDots
+		return PathDotSegment
 	case "":
 		if !last {
 			return PathEmpty
