--- a/core/crroute/path.go
+++ b/core/crroute/path.go
@@ -10,12 +10,12 @@
 
 // The faults of a path.
 const (
-	PathRelative   PathFault = iota + 1 // does not start with a slash
-	PathDotSegment                      // has a segment "." or ".."
-	PathEmpty                           // has an empty segment before its end
-	PathEncoded                         // encodes a slash, a backslash, a semicolon, a letter, a digit, "-", ".", "_" or "~"
-	PathMalformed                       // has a percent sign without two hexadecimal digits, or is encoded twice
-	PathForbidden                       // has a backslash, a semicolon, "?", "#", a space or a control character
+	PathRelative     PathFault = iota + 1 // does not start with a slash
+	PathDotSegment                        // has a segment "." or ".."
+	PathEmptySegment                      // has an empty segment before its end
+	PathEncoded                           // encodes a slash, a backslash, a semicolon, a letter, a digit, "-", ".", "_" or "~"
+	PathMalformed                         // has a percent sign without two hexadecimal digits, or is encoded twice
+	PathForbidden                         // has a backslash, a semicolon, "?", "#", a space or a control character
 )
 
 // String returns a short description for people.
@@ -25,7 +25,7 @@
 		return "does not start with a slash"
 	case PathDotSegment:
 		return "has a dot segment"
-	case PathEmpty:
+	case PathEmptySegment:
 		return "has an empty segment"
 	case PathEncoded:
 		return "encodes a character that must stand plain"
@@ -87,7 +87,7 @@
 		return PathDotSegment
 	case "":
 		if !last {
-			return PathEmpty
+			return PathEmptySegment
 		}
 	}
 	return 0
