--- a/core/crroute/chooser.go
+++ b/core/crroute/chooser.go
@@ -7,111 +7,112 @@
 	"camphorroad/core/crid"
 )
 
-// PickInfo is what a choice depends on besides the pool.
+// PickInfo is the input of a pick besides the pool.
 type PickInfo struct {
 	Now   crid.Instant
-	Tried []crid.Target   // targets that this request was already sent to
+	Tried []crid.Target   // targets that the request was already sent to
 	IntN  func(n int) int // a random number in [0,n); safe for the caller's goroutine
 }
 
-// Picker picks a target of a pool. It must be safe for concurrent use.
-// It reports false when no target is left that may take new work.
+// Picker picks a target from a pool. It must be safe for concurrent use. It
+// reports false when no target may take new work.
 type Picker[C Candidate] interface {
-	Pick(p *Pool[C], ask PickInfo) (C, bool)
+	Pick(p *Pool[C], info PickInfo) (C, bool)
 }
 
-// draws bounds the random probes before the pool is searched one by one.
-const draws = 6
+// maxDraws bounds the random draws before all candidates are searched.
+const maxDraws = 6
 
-// localSlack is by how many requests a target of the own domain may be busier
-// than a remote one and still be preferred.
-const localSlack = 1
+// localPreference is by how much the cost of a local target may exceed that of a
+// remote one while the local one is still preferred.
+const localPreference = 1
 
-// TwoChoices picks the less loaded of two random targets, in the own domain
-// unless another domain's are clearly less loaded.
+// TwoChoices picks the less loaded of two random targets (power of two choices),
+// from the local domain unless a remote target has clearly less load.
 type TwoChoices[C Candidate] struct{}
 
 var _ Picker[*Target] = TwoChoices[*Target]{}
 
 // Pick implements Chooser.
-func (TwoChoices[C]) Pick(p *Pool[C], ask PickInfo) (C, bool) {
-	near, okNear := twoOf(p.Local(), &ask)
-	away, okAway := twoOf(p.Remote(), &ask)
+func (TwoChoices[C]) Pick(p *Pool[C], info PickInfo) (C, bool) {
+	local, okLocal := lessLoadedOfTwo(p.Local(), &info)
+	remote, okRemote := lessLoadedOfTwo(p.Remote(), &info)
 	switch {
-	case okNear && okAway:
-		if near.Load().cost(ask.Now) <= away.Load().cost(ask.Now)+localSlack {
-			return near, true
+	case okLocal && okRemote:
+		if local.Load().cost(info.Now) <= remote.Load().cost(info.Now)+localPreference {
+			return local, true
 		}
-		return away, true
-	case okNear:
-		return near, true
-	case okAway:
-		return away, true
+		return remote, true
+	case okLocal:
+		return local, true
+	case okRemote:
+		return remote, true
 	}
-	return leastBad(p, &ask)
+	return lastResort(p, &info)
 }
 
-func twoOf[C Candidate](candidates []C, ask *PickInfo) (C, bool) {
-	a, ok := draw(candidates, ask)
+func lessLoadedOfTwo[C Candidate](candidates []C, info *PickInfo) (C, bool) {
+	a, ok := draw(candidates, info)
 	if !ok {
 		return a, false
 	}
-	b, _ := draw(candidates, ask)
-	if b.Load().cost(ask.Now) < a.Load().cost(ask.Now) {
+	b, _ := draw(candidates, info)
+	if b.Load().cost(info.Now) < a.Load().cost(info.Now) {
 		return b, true
 	}
 	return a, true
 }
 
-// draw returns a random usable candidate. One in slow start is passed over in
-// proportion to its weight: comparing its load alone would give it all work at
-// once, since a target just back is the idlest of all.
-func draw[C Candidate](candidates []C, ask *PickInfo) (C, bool) {
+// draw returns a random usable candidate. A candidate in slow start is accepted
+// with a probability proportional to its weight. Compared by load alone it would
+// get all work at once, since a target that has just returned has the least load.
+func draw[C Candidate](candidates []C, info *PickInfo) (C, bool) {
 	var none C
 	if len(candidates) == 0 {
 		return none, false
 	}
-	for range draws {
-		c := candidates[ask.IntN(len(candidates))]
-		if ask.usable(c) && (c.Weight() >= FullWeight || ask.IntN(FullWeight) < c.Weight()) {
+	for range maxDraws {
+		c := candidates[info.IntN(len(candidates))]
+		if info.usable(c) && (c.Weight() >= FullWeight || info.IntN(FullWeight) < c.Weight()) {
 			return c, true
 		}
 	}
-	return search(candidates, ask)
+	return drawByWeight(candidates, info)
 }
 
-// search goes through all candidates and draws one by weight.
-func search[C Candidate](candidates []C, ask *PickInfo) (C, bool) {
+// drawByWeight draws one of all usable candidates, with probabilities proportional
+// to their weights.
+func drawByWeight[C Candidate](candidates []C, info *PickInfo) (C, bool) {
 	var found C
 	total := 0
 	for _, c := range candidates {
-		if !ask.usable(c) {
+		if !info.usable(c) {
 			continue
 		}
 		total += c.Weight()
-		if ask.IntN(total) < c.Weight() {
+		if info.IntN(total) < c.Weight() {
 			found = c
 		}
 	}
 	return found, total > 0
 }
 
-func (a *PickInfo) usable(c Candidate) bool {
-	return c.Status() == StatusReady && !c.Load().Avoided(a.Now) && !slices.Contains(a.Tried, c.Name())
+func (i *PickInfo) usable(c Candidate) bool {
+	return c.Status() == StatusReady && !c.Load().Avoided(i.Now) && !slices.Contains(i.Tried, c.Name())
 }
 
-// leastBad is for when every target is avoided or ejected: refusing all would
-// turn a wrong verdict into an outage. It takes those only avoided first, and
-// of them the one whose time of avoidance ends first. A leaving target is never
-// taken, for its process is about to go.
-func leastBad[C Candidate](p *Pool[C], ask *PickInfo) (C, bool) {
+// lastResort picks a target when every one is avoided or ejected. Refusing all
+// requests would turn a wrong ejection into an outage. Targets that are only
+// avoided come first, the one whose avoidance ends first before the others. A
+// leaving target is never picked, since its process is about to exit.
+func lastResort[C Candidate](p *Pool[C], info *PickInfo) (C, bool) {
 	var best C
 	found := false
 	for _, c := range p.all {
-		if c.Status() == StatusLeaving || slices.Contains(ask.Tried, c.Name()) {
+		if c.Status() == StatusLeaving || slices.Contains(info.Tried, c.Name()) {
 			continue
 		}
-		if !found || lessBad(c, best) {
+		if !found || preferred(c, best) {
 			best = c
 			found = true
 		}
@@ -119,7 +120,7 @@
 	return best, found
 }
 
-func lessBad(a, b Candidate) bool {
+func preferred(a, b Candidate) bool {
 	if a.Status() != b.Status() {
 		return a.Status() < b.Status()
 	}
@@ -129,8 +130,8 @@
 	return a.Load().InFlight() < b.Load().InFlight()
 }
 
-// RoundRobin takes targets in turn, without regard to load, domain, weight or
-// verdicts. It is the baseline in measurements.
+// RoundRobin picks targets in turn, regardless of load, domain, weight, avoidance
+// and ejection. It is the baseline that other pickers are compared with.
 type RoundRobin[C Candidate] struct {
 	next atomic.Uint64
 }
@@ -138,11 +139,11 @@
 var _ Picker[*Target] = (*RoundRobin[*Target])(nil)
 
 // Pick implements Chooser.
-func (r *RoundRobin[C]) Pick(p *Pool[C], ask PickInfo) (C, bool) {
+func (r *RoundRobin[C]) Pick(p *Pool[C], info PickInfo) (C, bool) {
 	var none C
 	for range p.all {
 		c := p.all[r.next.Add(1)%uint64(len(p.all))]
-		if c.Status() != StatusLeaving && !slices.Contains(ask.Tried, c.Name()) {
+		if c.Status() != StatusLeaving && !slices.Contains(info.Tried, c.Name()) {
 			return c, true
 		}
 	}
--- a/core/crroute/crroute_test.go
+++ b/core/crroute/crroute_test.go
@@ -24,7 +24,7 @@
 	return tab
 }
 
-func TestMatchTakesTheMostSpecificRoute(t *testing.T) {
+func TestMatchPrefersMostSpecificRoute(t *testing.T) {
 	tab := table(t,
 		crpolicy.Route{Name: "root", Prefix: "/"},
 		crpolicy.Route{Name: "kits", Prefix: "/kits"},
@@ -51,7 +51,7 @@
 	gomega.NewWithT(t).Expect(ok).To(gomega.BeFalse())
 }
 
-func TestTableRefusesRoutesThatClash(t *testing.T) {
+func TestTableRejectsConflictingRoutes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, routes := range [][]crpolicy.Route{
 		{{Name: "a", Prefix: "/x"}, {Name: "b", Prefix: "/x/"}},
@@ -66,10 +66,9 @@
 	}
 }
 
-// A caller spells a path so that the route table sees one resource and the
-// upstream another: a request that must run once would then go out under the
-// rules of one that may be repeated, and nobody would notice.
-func TestAmbiguousPathsAreRefused(t *testing.T) {
+// A caller spells a path so that the route table and the upstream see different
+// resources: a request that must run once would be retried under a repeat route.
+func TestAmbiguousPathsAreRejected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for path, want := range map[string]crroute.PathFault{
 		"":                 crroute.PathRelative,
@@ -106,65 +105,65 @@
 	return crroute.NewTarget(crid.Target(name), "d", domain, status, weight, new(crroute.Load))
 }
 
-func spread(p *crroute.Pool[*crroute.Target], ask crroute.PickInfo, n int) map[crid.Target]int {
+func pickCounts(p *crroute.Pool[*crroute.Target], info crroute.PickInfo, n int) map[crid.Target]int {
 	seen := make(map[crid.Target]int)
 	for range n {
-		if c, ok := (crroute.TwoChoices[*crroute.Target]{}).Pick(p, ask); ok {
+		if c, ok := (crroute.TwoChoices[*crroute.Target]{}).Pick(p, info); ok {
 			seen[c.Name()]++
 		}
 	}
 	return seen
 }
 
-func TestChoicePrefersTheOwnDomainUntilItIsBusier(t *testing.T) {
+func TestTwoChoicesPrefersLocalDomainUntilBusier(t *testing.T) {
 	g := gomega.NewWithT(t)
-	near := target("near", "a", crroute.StatusReady, crroute.FullWeight)
-	away := target("away", "b", crroute.StatusReady, crroute.FullWeight)
-	p := crroute.NewPool("a", []*crroute.Target{away, near})
-	ask := crroute.PickInfo{IntN: rand.New(rand.NewPCG(1, 2)).IntN}
-	g.Expect(spread(p, ask, 100)).To(gomega.Equal(map[crid.Target]int{"near": 100}))
+	local := target("local", "a", crroute.StatusReady, crroute.FullWeight)
+	remote := target("remote", "b", crroute.StatusReady, crroute.FullWeight)
+	p := crroute.NewPool("a", []*crroute.Target{remote, local})
+	info := crroute.PickInfo{IntN: rand.New(rand.NewPCG(1, 2)).IntN}
+	g.Expect(pickCounts(p, info, 100)).To(gomega.Equal(map[crid.Target]int{"local": 100}))
 	for range 3 {
-		near.Load().Begin()
+		local.Load().Begin()
 	}
-	g.Expect(spread(p, ask, 100)).To(gomega.Equal(map[crid.Target]int{"away": 100}))
+	g.Expect(pickCounts(p, info, 100)).To(gomega.Equal(map[crid.Target]int{"remote": 100}))
 }
 
-func TestChoiceGivesAColdTargetItsWeight(t *testing.T) {
+func TestTwoChoicesHonorsSlowStartWeight(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := crroute.NewPool("a", []*crroute.Target{
 		target("cold", "a", crroute.StatusReady, 100), target("warm", "a", crroute.StatusReady, crroute.FullWeight),
 	})
-	seen := spread(p, crroute.PickInfo{IntN: rand.New(rand.NewPCG(1, 2)).IntN}, 10_000)
+	seen := pickCounts(p, crroute.PickInfo{IntN: rand.New(rand.NewPCG(1, 2)).IntN}, 10_000)
 	g.Expect(seen["cold"]).To(gomega.BeNumerically("~", 1000, 300))
 }
 
-// A one-way cut keeps this daemon from one target and then from all. Callers
-// would see timeouts if it went on with the first, and refusals without need if
-// it gave up with the last.
-func TestChoiceAvoidsWhatItCannotReachButNeverEverything(t *testing.T) {
+// A one-way partition makes first one and then all targets unreachable. Callers
+// would get time-outs if the first stayed in use, and needless refusals if the
+// last did not.
+func TestTwoChoicesAvoidsUnreachableTargetsUnlessAllAre(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a := target("a", "m", crroute.StatusReady, crroute.FullWeight)
 	b := target("b", "m", crroute.StatusReady, crroute.FullWeight)
-	sick := target("sick", "m", crroute.StatusEjected, crroute.FullWeight)
-	gone := target("gone", "m", crroute.StatusLeaving, crroute.FullWeight)
-	p := crroute.NewPool("m", []*crroute.Target{gone, sick, a, b})
-	ask := crroute.PickInfo{Now: 1000, IntN: rand.New(rand.NewPCG(1, 2)).IntN}
-	a.Load().RecordUnreachable(ask.Now)
-	a.Load().RecordUnreachable(ask.Now)
-	g.Expect(spread(p, ask, 50)).To(gomega.Equal(map[crid.Target]int{"b": 50}))
-	b.Load().RecordUnreachable(ask.Now)
-	g.Expect(spread(p, ask, 50)).To(gomega.Equal(map[crid.Target]int{"b": 50}), "its time ends first")
-	ask.Tried = []crid.Target{"a", "b"}
-	g.Expect(spread(p, ask, 50)).To(gomega.Equal(map[crid.Target]int{"sick": 50}))
-	ask.Tried = append(ask.Tried, "sick")
-	g.Expect(spread(p, ask, 50)).To(gomega.BeEmpty(), "a leaving target takes nothing")
-	ask = crroute.PickInfo{Now: ask.Now.Add(time.Second), IntN: ask.IntN}
-	g.Expect(spread(p, ask, 50)).To(gomega.HaveLen(2), "avoidance ends by itself")
+	ejected := target("ejected", "m", crroute.StatusEjected, crroute.FullWeight)
+	leaving := target("leaving", "m", crroute.StatusLeaving, crroute.FullWeight)
+	p := crroute.NewPool("m", []*crroute.Target{leaving, ejected, a, b})
+	info := crroute.PickInfo{Now: 1000, IntN: rand.New(rand.NewPCG(1, 2)).IntN}
+	a.Load().RecordUnreachable(info.Now)
+	a.Load().RecordUnreachable(info.Now)
+	g.Expect(pickCounts(p, info, 50)).To(gomega.Equal(map[crid.Target]int{"b": 50}))
+	b.Load().RecordUnreachable(info.Now)
+	g.Expect(pickCounts(p, info, 50)).To(gomega.Equal(map[crid.Target]int{"b": 50}), "its avoidance ends first")
+	info.Tried = []crid.Target{"a", "b"}
+	g.Expect(pickCounts(p, info, 50)).To(gomega.Equal(map[crid.Target]int{"ejected": 50}))
+	info.Tried = append(info.Tried, "ejected")
+	g.Expect(pickCounts(p, info, 50)).To(gomega.BeEmpty(), "a leaving target takes nothing")
+	info = crroute.PickInfo{Now: info.Now.Add(time.Second), IntN: info.IntN}
+	g.Expect(pickCounts(p, info, 50)).To(gomega.HaveLen(2), "avoidance ends by itself")
 }
 
 // A target answers every request at once with an error, so it has the fewest
-// requests in flight; it would draw the most work and fail nearly all callers.
-func TestChoiceIsNotDrawnToATargetThatFailsFast(t *testing.T) {
+// requests in flight. Compared by load alone it would fail nearly all callers.
+func TestTwoChoicesDoesNotPreferFastFailingTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	broken := target("broken", "m", crroute.StatusReady, crroute.FullWeight)
 	good := target("good", "m", crroute.StatusReady, crroute.FullWeight)
@@ -173,11 +172,11 @@
 		broken.Load().RecordFailure()
 	}
 	p := crroute.NewPool("m", []*crroute.Target{broken, good})
-	seen := spread(p, crroute.PickInfo{IntN: rand.New(rand.NewPCG(1, 2)).IntN}, 1000)
+	seen := pickCounts(p, crroute.PickInfo{IntN: rand.New(rand.NewPCG(1, 2)).IntN}, 1000)
 	g.Expect(seen["broken"]).To(gomega.BeNumerically("<", 350))
 }
 
-func TestRoundRobinTakesTurns(t *testing.T) {
+func TestRoundRobinAlternates(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := crroute.NewPool("m", []*crroute.Target{
 		target("a", "m", crroute.StatusReady, 1), target("b", "m", crroute.StatusEjected, 1),
@@ -220,17 +219,17 @@
 	}
 	p := crroute.NewPool("0", targets)
 	var c crroute.Picker[*crroute.Target] = crroute.TwoChoices[*crroute.Target]{}
-	ask := crroute.PickInfo{Now: crid.Instant(time.Hour), IntN: rand.New(rand.NewPCG(1, 2)).IntN}
+	info := crroute.PickInfo{Now: crid.Instant(time.Hour), IntN: rand.New(rand.NewPCG(1, 2)).IntN}
 	b.ReportAllocs()
 	for b.Loop() {
-		_, _ = c.Pick(p, ask)
+		_, _ = c.Pick(p, info)
 	}
 }
 
-// A daemon that has just restarted refuses at once, for it has no policy yet, and
-// its targets look the idlest of all. Entries that went on choosing them had
-// their requests refused three times over, while others stood ready.
-func TestAnUnreadyTargetIsPassedOverForAMoment(t *testing.T) {
+// A restarted daemon refuses at once, since it has no policy yet, and its targets
+// seem the least loaded. Entries that kept picking them had requests refused three
+// times each while other targets were ready.
+func TestNotReadyTargetIsAvoidedBriefly(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l crroute.Load
 	now := crid.Instant(time.Minute)
@@ -240,25 +239,24 @@
 	for range 20 {
 		l.RecordNotReady(now)
 	}
-	g.Expect(l.Avoided(now.Add(time.Second))).To(gomega.BeFalse(), "it must not add up: the target is well")
+	g.Expect(l.Avoided(now.Add(time.Second))).To(gomega.BeFalse(), "it must not accumulate: the target is healthy")
 	l.RecordUnreachable(now)
 	until := l.AvoidedUntil()
 	l.RecordNotReady(now.Add(-time.Second))
-	g.Expect(l.AvoidedUntil()).To(gomega.Equal(until), "a longer avoidance stands")
+	g.Expect(l.AvoidedUntil()).To(gomega.Equal(until), "a longer avoidance is kept")
 }
 
-// A target turns everything away while it drains, long before the list says so.
-// Callers of once requests, which are not tried elsewhere after an answer, would
-// get its refusal again and again. In an overload, where all targets refuse some
-// requests and answer others, none may be avoided for it.
-func TestATargetThatOnlyShedsIsAvoided(t *testing.T) {
+// A draining target refuses every request before the list says so. Once requests
+// are not retried after its answer and would fail. In an overload, targets that
+// refuse some requests and answer others must not be avoided.
+func TestTargetThatOnlyShedsIsAvoided(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var drains, busy crroute.Load
+	var draining, busy crroute.Load
 	for range 5 {
-		drains.RecordShed(1)
+		draining.RecordShed(1)
 		busy.RecordShed(1)
 		busy.RecordAnswer()
 	}
-	g.Expect(drains.Avoided(2)).To(gomega.BeTrue())
+	g.Expect(draining.Avoided(2)).To(gomega.BeTrue())
 	g.Expect(busy.Avoided(2)).To(gomega.BeFalse())
 }
--- a/core/crroute/dump.go
+++ b/core/crroute/dump.go
@@ -6,7 +6,7 @@
 	"camphorroad/core/crid"
 )
 
-// String returns the status's word in the state dump.
+// String returns the name of the status in the state dump.
 func (s Status) String() string {
 	switch s {
 	case StatusReady:
@@ -19,16 +19,16 @@
 	return "unknown"
 }
 
-// Dump is a target as this daemon's traffic sees it, for the state dump.
+// Dump is this daemon's view of a target, for the state dump.
 type Dump struct {
 	Name     crid.Target   `json:"name"`
 	Daemon   crid.Daemon   `json:"daemon"`
 	Domain   crid.Domain   `json:"domain"`
 	Status   string        `json:"status"`
 	Weight   int           `json:"weight"`   // of FullWeight
-	InFlight int64         `json:"inflight"` // of this daemon
+	InFlight int64         `json:"inflight"` // requests of this daemon
 	Failures int64         `json:"strikes"`  // failures since the last answer
-	Avoided  time.Duration `json:"avoided"`  // for which this daemon still avoids it; zero: not avoided
+	Avoided  time.Duration `json:"avoided"`  // remaining time of avoidance; zero: not avoided
 }
 
 // Dump returns the target's state at now.
@@ -40,7 +40,7 @@
 		Status:   t.status.String(),
 		Weight:   t.weight,
 		InFlight: t.load.InFlight(),
-		Failures: t.load.strikes.Load(),
+		Failures: t.load.failures.Load(),
 		Avoided:  max(0, t.load.AvoidedUntil().Sub(now)),
 	}
 }
--- a/core/crroute/load.go
+++ b/core/crroute/load.go
@@ -7,27 +7,27 @@
 	"camphorroad/core/crid"
 )
 
-// The bounds of local avoidance.
+// Parameters of avoidance, which is local to this daemon.
 const (
-	avoidBase   = 200 * time.Millisecond
-	avoidMost   = 10 * time.Second
-	shedBase    = 2 * time.Second // first pause after shedRow; each trial may cost a caller of a once request
-	shedRow     = 3               // refusals for load in a row, after which a target is avoided
-	avoidShifts = 6               // doublings from avoidBase to above avoidMost
-	maxStrikes  = 16              // keeps the penalty of a failing target finite
-	// hintLife is how long a load reported by the exit is believed. Reports
-	// lag: an older one would keep work off a target that has long been idle.
-	hintLife = 100 * time.Millisecond
+	avoidBase     = 200 * time.Millisecond
+	maxAvoid      = 10 * time.Second
+	shedBase      = 2 * time.Second // avoidance after shedThreshold refusals; each further attempt may cost a caller of a once request
+	shedThreshold = 3               // consecutive refusals because of load after which a target is avoided
+	maxAvoidShift = 6               // doublings from avoidBase to above maxAvoid
+	maxFailures   = 16              // bounds the cost of a failing target
+	// reportTTL is how long a load reported by the exit is used. An older report
+	// would keep requests from a target that has become idle since.
+	reportTTL = 100 * time.Millisecond
 )
 
-// Load holds what this daemon's traffic knows of one target. It outlives the
-// pools that name it, and is safe for concurrent use.
+// Load is what this daemon knows of one target from its own requests. It outlives
+// the pools that contain the target, and is safe for concurrent use.
 type Load struct {
-	inFlight atomic.Int64
-	strikes  atomic.Int64
-	avoid    atomic.Int64 // the instant until which the target is avoided
-	hint     atomic.Int64
-	hintAt   atomic.Int64
+	inFlight     atomic.Int64
+	failures     atomic.Int64
+	avoidedUntil atomic.Int64 // instant at which avoidance ends; zero: not avoided
+	reported     atomic.Int64
+	reportedAt   atomic.Int64
 }
 
 // Begin counts a request sent to the target.
@@ -39,80 +39,82 @@
 // InFlight is the number of requests of this daemon on the target.
 func (l *Load) InFlight() int64 { return l.inFlight.Load() }
 
-// SetReportedInFlight notes the number of requests that the exit reported for the target.
+// SetReportedInFlight records the number of requests in flight that the exit
+// reported for the target.
 func (l *Load) SetReportedInFlight(n int64, now crid.Instant) {
-	l.hint.Store(n)
-	l.hintAt.Store(int64(now))
+	l.reported.Store(n)
+	l.reportedAt.Store(int64(now))
 }
 
-// RecordAnswer forgets all failures: the target was reached and answered.
+// RecordAnswer resets the failure count and ends avoidance: the target was reached and answered.
 func (l *Load) RecordAnswer() {
-	if l.strikes.Load() != 0 {
-		l.strikes.Store(0)
+	if l.failures.Load() != 0 {
+		l.failures.Store(0)
 	}
-	if l.avoid.Load() != 0 {
-		l.avoid.Store(0)
+	if l.avoidedUntil.Load() != 0 {
+		l.avoidedUntil.Store(0)
 	}
 }
 
-// RecordFailure notes an answer that was a failure. A target that fails at once has
-// few requests in flight, and would look like the least loaded of all.
-func (l *Load) RecordFailure() { l.strike() }
+// RecordFailure records a failed answer. Without it, a target that fails at once
+// would seem the least loaded, since it has few requests in flight.
+func (l *Load) RecordFailure() { l.addFailure() }
 
-// RecordUnreachable notes that the target could not be reached from this daemon, and
-// avoids it for a time that doubles up to ten seconds.
-//
-// In a one-way cut only some daemons lose a target. Ejecting it would take good
-// capacity from all others; going on would cost each request a timeout.
+// RecordUnreachable records that this daemon could not reach the target, and
+// avoids it for a time that doubles up to ten seconds. Only this daemon avoids
+// it, since a one-way partition makes only some daemons lose a target. Ejecting
+// it would take good capacity from all others; not avoiding it would cost each
+// request a time-out.
 func (l *Load) RecordUnreachable(now crid.Instant) {
-	l.avoidFor(avoidBase, l.strike(), now)
+	l.avoidFor(avoidBase, l.addFailure(), now)
 }
 
-// RecordShed notes that the target turned a request away for load. One that answers
-// nothing between several such refusals is avoided, too: it has nothing in
-// flight, and would look like the idlest of all. In an overload the targets that
-// do answer are not avoided, since an answer takes all strikes back.
+// RecordShed records that the target refused a request because of load. A target
+// is avoided after several such refusals without an answer in between: it has
+// nothing in flight, and would seem the least loaded. In an overload, targets
+// that also answer requests are not avoided, since an answer resets the count.
 func (l *Load) RecordShed(now crid.Instant) {
-	if n := l.strike(); n >= shedRow {
-		l.avoidFor(shedBase, n-shedRow+1, now)
+	if n := l.addFailure(); n >= shedThreshold {
+		l.avoidFor(shedBase, n-shedThreshold+1, now)
 	}
 }
 
-func (l *Load) avoidFor(base time.Duration, strikes int64, now crid.Instant) {
-	shift := min(strikes-1, avoidShifts)
-	pause := min(base<<shift, avoidMost)
-	l.avoid.Store(int64(now.Add(pause)))
+func (l *Load) avoidFor(base time.Duration, failures int64, now crid.Instant) {
+	shift := min(failures-1, maxAvoidShift)
+	pause := min(base<<shift, maxAvoid)
+	l.avoidedUntil.Store(int64(now.Add(pause)))
 }
 
-// RecordNotReady notes that the daemon beside the target has no policy for it yet, and
-// avoids it for a moment. That says nothing against the target, so it does not
-// add to the time of the next avoidance.
+// RecordNotReady records that the target's daemon has no policy for it yet, and
+// avoids the target for avoidBase. This is no fault of the target, so it does not
+// count as a failure.
 func (l *Load) RecordNotReady(now crid.Instant) {
 	if until := now.Add(avoidBase); l.AvoidedUntil().Before(until) {
-		l.avoid.Store(int64(until))
+		l.avoidedUntil.Store(int64(until))
 	}
 }
 
-func (l *Load) strike() int64 {
-	n := l.strikes.Add(1)
-	if n > maxStrikes {
-		l.strikes.Store(maxStrikes)
-		return maxStrikes
+func (l *Load) addFailure() int64 {
+	n := l.failures.Add(1)
+	if n > maxFailures {
+		l.failures.Store(maxFailures)
+		return maxFailures
 	}
 	return n
 }
 
-// Avoided reports whether this daemon avoids the target for now.
+// Avoided reports whether this daemon avoids the target at the moment.
 func (l *Load) Avoided(now crid.Instant) bool { return now.Before(l.AvoidedUntil()) }
 
-// AvoidedUntil is the instant up to which this daemon avoids the target.
-func (l *Load) AvoidedUntil() crid.Instant { return crid.Instant(l.avoid.Load()) }
+// AvoidedUntil is the instant at which avoidance ends.
+func (l *Load) AvoidedUntil() crid.Instant { return crid.Instant(l.avoidedUntil.Load()) }
 
-// cost is what the choice compares; less is better.
+// cost is the load by which targets are compared; less is better. Failures
+// multiply it.
 func (l *Load) cost(now crid.Instant) int64 {
 	n := l.inFlight.Load()
-	if now.Sub(crid.Instant(l.hintAt.Load())) < hintLife {
-		n = max(n, l.hint.Load())
+	if now.Sub(crid.Instant(l.reportedAt.Load())) < reportTTL {
+		n = max(n, l.reported.Load())
 	}
-	return (n + 1) * (1 + l.strikes.Load())
+	return (n + 1) * (1 + l.failures.Load())
 }
--- a/core/crroute/path.go
+++ b/core/crroute/path.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// PathFault says why a path is refused.
+// PathFault is the reason why a path is rejected.
 type PathFault uint8
 
-// The faults of a path.
+// The reasons.
 const (
 	PathRelative     PathFault = iota + 1 // does not start with a slash
 	PathDotSegment                        // has a segment "." or ".."
@@ -18,7 +18,7 @@
 	PathForbidden                         // has a backslash, a semicolon, "?", "#", a space or a control character
 )
 
-// String returns a short description for people.
+// String returns a short description.
 func (f PathFault) String() string {
 	switch f {
 	case PathRelative:
@@ -38,29 +38,29 @@
 	}
 }
 
-// PathError tells that an upstream could read a path in another way than the
-// route table does. The request must be refused; it was not run.
+// PathError is the error of a path that an upstream could interpret in another
+// way than the route table. The request must be refused; it was not run.
 type PathError struct {
 	fault PathFault
 	at    int
 }
 
-// Error implements error. It leaves out the path, which a caller chose.
+// Error implements error. It omits the path, which the caller controls.
 func (e *PathError) Error() string {
 	return fmt.Sprintf("ambiguous path: %s at byte %d", e.fault, e.at)
 }
 
-// Fault returns what is wrong with the path.
+// Fault returns the reason.
 func (e *PathError) Fault() PathFault { return e.fault }
 
-// CheckPath refuses a path that an upstream could resolve to another resource
+// CheckPath rejects a path that an upstream could resolve to another resource
 // than the one matched here. It takes the path as it will be forwarded, which
 // is the escaped form without the query, and returns a *PathError.
 //
-// Upstreams differ in how they treat "/a/../b", "/a//b", "/%61" or "/a;x/b".
-// A caller could get a request through a route with class repeat, or with
-// another service's policy, that then runs what a stricter route guards. No
-// daemon would notice; so only the one spelling that all agree on is let in.
+// Upstreams differ in how they treat "/a/../b", "/a//b", "/%61" or "/a;x/b". A
+// caller could match a route with class repeat, or another service's policy, and
+// run a request that a stricter route protects. No daemon would detect it, so
+// only the one spelling that all upstreams agree on is accepted.
 func CheckPath(path string) error {
 	if path == "" || path[0] != '/' {
 		return &PathError{fault: PathRelative}
@@ -106,7 +106,7 @@
 	return 0
 }
 
-// checkEscape looks at what follows a percent sign.
+// checkEscape checks what follows a percent sign.
 func checkEscape(rest string) PathFault {
 	c, ok := unhex(rest)
 	if !ok {
@@ -154,9 +154,9 @@
 	return strings.IndexByte("-._~", c) >= 0
 }
 
-// CheckPrefix refuses a route's prefix that some request could spell in more
-// than one way: it may hold only slashes and unreserved characters (letters,
-// digits, "-", ".", "_", "~"), with no dot segment. It returns a *PathError.
+// CheckPrefix rejects a route's prefix that requests could spell in more than
+// one way: it may contain only slashes and unreserved characters (letters,
+// digits, "-", ".", "_", "~"), and no dot segment. It returns a *PathError.
 func CheckPrefix(prefix string) error {
 	if err := CheckPath(prefix); err != nil {
 		return err
--- a/core/crroute/pool.go
+++ b/core/crroute/pool.go
@@ -6,13 +6,13 @@
 	"camphorroad/core/crid"
 )
 
-// Status says whether a target takes new work, as the control side sees it.
+// Status is whether a target takes new work, as decided by the control plane.
 type Status uint8
 
 // The statuses of a target, from the best to the worst.
 const (
 	StatusReady   Status = iota + 1
-	StatusEjected        // found sick; takes work only when nothing else is left
+	StatusEjected        // found unhealthy; takes work only as a last resort
 	StatusLeaving        // takes no new work at all
 )
 
@@ -23,17 +23,17 @@
 type Candidate interface {
 	// Name is the target's name, unique in the fleet.
 	Name() crid.Target
-	// Domain is the failure domain that it stands in.
+	// Domain is the target's failure domain.
 	Domain() crid.Domain
-	// Status says whether it takes new work.
+	// Status is whether it takes new work.
 	Status() Status
 	// Weight is its slow-start weight, from 1 to FullWeight.
 	Weight() int
-	// Load is what this daemon's traffic knows of it.
+	// Load is what this daemon knows of it from its own requests.
 	Load() *Load
 }
 
-// Target is the plain candidate. It is immutable but for its Load.
+// Target is the basic Candidate. It is immutable except for its Load.
 type Target struct {
 	name   crid.Target
 	daemon crid.Daemon
@@ -45,8 +45,9 @@
 
 var _ Candidate = (*Target)(nil)
 
-// NewTarget describes a target beside the given daemon. The load is carried
-// over from the pool before; the weight is clamped to 1..FullWeight.
+// NewTarget returns a target that the given daemon serves. The load is that of
+// the previous pool, if the target was in it. The weight is clamped to
+// 1..FullWeight.
 func NewTarget(
 	name crid.Target, daemon crid.Daemon, domain crid.Domain, status Status, weight int, load *Load,
 ) *Target {
@@ -57,7 +58,7 @@
 // Name implements Candidate.
 func (t *Target) Name() crid.Target { return t.name }
 
-// Daemon is the daemon beside the target.
+// Daemon is the daemon that serves the target.
 func (t *Target) Daemon() crid.Daemon { return t.daemon }
 
 // Domain implements Candidate.
@@ -72,8 +73,8 @@
 // Load implements Candidate.
 func (t *Target) Load() *Load { return t.load }
 
-// Pool holds the targets of one service, seen from one domain. It is immutable
-// and safe for concurrent use.
+// Pool is the targets of one service, as used by a daemon of one domain. It is
+// immutable and safe for concurrent use.
 type Pool[C Candidate] struct {
 	all   []C // the local ones first
 	local int
@@ -82,14 +83,14 @@
 // NewPool copies the candidates, those of the domain first.
 func NewPool[C Candidate](domain crid.Domain, candidates []C) *Pool[C] {
 	p := &Pool[C]{all: slices.Clone(candidates)}
-	slices.SortStableFunc(p.all, func(a, b C) int { return far(a, domain) - far(b, domain) })
+	slices.SortStableFunc(p.all, func(a, b C) int { return domainOrder(a, domain) - domainOrder(b, domain) })
 	for p.local < len(p.all) && p.all[p.local].Domain() == domain {
 		p.local++
 	}
 	return p
 }
 
-func far(c Candidate, domain crid.Domain) int {
+func domainOrder(c Candidate, domain crid.Domain) int {
 	if c.Domain() == domain {
 		return 0
 	}
@@ -99,8 +100,8 @@
 // Len is the number of candidates.
 func (p *Pool[C]) Len() int { return len(p.all) }
 
-// Local returns those of the pool's own domain; the caller must not change it.
+// Local returns the candidates of the pool's domain; the caller must not modify them.
 func (p *Pool[C]) Local() []C { return p.all[:p.local] }
 
-// Remote returns those of other domains; the caller must not change it.
+// Remote returns the candidates of other domains; the caller must not modify them.
 func (p *Pool[C]) Remote() []C { return p.all[p.local:] }
--- a/core/crroute/table.go
+++ b/core/crroute/table.go
@@ -1,13 +1,16 @@
-// Package crroute finds the route of a request and the target to send it to.
+// Package crroute matches a request to a route and picks the target to send it
+// to. The daemon of `camphorroad serve` uses it in io/crentry; the routes are part
+// of a [crpolicy.Snapshot]. The daemon of `camphorroad join` uses core/crplan for
+// routes and core/crplace for targets instead.
 //
-// A [Table] is built once from a configuration and is immutable. [CheckPath]
-// must pass before [Table.Match], or a caller could spell a path so that it
+// A [Table] is an immutable index of a configuration's routes. [CheckPath] must
+// pass before [Table.Match]. Otherwise a caller could spell a path so that it
 // matches one route here and another at the upstream.
 //
-// A [Pool] holds the targets of one service as the control side last saw them,
-// each with a [Load] of atomic counters that outlives the pool. A [Picker]
-// picks a target from it; [TwoChoices] is what the daemon uses, and
-// [RoundRobin] is the baseline it is measured against.
+// A [Pool] contains the targets of one service as the control plane last reported
+// them, each with a [Load] of atomic counters that outlives the pool. A [Picker]
+// picks a target from it: the daemon uses [TwoChoices], and [RoundRobin] is the
+// baseline for comparison.
 //
 // # Usage
 //
@@ -16,7 +19,7 @@
 //	service, route, ok := table.Match(r.Host, r.Method, r.URL.EscapedPath())
 //
 //	pool := crroute.NewPool(domain, targets)
-//	target, ok := chooser.Pick(pool, crroute.Ask{Now: now, Tried: tried, IntN: rand.IntN})
+//	target, ok := picker.Pick(pool, crroute.PickInfo{Now: now, Tried: tried, IntN: rand.IntN})
 //	target.Load().Begin()
 //	defer target.Load().End()
 package crroute
@@ -30,7 +33,7 @@
 	"camphorroad/core/crpolicy"
 )
 
-// RouteError tells that a configuration's routes can not be served.
+// RouteError is the error of a configuration with an invalid or ambiguous route.
 type RouteError struct {
 	service crid.Service
 	route   crid.Route
@@ -43,7 +46,7 @@
 	return fmt.Sprintf("route %s of service %s: %s", e.route, e.service, e.reason)
 }
 
-// Unwrap returns the *PathError behind it, if any.
+// Unwrap returns the *PathError that caused it, if any.
 func (e *RouteError) Unwrap() error { return e.err }
 
 type entry struct {
@@ -55,22 +58,22 @@
 	return len(e.route.Methods) == 0 || slices.Contains(e.route.Methods, method)
 }
 
-// prefixes maps a prefix without its trailing slash to the routes under it;
-// routes that name their methods stand before one that takes any.
+// prefixes maps a prefix without its trailing slash to its routes. Routes with
+// methods precede a route for any method.
 type prefixes map[string][]entry
 
-// Table finds routes. It is immutable and safe for concurrent use.
+// Table matches requests to routes. It is immutable and safe for concurrent use.
 type Table struct {
-	hosts map[string]prefixes
-	any   prefixes
-	n     int
+	hosts   map[string]prefixes
+	anyHost prefixes
+	size    int
 }
 
-// NewTable indexes all routes of a configuration. It returns a *RouteError for
-// a prefix that [CheckPrefix] refuses, and for two routes that would both match
-// a request equally well.
+// NewTable indexes all routes of a configuration. It returns a *RouteError for a
+// prefix that [CheckPrefix] rejects, and for two routes that match the same
+// request equally well.
 func NewTable(snap *crpolicy.Snapshot) (*Table, error) {
-	t := &Table{hosts: make(map[string]prefixes), any: make(prefixes)}
+	t := &Table{hosts: make(map[string]prefixes), anyHost: make(prefixes)}
 	for _, svc := range snap.Services() {
 		for _, r := range svc.Routes {
 			if err := t.add(entry{service: svc.Name, route: r}); err != nil {
@@ -86,7 +89,7 @@
 	if err := CheckPrefix(e.route.Prefix); err != nil {
 		return &RouteError{service: e.service, route: e.route.Name, reason: err.Error(), err: err}
 	}
-	byPrefix := t.under(e.route.Host)
+	byPrefix := t.prefixesFor(e.route.Host)
 	key := strings.TrimSuffix(e.route.Prefix, "/")
 	for _, other := range byPrefix[key] {
 		if overlap(e.route.Methods, other.route.Methods) {
@@ -95,14 +98,14 @@
 		}
 	}
 	byPrefix[key] = append(byPrefix[key], e)
-	t.n++
+	t.size++
 	return nil
 }
 
-func (t *Table) under(host string) prefixes {
+func (t *Table) prefixesFor(host string) prefixes {
 	host = canonicalHost(host)
 	if host == "" {
-		return t.any
+		return t.anyHost
 	}
 	if t.hosts[host] == nil {
 		t.hosts[host] = make(prefixes)
@@ -114,7 +117,7 @@
 	order := func(a, b entry) int {
 		return min(len(b.route.Methods), 1) - min(len(a.route.Methods), 1)
 	}
-	for _, entries := range t.any {
+	for _, entries := range t.anyHost {
 		slices.SortStableFunc(entries, order)
 	}
 	for _, byPrefix := range t.hosts {
@@ -124,8 +127,8 @@
 	}
 }
 
-// overlap reports whether two routes of one prefix clash. One with methods
-// beside one for any method is no clash: the more specific goes first.
+// overlap reports whether two routes with the same prefix conflict. A route with
+// methods does not conflict with one for any method: the more specific one wins.
 func overlap(a, b []string) bool {
 	if len(a) == 0 || len(b) == 0 {
 		return len(a) == len(b)
@@ -134,19 +137,19 @@
 }
 
 // Len is the number of routes.
-func (t *Table) Len() int { return t.n }
+func (t *Table) Len() int { return t.size }
 
-// Match finds the route of a request. The host may carry a port. The path is
-// the escaped path as it will be forwarded, and [CheckPath] must have accepted
-// it. Routes of the exact host go before those of any host, then the longest
-// prefix, then the route that names the method.
+// Match returns the service and route of a request. The host may include a port.
+// The path is the escaped path as it will be forwarded, and [CheckPath] must have
+// accepted it. Routes of the exact host take precedence over those of any host,
+// then the longest prefix, then the route that lists the method.
 func (t *Table) Match(host, method, path string) (crid.Service, crpolicy.Route, bool) {
 	if byPrefix, ok := t.hosts[canonicalHost(host)]; ok {
 		if e := byPrefix.find(method, path); e != nil {
 			return e.service, e.route, true
 		}
 	}
-	if e := t.any.find(method, path); e != nil {
+	if e := t.anyHost.find(method, path); e != nil {
 		return e.service, e.route, true
 	}
 	return "", crpolicy.Route{}, false
@@ -169,7 +172,7 @@
 	}
 }
 
-// canonicalHost drops the port and a final dot, and lowers the case. It
+// canonicalHost removes the port and a final dot, and converts to lower case. It
 // allocates only for a host with capital letters.
 func canonicalHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon > strings.LastIndexByte(host, ']') {
