--- a/core/crpolicy/crpolicy.go
+++ b/core/crpolicy/crpolicy.go
@@ -1,6 +1,9 @@
-// Package crpolicy describes what operators publish: services with their routes
-// and targets' limits, and client accounts with their rates and keys. It is the
-// validated form; reading the TOML files is io/crpolicyfile's work.
+// Package crpolicy contains the validated form of what operators publish:
+// services with their routes and limits, and client accounts with their rates and
+// keys. [Snapshot] is one published configuration. io/crpolicyfile reads it from
+// TOML files, core/crconfig distributes it, and the daemon of `camphorroad serve`
+// looks up services and accounts in it. The daemon of `camphorroad join` uses the
+// routing plan of core/crplan instead.
 //
 // # Usage
 //
@@ -15,7 +18,7 @@
 	"camphorroad/core/crid"
 )
 
-// Class says how often a request of a route may run.
+// Class is how often a request of a route may run.
 type Class uint8
 
 // The classes of a route.
@@ -26,7 +29,7 @@
 	ClassRepeat
 )
 
-// String names the class in logs.
+// String returns the name of the class, as in settings and logs.
 func (c Class) String() string {
 	switch c {
 	case ClassOnce:
@@ -41,7 +44,7 @@
 type KeyHash [sha256.Size]byte
 
 // HashKey returns the hash under which a key is published. Keys are random
-// (256 bits from `key new`), so a plain hash can not be searched backwards.
+// (256 bits from `key new`), so a plain hash can not be reversed by search.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
 // Route matches requests of a service.
@@ -49,16 +52,16 @@
 	Name    crid.Route    `cbor:"n"`
 	Host    string        `cbor:"h"` // empty: any host
 	Methods []string      `cbor:"m"` // empty: any method
-	Prefix  string        `cbor:"p"` // path prefix, on segment borders
+	Prefix  string        `cbor:"p"` // path prefix, matched by whole segments
 	Class   Class         `cbor:"c"`
-	Timeout time.Duration `cbor:"t"` // the whole request, from entry to last byte of the answer's head
+	Timeout time.Duration `cbor:"t"` // from the request's arrival at the entry to the last byte of the response header
 }
 
-// Probe is a known-answer request that tells a wrong target from a right one.
+// Probe is a request with a known response, which detects a target that responds wrongly.
 type Probe struct {
 	Path     string        `cbor:"p"`
 	Status   int           `cbor:"s"`
-	Body     string        `cbor:"b"` // the exact answer expected
+	Body     string        `cbor:"b"` // the exact response body expected
 	Interval time.Duration `cbor:"e"`
 }
 
@@ -66,9 +69,9 @@
 type Service struct {
 	Name         crid.Service `cbor:"n"`
 	Routes       []Route      `cbor:"r"`
-	Floor        int          `cbor:"f"` // healthy targets below which ejecting must not push
+	Floor        int          `cbor:"f"` // number of healthy targets that ejections must leave
 	Slots        int          `cbor:"s"` // concurrent requests per target
-	Queue        int          `cbor:"q"` // waiting requests per target
+	Queue        int          `cbor:"q"` // queued requests per target
 	Connections  int          `cbor:"c"` // connections per target
 	HealthPath   string       `cbor:"hp"`
 	LoadPath     string       `cbor:"lp"`
--- a/core/crpolicy/keys.go
+++ b/core/crpolicy/keys.go
@@ -9,156 +9,156 @@
 	"camphorroad/core/crid"
 )
 
-// segmentKeys is the number of keys that a segment of the index aims at. A
-// change copies the segments of its own keys only.
-const segmentKeys = 64
+// keysPerSegment is the target number of keys in a segment of the index. A change
+// copies the segments of its own keys only.
+const keysPerSegment = 64
 
-// KeyConflict says that one key belongs to two accounts. Whose a request would be
-// were a matter of luck.
+// KeyConflict is the error of a key that belongs to two accounts. The account of
+// a request with that key would be arbitrary.
 type KeyConflict struct {
 	Hash          KeyHash
 	First, Second crid.Account
-	Part          int // of the second
+	Part          int // part of Second
 }
 
-// Error tells the clash without the whole hash.
+// Error implements error. It omits most of the hash.
 func (c *KeyConflict) Error() string {
 	return fmt.Sprintf("the hash %x… of account %s also belongs to account %s", c.Hash[:4], c.Second, c.First)
 }
 
-// keyRef leads from a part of a key's hash to its account.
+// keyRef maps a fingerprint of a key's hash to the key's account.
 type keyRef struct {
-	mark    uint32
-	part    uint16
-	account uint16
+	fingerprint uint32
+	part        uint16
+	account     uint16
 }
 
-// keyIndex finds accounts by the hash of a key. It is immutable: a renewed index
-// shares all segments with the former one, but for those of changed parts.
+// keyIndex finds accounts by the hash of a key. It is immutable: an updated index
+// shares all segments with the previous one except those of changed parts.
 type keyIndex struct {
 	bits     int
-	segments [][]keyRef // by the first bits of the hash
+	segments [][]keyRef // indexed by the first bits of the hash
 }
 
-func emptyKeyIndex(keys int) *keyIndex {
-	n := bits.Len(uint(keys / segmentKeys))
+func newKeyIndex(keys int) *keyIndex {
+	n := bits.Len(uint(keys / keysPerSegment))
 	return &keyIndex{bits: n, segments: make([][]keyRef, 1<<n)}
 }
 
-func (x *keyIndex) place(h KeyHash) (segment int, mark uint32) {
+func (x *keyIndex) locate(h KeyHash) (segment int, fingerprint uint32) {
 	v := binary.BigEndian.Uint64(h[:])
 	return int(v >> 32 >> (32 - x.bits)), uint32(v)
 }
 
-// fits reports whether the segments are neither far too long nor far too short
-// for a number of keys.
+// fits reports whether the number of segments suits a number of keys: the average
+// segment has at most twice the target, and at least a quarter of it.
 func (x *keyIndex) fits(keys int) bool {
-	return keys <= len(x.segments)*segmentKeys*2 && (x.bits == 0 || keys*4 >= len(x.segments)*segmentKeys)
+	return keys <= len(x.segments)*keysPerSegment*2 && (x.bits == 0 || keys*4 >= len(x.segments)*keysPerSegment)
 }
 
-// find returns where the account of a key stands.
+// find returns the reference to the account of a key.
 func (x *keyIndex) find(h KeyHash, parts []*Part) (keyRef, bool) {
-	segment, mark := x.place(h)
+	segment, fingerprint := x.locate(h)
 	for _, r := range x.segments[segment] {
-		if r.mark == mark && parts[r.part].holds(int(r.account), h) {
+		if r.fingerprint == fingerprint && parts[r.part].hasKey(int(r.account), h) {
 			return r, true
 		}
 	}
 	return keyRef{}, false
 }
 
-// renew returns the index of parts, made from that of the former ones. With a
-// clash the index is whole, and either account may be found.
-func (x *keyIndex) renew(former, parts []*Part) (*keyIndex, *KeyConflict) {
+// update returns the index of parts, derived from that of the previous parts.
+// With a conflict the index is still complete, and either account may be found.
+func (x *keyIndex) update(previous, parts []*Part) (*keyIndex, *KeyConflict) {
 	total, changed := 0, 0
 	for i, p := range parts {
-		total += p.size()
-		if i >= len(former) || former[i] != p {
-			changed += p.size()
+		total += p.keyCount()
+		if i >= len(previous) || previous[i] != p {
+			changed += p.keyCount()
 		}
 	}
-	if len(former) != len(parts) || !x.fits(total) || changed > total/2 {
-		x, former = emptyKeyIndex(total), make([]*Part, len(parts))
+	if len(previous) != len(parts) || !x.fits(total) || changed > total/2 {
+		x, previous = newKeyIndex(total), make([]*Part, len(parts))
 	}
-	r := renewal{parts: parts, changed: make([]bool, len(parts)), more: make([]int, len(x.segments))}
+	r := indexUpdate{parts: parts, changed: make([]bool, len(parts)), added: make([]int, len(x.segments))}
 	r.index = &keyIndex{bits: x.bits, segments: slices.Clone(x.segments)}
 	for i, p := range parts {
-		r.changed[i] = former[i] != p
+		r.changed[i] = previous[i] != p
 	}
-	r.reserve(former)
+	r.reserve(previous)
 	r.insert()
-	return r.index, r.clash
+	return r.index, r.conflict
 }
 
-// renewal is a renewed index in the making.
-type renewal struct {
-	index   *keyIndex
-	parts   []*Part
-	changed []bool
-	more    []int // keys to come, by segment
-	clash   *KeyConflict
+// indexUpdate is the state of an index update.
+type indexUpdate struct {
+	index    *keyIndex
+	parts    []*Part
+	changed  []bool
+	added    []int // number of keys to insert, by segment
+	conflict *KeyConflict
 }
 
-// reserve copies the segments that change, without the refs to changed parts and
-// with room for the new ones.
-func (r *renewal) reserve(former []*Part) {
-	touched := make([]bool, len(r.more))
+// reserve copies the segments that change, without the references to changed
+// parts and with capacity for the new ones.
+func (r *indexUpdate) reserve(previous []*Part) {
+	touched := make([]bool, len(r.added))
 	for i := range r.parts {
 		if !r.changed[i] {
 			continue
 		}
-		former[i].eachKey(func(_ int, h KeyHash) {
-			segment, _ := r.index.place(h)
+		previous[i].eachKey(func(_ int, h KeyHash) {
+			segment, _ := r.index.locate(h)
 			touched[segment] = true
 		})
 		r.parts[i].eachKey(func(_ int, h KeyHash) {
-			segment, _ := r.index.place(h)
+			segment, _ := r.index.locate(h)
 			touched[segment] = true
-			r.more[segment]++
+			r.added[segment]++
 		})
 	}
-	for segment, hit := range touched {
-		if hit {
-			r.index.segments[segment] = r.keep(r.index.segments[segment], r.more[segment])
+	for segment, ok := range touched {
+		if ok {
+			r.index.segments[segment] = r.retain(r.index.segments[segment], r.added[segment])
 		}
 	}
 }
 
-func (r *renewal) keep(refs []keyRef, more int) []keyRef {
-	kept := make([]keyRef, 0, len(refs)+more)
+func (r *indexUpdate) retain(refs []keyRef, added int) []keyRef {
+	retained := make([]keyRef, 0, len(refs)+added)
 	for _, ref := range refs {
 		if !r.changed[ref.part] {
-			kept = append(kept, ref)
+			retained = append(retained, ref)
 		}
 	}
-	return kept
+	return retained
 }
 
-func (r *renewal) insert() {
+func (r *indexUpdate) insert() {
 	for i, p := range r.parts {
 		if !r.changed[i] {
 			continue
 		}
 		p.eachKey(func(account int, h KeyHash) {
-			r.check(i, account, h)
-			segment, mark := r.index.place(h)
-			ref := keyRef{mark: mark, part: uint16(i), account: uint16(account)}
+			r.checkConflict(i, account, h)
+			segment, fingerprint := r.index.locate(h)
+			ref := keyRef{fingerprint: fingerprint, part: uint16(i), account: uint16(account)}
 			r.index.segments[segment] = append(r.index.segments[segment], ref)
 		})
 	}
 }
 
-// check notes the first key that another account has too, or the same account
-// twice.
-func (r *renewal) check(part, account int, h KeyHash) {
-	if r.clash != nil {
+// checkConflict records the first key that is already in the index, of another
+// account or of the same one.
+func (r *indexUpdate) checkConflict(part, account int, h KeyHash) {
+	if r.conflict != nil {
 		return
 	}
 	if first, ok := r.index.find(h, r.parts); ok {
-		r.clash = &KeyConflict{
+		r.conflict = &KeyConflict{
 			Hash:   h,
-			First:  r.parts[first.part].at(int(first.account)).Name,
-			Second: r.parts[part].at(account).Name,
+			First:  r.parts[first.part].account(int(first.account)).Name,
+			Second: r.parts[part].account(account).Name,
 			Part:   part,
 		}
 	}
--- a/core/crpolicy/snapshot.go
+++ b/core/crpolicy/snapshot.go
@@ -8,21 +8,20 @@
 	"camphorroad/core/crid"
 )
 
-// Snapshot is one whole published configuration. It is immutable and safe for
-// concurrent use. The accounts that it returns come without their keys, which
-// are looked up here and have no other use.
+// Snapshot is one published configuration. It is immutable and safe for
+// concurrent use. The accounts that it returns have no keys; a key can only be
+// looked up.
 type Snapshot struct {
 	rev      crid.Revision
 	services map[crid.Service]Service
-	parts    []*Part // a power of two, by Shard; nil for an empty one
+	parts    []*Part // indexed by Shard, a power of two; nil: empty
 	keys     *keyIndex
 }
 
-// NewSnapshot indexes a configuration. Its parts must have passed validation;
-// of two accounts with one key hash either may be found, so validation refuses
-// that.
+// NewSnapshot indexes a validated configuration. If two accounts have the same
+// key hash, either may be found, so validation rejects them.
 func NewSnapshot(rev crid.Revision, services []Service, accounts []Account) *Snapshot {
-	shards := make([][]Account, 1<<bits.Len(uint(len(accounts)/partAccounts)))
+	shards := make([][]Account, 1<<bits.Len(uint(len(accounts)/accountsPerPart)))
 	for _, a := range accounts {
 		i := Shard(a.Name, len(shards))
 		shards[i] = append(shards[i], a)
@@ -35,31 +34,32 @@
 	return s
 }
 
-// Assemble makes a configuration of checked parts; the i-th holds the accounts
-// whose Shard is i, and nil stands for an empty one. What it shares with a former
-// configuration, nil for none, is not indexed again. The error is a *Clash.
-func Assemble(former *Snapshot, rev crid.Revision, services []Service, parts []*Part) (*Snapshot, error) {
-	s, clash := assemble(former, rev, services, parts)
-	if clash != nil {
-		return nil, clash
+// Assemble returns a configuration of validated parts. The i-th part contains the
+// accounts whose Shard is i; nil is an empty part. Parts shared with the previous
+// configuration, nil if there is none, are not indexed again. The error is a
+// *KeyConflict.
+func Assemble(previous *Snapshot, rev crid.Revision, services []Service, parts []*Part) (*Snapshot, error) {
+	s, conflict := assemble(previous, rev, services, parts)
+	if conflict != nil {
+		return nil, conflict
 	}
 	return s, nil
 }
 
-func assemble(former *Snapshot, rev crid.Revision, services []Service, parts []*Part) (*Snapshot, *KeyConflict) {
-	if former == nil {
-		former = &Snapshot{keys: emptyKeyIndex(0)}
+func assemble(previous *Snapshot, rev crid.Revision, services []Service, parts []*Part) (*Snapshot, *KeyConflict) {
+	if previous == nil {
+		previous = &Snapshot{keys: newKeyIndex(0)}
 	}
 	s := &Snapshot{rev: rev, services: make(map[crid.Service]Service, len(services)), parts: slices.Clone(parts)}
 	for _, svc := range services {
 		s.services[svc.Name] = svc
 	}
-	keys, clash := former.keys.renew(former.parts, s.parts)
+	keys, conflict := previous.keys.update(previous.parts, s.parts)
 	s.keys = keys
-	return s, clash
+	return s, conflict
 }
 
-// Revision is the platform's revision of the configuration.
+// Revision returns the platform's revision of the configuration.
 func (s *Snapshot) Revision() crid.Revision { return s.rev }
 
 // Service returns a service's policy.
@@ -89,25 +89,25 @@
 // Accounts returns all accounts, sorted by name.
 func (s *Snapshot) Accounts() []Account { return s.AccountsSince(nil) }
 
-// AccountsSince returns the accounts that may differ from those of a former
-// configuration, nil for none, sorted by name. Those that are gone are not among
-// them.
-func (s *Snapshot) AccountsSince(former *Snapshot) []Account {
+// AccountsSince returns the accounts that may differ from those of a previous
+// configuration, sorted by name. It returns all accounts if previous is nil, and
+// no removed ones.
+func (s *Snapshot) AccountsSince(previous *Snapshot) []Account {
 	var all []Account
 	for i, p := range s.parts {
-		if former == nil || len(former.parts) != len(s.parts) || former.parts[i] != p {
-			all = append(all, p.all()...)
+		if previous == nil || len(previous.parts) != len(s.parts) || previous.parts[i] != p {
+			all = append(all, p.accounts()...)
 		}
 	}
 	return sortedByName(all)
 }
 
-// AccountByKey finds the account that a key's hash belongs to. The index is
-// looked up by the SHA-256 of the key, so timing tells nothing of the key.
+// AccountByKey returns the account of a key. The look-up uses the SHA-256 of the
+// key, so its timing reveals nothing about the key.
 func (s *Snapshot) AccountByKey(h KeyHash) (Account, bool) {
 	ref, ok := s.keys.find(h, s.parts)
 	if !ok {
 		return Account{}, false
 	}
-	return s.parts[ref.part].at(int(ref.account)), true
+	return s.parts[ref.part].account(int(ref.account)), true
 }
