--- a/core/crplan/crplan.go
+++ b/core/crplan/crplan.go
@@ -1,14 +1,17 @@
-// Package crplan holds the routing plan: which request goes to which service,
-// for which client account, and within which limits.
+// Package crplan contains the routing plan: which request goes to which service,
+// for which client account, and within which limits. The daemon of `camphorroad
+// join` uses it: package platform decodes it, and core/crmesh and io/cringress
+// read it. The daemon of `camphorroad serve` uses core/crpolicy instead; the two
+// share only the class of a route and the hash of a key.
 //
-// A [Plan] is immutable and checked as a whole when it is made, so that one that
-// is in force never has a route without a service or a key with two owners.
+// A [Plan] is immutable and validated as a whole when it is created, so it never
+// contains a route without a service or a key of two accounts.
 //
 // # Usage
 //
 //	plan, err := crplan.New(version, routes, accounts, services, limits)
 //	route, ok := plan.Route(r.Host, r.URL.EscapedPath())
-//	account, ok := plan.Account(key)
+//	account, ok := plan.AccountByKey(key)
 package crplan
 
 import (
@@ -23,27 +26,27 @@
 	"camphorroad/core/crpolicy"
 )
 
-// Share is a service's part of a route's requests.
+// Share is a service's share of a route's requests.
 type Share struct {
 	Service crid.Service
 	Weight  float64 // relative to the route's other shares
 }
 
-// Route says how the requests under one prefix of a host are handled.
+// Route describes how requests under one prefix of a host are handled.
 type Route struct {
 	Name           crid.Route
 	Host           string
-	Prefix         string // begins and ends with a slash
+	Prefix         string // starts and ends with a slash
 	Class          crpolicy.Class
-	Timeout        time.Duration // longest wait of a caller; zero: none but its own
-	Objective      time.Duration // time within which an answer is worth most
+	Timeout        time.Duration // maximum time that a caller waits; zero: only the caller's own limit
+	Objective      time.Duration // target latency of a response
 	Priority       int           // 0 is the most urgent
-	MaxTargets     int           // targets that one request may be sent to
-	AllowAnonymous bool          `cbor:"Open" json:"Open"` // needs no key
+	MaxTargets     int           // maximum number of targets that one request is sent to
+	AllowAnonymous bool          `cbor:"Open" json:"Open"` // no key is required
 	Shares         []Share
 }
 
-// Pick returns the service for a point in [0,1), by the weights of the shares.
+// Pick maps a point in [0,1) to a service, in proportion to the weights of the shares.
 func (r *Route) Pick(point float64) crid.Service {
 	total := 0.0
 	for _, s := range r.Shares {
@@ -63,20 +66,20 @@
 type Account struct {
 	Name        crid.Account
 	Keys        []string
-	HasPriority bool    `cbor:"Ranked" json:"Ranked"` // Priority goes before the route's
+	HasPriority bool    `cbor:"Ranked" json:"Ranked"` // Priority overrides that of the route
 	Priority    int     // 0 is the most urgent
 	Rate        float64 // requests a second; zero: no limit
-	Burst       float64 // requests above the rate
+	Burst       float64 // requests beyond the rate
 }
 
-// Service is what a plan says of a service.
+// Service is a service in a plan.
 type Service struct {
 	Name        crid.Service
 	HealthPath  string
-	Connections int // that one target accepts
+	Connections int // maximum number of connections per target
 }
 
-// Limits bound what a caller may send.
+// Limits bound the requests of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -84,7 +87,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Plan is one version of the configuration.
+// Plan is one version of the routing plan.
 type Plan struct {
 	version  uint64
 	hosts    map[string][]*Route // longest prefix first
@@ -94,7 +97,7 @@
 	limits   Limits
 }
 
-// New checks and indexes a plan. The error names the first thing that is wrong.
+// New validates and indexes a plan. The error describes the first fault.
 func New(version uint64, routes []Route, accounts []Account, services []Service, limits Limits) (*Plan, error) {
 	p := &Plan{
 		version:  version,
@@ -190,37 +193,37 @@
 	return nil
 }
 
-// Version is the operator's number of this plan; later plans have greater ones.
+// Version returns the plan's version; later plans have greater ones.
 func (p *Plan) Version() uint64 { return p.version }
 
-// Label is the version as operators write it, hexadecimal.
+// Label returns the version in hexadecimal, as operators write it.
 func (p *Plan) Label() string { return strconv.FormatUint(p.version, 16) }
 
-// Limits returns the bounds of what a caller may send.
+// Limits returns the limits of requests.
 func (p *Plan) Limits() Limits { return p.limits }
 
-// RequiresKey reports whether callers have to present a key at all.
+// RequiresKey reports whether callers must present a key at all.
 func (p *Plan) RequiresKey() bool { return len(p.accounts) > 0 }
 
-// Service returns what the plan says of a service.
+// Service returns the service with a name.
 func (p *Plan) Service(name crid.Service) (Service, bool) {
 	s, ok := p.services[name]
 	return s, ok
 }
 
-// AccountByKey returns the account that a key belongs to.
+// AccountByKey returns the account of a key.
 func (p *Plan) AccountByKey(key string) (*Account, bool) {
 	a, ok := p.keys[crpolicy.HashKey(key)]
 	return a, ok
 }
 
-// Account returns the account of a name.
+// Account returns the account with a name.
 func (p *Plan) Account(name crid.Account) (*Account, bool) {
 	a, ok := p.accounts[name]
 	return a, ok
 }
 
-// Route returns the route with the longest prefix that begins the path.
+// Route returns the route with the longest prefix of the path.
 func (p *Plan) Route(host, path string) (*Route, bool) {
 	name, _, _ := strings.Cut(host, ":")
 	for _, r := range p.hosts[strings.ToLower(name)] {
--- a/core/crplan/crplan_test.go
+++ b/core/crplan/crplan_test.go
@@ -19,7 +19,7 @@
 
 var services = []crplan.Service{{Name: "booking"}, {Name: "dispatch"}}
 
-func TestTheLongestPrefixCounts(t *testing.T) {
+func TestLongestPrefixMatches(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p, err := crplan.New(1, []crplan.Route{route("kits", "/kits/"), route("hold", "/kits/hold/")}, nil, services, crplan.Limits{})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -36,7 +36,7 @@
 	g.Expect(ok).To(gomega.BeFalse())
 }
 
-func TestAKeyBelongsToOneAccount(t *testing.T) {
+func TestKeyMapsToOneAccount(t *testing.T) {
 	g := gomega.NewWithT(t)
 	accounts := []crplan.Account{{Name: "survey", Keys: []string{"k1", "k2"}}, {Name: "road", Keys: []string{"k3"}}}
 	p, err := crplan.New(1, nil, accounts, services, crplan.Limits{})
@@ -48,7 +48,7 @@
 	g.Expect(ok).To(gomega.BeFalse())
 }
 
-func TestAWrongPlanIsRefusedWhole(t *testing.T) {
+func TestInvalidPlanIsRejected(t *testing.T) {
 	bad := func(change func(*crplan.Route)) []crplan.Route {
 		r := route("hold", "/hold/")
 		change(&r)
@@ -73,7 +73,7 @@
 	gomega.NewWithT(t).Expect(err).To(gomega.MatchError(gomega.ContainSubstring("share a key")))
 }
 
-func TestSharesAreServedByWeight(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := crplan.Route{Shares: []crplan.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	counts := map[crid.Service]int{}
