--- a/core/crconfig/fleet_test.go
+++ b/core/crconfig/fleet_test.go
@@ -90,7 +90,7 @@
 	reports   map[int]int
 	watch     *pendingWatch
 	applied   []crid.Revision
-	peerCount int // peers at the last membership update
+	peerCount int // reachable peers at the last membership update
 }
 
 // fleet runs reducers in simulated time. Its network has a fixed latency, and the
--- a/core/crconfig/list.go
+++ b/core/crconfig/list.go
@@ -87,10 +87,10 @@
 		s.emit(ReadList{})
 		return
 	}
-	s.pullList(now)
+	s.sendListPull(now)
 }
 
-func (s *State) pullList(now crid.Instant) {
+func (s *State) sendListPull(now crid.Instant) {
 	l := &s.nextList
 	holder, ok := s.pickListHolder()
 	if !ok {
--- a/core/crconfig/machine_test.go
+++ b/core/crconfig/machine_test.go
@@ -65,8 +65,8 @@
 	m.f.start(d)
 }
 
-// Random sequences of publications, platform faults, broken links and restarts.
-// A revision that decreases at a daemon, also across its restart, makes a
+// Publications, platform faults, broken links and restarts occur in random order.
+// A revision that decreases at a daemon, also across a restart, would make a
 // withdrawn key valid again.
 func TestRevisionNeverDecreases(t *testing.T) {
 	fixRapidSeed(t)
--- a/core/crconfig/params.go
+++ b/core/crconfig/params.go
@@ -23,7 +23,7 @@
 	WatchWait        time.Duration `cbor:"ReaderWait" json:"ReaderWait"` // wait of a confirmed reader's watch; if the platform stops responding, its domain gets no changes for as long
 	ResponseTimeout  time.Duration `cbor:"AnswerTime" json:"AnswerTime"` // for the response to a watch, beyond its wait
 	FleetSize        int           `cbor:"Fleet" json:"Fleet"`           // daemons that may start, or lose their peers, at the same time
-	PlatformRate     int           // platform calls a second of all daemons but the confirmed readers
+	PlatformRate     int           // platform calls a second of all daemons but the confirmed readers, in total
 	SettleTime       time.Duration `cbor:"Settle" json:"Settle"` // for which a daemon must be selected before it becomes a reader
 	PeerGrace        time.Duration `cbor:"Grace" json:"Grace"`   // for which a new daemon without peers waits for some
 	QueryFanout      int           `cbor:"Ask" json:"Ask"`       // peers queried by a new daemon
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -86,16 +86,16 @@
 // contains the digests of the published values but not their bytes.
 func (s *State) SetDigestFunc(digestOf func([]byte) Digest) { s.digestOf = digestOf }
 
-// Ready reports whether the daemon may begin to serve: the platform, or enough
-// peers of several domains, replied, the newest configuration among the replies
-// is applied, and there is a list of instances. Once true it stays true; see
-// Trusted.
+// Ready reports whether the daemon may begin to serve. The platform or a quorum
+// of peers must have replied, the newest configuration among the replies must be
+// applied, and a list of instances must be known. Once true, Ready stays true;
+// see Trusted.
 func (s *State) Ready() bool { return s.ready }
 
-// Trusted reports whether keys and policy may still be used: the daemon is in
-// contact with the fleet, has queried enough peers since it last regained
-// contact, and has not missed a peer's newer configuration for longer than
-// BehindMax.
+// Trusted reports whether keys and policy may still be used. The daemon must be in
+// contact with the fleet, must have reached a quorum of peers since it last
+// regained contact, and must not have failed for longer than BehindMax to get a
+// newer configuration that a peer has applied.
 func (s *State) Trusted(now crid.Instant) bool {
 	return s.caughtUp && now.Before(s.contactUntil) && !s.isBehind(now)
 }
@@ -127,9 +127,9 @@
 	case crevent.Tick:
 		s.handleTick(now)
 	case crevent.Received:
-		s.receive(now, ev)
+		s.handleReceived(now, ev)
 	case crmember.Peers:
-		s.setPeers(now, ev.Peers)
+		s.handlePeers(now, ev.Peers)
 	case crmember.Tenure:
 		s.handleTenure(now, ev)
 	case crinstance.Listed:
@@ -179,7 +179,7 @@
 	s.checkTrust(now)
 }
 
-func (s *State) receive(now crid.Instant, ev crevent.Received) {
+func (s *State) handleReceived(now crid.Instant, ev crevent.Received) {
 	switch msg := ev.Msg.(type) {
 	case Have:
 		s.handleHave(now, ev.From, msg)
@@ -194,7 +194,7 @@
 	}
 }
 
-func (s *State) setPeers(now crid.Instant, peers []crmember.Peer) {
+func (s *State) handlePeers(now crid.Instant, peers []crmember.Peer) {
 	s.peers = s.peers[:0:0]
 	s.domainPeers = s.domainPeers[:0:0]
 	s.sampled = false
--- a/core/crroute/chooser.go
+++ b/core/crroute/chooser.go
@@ -33,7 +33,7 @@
 
 var _ Picker[*Target] = TwoChoices[*Target]{}
 
-// Pick implements Chooser.
+// Pick implements Picker.
 func (TwoChoices[C]) Pick(p *Pool[C], info PickInfo) (C, bool) {
 	local, okLocal := lessLoadedOfTwo(p.Local(), &info)
 	remote, okRemote := lessLoadedOfTwo(p.Remote(), &info)
@@ -138,7 +138,7 @@
 
 var _ Picker[*Target] = (*RoundRobin[*Target])(nil)
 
-// Pick implements Chooser.
+// Pick implements Picker.
 func (r *RoundRobin[C]) Pick(p *Pool[C], info PickInfo) (C, bool) {
 	var none C
 	for range p.all {
