--- a/core/crconfig/fault_test.go
+++ b/core/crconfig/fault_test.go
@@ -96,7 +96,7 @@
 	f.runUntilApplied(t, f.platform.publish(content{}), 9*time.Second)
 }
 
-// The platform announces a new configuration but can not serve its values.
+// The platform announces a new configuration but cannot serve its values.
 // Daemons that waited for it would eventually refuse all callers.
 func TestUnreadableValuesDoNotStopTheFleet(t *testing.T) {
 	f := newSettledFleet(t, 12, 3)
@@ -233,7 +233,7 @@
 }
 
 // One daemon is partitioned from all others while the platform is unavailable. It
-// can not learn of a withdrawal and must stop; the others must continue.
+// cannot learn of a withdrawal and must stop; the others must continue.
 func TestIsolatedDaemonLosesTrust(t *testing.T) {
 	f := newSettledFleet(t, 12, 3)
 	f.platform.unavailable = true
--- a/core/crconfig/fetch.go
+++ b/core/crconfig/fetch.go
@@ -55,7 +55,7 @@
 		s.announced = version{r, d}
 		if s.nextConf != nil && s.nextConf.heldByPeer {
 			// A configuration that a peer has applied is fetched first. The platform
-			// may announce a configuration whose values it can not serve, and waiting
+			// may announce a configuration whose values it cannot serve, and waiting
 			// for that one would delay a withdrawal that all peers have applied.
 			return
 		}
--- a/core/crconfig/list.go
+++ b/core/crconfig/list.go
@@ -21,7 +21,7 @@
 	attempts         int
 	retryAt          crid.Instant
 	fallbackAt       crid.Instant
-	unusableReported bool // reported that the platform's list can not be used
+	unusableReported bool // reported that the platform's list cannot be used
 }
 
 func (l *listFetch) observe(have, r crid.Revision) {
--- a/core/crconfig/params.go
+++ b/core/crconfig/params.go
@@ -9,7 +9,7 @@
 // Params are the reducer's settings.
 type Params struct {
 	Readers          int           // daemons of a domain that watch the platform
-	Standbys         int           `cbor:"Spares" json:"Spares"` // daemons ranked next, which replace readers that can not read
+	Standbys         int           `cbor:"Spares" json:"Spares"` // daemons ranked next, which replace readers that cannot read
 	Voters           int           // daemons of a list whose loss membership always detects; crmember's MaxVoters
 	PeerTimeout      time.Duration `cbor:"Silence" json:"Silence"` // after which a silent ranked daemon counts as unavailable
 	Fanout           int           // peers of one gossip round
--- a/core/crconfig/platform_test.go
+++ b/core/crconfig/platform_test.go
@@ -17,7 +17,7 @@
 	calls           int
 	listCalls       int // calls that a read of the list takes
 	callsPerSecond  map[int]int
-	unreadable      bool                 // values can not be read
+	unreadable      bool                 // values cannot be read
 	unreachableFrom map[crid.Daemon]bool // responses do not reach these daemons
 }
 
--- a/core/crconfig/push_test.go
+++ b/core/crconfig/push_test.go
@@ -194,7 +194,7 @@
 	}
 }
 
-// The platform announces a configuration that it can not serve, while a peer has
+// The platform announces a configuration that it cannot serve, while a peer has
 // the one before, in which a key is withdrawn. That one must still be applied.
 func TestPeerConfigurationPrecedesUnreadablePlatform(t *testing.T) {
 	p := newHarness("a")
--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -20,28 +20,28 @@
 
 // watch is this daemon's role in reading the platform.
 type watch struct {
-	ranked             []crid.Daemon                // readers and standbys of the domain, by rank
-	visible            int                          // daemons of the domain not known to be lost, including this one
-	lastHeard          map[crid.Daemon]crid.Instant // ranked daemons that membership only samples, by the time of their last Have
-	isolated           bool                         // no majority was reachable for PeerGrace
-	majorityAt         crid.Instant                 // when a majority was last reachable, or when this daemon started
-	selectedAt         crid.Instant                 // since when selected is true
-	selected           bool                         // this daemon is among its domain's readers
-	reader             bool
-	isolatedSettleTime time.Duration // SettleTime while unconfirmed
-	inFlight           bool
-	deadline           crid.Instant // of the call in flight
-	after              crid.Revision
-	nextAt             crid.Instant
-	failures           int
-	unavailable        bool // the last watch failed
-	succeeded          bool // some watch succeeded since the start or the last resync
-	platformRev        crid.Revision
-	reportedStale      Head // last stale head reported
-	tickBudget         int  // platform calls left in this tick, for a confirmed reader
-	unconfirmed        bool // this daemon sees too little of its domain to be a confirmed reader
-	tokens             float64
-	refilledAt         crid.Instant
+	ranked                []crid.Daemon                // readers and standbys of the domain, by rank
+	visible               int                          // daemons of the domain not known to be lost, including this one
+	lastHeard             map[crid.Daemon]crid.Instant // ranked daemons that membership only samples, by the time of their last Have
+	isolated              bool                         // no majority was reachable for PeerGrace
+	majorityAt            crid.Instant                 // when a majority was last reachable, or when this daemon started
+	selectedAt            crid.Instant                 // since when selected is true
+	selected              bool                         // this daemon is among its domain's readers
+	reader                bool
+	unconfirmedSettleTime time.Duration // SettleTime while unconfirmed
+	inFlight              bool
+	deadline              crid.Instant // of the call in flight
+	after                 crid.Revision
+	nextAt                crid.Instant
+	failures              int
+	unavailable           bool // the last watch failed
+	succeeded             bool // some watch succeeded since the start or the last resync
+	platformRev           crid.Revision
+	reportedStale         Head // last stale head reported
+	tickBudget            int  // platform calls left in this tick, for a confirmed reader
+	unconfirmed           bool // this daemon sees too little of its domain to be a confirmed reader
+	tokens                float64
+	refilledAt            crid.Instant
 }
 
 // weight is a daemon's rendezvous hash for the ranking of its domain's readers.
@@ -87,7 +87,7 @@
 	return true
 }
 
-// updateRole decides whether this daemon is a reader. A reader that can not read
+// updateRole decides whether this daemon is a reader. A reader that cannot read
 // is replaced by a standby, but keeps trying.
 func (s *State) updateRole(now crid.Instant) {
 	s.checkIsolated(now)
@@ -99,7 +99,7 @@
 	settle := s.params.SettleTime
 	s.watch.unconfirmed = s.isUnconfirmed()
 	if s.watch.unconfirmed {
-		settle = s.watch.isolatedSettleTime
+		settle = s.watch.unconfirmedSettleTime
 	}
 	reader := selected && now.Sub(s.watch.selectedAt) >= settle
 	if reader == s.watch.reader {
@@ -196,7 +196,7 @@
 	return readers
 }
 
-// isUnavailable reports whether a ranked daemon announces that it can not read
+// isUnavailable reports whether a ranked daemon announces that it cannot read
 // the platform, or is only sampled by membership and sent no Have for
 // PeerTimeout.
 func (s *State) isUnavailable(now crid.Instant, d crid.Daemon) bool {
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -161,7 +161,7 @@
 	s.watch.refilledAt = ev.Now
 	s.watch.majorityAt = ev.Now
 	s.watch.tokens = s.rng.Float64()
-	s.watch.isolatedSettleTime = s.params.PeerGrace + s.jitter(s.params.staggerWindow())
+	s.watch.unconfirmedSettleTime = s.params.PeerGrace + s.jitter(s.params.staggerWindow())
 	s.resync(ev.Now)
 	s.gossipAt = ev.Now.Add(s.jitter(s.params.GossipInterval))
 }
@@ -257,7 +257,7 @@
 // isBehind reports whether a peer has applied a newer configuration that this
 // daemon failed to get for longer than BehindMax: a key may be withdrawn there.
 // What only the platform announces does not count. Otherwise a value that the
-// platform announces but can not serve would stop the whole fleet.
+// platform announces but cannot serve would stop the whole fleet.
 func (s *State) isBehind(now crid.Instant) bool {
 	f := s.nextConf
 	return f != nil && f.heldByPeer && now.Sub(f.heldByPeerSince) > s.params.BehindMax
--- a/core/crpolicy/crpolicy.go
+++ b/core/crpolicy/crpolicy.go
@@ -44,7 +44,7 @@
 type KeyHash [sha256.Size]byte
 
 // HashKey returns the hash under which a key is published. Keys are random
-// (256 bits from `key new`), so a plain hash can not be reversed by search.
+// (256 bits from `key new`), so a plain hash cannot be reversed by search.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
 // Route matches requests of a service.
