--- a/core/crconfig/effect.go
+++ b/core/crconfig/effect.go
@@ -7,26 +7,26 @@
 	"camphorroad/core/crinstance"
 )
 
-// Fault says how a call to the platform ended.
+// Fault is the outcome of a call to the platform.
 type Fault uint8
 
-// The ends of a call.
+// The outcomes of a call.
 const (
-	// FaultNone: answered.
+	// FaultNone means that the call succeeded.
 	FaultNone Fault = iota
-	// FaultAway: no usable answer in time.
-	FaultAway
-	// FaultStale: an answer from before what the platform had said earlier.
+	// FaultUnavailable means that no usable response arrived in time.
+	FaultUnavailable
+	// FaultStale means that the response is older than an earlier one.
 	FaultStale
-	// FaultMissing: the platform does not hold it, or holds too much.
+	// FaultMissing means that the platform does not have the value, or that the value is too large.
 	FaultMissing
 )
 
 // ManifestName is the name under which the platform holds the manifest.
 const ManifestName = "manifest"
 
-// WatchPlatform asks the shell to wait for a head newer than After. With a
-// Wait of zero it is a plain read. Timeout bounds the whole call.
+// WatchPlatform asks the shell to wait for a head newer than After. A zero Wait
+// is a plain read. Timeout bounds the whole call.
 type WatchPlatform struct {
 	After   crid.Revision
 	Wait    time.Duration
@@ -55,16 +55,16 @@
 // EffectName implements crevent.Effect.
 func (ReadPlatform) EffectName() string { return "readplatform" }
 
-// Read answers ReadPlatform.
-type Read struct {
+// ReadResult answers ReadPlatform.
+type ReadResult struct {
 	Now    crid.Instant
 	Digest Digest
-	Data   []byte // not changed afterwards
+	Data   []byte // must not be modified
 	Fault  Fault
 }
 
 // At implements crevent.Event.
-func (e Read) At() crid.Instant { return e.Now }
+func (e ReadResult) At() crid.Instant { return e.Now }
 
 // ReadList asks the shell to read the platform's list of instances.
 type ReadList struct{}
@@ -72,12 +72,12 @@
 // EffectName implements crevent.Effect.
 func (ReadList) EffectName() string { return "readlist" }
 
-// ListRead answers ReadList.
-type ListRead struct {
+// ListResult answers ReadList.
+type ListResult struct {
 	Now   crid.Instant
 	List  crinstance.List
 	Fault Fault
 }
 
 // At implements crevent.Event.
-func (e ListRead) At() crid.Instant { return e.Now }
+func (e ListResult) At() crid.Instant { return e.Now }
--- a/core/crhealth/stall_test.go
+++ b/core/crhealth/stall_test.go
@@ -52,7 +52,7 @@
 		if n.idle {
 			continue
 		}
-		ask := crroute.Ask{Now: n.clock(now), IntN: w.rng.IntN}
+		ask := crroute.PickInfo{Now: n.clock(now), IntN: w.rng.IntN}
 		if target, ok := (crroute.TwoChoices[*crroute.Target]{}).Pick(pool, ask); ok {
 			w.begin(n, target.Name(), now)
 		}
@@ -107,9 +107,9 @@
 		load.End()
 		switch a.result {
 		case ResultOK:
-			load.Answered()
+			load.RecordAnswer()
 		case ResultStalled:
-			load.Unreachable(n.clock(now))
+			load.RecordUnreachable(n.clock(now))
 			w.stuck[a.target]--
 		}
 		a.waiting.End()
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -108,7 +108,7 @@
 		s.reason = "the service has no targets"
 		return nil, false
 	}
-	target, ok := s.entry.chooser.Pick(pool, crroute.Ask{Now: s.entry.opts.Clock(), Tried: s.tried, IntN: rand.IntN})
+	target, ok := s.entry.chooser.Pick(pool, crroute.PickInfo{Now: s.entry.opts.Clock(), Tried: s.tried, IntN: rand.IntN})
 	if !ok && s.reason == "" {
 		s.reason = "no target takes new work"
 	}
@@ -193,7 +193,7 @@
 func (s *serving) judge(n int, target *crroute.Target, ex *crhop.Exchange, started crid.Instant) bool {
 	now := s.entry.opts.Clock()
 	took := now.Sub(started)
-	target.Load().Hint(ex.Answer.InFlight, now)
+	target.Load().SetReportedInFlight(ex.Answer.InFlight, now)
 	switch ex.Answer.Kind {
 	case crhop.KindAnswer:
 		s.tracker.Head(n)
@@ -203,17 +203,17 @@
 		s.reason = ex.Answer.Reason
 		switch ex.Answer.Fault {
 		case crhop.FaultConnect:
-			target.Load().Unreachable(now)
+			target.Load().RecordUnreachable(now)
 			s.observe(target, OutcomeFailed, took)
 		case crhop.FaultUnready:
 			// Its refusals are so quick that it looks the idlest of all. Were it
 			// not passed over, it would draw the requests of a whole service, and
 			// those whose every attempt met the same daemon would be refused.
-			target.Load().Unready(now)
+			target.Load().RecordNotReady(now)
 			s.observe(target, OutcomeShed, took)
 		case crhop.FaultShed:
 			// As with an answer of the target itself that sheds.
-			target.Load().Shed(now)
+			target.Load().RecordShed(now)
 			s.observe(target, OutcomeShed, took)
 		default:
 			s.observe(target, OutcomeShed, took)
@@ -226,7 +226,7 @@
 			return false
 		}
 		s.wrong = ex.Answer.Fault == crhop.FaultWrong
-		target.Load().Failed()
+		target.Load().RecordFailure()
 		s.observe(target, outcomeOf(ex.Answer.Fault), took)
 	}
 	return false
@@ -251,13 +251,13 @@
 	shed := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 	switch {
 	case shed:
-		target.Load().Shed(s.entry.opts.Clock())
+		target.Load().RecordShed(s.entry.opts.Clock())
 		s.observe(target, OutcomeShed, took)
 	case status >= http.StatusInternalServerError:
-		target.Load().Failed()
+		target.Load().RecordFailure()
 		s.observe(target, OutcomeFailed, took)
 	default:
-		target.Load().Answered()
+		target.Load().RecordAnswer()
 		s.observe(target, OutcomeOK, took)
 		return true
 	}
@@ -285,12 +285,12 @@
 	s.reason = "no answer from the target's daemon"
 	if errors.Is(err, crhop.ErrNotSent) {
 		s.tracker.Lost(n)
-		target.Load().Unreachable(now)
+		target.Load().RecordUnreachable(now)
 		s.observe(target, OutcomeUnreached, took)
 		return
 	}
 	if ctx.Err() == nil && s.body.fault() == nil {
-		target.Load().Unreachable(now)
+		target.Load().RecordUnreachable(now)
 		s.observe(target, lostOutcome(inTime), took)
 	}
 	if rv == nil || s.req.route.Class == crpolicy.ClassRepeat || !s.tracker.NeedsRevoke(n) {
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -192,10 +192,10 @@
 		return refusal(http.StatusNotFound, "no route", 0), false
 	}
 	q.route = route
-	if account, ok := plan.Account(q.caller.Key); ok && q.caller.Key != "" {
+	if account, ok := plan.AccountByKey(q.caller.Key); ok && q.caller.Key != "" {
 		q.account = account
 	}
-	if q.account == nil && plan.Keyed() && !route.Open {
+	if q.account == nil && plan.RequiresKey() && !route.AllowAnonymous {
 		return refusal(http.StatusUnauthorized, "unknown key", 0), false
 	}
 	q.service = route.Pick(rand.Float64())
@@ -248,11 +248,11 @@
 // isCall reports whether the request is a call of the target on this machine:
 // these carry no key where callers have to.
 func (q *request) isCall() bool {
-	return q.account == nil && q.route != nil && q.route.Open && q.view.Plan.Keyed()
+	return q.account == nil && q.route != nil && q.route.AllowAnonymous && q.view.Plan.RequiresKey()
 }
 
 func (q *request) priority() int {
-	if q.account != nil && q.account.Ranked {
+	if q.account != nil && q.account.HasPriority {
 		return q.account.Priority
 	}
 	return q.route.Priority
--- a/io/crplatform/perform.go
+++ b/io/crplatform/perform.go
@@ -28,12 +28,12 @@
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		data, err := port.Value(ctx, e.Name, e.Digest)
-		return crconfig.Read{Now: now(), Digest: e.Digest, Data: data, Fault: FaultOf(err)}, true
+		return crconfig.ReadResult{Now: now(), Digest: e.Digest, Data: data, Fault: FaultOf(err)}, true
 	case crconfig.ReadList:
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		list, err := port.Instances(ctx)
-		return crconfig.ListRead{Now: now(), List: list, Fault: FaultOf(err)}, true
+		return crconfig.ListResult{Now: now(), List: list, Fault: FaultOf(err)}, true
 	}
 	return nil, false
 }
@@ -48,5 +48,5 @@
 	case errors.Is(err, ErrNotFound), errors.Is(err, ErrTooLarge):
 		return crconfig.FaultMissing
 	}
-	return crconfig.FaultAway
+	return crconfig.FaultUnavailable
 }
--- a/io/crpolicyfile/loader.go
+++ b/io/crpolicyfile/loader.go
@@ -173,7 +173,7 @@
 		if v.accounts == nil || (n.shards == n.former.shards && !n.changed(e.Name)) {
 			continue
 		}
-		if stray, ok := v.accounts.Stray(v.shard, n.shards); ok {
+		if stray, ok := v.accounts.Misplaced(v.shard, n.shards); ok {
 			n.checker(e.Name, nil).add("account", fmt.Sprintf("%s belongs in another value", stray),
 				"publish what `camphorroad policy build` made")
 		}
@@ -222,7 +222,7 @@
 		}
 	}
 	snapshot, err := crpolicy.Assemble(n.former.snapshot, rev, n.services, parts)
-	var clash *crpolicy.Clash
+	var clash *crpolicy.KeyConflict
 	if errors.As(err, &clash) {
 		n.checker(shardName(kindAccount, clash.Part), nil).add("account.keys", clash.Error(), hintClash)
 		return n.problems.err()
