--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -18,46 +18,46 @@
 )
 
 const (
-	acct    crid.Account     = "firm"
-	entryIn crid.Incarnation = 77
+	acct     crid.Account     = "firm"
+	entryInc crid.Incarnation = 77
 )
 
-func limitOf(rate, burst float64) *crpolicy.Snapshot {
+func limitSnapshot(rate, burst float64) *crpolicy.Snapshot {
 	return crpolicy.NewSnapshot(1, nil, []crpolicy.Account{{Name: acct, Rate: rate, Burst: burst}})
 }
 
 func ms(n int) crid.Instant { return crid.Instant(time.Duration(n) * time.Millisecond) }
 
-// rig is one reducer that is driven by hand; acct has rate 100 and burst 20.
-type rig struct {
+// testState is one reducer that is driven by hand; acct has rate 100 and burst 20.
+type testState struct {
 	*State
 	seq uint64
 }
 
-func newRig(name crid.Daemon, flaws flaws) *rig {
+func newTestState(name crid.Daemon, mutations mutations) *testState {
 	params := DefaultParams()
-	params.flaws = flaws
-	r := &rig{State: New(params)}
+	params.mutations = mutations
+	r := &testState{State: New(params)}
 	r.Step(crevent.Started{Now: 1, Self: name, Incarnation: 5})
-	r.Step(crconfig.InForce{Now: 1, Snapshot: limitOf(100, 20)})
+	r.Step(crconfig.InForce{Now: 1, Snapshot: limitSnapshot(100, 20)})
 	return r
 }
 
-// minting returns an owner, "x", with tenure for a minute.
-func minting(flaws flaws) *rig {
-	x := newRig("x", flaws)
-	x.tenured(1, 0, 60000, "x")
+// ownerWithLease returns an owner, "x", with tenure for a minute.
+func ownerWithLease(mutations mutations) *testState {
+	x := newTestState("x", mutations)
+	x.giveLease(1, 0, 60000, "x")
 	return x
 }
 
-func (r *rig) tenured(rev crid.Revision, from, until int, members ...crid.Daemon) {
+func (r *testState) giveLease(rev crid.Revision, from, until int, members ...crid.Daemon) {
 	r.Step(crmember.Tenure{Now: ms(from), Active: rev, Members: members, Until: ms(until)})
 }
 
-// ask has the entry "e" ask for tokens, and returns the item it is answered with.
-func (r *rig) ask(at crid.Instant, want int, uses ...Use) GrantItem {
+// request has the entry "e" request for tokens, and returns the item it is answered with.
+func (r *testState) request(at crid.Instant, want int, uses ...Use) GrantItem {
 	r.seq++
-	msg := Ask{Inc: entryIn, Seq: r.seq, Items: []AskItem{{Account: acct, Want: want}}, Uses: uses}
+	msg := Ask{Inc: entryInc, Seq: r.seq, Items: []AskItem{{Account: acct, Want: want}}, Uses: uses}
 	for _, eff := range r.Step(crevent.Received{Now: at, From: "e", Msg: msg}) {
 		if send, ok := eff.(crevent.Send); ok {
 			return send.Msg.(Grant).Items[0]
@@ -66,13 +66,13 @@
 	return GrantItem{}
 }
 
-func spent(item GrantItem, n int) Use {
+func spentUsage(item GrantItem, n int) Use {
 	return Use{Account: acct, Inc: 5, Grant: item.ID, Taken: n}
 }
 
-// asker returns an entry that has asked the owner "x", and the Ask's number.
-func asker(g Gomega, at crid.Instant) (*rig, uint64) {
-	e := newRig("e", flaws{})
+// entryWithRequest returns an entry that has asked the owner "x", and the Ask's number.
+func entryWithRequest(g Gomega, at crid.Instant) (*testState, uint64) {
+	e := newTestState("e", mutations{})
 	e.Step(crmember.Tenure{Now: 1, Members: []crid.Daemon{"x"}})
 	e.Step(crmember.Peers{Now: 1, Peers: []crmember.Peer{{Daemon: "x", Reachable: true}}})
 	for _, eff := range e.Step(Used{Now: at, Usage: []Usage{{Account: acct, Cold: 5}}}) {
@@ -84,13 +84,13 @@
 	return nil, 0
 }
 
-func holding(tokens int, voidAt crid.Instant) *Wallet {
+func poolWith(tokens int, voidAt crid.Instant) *Wallet {
 	w := NewWallet()
 	w.Deposit(Deposit{Account: acct, Key: GrantKey{ID: 1}, Tokens: tokens, VoidAt: voidAt})
 	return w
 }
 
-func (r *rig) granted(at crid.Instant, seq, id uint64) (deposits []Deposit, reports []int) {
+func (r *testState) receiveGrant(at crid.Instant, seq, id uint64) (deposits []Deposit, reports []int) {
 	msg := Grant{Inc: 9, To: 5, Seq: seq, Items: []GrantItem{{Account: acct, ID: id, Tokens: 5}}}
 	for _, eff := range r.Step(crevent.Received{Now: at, From: "x", Msg: msg}) {
 		switch eff := eff.(type) {
@@ -108,38 +108,38 @@
 // for void too soon, they would be spent twice should the Grant arrive after all.
 func TestLostGrantBecomesRoomOnlyWhenVoid(t *testing.T) {
 	g := NewWithT(t)
-	x := minting(flaws{})
-	g.Expect(x.ask(ms(3000), 20).Tokens).To(Equal(20))
-	g.Expect(x.ask(ms(4990), 20).Tokens).To(BeZero())
+	x := ownerWithLease(mutations{})
+	g.Expect(x.request(ms(3000), 20).Tokens).To(Equal(20))
+	g.Expect(x.request(ms(4990), 20).Tokens).To(BeZero())
 	x.Step(crevent.Tick{Now: ms(5075)})
-	g.Expect(x.ask(ms(5175), 20).Tokens).To(Equal(10))
+	g.Expect(x.request(ms(5175), 20).Tokens).To(Equal(10))
 }
 
 // Two clocks run apart by two percent, the owner's fast and the entry's slow.
 // Without an allowance the owner mints while the entry can still spend.
 func TestVoidAllowsForDrift(t *testing.T) {
 	g := NewWithT(t)
-	late := func(f flaws) int {
-		x := minting(f)
-		g.Expect(x.ask(ms(3000), 20).Tokens).To(Equal(20))
+	late := func(f mutations) int {
+		x := ownerWithLease(f)
+		g.Expect(x.request(ms(3000), 20).Tokens).To(Equal(20))
 		x.Step(crevent.Tick{Now: ms(5000)})
-		return x.ask(ms(5040), 20).Tokens
+		return x.request(ms(5040), 20).Tokens
 	}
-	g.Expect(late(flaws{})).To(BeZero())
-	g.Expect(late(flaws{tightVoid: true})).To(BeNumerically(">", 0))
+	g.Expect(late(mutations{})).To(BeZero())
+	g.Expect(late(mutations{noClockMargin: true})).To(BeNumerically(">", 0))
 }
 
 // The network repeats a Grant, or delivers it after the tokens are void. Added
 // again, they would be spent twice, and the account exceeds its limit.
 func TestGrantCountsOnceAndInTime(t *testing.T) {
 	g := NewWithT(t)
-	e, seq := asker(g, ms(100))
-	deposits, _ := e.granted(ms(110), seq, 1)
+	e, seq := entryWithRequest(g, ms(100))
+	deposits, _ := e.receiveGrant(ms(110), seq, 1)
 	g.Expect(deposits).To(HaveLen(1))
 	g.Expect(deposits[0].VoidAt).To(Equal(ms(2100)), "void counts from the sending of the Ask")
-	deposits, _ = e.granted(ms(120), seq, 1)
+	deposits, _ = e.receiveGrant(ms(120), seq, 1)
 	g.Expect(deposits).To(BeEmpty())
-	deposits, reports := e.granted(ms(2100), seq, 2)
+	deposits, reports := e.receiveGrant(ms(2100), seq, 2)
 	g.Expect(deposits).To(BeEmpty())
 	g.Expect(reports).To(ContainElement(EventLateGrant))
 }
@@ -148,12 +148,12 @@
 // not take what was meant for the old one, nor an answer to no Ask of its own.
 func TestRestartedEntryRefusesOldGrants(t *testing.T) {
 	g := NewWithT(t)
-	e, seq := asker(g, ms(100))
+	e, seq := entryWithRequest(g, ms(100))
 	e.inc = 6
-	deposits, _ := e.granted(ms(110), seq, 1)
+	deposits, _ := e.receiveGrant(ms(110), seq, 1)
 	g.Expect(deposits).To(BeEmpty())
 	e.inc = 5
-	deposits, _ = e.granted(ms(110), seq+1, 1)
+	deposits, _ = e.receiveGrant(ms(110), seq+1, 1)
 	g.Expect(deposits).To(BeEmpty())
 }
 
@@ -161,20 +161,20 @@
 // the owner would believe in room that is not there.
 func TestReportsAreIdempotent(t *testing.T) {
 	g := NewWithT(t)
-	x := minting(flaws{})
-	item := x.ask(ms(3000), 20)
-	x.ask(ms(3000), 0, spent(item, 10))
-	x.ask(ms(3000), 0, spent(item, 10))
-	x.ask(ms(3000), 0, spent(item, 4))
+	x := ownerWithLease(mutations{})
+	item := x.request(ms(3000), 20)
+	x.request(ms(3000), 0, spentUsage(item, 10))
+	x.request(ms(3000), 0, spentUsage(item, 10))
+	x.request(ms(3000), 0, spentUsage(item, 4))
 	x.Step(crevent.Tick{Now: ms(4000)})
-	g.Expect(x.ask(ms(4000), 20).Tokens).To(Equal(10))
+	g.Expect(x.request(ms(4000), 20).Tokens).To(Equal(10))
 }
 
 // An entry is frozen for minutes and resumes. Its tokens have been minted anew
 // in the meantime, so it must not spend them.
 func TestPausedEntrySpendsNothingVoid(t *testing.T) {
 	g := NewWithT(t)
-	w := holding(3, ms(2000))
+	w := poolWith(3, ms(2000))
 	g.Expect(w.Take(acct, ms(1999)).Outcome).To(Equal(Admitted))
 	g.Expect(w.Take(acct, ms(2000)).Outcome).To(Equal(Cold))
 	usage := w.Drain(ms(2000))
@@ -185,38 +185,38 @@
 // come on top of those of the daemon that took over.
 func TestPausedOwnerMintsNothing(t *testing.T) {
 	g := NewWithT(t)
-	x := newRig("x", flaws{})
-	x.tenured(1, 0, 5000, "x")
-	item := x.ask(ms(4990), 20)
+	x := newTestState("x", mutations{})
+	x.giveLease(1, 0, 5000, "x")
+	item := x.request(ms(4990), 20)
 	g.Expect(item.Tokens).To(Equal(20))
-	g.Expect(x.ask(ms(60000), 20).Tokens).To(BeZero(), "woken without tenure")
-	x.tenured(1, 60001, 70000, "x")
-	g.Expect(x.ask(ms(60002), 20).Tokens).To(BeZero(), "renewed, as empty as a new owner")
-	g.Expect(x.ask(ms(62300), 20).Tokens).To(BeNumerically(">", 0))
+	g.Expect(x.request(ms(60000), 20).Tokens).To(BeZero(), "woken without tenure")
+	x.giveLease(1, 60001, 70000, "x")
+	g.Expect(x.request(ms(60002), 20).Tokens).To(BeZero(), "renewed, as empty as a new owner")
+	g.Expect(x.request(ms(62300), 20).Tokens).To(BeNumerically(">", 0))
 }
 
 // The list changes and another daemon owns the share. What its predecessor
 // granted can be spent for a while; tokens minted beside that are too many.
 func TestSuccessorWaitsForThePredecessorsGrants(t *testing.T) {
 	g := NewWithT(t)
-	y := newRig("y", flaws{})
-	y.tenured(2, 10000, 60000, "y")
-	g.Expect(y.ask(ms(12070), 20).Tokens).To(BeZero())
-	g.Expect(y.ask(ms(12120), 20).Tokens).To(Equal(5))
+	y := newTestState("y", mutations{})
+	y.giveLease(2, 10000, 60000, "y")
+	g.Expect(y.request(ms(12070), 20).Tokens).To(BeZero())
+	g.Expect(y.request(ms(12120), 20).Tokens).To(Equal(5))
 }
 
 // A list change leaves a daemon without tenure for a second. It is still the
 // share's owner, and an account at rest keeps its burst.
 func TestOwnerKeepsItsBalanceOverAShortGap(t *testing.T) {
 	g := NewWithT(t)
-	x := newRig("x", flaws{})
-	x.tenured(1, 0, 5000, "x")
-	x.tenured(2, 6000, 60000, "x")
-	g.Expect(x.ask(ms(6001), 20).Tokens).To(Equal(20))
+	x := newTestState("x", mutations{})
+	x.giveLease(1, 0, 5000, "x")
+	x.giveLease(2, 6000, 60000, "x")
+	g.Expect(x.request(ms(6001), 20).Tokens).To(Equal(20))
 }
 
-// bridged tells a reducer of a handover from list 1 to list 2.
-func (r *rig) bridged(from, until int, first, second crid.Daemon) {
+// handOver tells a reducer of a handover from list 1 to list 2.
+func (r *testState) handOver(from, until int, first, second crid.Daemon) {
 	over := []crmember.Membership{{Rev: 1, Members: []crid.Daemon{first}}, {Rev: 2, Members: []crid.Daemon{second}}}
 	for at := from; at < until; at += 500 {
 		r.Step(crmember.Tenure{Now: ms(at), Bridge: ms(at + 600), Over: over})
@@ -227,29 +227,29 @@
 // owners stop meanwhile, every account would be refused for seconds.
 func TestOwnerGoesOnThroughAHandover(t *testing.T) {
 	g := NewWithT(t)
-	x := newRig("x", flaws{})
-	x.tenured(1, 0, 5000, "x")
-	x.bridged(5000, 9000, "x", "x")
-	g.Expect(x.ask(ms(9000), 20).Tokens).To(Equal(20))
-	x = newRig("x", flaws{})
-	x.tenured(1, 0, 5000, "x")
-	x.bridged(5000, 9000, "x", "y")
-	g.Expect(x.ask(ms(9000), 20).Tokens).To(BeZero(), "the newest list gives the share to another")
+	x := newTestState("x", mutations{})
+	x.giveLease(1, 0, 5000, "x")
+	x.handOver(5000, 9000, "x", "x")
+	g.Expect(x.request(ms(9000), 20).Tokens).To(Equal(20))
+	x = newTestState("x", mutations{})
+	x.giveLease(1, 0, 5000, "x")
+	x.handOver(5000, 9000, "x", "y")
+	g.Expect(x.request(ms(9000), 20).Tokens).To(BeZero(), "the newest list gives the share to another")
 }
 
 // A handover takes long, and the former owner goes on in it. Did the next one
 // count that time as its own, it would mint beside tokens that are still out.
 func TestHandoverGivesNothingToANewOwner(t *testing.T) {
 	g := NewWithT(t)
-	tokens := func(f flaws) int {
-		y := newRig("y", f)
-		y.tenured(1, 0, 5000, "x")
-		y.bridged(5000, 15000, "x", "y")
-		y.tenured(2, 15000, 60000, "y")
-		return y.ask(ms(15010), 20).Tokens
+	tokens := func(f mutations) int {
+		y := newTestState("y", f)
+		y.giveLease(1, 0, 5000, "x")
+		y.handOver(5000, 15000, "x", "y")
+		y.giveLease(2, 15000, 60000, "y")
+		return y.request(ms(15010), 20).Tokens
 	}
-	g.Expect(tokens(flaws{})).To(BeZero())
-	g.Expect(tokens(flaws{bridgeAll: true})).To(Equal(20))
+	g.Expect(tokens(mutations{})).To(BeZero())
+	g.Expect(tokens(mutations{countHandovers: true})).To(Equal(20))
 }
 
 // The list flaps and two daemons swap a share, and swap it again, within two
@@ -257,51 +257,51 @@
 // both would fill the same bucket.
 func TestQuickSwapsMakeNoSecondOwner(t *testing.T) {
 	g := NewWithT(t)
-	tokens := func(f flaws) int {
-		x, y := newRig("x", f), newRig("y", f)
-		y.tenured(1, 0, 5000, "y")
-		x.tenured(2, 5000, 6300, "x")
-		y.tenured(3, 6300, 6400, "y")
-		n := y.ask(ms(6390), 20).Tokens
-		x.tenured(4, 6400, 60000, "x")
-		return n + x.ask(ms(7400), 20).Tokens
+	tokens := func(f mutations) int {
+		x, y := newTestState("x", f), newTestState("y", f)
+		y.giveLease(1, 0, 5000, "y")
+		x.giveLease(2, 5000, 6300, "x")
+		y.giveLease(3, 6300, 6400, "y")
+		n := y.request(ms(6390), 20).Tokens
+		x.giveLease(4, 6400, 60000, "x")
+		return n + x.request(ms(7400), 20).Tokens
 	}
-	g.Expect(tokens(flaws{})).To(Equal(20))
-	g.Expect(tokens(flaws{shortEpochs: true})).To(BeNumerically(">", 25))
+	g.Expect(tokens(mutations{})).To(Equal(20))
+	g.Expect(tokens(mutations{countShortEpochs: true})).To(BeNumerically(">", 25))
 }
 
 // An owner is replaced by a process of the same name. Reports on the old one's
 // grants must not make room in the new one's bucket.
 func TestRestartedOwnerIgnoresOldReports(t *testing.T) {
 	g := NewWithT(t)
-	x := minting(flaws{})
-	item := x.ask(ms(3000), 20)
-	old := spent(item, 20)
+	x := ownerWithLease(mutations{})
+	item := x.request(ms(3000), 20)
+	old := spentUsage(item, 20)
 	old.Inc = 4
-	x.ask(ms(3000), 0, old)
-	g.Expect(x.ask(ms(4000), 20).Tokens).To(BeZero())
+	x.request(ms(3000), 0, old)
+	g.Expect(x.request(ms(4000), 20).Tokens).To(BeZero())
 }
 
 // Operators lower an account's limit. What is above it is gone at once; a
 // raised limit fills at its rate and gives no sudden burst.
 func TestChangedLimitShrinksAtOnceAndGrowsAtRate(t *testing.T) {
 	g := NewWithT(t)
-	x := minting(flaws{})
-	x.ask(ms(3000), 1)
-	x.Step(crconfig.InForce{Now: ms(3001), Snapshot: limitOf(10, 12)})
-	g.Expect(x.ask(ms(3002), 20).Tokens).To(Equal(11), "one is outstanding")
+	x := ownerWithLease(mutations{})
+	x.request(ms(3000), 1)
+	x.Step(crconfig.InForce{Now: ms(3001), Snapshot: limitSnapshot(10, 12)})
+	g.Expect(x.request(ms(3002), 20).Tokens).To(Equal(11), "one is outstanding")
 	x.Step(crevent.Tick{Now: ms(5100)})
-	x.Step(crconfig.InForce{Now: ms(9000), Snapshot: limitOf(10, 15)})
-	g.Expect(x.ask(ms(9001), 20).Tokens).To(Equal(12))
+	x.Step(crconfig.InForce{Now: ms(9000), Snapshot: limitSnapshot(10, 15)})
+	g.Expect(x.request(ms(9001), 20).Tokens).To(Equal(12))
 }
 
 // A daemon is asked to stop while it holds tokens. It hands them back, so that
 // callers elsewhere have them.
 func TestStoppingHandsBack(t *testing.T) {
 	g := NewWithT(t)
-	e, seq := asker(g, ms(100))
+	e, seq := entryWithRequest(g, ms(100))
 	w := NewWallet()
-	deposits, _ := e.granted(ms(110), seq, 1)
+	deposits, _ := e.receiveGrant(ms(110), seq, 1)
 	w.Deposit(deposits[0])
 	for _, eff := range e.Step(crevent.Stopping{Now: ms(120)}) {
 		if eff, ok := eff.(Withdraw); ok {
@@ -351,7 +351,7 @@
 // Many requests race for the last tokens of a wallet; each token admits one.
 func TestWalletSpendsEachTokenOnce(t *testing.T) {
 	g := NewWithT(t)
-	w := holding(1000, ms(1000))
+	w := poolWith(1000, ms(1000))
 	var admitted atomic.Int64
 	var wg sync.WaitGroup
 	for range 16 {
@@ -390,7 +390,7 @@
 // it then takes is void, and admitting it would exceed the account's limit.
 func TestPauseInsideAdmitRefuses(t *testing.T) {
 	g := NewWithT(t)
-	w := holding(1, ms(1000))
+	w := poolWith(1, ms(1000))
 	readings := []crid.Instant{1, ms(3600_000)}
 	clock := func() crid.Instant {
 		now := readings[0]
@@ -411,8 +411,8 @@
 	owned, moved := map[crid.Daemon]int{}, 0
 	for i := range 1000 {
 		name := crid.Account(fmt.Sprintf("account%d", i))
-		before := shareOwners(name, newRoster(members), 4)
-		after := shareOwners(name, newRoster(members[1:]), 4)
+		before := shareOwners(name, newMemberSet(members), 4)
+		after := shareOwners(name, newMemberSet(members[1:]), 4)
 		for share, d := range before {
 			owned[d]++
 			if d != members[0] && after[share] != d {
--- a/core/craccount/asking_test.go
+++ b/core/craccount/asking_test.go
@@ -17,18 +17,18 @@
 func TestLittleIsHeldAheadWhileOthersWait(t *testing.T) {
 	for _, rivals := range []bool{false, true} {
 		g := NewWithT(t)
-		e, seq := asker(g, ms(10))
-		e.snap = limitOf(100, 200)
+		e, seq := entryWithRequest(g, ms(10))
+		e.snap = limitSnapshot(100, 200)
 		a := e.entry.accounts[acct]
 		a.demand = 100
-		g.Expect(e.target(a)).To(Equal(30))
+		g.Expect(e.targetTokens(a)).To(Equal(30))
 		item := GrantItem{Account: acct, ID: 1, Tokens: 1, Short: true, Rivals: rivals}
-		e.takeGrant("x", Grant{Inc: 9, To: 5, Seq: seq, Items: []GrantItem{item}})
+		e.handleGrant("x", Grant{Inc: 9, To: 5, Seq: seq, Items: []GrantItem{item}})
 		if rivals {
-			g.Expect(e.target(a)).To(Equal(5))
-			e.advance(e.now.Add(scarceFor + time.Millisecond))
+			g.Expect(e.targetTokens(a)).To(Equal(5))
+			e.advance(e.now.Add(contendedTime + time.Millisecond))
 		}
-		g.Expect(e.target(a)).To(Equal(30))
+		g.Expect(e.targetTokens(a)).To(Equal(30))
 	}
 }
 
@@ -37,10 +37,10 @@
 // owner is lost or callers surge. One not heard of for long may be full again.
 func TestTheFullestOwnerIsAskedFirst(t *testing.T) {
 	g := NewWithT(t)
-	e := newRig("e", flaws{})
+	e := newTestState("e", mutations{})
 	e.now = ms(10000)
-	sources := []source{{left: 3, leftAt: ms(9900)}, {left: 8, leftAt: ms(9990)}, {leftAt: ms(9000)}}
-	a := &account{name: acct, rotate: 1, sources: sources}
+	sources := []source{{remaining: 3, remainingAt: ms(9900)}, {remaining: 8, remainingAt: ms(9990)}, {remainingAt: ms(9000)}}
+	a := &account{name: acct, nextSource: 1, sources: sources}
 	g.Expect(e.fullestFirst(a, []int{0, 1, 2})).To(Equal([]int{2, 1, 0}))
 	g.Expect(e.fullestFirst(a, []int{0, 1})).To(Equal([]int{1, 0}))
 }
@@ -51,14 +51,14 @@
 // would be lost with it.
 func TestAStoppingEntryStillServesWhoComes(t *testing.T) {
 	g := NewWithT(t)
-	e, _ := asker(g, ms(100))
+	e, _ := entryWithRequest(g, ms(100))
 	e.Step(crevent.Stopping{Now: ms(120)})
-	e.entry.accounts[acct].sources[0].want = 0
-	e.entry.accounts[acct].cold = 0 // who asked before has given up
+	e.entry.accounts[acct].sources[0].requested = 0
+	e.entry.accounts[acct].coldRequests = 0 // who asked before has given up
 	effects := e.Step(Used{Now: ms(130), Usage: []Usage{{Account: acct, Cold: 2}}})
 	items := []AskItem{{Account: acct, Want: 2}}
 	g.Expect(effects).To(ContainElement(crevent.Send{To: "x", Msg: Ask{Inc: 5, Seq: 2, Items: items}}))
-	deposits, _ := e.granted(ms(131), 2, 7)
+	deposits, _ := e.receiveGrant(ms(131), 2, 7)
 	g.Expect(deposits).To(HaveLen(1))
 }
 
@@ -67,17 +67,17 @@
 // if it did not grant while it can, and entries did not ask once more in time.
 func TestEntriesStockUpFromALeavingOwner(t *testing.T) {
 	g := NewWithT(t)
-	o := minting(flaws{})
+	o := ownerWithLease(mutations{})
 	o.Step(crevent.Stopping{Now: ms(4000)})
-	g.Expect(o.ask(ms(4001), 5).Tokens).To(Equal(5))
+	g.Expect(o.request(ms(4001), 5).Tokens).To(Equal(5))
 
-	e, seq := asker(g, ms(4000))
-	e.granted(ms(4001), seq, 1)
+	e, seq := entryWithRequest(g, ms(4000))
+	e.receiveGrant(ms(4001), seq, 1)
 	a := e.entry.accounts[acct]
 	a.demand = 6
 	leaving := []crmember.Peer{{Daemon: "x", Reachable: true, Leaving: true}}
 	asked := crevent.Send{To: "x", Msg: Ask{Inc: 5, Seq: 2, Items: []AskItem{{Account: acct, Want: 12, Keep: true}}}}
 	g.Expect(e.Step(crmember.Peers{Now: ms(4002), Peers: leaving})).To(ContainElement(asked))
-	a.sources[0].want = 0
+	a.sources[0].requested = 0
 	g.Expect(e.Step(crmember.Peers{Now: ms(4003), Peers: leaving})).To(BeEmpty(), "once only")
 }
--- a/core/craccount/bench_test.go
+++ b/core/craccount/bench_test.go
@@ -18,7 +18,7 @@
 			names := make([]crid.Account, accounts)
 			for i := range names {
 				names[i] = crid.Account(fmt.Sprintf("account%d", i))
-				w.Deposit(Deposit{Account: names[i], Key: GrantKey{ID: 1}, Tokens: math.MaxInt, VoidAt: voidNever})
+				w.Deposit(Deposit{Account: names[i], Key: GrantKey{ID: 1}, Tokens: math.MaxInt, VoidAt: neverExpires})
 			}
 			b.ReportAllocs()
 			b.RunParallel(func(pb *testing.PB) {
@@ -44,15 +44,15 @@
 	for b.Loop() {
 		before := heapInUse()
 		s, w := New(DefaultParams()), NewWallet()
-		s.entry.sent[1] = sentAsk{to: "x", at: 1}
+		s.entry.sent[1] = sentRequest{to: "x", at: 1}
 		s.now = 2
 		for i := range accounts {
 			name := crid.Account(fmt.Sprintf("account%05d", i))
-			a := s.open(name)
-			a.sources, a.sourcesOK = make([]source, s.params.Shares), true
+			a := s.openAccount(name)
+			a.sources, a.sourcesValid = make([]source, s.params.Shares), true
 			for share := range s.params.Shares {
 				item := GrantItem{Account: name, Share: share, ID: uint64(i*s.params.Shares + share), Tokens: 1}
-				s.takeGrant("x", Grant{To: s.inc, Seq: 1, Items: []GrantItem{item}})
+				s.handleGrant("x", Grant{To: s.inc, Seq: 1, Items: []GrantItem{item}})
 			}
 			for _, eff := range s.flush() {
 				if d, ok := eff.(Deposit); ok {
@@ -93,7 +93,7 @@
 			members[i] = crid.Daemon(fmt.Sprintf("daemon-%04d", i))
 		}
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			r := newRoster(members)
+			r := newMemberSet(members)
 			for b.Loop() {
 				shareOwners("account", r, 4)
 			}
--- a/core/craccount/bridge.go
+++ b/core/craccount/bridge.go
@@ -7,30 +7,30 @@
 	"camphorroad/core/crmember"
 )
 
-// takeBridge goes on during a handover with the shares that every list of it
+// handleHandover goes on during a handover with the shares that every list of it
 // gives to this daemon. Whichever of those lists is the active one somewhere,
 // no other daemon mints these shares; the others of its shares it drops.
 //
 // Without it each change of the list would stop all minting until the handover
 // is done, and every account would be refused once its entries' tokens are
 // spent, though most shares stay where they are.
-func (s *State) takeBridge(ev crmember.Tenure, kept bool) {
+func (s *State) handleHandover(ev crmember.Tenure, kept bool) {
 	if !kept || len(s.owner.epochs) == 0 || !s.now.Before(ev.Bridge) {
-		s.tenure.Until = 0
-		s.noteLapse()
+		s.lease.Until = 0
+		s.reportLeaseLost()
 		return
 	}
-	s.tenure.Until = ev.Bridge
-	s.owner.heldTo = s.now
+	s.lease.Until = ev.Bridge
+	s.owner.leaseHeldUntil = s.now
 	changed := false
 	for _, m := range ev.Over {
 		if !s.hasEpoch(m.Rev) {
-			s.addEpoch(epoch{rev: m.Rev, members: newRoster(m.Members), start: s.owner.clock, bridged: true})
+			s.addEpoch(epoch{rev: m.Rev, members: newMemberSet(m.Members), start: s.owner.refillClock, handover: true})
 			changed = true
 		}
 	}
 	if changed {
-		s.dropLost()
+		s.dropUnowned()
 	}
 }
 
--- a/core/craccount/chaos_test.go
+++ b/core/craccount/chaos_test.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// greed sends bursts of requests everywhere, with pauses in which entries
+// sendBurst sends bursts of requests everywhere, with pauses in which entries
 // gather tokens: the worst that callers can do to the bound.
-func (w *testNet) greed(burst int) {
+func (w *testNet) sendBurst(burst int) {
 	for range burst {
 		nd := w.nodes[w.rng.IntN(len(w.nodes))]
 		for _, a := range chaosAccounts() {
@@ -32,9 +32,9 @@
 	}
 }
 
-// hoard has callers ask and give up at once, so that the entry is left with
+// takeAndGiveUp has callers ask and give up at once, so that the entry is left with
 // tokens that nobody spends for now.
-func (w *testNet) hoard(nd *node, callers int) {
+func (w *testNet) takeAndGiveUp(nd *node, callers int) {
 	if nd.dead || w.now < nd.paused {
 		return
 	}
@@ -49,18 +49,18 @@
 	w.step(nd, Used{Now: now, Usage: nd.wallet.Drain(now)})
 }
 
-// steady keeps the entries' demand up, so that they hold tokens ahead.
-func (w *testNet) steady(d time.Duration) {
+// runWithLoad keeps the entries' demand up, so that they hold tokens ahead.
+func (w *testNet) runWithLoad(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.run(20 * time.Millisecond)
-		w.greed(1)
+		w.sendBurst(1)
 	}
 }
 
 func (w *testNet) pause(nd *node, d time.Duration) { nd.paused = max(nd.paused, w.now+d) }
 
-// relist has a list with one or two daemons missing become active.
-func (w *testNet) relist(skip int) {
+// changeList has a list with one or two daemons missing become active.
+func (w *testNet) changeList(skip int) {
 	var list []crid.Daemon
 	for i, nd := range w.nodes {
 		if i != skip {
@@ -68,19 +68,19 @@
 		}
 	}
 	takes := []time.Duration{0, 0, time.Second, 6 * time.Second}
-	w.relistTo(list, takes[w.rng.IntN(len(takes))])
+	w.beginHandover(list, takes[w.rng.IntN(len(takes))])
 }
 
-func (w *testNet) worst() float64 {
+func (w *testNet) maxExcess() float64 {
 	worst := 0.0
 	for _, o := range w.oracles {
-		worst = max(worst, o.worst)
+		worst = max(worst, o.maxExcess)
 	}
 	return worst
 }
 
-// disturb does one random mischief.
-func (w *testNet) disturb() {
+// injectFault does one random mischief.
+func (w *testNet) injectFault() {
 	nd := w.nodes[w.rng.IntN(len(w.nodes))]
 	switch w.rng.IntN(8) {
 	case 0:
@@ -88,34 +88,34 @@
 	case 1:
 		w.start(nd)
 	case 2:
-		w.at(time.Duration(w.rng.Int64N(int64(2*time.Second))), func() { w.relist(w.rng.IntN(len(w.nodes) + 1)) })
-		w.relist(w.rng.IntN(len(w.nodes) + 1))
+		w.at(time.Duration(w.rng.Int64N(int64(2*time.Second))), func() { w.changeList(w.rng.IntN(len(w.nodes) + 1)) })
+		w.changeList(w.rng.IntN(len(w.nodes) + 1))
 	case 3:
-		w.loss, w.dup, w.late = w.rng.Float64()*0.2, w.rng.Float64()*0.5, w.rng.Float64()*0.3
+		w.lossRate, w.dupRate, w.lateRate = w.rng.Float64()*0.2, w.rng.Float64()*0.5, w.rng.Float64()*0.3
 	case 4:
-		w.loss, w.dup, w.late = 0, 0, 0
+		w.lossRate, w.dupRate, w.lateRate = 0, 0, 0
 	case 5:
-		w.hoard(nd, 80)
+		w.takeAndGiveUp(nd, 80)
 	default:
-		w.greed(200)
+		w.sendBurst(200)
 	}
 }
 
-// chaos returns by how many tokens the bound was broken in one seeded run.
-func chaos(seed uint64, flaws flaws) float64 {
+// runChaos returns by how many tokens the bound was broken in one seeded run.
+func runChaos(seed uint64, mutations mutations) float64 {
 	const steps = 60
 	params := DefaultParams()
-	params.flaws = flaws
+	params.mutations = mutations
 	w := newNet(seed, 5, params, chaosAccounts()...)
-	for step := 0; step < steps && w.worst() < 0.5; step++ {
+	for step := 0; step < steps && w.maxExcess() < 0.5; step++ {
 		d := time.Duration(w.rng.Int64N(int64(1500 * time.Millisecond)))
 		if w.rng.IntN(4) == 0 {
-			w.steady(d)
+			w.runWithLoad(d)
 		}
 		w.run(d)
-		w.disturb()
+		w.injectFault()
 	}
-	return w.worst()
+	return w.maxExcess()
 }
 
 // Daemons pause, restart and are listed away while messages are lost, repeated
@@ -126,7 +126,7 @@
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			NewWithT(t).Expect(chaos(seed, flaws{})).To(BeZero())
+			NewWithT(t).Expect(runChaos(seed, mutations{})).To(BeZero())
 		})
 	}
 }
@@ -135,16 +135,16 @@
 // the same runs admit more than burst + rate*w.
 func TestEachGuardMatters(t *testing.T) {
 	for name, broken := range map[string]struct {
-		flaws flaws
-		seed  uint64 // the first that is known to show it
+		mutations mutations
+		seed      uint64 // the first that is known to show it
 	}{
-		"tokens never void":             {flaws{neverVoid: true}, 1},
-		"void counted from arrival":     {flaws{voidFromArrival: true}, 5},
-		"grants not deduplicated":       {flaws{noDedup: true}, 17},
-		"successor mints at once":       {flaws{noPhantom: true}, 5},
-		"time without tenure is minted": {flaws{mintAsleep: true}, 9},
-		"room is made before minting":   {flaws{settleFirst: true}, 2},
-		"room is made before the spend": {flaws{creditEarly: true}, 0},
+		"tokens never void":             {mutations{neverExpire: true}, 1},
+		"void counted from arrival":     {mutations{expireFromArrival: true}, 5},
+		"grants not deduplicated":       {mutations{noDedup: true}, 17},
+		"successor mints at once":       {mutations{noTakeoverDelay: true}, 5},
+		"time without tenure is minted": {mutations{refillWithoutLease: true}, 9},
+		"room is made before minting":   {mutations{applyUsageFirst: true}, 2},
+		"room is made before the spend": {mutations{creditWholeLifetime: true}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -152,7 +152,7 @@
 			worst := 0.0
 			seed := broken.seed
 			for ; seed < 60 && worst < 0.5; seed++ {
-				worst = chaos(seed, broken.flaws)
+				worst = runChaos(seed, broken.mutations)
 			}
 			t.Logf("seed %d: over the bound by %.1f tokens", seed-1, worst)
 			g.Expect(worst).To(BeNumerically(">=", 0.5))
@@ -170,21 +170,21 @@
 			return time.Duration(rapid.IntRange(1, most).Draw(t, "ms")) * time.Millisecond
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"run":     func(t *rapid.T) { w.steady(millis(t, 1500)) },
+			"run":     func(t *rapid.T) { w.runWithLoad(millis(t, 1500)) },
 			"idle":    func(t *rapid.T) { w.run(millis(t, 3000)) },
-			"hoard":   func(t *rapid.T) { w.hoard(pick(t), 80) },
-			"burst":   func(*rapid.T) { w.greed(150) },
+			"hoard":   func(t *rapid.T) { w.takeAndGiveUp(pick(t), 80) },
+			"burst":   func(*rapid.T) { w.sendBurst(150) },
 			"pause":   func(t *rapid.T) { w.pause(pick(t), millis(t, 5000)) },
 			"restart": func(t *rapid.T) { w.start(pick(t)) },
-			"relist":  func(t *rapid.T) { w.relist(rapid.IntRange(0, len(w.nodes)).Draw(t, "without")) },
+			"relist":  func(t *rapid.T) { w.changeList(rapid.IntRange(0, len(w.nodes)).Draw(t, "without")) },
 			"faults": func(t *rapid.T) {
-				w.loss = rapid.Float64Range(0, 0.4).Draw(t, "loss")
-				w.dup = rapid.Float64Range(0, 0.6).Draw(t, "dup")
-				w.late = rapid.Float64Range(0, 0.4).Draw(t, "late")
+				w.lossRate = rapid.Float64Range(0, 0.4).Draw(t, "loss")
+				w.dupRate = rapid.Float64Range(0, 0.6).Draw(t, "dup")
+				w.lateRate = rapid.Float64Range(0, 0.4).Draw(t, "late")
 			},
 			"": func(t *rapid.T) {
-				if w.worst() > 0 {
-					t.Fatalf("bound broken by %.2f tokens", w.worst())
+				if w.maxExcess() > 0 {
+					t.Fatalf("bound broken by %.2f tokens", w.maxExcess())
 				}
 			},
 		})
@@ -218,12 +218,12 @@
 					})
 				}
 				for range 6 {
-					w.hoard(w.nodes[w.rng.IntN(5)], 40)
+					w.takeAndGiveUp(w.nodes[w.rng.IntN(5)], 40)
 					w.run(time.Duration(w.rng.Int64N(int64(1500 * time.Millisecond))))
-					w.greed(150)
+					w.sendBurst(150)
 				}
 			}
-			g.Expect(bound.worst).To(BeZero())
+			g.Expect(bound.maxExcess).To(BeZero())
 		})
 	}
 }
--- a/core/craccount/config.go
+++ b/core/craccount/config.go
@@ -2,25 +2,25 @@
 
 import "camphorroad/core/crpolicy"
 
-// takeConfig applies changed limits. A share whose number per account changes
+// handleConfig applies changed limits. A share whose number per account changes
 // starts anew, and waits for the grants of the former ones to be void.
-func (s *State) takeConfig(snap *crpolicy.Snapshot) {
+func (s *State) handleConfig(snap *crpolicy.Snapshot) {
 	old := s.snap
 	s.snap = snap
-	s.entry.reroute()
+	s.entry.invalidateSources()
 	if old == nil || snap == nil {
 		return
 	}
-	members := len(s.minters().names)
+	members := len(s.activeMembers().names)
 	for _, a := range snap.AccountsSince(old) {
 		before, _ := old.Account(a.Name)
 		if before.Rate == a.Rate && before.Burst == a.Burst {
 			continue
 		}
-		s.owner.since[a.Name] = s.owner.clock
+		s.owner.limitChangedAt[a.Name] = s.owner.refillClock
 		same := s.params.shareCount(members, before) == s.params.shareCount(members, a)
 		if !same || before.Burst < 1 {
-			s.owner.since[a.Name] += s.params.ownerLifetime()
+			s.owner.limitChangedAt[a.Name] += s.params.ownerLifetime()
 		}
 	}
 	for key, sh := range s.owner.shares {
@@ -30,12 +30,12 @@
 }
 
 func (s *State) resize(key shareKey, sh *share, before, after crpolicy.Account) {
-	members := len(s.minters().names)
+	members := len(s.activeMembers().names)
 	count := s.params.shareCount(members, after)
 	if after.Burst < 1 || count != s.params.shareCount(members, before) {
 		delete(s.owner.shares, key)
 		return
 	}
-	sh.mint(s.owner.clock)
+	sh.refill(s.owner.refillClock)
 	sh.resize(after.Rate/float64(count), shareBurst(after.Burst, key.share, count))
 }
--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -56,22 +56,22 @@
 	IdleAfter  time.Duration // an account without requests is forgotten after this; default 30 s
 	MaxActive  int           // accounts in use at this daemon, at most; default 20000
 
-	flaws flaws
+	mutations mutations
 }
 
-// flaws switch single guards off, so that tests can show that each matters.
-type flaws struct {
-	neverVoid       bool
-	voidFromArrival bool
-	noDedup         bool
-	noPhantom       bool
-	mintAsleep      bool
-	shortEpochs     bool
-	settleFirst     bool
-	tightVoid       bool
-	bridgeAll       bool
-	creditEarly     bool
-	creditTwice     bool
+// mutations switch single guards off, so that tests can show that each matters.
+type mutations struct {
+	neverExpire         bool
+	expireFromArrival   bool
+	noDedup             bool
+	noTakeoverDelay     bool
+	refillWithoutLease  bool
+	countShortEpochs    bool
+	applyUsageFirst     bool
+	noClockMargin       bool
+	countHandovers      bool
+	creditWholeLifetime bool
+	creditTwice         bool
 }
 
 // DefaultParams returns the documented defaults.
@@ -97,7 +97,7 @@
 // the owner would mint into room whose tokens can still be spent, and a window
 // would see more than burst + rate*w.
 func (p Params) ownerLifetime() time.Duration {
-	if p.flaws.tightVoid {
+	if p.mutations.noClockMargin {
 		return p.Lifetime
 	}
 	return time.Duration(float64(p.Lifetime)*(1+p.Drift)) + p.Margin
@@ -105,30 +105,30 @@
 
 // State is the reducer of account tokens. It is not safe for concurrent use.
 type State struct {
-	params   Params
-	self     crid.Daemon
-	inc      crid.Incarnation
-	now      crid.Instant
-	snap     *crpolicy.Snapshot
-	tenure   crmember.Tenure // its Members are nil: see members
-	members  roster          // of the list last known
-	peers    map[crid.Daemon]crmember.Peer
-	reported map[int]crid.Instant
-	stopping bool
+	params     Params
+	self       crid.Daemon
+	inc        crid.Incarnation
+	now        crid.Instant
+	snap       *crpolicy.Snapshot
+	lease      crmember.Tenure // its Members are nil: see members
+	members    memberSet       // of the list last known
+	peers      map[crid.Daemon]crmember.Peer
+	reportedAt map[int]crid.Instant
+	stopping   bool
 
-	owner owner
-	entry entry
+	owner ownerRole
+	entry entryRole
 	out   outbox
 }
 
 // New returns a reducer that waits for [crevent.Started].
 func New(params Params) *State {
 	return &State{
-		params:   params,
-		peers:    map[crid.Daemon]crmember.Peer{},
-		reported: map[int]crid.Instant{},
-		owner:    newOwner(),
-		entry:    newEntry(),
+		params:     params,
+		peers:      map[crid.Daemon]crmember.Peer{},
+		reportedAt: map[int]crid.Instant{},
+		owner:      newOwnerRole(),
+		entry:      newEntryRole(),
 	}
 }
 
@@ -143,15 +143,15 @@
 		s.tickOwner()
 		s.tickEntry()
 	case crmember.Tenure:
-		s.takeTenure(ev)
+		s.handleLease(ev)
 	case crmember.Peers:
-		s.takePeers(ev)
+		s.handlePeers(ev)
 	case crconfig.InForce:
-		s.takeConfig(ev.Snapshot)
+		s.handleConfig(ev.Snapshot)
 	case crevent.Received:
 		s.receive(ev.From, ev.Msg)
 	case Used:
-		s.takeUsage(ev.Usage)
+		s.handleUsage(ev.Usage)
 	case crevent.Stopping:
 		s.stop()
 	}
@@ -161,16 +161,16 @@
 func (s *State) receive(from crid.Daemon, msg crevent.Message) {
 	switch msg := msg.(type) {
 	case Ask:
-		s.takeAsk(from, msg)
+		s.handleTokenRequest(from, msg)
 	case Grant:
-		s.takeGrant(from, msg)
+		s.handleGrant(from, msg)
 	case Return:
-		s.takeReturn(from, msg)
+		s.handleUsageReport(from, msg)
 	}
 }
 
-// askable reports whether asking d is worth a message.
-func (s *State) askable(d crid.Daemon) bool {
+// canRequestFrom reports whether asking d is worth a message.
+func (s *State) canRequestFrom(d crid.Daemon) bool {
 	if d == s.self {
 		return true
 	}
@@ -193,7 +193,7 @@
 func (s *State) stop() {
 	s.stopping = true
 	s.report(EventStopped, "accounts", itoa(len(s.entry.accounts)))
-	for _, name := range s.entry.names() {
+	for _, name := range s.entry.accountNames() {
 		s.emit(Withdraw{Account: name})
 	}
 }
--- a/core/craccount/dump.go
+++ b/core/craccount/dump.go
@@ -7,7 +7,7 @@
 
 // Dump returns a JSON-ready copy of the state; it holds no key.
 func (s *State) Dump() any {
-	d := Dump{Active: s.owner.active, Minting: s.hasTenure(), Stopping: s.stopping}
+	d := Dump{Active: s.owner.active, Minting: s.hasLease(), Stopping: s.stopping}
 	for key, sh := range s.owner.shares {
 		d.Shares = append(d.Shares, ShareDump{
 			Account:     key.account,
@@ -22,7 +22,7 @@
 	slices.SortFunc(d.Shares, func(a, b ShareDump) int {
 		return cmp.Or(cmp.Compare(a.Account, b.Account), cmp.Compare(a.Share, b.Share))
 	})
-	for _, name := range s.entry.order {
+	for _, name := range s.entry.accountOrder {
 		a := s.entry.accounts[name]
 		dump := AccountDump{Account: name, Demand: a.demand, Held: a.held}
 		for _, src := range a.sources {
--- a/core/craccount/election_test.go
+++ b/core/craccount/election_test.go
@@ -11,22 +11,22 @@
 	"camphorroad/core/crid"
 )
 
-// election picks the owner of an account's share from a list, with no message.
-type election func(account crid.Account, members []crid.Daemon) crid.Daemon
+// ownerFunc picks the owner of an account's share from a list, with no message.
+type ownerFunc func(account crid.Account, members []crid.Daemon) crid.Daemon
 
-var elections = map[string]election{
+var ownerFuncs = map[string]ownerFunc{
 	"first in the list": func(_ crid.Account, members []crid.Daemon) crid.Daemon { return members[0] },
 	"hash by position": func(account crid.Account, members []crid.Daemon) crid.Daemon {
 		return members[xxhash.Sum64String(string(account))%uint64(len(members))]
 	},
 	"rendezvous": func(account crid.Account, members []crid.Daemon) crid.Daemon {
-		return shareOwners(account, newRoster(members), 1)[0]
+		return shareOwners(account, newMemberSet(members), 1)[0]
 	},
 }
 
 // moved is the share of accounts whose owner differs between two lists, and the
 // largest part of them that one daemon owns under the first.
-func (e election) moved(accounts int, before, after []crid.Daemon) (moved, largest float64) {
+func (e ownerFunc) moved(accounts int, before, after []crid.Daemon) (moved, largest float64) {
 	owned := make(map[crid.Daemon]int)
 	changed := 0
 	for i := range accounts {
@@ -57,11 +57,11 @@
 	leaving := map[string]int{"the first": 0, "one in the middle": daemons / 2}
 	for where, i := range leaving {
 		after := slices.Delete(slices.Clone(before), i, i+1)
-		for name, e := range elections {
+		for name, e := range ownerFuncs {
 			moved, largest := e.moved(accounts, before, after)
 			t.Logf("%s leaves: by %s %.2f %% of shares move, the busiest daemon owns %.2f %%", where, name, 100*moved, 100*largest)
 		}
-		moved, largest := elections["rendezvous"].moved(accounts, before, after)
+		moved, largest := ownerFuncs["rendezvous"].moved(accounts, before, after)
 		g.Expect(moved).To(gomega.BeNumerically("<=", largest))
 		g.Expect(largest).To(gomega.BeNumerically("<", 5.0/daemons))
 	}
--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -12,112 +12,112 @@
 )
 
 const (
-	dryGap      = 50 * time.Millisecond  // between two notes that an account is exhausted
-	recallKeep  = 100 * time.Millisecond // demand kept when an owner recalls
-	floatFor    = 10 * time.Second       // one spare token is held this long after a request
-	aheadPart   = 0.25                   // of the burst, that all entries together hold ahead of demand
-	askChunk    = 8                      // tokens asked of one owner before the next is asked, too
-	refill      = 0.6                    // ask again when below this part of the target
-	scarceAhead = 50 * time.Millisecond  // demand that tokens are held for while the owners are short
-	scarceFor   = 500 * time.Millisecond // after an owner was short
-	maxRetry    = time.Minute
-	voidNever   = crid.Instant(math.MaxInt64)
-	warnDryGap  = 10 * time.Second // between two reports that an account is exhausted
-	minPlanning = 0.5              // tokens of demand ahead below which none are held
+	exhaustedInterval       = 50 * time.Millisecond  // between two notes that an account is exhausted
+	recallKeepTime          = 100 * time.Millisecond // demand kept when an owner recalls
+	spareTokenTime          = 10 * time.Second       // one spare token is held this long after a request
+	maxPrefetchFraction     = 0.25                   // of the burst, that all entries together hold ahead of demand
+	tokensPerOwner          = 8                      // tokens asked of one owner before the next is asked, too
+	lowWatermark            = 0.6                    // ask again when below this part of the target
+	contendedPrefetch       = 50 * time.Millisecond  // demand that tokens are held for while the owners are short
+	contendedTime           = 500 * time.Millisecond // after an owner was short
+	maxRetryAfter           = time.Minute
+	neverExpires            = crid.Instant(math.MaxInt64)
+	exhaustedReportInterval = 10 * time.Second // between two reports that an account is exhausted
+	minPrefetch             = 0.5              // tokens of demand ahead below which none are held
 )
 
 // source is what an entry knows of one share's owner.
 type source struct {
-	owner      crid.Daemon
-	askedAt    crid.Instant
-	left       int // tokens that the owner had left when it answered
-	leftAt     crid.Instant
-	want       int // asked for and not answered; zero: none
-	shortUntil crid.Instant
+	owner       crid.Daemon
+	requestedAt crid.Instant
+	remaining   int // tokens that the owner had left when it answered
+	remainingAt crid.Instant
+	requested   int // asked for and not answered; zero: none
+	shortUntil  crid.Instant
 }
 
 // account is an account in use at this daemon.
 type account struct {
-	name      crid.Account
-	demand    float64 // requests a second
-	recent    int     // requests since the last estimate
-	cold      int     // requests that wait for a first token
-	held      int     // tokens in the wallet
-	rotate    int
-	ratedAt   crid.Instant
-	usedAt    crid.Instant
-	dryAt     crid.Instant
-	warnedAt  crid.Instant
-	scarce    crid.Instant // an owner was short; little is held ahead until then
-	recalled  crid.Instant // asks for no float until then
-	sources   []source
-	sourcesOK bool
+	name           crid.Account
+	demand         float64 // requests a second
+	recentRequests int     // requests since the last estimate
+	coldRequests   int     // requests that wait for a first token
+	held           int     // tokens in the wallet
+	nextSource     int
+	demandAt       crid.Instant
+	usedAt         crid.Instant
+	exhaustedAt    crid.Instant
+	reportedAt     crid.Instant
+	contendedUntil crid.Instant // an owner was short; little is held ahead until then
+	noSpareUntil   crid.Instant // asks for no float until then
+	sources        []source
+	sourcesValid   bool
 }
 
 // pending is the number of tokens asked for and not answered.
 func (a *account) pending() int {
 	n := 0
 	for i := range a.sources {
-		n += a.sources[i].want
+		n += a.sources[i].requested
 	}
 	return n
 }
 
-type sentAsk struct {
+type sentRequest struct {
 	to crid.Daemon
 	at crid.Instant
 }
 
-// entry is the asking role of a daemon.
-type entry struct {
-	accounts map[crid.Account]*account
-	order    []crid.Account
-	lots     map[GrantKey]*lot
-	lotOrder []GrantKey
-	unsaid   []GrantKey
-	saidAt   crid.Instant
-	nextSeq  uint64
-	oldSeq   uint64
-	sent     map[uint64]sentAsk
+// entryRole is the asking role of a daemon.
+type entryRole struct {
+	accounts        map[crid.Account]*account
+	accountOrder    []crid.Account
+	grants          map[GrantKey]*heldGrant
+	grantOrder      []GrantKey
+	deferred        []GrantKey
+	usageReportedAt crid.Instant
+	nextSeq         uint64
+	oldestSeq       uint64
+	sent            map[uint64]sentRequest
 }
 
-func newEntry() entry {
-	return entry{
-		accounts: map[crid.Account]*account{},
-		lots:     map[GrantKey]*lot{},
-		sent:     map[uint64]sentAsk{},
-		nextSeq:  1,
-		oldSeq:   1,
+func newEntryRole() entryRole {
+	return entryRole{
+		accounts:  map[crid.Account]*account{},
+		grants:    map[GrantKey]*heldGrant{},
+		sent:      map[uint64]sentRequest{},
+		nextSeq:   1,
+		oldestSeq: 1,
 	}
 }
 
-func (e *entry) names() []crid.Account { return slices.Clone(e.order) }
+func (e *entryRole) accountNames() []crid.Account { return slices.Clone(e.accountOrder) }
 
-// reroute has the owners of all accounts found anew.
-func (e *entry) reroute() {
+// invalidateSources has the owners of all accounts found anew.
+func (e *entryRole) invalidateSources() {
 	for _, a := range e.accounts {
-		a.sourcesOK = false
+		a.sourcesValid = false
 	}
 }
 
-func (e *entry) sendSeq(to crid.Daemon, now crid.Instant) uint64 {
+func (e *entryRole) recordRequest(to crid.Daemon, now crid.Instant) uint64 {
 	seq := e.nextSeq
 	e.nextSeq++
-	e.sent[seq] = sentAsk{to: to, at: now}
+	e.sent[seq] = sentRequest{to: to, at: now}
 	return seq
 }
 
-// open returns an account's state, made when there is room for it.
-func (s *State) open(name crid.Account) *account {
+// openAccount returns an account's state, made when there is room for it.
+func (s *State) openAccount(name crid.Account) *account {
 	if a, ok := s.entry.accounts[name]; ok {
 		return a
 	}
-	if len(s.entry.order) >= s.params.MaxActive {
-		s.forgetOldest()
+	if len(s.entry.accountOrder) >= s.params.MaxActive {
+		s.forgetLeastRecent()
 	}
-	a := &account{name: name, ratedAt: s.now, usedAt: s.now, rotate: s.firstShare(name)}
+	a := &account{name: name, demandAt: s.now, usedAt: s.now, nextSource: s.firstShare(name)}
 	s.entry.accounts[name] = a
-	s.entry.order = append(s.entry.order, name)
+	s.entry.accountOrder = append(s.entry.accountOrder, name)
 	return a
 }
 
@@ -126,30 +126,30 @@
 	return int(xxhash.Sum64String(string(s.self)+string(name)) % uint64(max(1, s.params.Shares)))
 }
 
-func (s *State) forgetOldest() {
-	oldest := s.entry.order[0]
-	for _, name := range s.entry.order {
+func (s *State) forgetLeastRecent() {
+	oldest := s.entry.accountOrder[0]
+	for _, name := range s.entry.accountOrder {
 		if s.entry.accounts[name].usedAt.Before(s.entry.accounts[oldest].usedAt) {
 			oldest = name
 		}
 	}
-	s.reportSeldom(EventTooMany, "account", string(oldest))
-	s.forget(oldest)
+	s.reportLimited(EventTooMany, "account", string(oldest))
+	s.forgetAccount(oldest)
 }
 
-func (s *State) forget(name crid.Account) {
+func (s *State) forgetAccount(name crid.Account) {
 	delete(s.entry.accounts, name)
-	i := slices.Index(s.entry.order, name)
-	s.entry.order = slices.Delete(s.entry.order, i, i+1)
+	i := slices.Index(s.entry.accountOrder, name)
+	s.entry.accountOrder = slices.Delete(s.entry.accountOrder, i, i+1)
 	s.emit(Forget{Account: name})
 }
 
-// route finds the owners of an account's shares under the list last known.
-func (s *State) route(a *account) {
-	if a.sourcesOK {
+// resolveSources finds the owners of an account's shares under the list last known.
+func (s *State) resolveSources(a *account) {
+	if a.sourcesValid {
 		return
 	}
-	a.sourcesOK = true
+	a.sourcesValid = true
 	limit := s.limits(a.name)
 	count := s.params.shareCount(len(s.members.names), limit)
 	if len(s.members.names) == 0 || limit.Burst < 1 {
@@ -167,87 +167,87 @@
 	a.sources = sources
 }
 
-// takeUsage counts what requests did and asks for more where that is needed.
-func (s *State) takeUsage(usage []Usage) {
+// handleUsage counts what requests did and asks for more where that is needed.
+func (s *State) handleUsage(usage []Usage) {
 	var touched []*account
 	for _, u := range usage {
 		if u.Key != (GrantKey{}) {
-			s.takeLotUsage(u)
+			s.handleGrantUsage(u)
 		}
 		asked := u.Taken + u.Refused + u.Cold - u.Again
 		if asked == 0 {
 			continue
 		}
-		a := s.open(u.Account)
-		a.recent += asked
-		a.cold += u.Cold
+		a := s.openAccount(u.Account)
+		a.recentRequests += asked
+		a.coldRequests += u.Cold
 		a.usedAt = s.now
 		touched = append(touched, a)
 	}
 	for _, a := range touched {
-		s.plan(a)
+		s.requestMissing(a)
 	}
 }
 
-// ahead is the demand that an account holds tokens for. While the owners are
-// short, what one entry holds ahead another lacks for a request of this moment.
-func (s *State) ahead(a *account) time.Duration {
-	if s.now.Before(a.scarce) {
-		return min(scarceAhead, s.params.Ahead)
+// prefetchTime is the demand that an account holds tokens for. While the owners are
+// short, what one entry holds prefetchTime another lacks for a request of this moment.
+func (s *State) prefetchTime(a *account) time.Duration {
+	if s.now.Before(a.contendedUntil) {
+		return min(contendedPrefetch, s.params.Ahead)
 	}
 	return s.params.Ahead
 }
 
-// target is how many tokens an account should have at hand here.
-func (s *State) target(a *account) int {
+// targetTokens is how many tokens an account should have at hand here.
+func (s *State) targetTokens(a *account) int {
 	if s.stopping {
 		return 0
 	}
 	limit := s.limits(a.name)
-	ahead := a.demand * s.ahead(a).Seconds()
+	ahead := a.demand * s.prefetchTime(a).Seconds()
 	if limit.Rate > 0 {
-		ahead = min(ahead, a.demand*limit.Burst/limit.Rate*aheadPart)
+		ahead = min(ahead, a.demand*limit.Burst/limit.Rate*maxPrefetchFraction)
 	}
-	if ahead >= minPlanning {
+	if ahead >= minPrefetch {
 		return int(math.Min(math.Ceil(ahead), limit.Burst))
 	}
 	ample := limit.Burst >= 2*float64(len(s.members.names))
-	recent := s.now.Sub(a.usedAt) < floatFor
-	if ample && recent && !s.now.Before(a.recalled) {
+	recent := s.now.Sub(a.usedAt) < spareTokenTime
+	if ample && recent && !s.now.Before(a.noSpareUntil) {
 		return 1
 	}
 	return 0
 }
 
-// plan asks the owners for what is missing. An owner that was short is left
+// requestMissing asks the owners for what is missing. An owner that was short is left
 // out for a while: it remembers the Ask and sends tokens as it mints them.
-func (s *State) plan(a *account) {
-	s.route(a)
+func (s *State) requestMissing(a *account) {
+	s.resolveSources(a)
 	pending := a.pending()
 	var free []int
 	for i := range a.sources {
 		src := &a.sources[i]
-		if src.want == 0 && !s.now.Before(src.shortUntil) && s.askable(src.owner) {
+		if src.requested == 0 && !s.now.Before(src.shortUntil) && s.canRequestFrom(src.owner) {
 			free = append(free, i)
 		}
 	}
-	target := s.target(a)
+	target := s.targetTokens(a)
 	at := a.held + pending
-	need := target + a.cold - at
-	if need <= 0 || (a.cold == 0 && float64(at) >= refill*float64(target)) {
+	need := target + a.coldRequests - at
+	if need <= 0 || (a.coldRequests == 0 && float64(at) >= lowWatermark*float64(target)) {
 		return
 	}
 	if len(free) == 0 {
-		s.noteDry(a, pending)
+		s.noteExhausted(a, pending)
 		return
 	}
-	s.askOwners(a, free, need, target > 0)
+	s.requestFromOwners(a, free, need, target > 0)
 }
 
-// askOwners spreads an Ask over the free owners; a small one goes to a single
+// requestFromOwners spreads an Ask over the free owners; a small one goes to a single
 // owner, in turn.
-func (s *State) askOwners(a *account, free []int, need int, keep bool) {
-	asked := min(len(free), (need+askChunk-1)/askChunk)
+func (s *State) requestFromOwners(a *account, free []int, need int, keep bool) {
+	asked := min(len(free), (need+tokensPerOwner-1)/tokensPerOwner)
 	part, rest := need/asked, need%asked
 	order := s.fullestFirst(a, free)
 	for k := range asked {
@@ -256,15 +256,15 @@
 		if k < rest {
 			want++
 		}
-		s.askShare(a, share, want, keep)
+		s.requestFromShare(a, share, want, keep)
 	}
-	a.rotate += asked
+	a.nextSource += asked
 }
 
-func (s *State) askShare(a *account, share, want int, keep bool) {
+func (s *State) requestFromShare(a *account, share, want int, keep bool) {
 	src := &a.sources[share]
-	src.want, src.askedAt = want, s.now
-	ask := s.out.askFor(src.owner)
+	src.requested, src.requestedAt = want, s.now
+	ask := s.out.requestTo(src.owner)
 	ask.Items = append(ask.Items, AskItem{Account: a.name, Share: share, Want: want, Keep: keep})
 }
 
@@ -275,35 +275,35 @@
 	rate := s.limits(a.name).Rate / float64(len(a.sources))
 	order := make([]int, 0, len(free))
 	for k := range free {
-		order = append(order, free[(a.rotate+k)%len(free)])
+		order = append(order, free[(a.nextSource+k)%len(free)])
 	}
 	slices.SortStableFunc(order, func(x, y int) int {
-		return cmp.Compare(a.sources[y].level(s.now, rate), a.sources[x].level(s.now, rate))
+		return cmp.Compare(a.sources[y].estimatedTokens(s.now, rate), a.sources[x].estimatedTokens(s.now, rate))
 	})
 	return order
 }
 
-// level is how many tokens an owner may have, by its last answer.
-func (src *source) level(now crid.Instant, rate float64) float64 {
-	return float64(src.left) + rate*now.Sub(src.leftAt).Seconds()
+// estimatedTokens is how many tokens an owner may have, by its last answer.
+func (src *source) estimatedTokens(now crid.Instant, rate float64) float64 {
+	return float64(src.remaining) + rate*now.Sub(src.remainingAt).Seconds()
 }
 
-// noteDry lets requests be refused at once, since no owner has a token.
-func (s *State) noteDry(a *account, pending int) {
-	if a.held > 0 || pending > 0 || (a.cold == 0 && s.now.Sub(a.dryAt) < dryGap) {
+// noteExhausted lets requests be refused at once, since no owner has a token.
+func (s *State) noteExhausted(a *account, pending int) {
+	if a.held > 0 || pending > 0 || (a.coldRequests == 0 && s.now.Sub(a.exhaustedAt) < exhaustedInterval) {
 		return
 	}
-	a.dryAt = s.now
-	a.cold = 0
-	s.emit(Deposit{Account: a.name, DryUntil: s.dryUntil(a), RetryAfter: s.retryAfter(a)})
-	if a.warnedAt == 0 || s.now.Sub(a.warnedAt) >= warnDryGap {
-		a.warnedAt = s.now
+	a.exhaustedAt = s.now
+	a.coldRequests = 0
+	s.emit(Deposit{Account: a.name, DryUntil: s.exhaustedUntil(a), RetryAfter: s.retryAfter(a)})
+	if a.reportedAt == 0 || s.now.Sub(a.reportedAt) >= exhaustedReportInterval {
+		a.reportedAt = s.now
 		s.report(EventExhausted, "account", string(a.name))
 	}
 }
 
-// dryUntil is when the first owner may have a token again.
-func (s *State) dryUntil(a *account) crid.Instant {
+// exhaustedUntil is when the first owner may have a token again.
+func (s *State) exhaustedUntil(a *account) crid.Instant {
 	until := s.now.Add(s.params.ShortFor)
 	for i := range a.sources {
 		if a.sources[i].shortUntil > s.now {
@@ -318,52 +318,52 @@
 func (s *State) retryAfter(a *account) time.Duration {
 	limit := s.limits(a.name)
 	if limit.Rate <= 0 {
-		return maxRetry
+		return maxRetryAfter
 	}
 	seconds := (1 + a.demand) / limit.Rate
-	return min(maxRetry, time.Duration(seconds*float64(time.Second)))
+	return min(maxRetryAfter, time.Duration(seconds*float64(time.Second)))
 }
 
 func (s *State) tickEntry() {
-	for _, name := range s.entry.names() {
+	for _, name := range s.entry.accountNames() {
 		a := s.entry.accounts[name]
-		s.rate(a)
-		s.timeOut(a)
+		s.updateDemand(a)
+		s.expireRequests(a)
 		if s.now.Sub(a.usedAt) > s.params.IdleAfter && a.held == 0 {
-			s.forget(name)
+			s.forgetAccount(name)
 			continue
 		}
-		s.plan(a)
+		s.requestMissing(a)
 		if a.pending() == 0 {
-			a.cold = 0
+			a.coldRequests = 0
 		}
 	}
-	if s.now.Sub(s.entry.saidAt) >= s.params.ReportGap {
-		s.entry.saidAt = s.now
-		s.say("")
+	if s.now.Sub(s.entry.usageReportedAt) >= s.params.ReportGap {
+		s.entry.usageReportedAt = s.now
+		s.reportDeferred("")
 	}
-	s.dropOld()
+	s.dropExpired()
 }
 
-// rate moves the demand estimate towards the rate seen since the last one.
-func (s *State) rate(a *account) {
-	dt := s.now.Sub(a.ratedAt)
+// updateDemand moves the demand estimate towards the updateDemand seen since the last one.
+func (s *State) updateDemand(a *account) {
+	dt := s.now.Sub(a.demandAt)
 	if dt <= 0 {
 		return
 	}
 	weight := 1 - math.Exp(-dt.Seconds()/s.params.Smooth.Seconds())
-	a.demand += weight * (float64(a.recent)/dt.Seconds() - a.demand)
-	a.recent, a.ratedAt = 0, s.now
+	a.demand += weight * (float64(a.recentRequests)/dt.Seconds() - a.demand)
+	a.recentRequests, a.demandAt = 0, s.now
 }
 
-// timeOut gives up Asks without an answer: the message or the owner is lost,
+// expireRequests gives up Asks without an answer: the message or the owner is lost,
 // and the other owners are asked in its place.
-func (s *State) timeOut(a *account) {
+func (s *State) expireRequests(a *account) {
 	for i := range a.sources {
 		src := &a.sources[i]
-		if src.want > 0 && s.now.Sub(src.askedAt) >= s.params.AskTimeout {
-			src.want = 0
-			a.cold = 0
+		if src.requested > 0 && s.now.Sub(src.requestedAt) >= s.params.AskTimeout {
+			src.requested = 0
+			a.coldRequests = 0
 			src.shortUntil = s.now.Add(s.params.ShortFor)
 		}
 	}
--- a/core/craccount/events.go
+++ b/core/craccount/events.go
@@ -18,30 +18,30 @@
 	EventStopped   = 306 // tokens are handed back before the stop
 )
 
-// quietGap is the least time between two reports of one number, so that a
+// logInterval is the least time between two reports of one number, so that a
 // fault on the path of every request does not fill the logs.
-const quietGap = 10 * time.Second
+const logInterval = 10 * time.Second
 
-// reportSeldom reports unless the number was reported within quietGap.
-func (s *State) reportSeldom(number int, name, value string) {
-	last, ok := s.reported[number]
-	if ok && s.now.Sub(last) < quietGap {
+// reportLimited reports unless the number was reported within quietGap.
+func (s *State) reportLimited(number int, name, value string) {
+	last, ok := s.reportedAt[number]
+	if ok && s.now.Sub(last) < logInterval {
 		return
 	}
-	s.reported[number] = s.now
+	s.reportedAt[number] = s.now
 	s.report(number, name, value)
 }
 
-func (s *State) noteTenure() {
-	if s.owner.lapsed {
-		s.owner.lapsed = false
-		s.report(EventTenure, "list", itoa(int(s.tenure.Active)))
+func (s *State) reportLeaseGained() {
+	if s.owner.leaseLost {
+		s.owner.leaseLost = false
+		s.report(EventTenure, "list", itoa(int(s.lease.Active)))
 	}
 }
 
-func (s *State) noteLapse() {
-	if !s.owner.lapsed {
-		s.owner.lapsed = true
+func (s *State) reportLeaseLost() {
+	if !s.owner.leaseLost {
+		s.owner.leaseLost = true
 		s.report(EventLapsed, "list", itoa(int(s.owner.active)))
 	}
 }
--- a/core/craccount/lot.go
+++ b/core/craccount/lot.go
@@ -7,62 +7,62 @@
 )
 
 const (
-	ampleBurst = 5           // reports wait while the burst is this often what comes in meanwhile
-	lotsLinger = time.Second // void lots are remembered for late counts
+	deferBurstFactor = 5           // reports wait while the burst is this often what comes in meanwhile
+	grantRetention   = time.Second // void lots are remembered for late counts
 )
 
-// lot is one grant held by this daemon.
-type lot struct {
-	account crid.Account
-	share   int
-	tokens  int
-	taken   int
-	back    int
-	voidAt  crid.Instant
-	fresh   []spend // since the last report
-	unsaid  bool    // spent tokens that the owner has not been told of
+// heldGrant is one grant held by this daemon.
+type heldGrant struct {
+	account   crid.Account
+	share     int
+	tokens    int
+	taken     int
+	returned  int
+	expiresAt crid.Instant
+	spends    []spend // since the last report
+	deferred  bool    // spent tokens that the owner has not been told of
 }
 
-func (s *State) takeLotUsage(u Usage) {
-	l, ok := s.entry.lots[u.Key]
+func (s *State) handleGrantUsage(u Usage) {
+	l, ok := s.entry.grants[u.Key]
 	if !ok {
 		return
 	}
 	l.taken += u.Taken
 	if u.Taken > 0 {
-		l.fresh = append(l.fresh, spend{u.Taken, u.Spent})
+		l.spends = append(l.spends, spend{u.Taken, u.Spent})
 	}
-	l.back += u.Back
+	l.returned += u.Back
 	if a, ok := s.entry.accounts[l.account]; ok {
 		a.held -= u.Taken + u.Back
 	}
-	if u.Back == 0 && s.ample(l.account) {
-		s.keepUnsaid(u.Key, l)
+	if u.Back == 0 && s.canDeferReport(l.account) {
+		s.deferReport(u.Key, l)
 		return
 	}
-	s.addUse(u.Key, l)
+	s.addUsage(u.Key, l)
 }
 
-// ample reports whether an account's burst bears that spent tokens are told
+// canDeferReport reports whether an account's burst bears that spent tokens are told
 // late: until then they take up room that the owner could mint into.
-func (s *State) ample(name crid.Account) bool {
+func (s *State) canDeferReport(name crid.Account) bool {
 	limit := s.limits(name)
-	return limit.Burst >= ampleBurst*limit.Rate*s.params.ReportGap.Seconds()
+	return limit.Burst >= deferBurstFactor*limit.Rate*s.params.ReportGap.Seconds()
 }
 
-func (s *State) keepUnsaid(key GrantKey, l *lot) {
-	if !l.unsaid {
-		l.unsaid = true
-		s.entry.unsaid = append(s.entry.unsaid, key)
+func (s *State) deferReport(key GrantKey, l *heldGrant) {
+	if !l.deferred {
+		l.deferred = true
+		s.entry.deferred = append(s.entry.deferred, key)
 	}
 }
 
-// say reports the spent tokens that were kept back, to one owner when a
+// reportDeferred reports the spent tokens that were kept back, to one owner when a
 // message goes there anyway, or to all (owner empty).
-func (s *State) say(owner crid.Daemon) {
-	kept := s.entry.unsaid[:0]
-	for _, key := range s.entry.unsaid {
-		l, ok := s.entry.lots[key]
+func (s *State) reportDeferred(owner crid.Daemon) {
+	kept := s.entry.deferred[:0]
+	for _, key := range s.entry.deferred {
+		l, ok := s.entry.grants[key]
 		if !ok {
 			continue
 		}
@@ -70,15 +70,15 @@
 			kept = append(kept, key)
 			continue
 		}
-		l.unsaid = false
-		s.addUse(key, l)
+		l.deferred = false
+		s.addUsage(key, l)
 	}
-	s.entry.unsaid = kept
+	s.entry.deferred = kept
 }
 
-func (s *State) addUse(key GrantKey, l *lot) {
-	ask := s.out.askFor(key.Owner)
-	use := Use{Account: l.account, Share: l.share, Inc: key.Inc, Grant: key.ID, Taken: l.taken, Back: l.back, Spent: s.ages(l)}
+func (s *State) addUsage(key GrantKey, l *heldGrant) {
+	ask := s.out.requestTo(key.Owner)
+	use := Use{Account: l.account, Share: l.share, Inc: key.Inc, Grant: key.ID, Taken: l.taken, Back: l.returned, Spent: s.spentAges(l)}
 	for i := range ask.Uses {
 		if ask.Uses[i].Grant == use.Grant && ask.Uses[i].Inc == use.Inc {
 			use.Spent = append(ask.Uses[i].Spent, use.Spent...)
@@ -89,22 +89,22 @@
 	ask.Uses = append(ask.Uses, use)
 }
 
-// dropOld forgets Asks and lots that no message can refer to any more.
-func (s *State) dropOld() {
-	for s.entry.oldSeq < s.entry.nextSeq {
-		sent := s.entry.sent[s.entry.oldSeq]
+// dropExpired forgets Asks and lots that no message can refer to any more.
+func (s *State) dropExpired() {
+	for s.entry.oldestSeq < s.entry.nextSeq {
+		sent := s.entry.sent[s.entry.oldestSeq]
 		if s.now.Before(sent.at.Add(s.params.Lifetime)) {
 			break
 		}
-		delete(s.entry.sent, s.entry.oldSeq)
-		s.entry.oldSeq++
+		delete(s.entry.sent, s.entry.oldestSeq)
+		s.entry.oldestSeq++
 	}
-	for len(s.entry.lotOrder) > 0 {
-		key := s.entry.lotOrder[0]
-		if l, ok := s.entry.lots[key]; ok && s.now.Before(l.voidAt.Add(lotsLinger)) {
+	for len(s.entry.grantOrder) > 0 {
+		key := s.entry.grantOrder[0]
+		if l, ok := s.entry.grants[key]; ok && s.now.Before(l.expiresAt.Add(grantRetention)) {
 			break
 		}
-		delete(s.entry.lots, key)
-		s.entry.lotOrder = s.entry.lotOrder[1:]
+		delete(s.entry.grants, key)
+		s.entry.grantOrder = s.entry.grantOrder[1:]
 	}
 }
--- a/core/craccount/measure_test.go
+++ b/core/craccount/measure_test.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	warmUp     = 6 * time.Second
-	measureFor = 20 * time.Second
-	loadFactor = 0.8
-	fleetSize  = 25
-	surging    = crid.Account("large1")
+	warmUp         = 6 * time.Second
+	measuredTime   = 20 * time.Second
+	loadFraction   = 0.8
+	fleetSize      = 25
+	surgingAccount = crid.Account("large1")
 )
 
-func measuredAccounts() []crpolicy.Account {
+func benchAccounts() []crpolicy.Account {
 	var all []crpolicy.Account
 	for i := range 4 {
 		all = append(all, crpolicy.Account{Name: crid.Account(fmt.Sprintf("small%d", i)), Rate: 5, Burst: 10})
@@ -33,8 +33,8 @@
 	return all
 }
 
-// tally compares one account with an ideal single bucket of its limit.
-type tally struct {
+// idealBucket compares one account with an ideal single bucket of its limit.
+type idealBucket struct {
 	limit    crpolicy.Account
 	level    float64
 	at       time.Duration
@@ -43,7 +43,7 @@
 	admitted int
 }
 
-func (c *tally) offer(at time.Duration) {
+func (c *idealBucket) offer(at time.Duration) {
 	c.level = min(c.limit.Burst, c.level+c.limit.Rate*(at-c.at).Seconds())
 	c.at = at
 	c.offered++
@@ -53,9 +53,9 @@
 	}
 }
 
-func (c *tally) wrongful() int { return max(0, c.ideal-c.admitted) }
+func (c *idealBucket) wrongful() int { return max(0, c.ideal-c.admitted) }
 
-type figures struct {
+type results struct {
 	offered, wrongful int
 	others            int // wrongful, but for the account that surges
 	worst             float64
@@ -66,21 +66,21 @@
 }
 
 type scenario struct {
-	name     string
-	oneEntry bool
-	loseOne  bool
-	leave    bool // the lost daemon is stopped as planned, and goes a second later
-	surge    float64
-	seconds  float64 // burst in seconds of the rate; zero: two
+	name         string
+	oneEntry     bool
+	loseOne      bool
+	leaveOne     bool // the lost daemon is stopped as planned, and goes a second later
+	surge        float64
+	burstSeconds float64 // burst in seconds of the rate; zero: two
 }
 
-// measurePolicy offers Poisson arrivals at loadFactor of each account's rate.
-func measurePolicy(seed uint64, shares int, sc scenario) figures {
+// runScenario offers Poisson arrivals at loadFactor of each account's rate.
+func runScenario(seed uint64, shares int, sc scenario) results {
 	params := DefaultParams()
-	accounts := measuredAccounts()
+	accounts := benchAccounts()
 	for i := range accounts {
-		if sc.seconds > 0 {
-			accounts[i].Burst = math.Max(1, accounts[i].Rate*sc.seconds)
+		if sc.burstSeconds > 0 {
+			accounts[i].Burst = math.Max(1, accounts[i].Rate*sc.burstSeconds)
 		}
 	}
 	params.Shares = max(1, shares)
@@ -88,22 +88,22 @@
 	for _, nd := range w.nodes {
 		nd.split = NewLocalSplit(fleetSize, w.limit)
 	}
-	tallies := map[crid.Account]*tally{}
-	victim := ownerToLose(accounts[len(accounts)-1], w.members, params)
+	buckets := map[crid.Account]*idealBucket{}
+	victim := ownerOf(accounts[len(accounts)-1], w.members, params)
 	for i, a := range accounts {
-		c := &tally{limit: a, level: a.Burst, at: warmUp}
-		tallies[a.Name] = c
+		b := &idealBucket{limit: a, level: a.Burst, at: warmUp}
+		buckets[a.Name] = b
 		var arrive func()
 		arrive = func() {
 			nd := w.nodes[w.pickEntry(sc, i)]
-			counted := w.now >= warmUp && w.now < warmUp+measureFor
+			counted := w.now >= warmUp && w.now < warmUp+measuredTime
 			done := func(ok bool) {
 				if ok && counted {
-					c.admitted++
+					b.admitted++
 				}
 			}
 			if counted {
-				c.offer(w.now)
+				b.offer(w.now)
 			}
 			if shares == 0 {
 				d := nd.split.Take(a.Name, w.clock(nd))
@@ -111,44 +111,44 @@
 			} else {
 				w.request(nd, a.Name, done)
 			}
-			w.at(w.gap(a, sc), arrive)
+			w.at(w.nextArrival(a, sc), arrive)
 		}
 		w.at(3*time.Second, arrive)
 	}
 	w.run(warmUp)
 	w.measure = shares > 0
 	w.at(5*time.Second, func() {
-		if sc.leave {
-			w.leave(victim)
-			w.at(time.Second, func() { w.lose(victim) })
+		if sc.leaveOne {
+			w.stopPlanned(victim)
+			w.at(time.Second, func() { w.killOwner(victim) })
 		}
 		if sc.loseOne {
-			w.lose(victim)
+			w.killOwner(victim)
 		}
 	})
-	w.run(measureFor)
-	return w.figures(tallies)
+	w.run(measuredTime)
+	return w.results(buckets)
 }
 
-func ownerToLose(a crpolicy.Account, members []crid.Daemon, params Params) crid.Daemon {
-	return shareOwners(a.Name, newRoster(members), params.shareCount(len(members), a))[0]
+func ownerOf(a crpolicy.Account, members []crid.Daemon, params Params) crid.Daemon {
+	return shareOwners(a.Name, newMemberSet(members), params.shareCount(len(members), a))[0]
 }
 
-// leave stops a daemon as planned: it tells the others, and takes requests for
+// stopPlanned stops a daemon as planned: it tells the others, and takes requests for
 // 300 ms more, as the daemon does.
-func (w *testNet) leave(victim crid.Daemon) {
+func (w *testNet) stopPlanned(victim crid.Daemon) {
 	for _, nd := range w.nodes {
 		if nd.name == victim {
 			nd.leaving = true
-			w.at(300*time.Millisecond, func() { nd.shut = true })
+			w.at(300*time.Millisecond, func() { nd.closed = true })
 			w.step(nd, crevent.Stopping{Now: w.clock(nd)})
 		}
 	}
-	w.at(5*time.Millisecond, w.tellPeers)
+	w.at(5*time.Millisecond, w.sendPeers)
 }
 
-// lose kills a daemon; the list without it becomes active two seconds later.
-func (w *testNet) lose(victim crid.Daemon) {
+// killOwner kills a daemon; the list without it becomes active two seconds later.
+func (w *testNet) killOwner(victim crid.Daemon) {
 	var rest []crid.Daemon
 	for _, nd := range w.nodes {
 		if nd.name == victim {
@@ -157,7 +157,7 @@
 		}
 		rest = append(rest, nd.name)
 	}
-	w.at(2*time.Second, func() { w.relistTo(rest, 0) })
+	w.at(2*time.Second, func() { w.beginHandover(rest, 0) })
 }
 
 func (w *testNet) limit(name crid.Account) crpolicy.Account {
@@ -171,34 +171,34 @@
 	if !sc.oneEntry {
 		i = w.rng.IntN(fleetSize)
 	}
-	for w.nodes[i].dead || w.nodes[i].shut {
+	for w.nodes[i].dead || w.nodes[i].closed {
 		i = (i + 1) % fleetSize
 	}
 	return i
 }
 
-func (w *testNet) gap(a crpolicy.Account, sc scenario) time.Duration {
-	rate := a.Rate * loadFactor
+func (w *testNet) nextArrival(a crpolicy.Account, sc scenario) time.Duration {
+	rate := a.Rate * loadFraction
 	inSurge := w.now > warmUp+5*time.Second && w.now < warmUp+15*time.Second
-	if sc.surge > 0 && inSurge && a.Name == surging {
+	if sc.surge > 0 && inSurge && a.Name == surgingAccount {
 		rate = a.Rate * sc.surge
 	}
 	return time.Duration(-math.Log(1-w.rng.Float64()) / rate * float64(time.Second))
 }
 
-func (w *testNet) figures(tallies map[crid.Account]*tally) figures {
-	f := figures{worst: 1}
+func (w *testNet) results(tallies map[crid.Account]*idealBucket) results {
+	f := results{worst: 1}
 	for name, c := range tallies {
 		f.offered += c.offered
 		f.wrongful += c.wrongful()
-		if name != surging {
+		if name != surgingAccount {
 			f.others += c.wrongful()
 		}
 		f.worst = min(f.worst, float64(c.admitted)/float64(c.ideal))
-		f.over = max(f.over, w.oracles[name].worst)
+		f.over = max(f.over, w.oracles[name].maxExcess)
 	}
-	f.messages = float64(w.messages) / measureFor.Seconds()
-	f.bytes = float64(w.bytes) / measureFor.Seconds()
+	f.messages = float64(w.messages) / measuredTime.Seconds()
+	f.bytes = float64(w.bytes) / measuredTime.Seconds()
 	f.waited = float64(w.waited) / float64(f.offered)
 	if w.waited > 0 {
 		f.wait = w.waitSum / time.Duration(w.waited)
@@ -206,12 +206,12 @@
 	return f
 }
 
-// measureSeeds adds up the runs of five seeds; worst is the mean of the runs.
-func measureSeeds(shares int, sc scenario) figures {
+// runSeeds adds up the runs of five seeds; worst is the mean of the runs.
+func runSeeds(shares int, sc scenario) results {
 	const seeds = 5
-	var sum figures
+	var sum results
 	for seed := range uint64(seeds) {
-		f := measurePolicy(seed+1, shares, sc)
+		f := runScenario(seed+1, shares, sc)
 		sum.offered += f.offered
 		sum.wrongful += f.wrongful
 		sum.others += f.others
@@ -228,7 +228,7 @@
 // BenchmarkCompare prints the table of docs/design/03-account-rate.md.
 func BenchmarkCompare(b *testing.B) {
 	for _, oneEntry := range []bool{false, true} {
-		for _, sc := range []scenario{{name: "calm"}, {name: "lost", loseOne: true}, {name: "leave", leave: true}, {name: "surge", surge: 5}} {
+		for _, sc := range []scenario{{name: "calm"}, {name: "lost", loseOne: true}, {name: "leave", leaveOne: true}, {name: "surge", surge: 5}} {
 			sc.oneEntry = oneEntry
 			for _, shares := range []int{0, 1, 4} {
 				name := fmt.Sprintf("oneEntry=%v/%s/shares=%d", oneEntry, sc.name, shares)
@@ -242,15 +242,15 @@
 func BenchmarkBurst(b *testing.B) {
 	for _, seconds := range []float64{0.1, 0.25, 0.5, 1, 2} {
 		b.Run(fmt.Sprintf("seconds=%v", seconds), func(b *testing.B) {
-			benchmarkSeeds(b, DefaultParams().Shares, scenario{seconds: seconds})
+			benchmarkSeeds(b, DefaultParams().Shares, scenario{burstSeconds: seconds})
 		})
 	}
 }
 
 func benchmarkSeeds(b *testing.B, shares int, sc scenario) {
-	var f figures
+	var f results
 	for b.Loop() {
-		f = measureSeeds(shares, sc)
+		f = runSeeds(shares, sc)
 	}
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(100*float64(f.wrongful)/float64(f.offered), "%wrongful")
--- a/core/craccount/net_test.go
+++ b/core/craccount/net_test.go
@@ -18,13 +18,13 @@
 
 const (
 	tickEvery  = 50 * time.Millisecond
-	horizon    = 600 * time.Millisecond // of the fake's tenure
+	leaseTime  = 600 * time.Millisecond // of the fake's tenure
 	coldWait   = 20 * time.Millisecond
 	clockError = 0.01
 )
 
-// job is something that happens at a true time.
-type job struct {
+// scheduledCall is something that happens at a true time.
+type scheduledCall struct {
 	at time.Duration
 	do func()
 }
@@ -35,13 +35,13 @@
 	rate, burst float64
 	level       float64
 	at          time.Duration
-	worst       float64 // by how many tokens the bound was broken at most
+	maxExcess   float64 // by how many tokens the bound was broken at most
 }
 
 func (o *oracle) admit(at time.Duration) {
 	o.level = max(0, o.level-o.rate*(at-o.at).Seconds()) + 1
 	o.at = at
-	o.worst = max(o.worst, o.level-o.burst)
+	o.maxExcess = max(o.maxExcess, o.level-o.burst)
 }
 
 // coldRequest is a request that waits once for its account's owners.
@@ -53,45 +53,45 @@
 }
 
 type node struct {
-	name    crid.Daemon
-	state   *State
-	wallet  *Wallet
-	inc     crid.Incarnation
-	skew    float64
-	offset  time.Duration
-	paused  time.Duration // until
-	dead    bool
-	leaving bool
-	shut    bool // takes no more requests
-	colds   []coldRequest
-	knows   crid.Revision // newest list it was told of in a handover
-	split   *LocalSplit   // the baseline's part of this daemon
+	name         crid.Daemon
+	state        *State
+	wallet       *Wallet
+	inc          crid.Incarnation
+	skew         float64
+	offset       time.Duration
+	paused       time.Duration // until
+	dead         bool
+	leaving      bool
+	closed       bool // takes no more requests
+	coldRequests []coldRequest
+	knownRev     crid.Revision // newest list it was told of in a handover
+	split        *LocalSplit   // the baseline's part of this daemon
 }
 
 // testNet runs real reducers and wallets over a network that may lose, repeat
 // and delay, with a fake that hands out tenure as crmember promises.
 type testNet struct {
-	rng      *rand.Rand
-	now      time.Duration
-	queue    []job // by time, then in the order of coming
-	nodes    []*node
-	params   Params
-	snap     *crpolicy.Snapshot
-	rev      crid.Revision
-	members  []crid.Daemon
-	over     []crmember.Membership // the active list and those to come
-	tenureTo time.Duration         // nothing that lacks the newest list holds after this
-	handTo   time.Duration         // the handover takes at least until then
-	loss     float64
-	dup      float64
-	late     float64
-	oracles  map[crid.Account]*oracle
-	messages int
-	bytes    int
-	waited   int
-	waitSum  time.Duration
-	measure  bool
-	reports  map[int]int
+	rng           *rand.Rand
+	now           time.Duration
+	queue         []scheduledCall // by time, then in the order of coming
+	nodes         []*node
+	params        Params
+	snap          *crpolicy.Snapshot
+	rev           crid.Revision
+	members       []crid.Daemon
+	over          []crmember.Membership // the active list and those to come
+	leaseUntil    time.Duration         // nothing that lacks the newest list holds after this
+	handoverUntil time.Duration         // the handover takes at least until then
+	lossRate      float64
+	dupRate       float64
+	lateRate      float64
+	oracles       map[crid.Account]*oracle
+	messages      int
+	bytes         int
+	waited        int
+	waitSum       time.Duration
+	measure       bool
+	reports       map[int]int
 }
 
 func newNet(seed uint64, n int, params Params, accounts ...crpolicy.Account) *testNet {
@@ -121,13 +121,13 @@
 			w.tick(nd)
 		}
 	})
-	w.every(100*time.Millisecond, w.beat)
+	w.every(100*time.Millisecond, w.renewLeases)
 	return w
 }
 
 func (w *testNet) at(d time.Duration, do func()) {
-	i, _ := slices.BinarySearchFunc(w.queue, w.now+d+1, func(j job, at time.Duration) int { return cmp.Compare(j.at, at) })
-	w.queue = slices.Insert(w.queue, i, job{at: w.now + d, do: do})
+	i, _ := slices.BinarySearchFunc(w.queue, w.now+d+1, func(j scheduledCall, at time.Duration) int { return cmp.Compare(j.at, at) })
+	w.queue = slices.Insert(w.queue, i, scheduledCall{at: w.now + d, do: do})
 }
 
 func (w *testNet) every(d time.Duration, do func()) {
@@ -155,21 +155,21 @@
 // start begins a new life of a node.
 func (w *testNet) start(nd *node) {
 	nd.inc = crid.Incarnation(w.rng.Uint64() | 1)
-	nd.state, nd.wallet, nd.colds = New(w.params), NewWallet(), nil
+	nd.state, nd.wallet, nd.coldRequests = New(w.params), NewWallet(), nil
 	nd.paused, nd.dead, nd.leaving = 0, false, false
 	now := w.clock(nd)
 	w.step(nd, crevent.Started{Now: now, Self: nd.name, Incarnation: nd.inc})
 	w.step(nd, crconfig.InForce{Now: now, Snapshot: w.snap})
-	w.tellPeers()
-	w.tellTenure(nd, crmember.Tenure{Members: w.members})
+	w.sendPeers()
+	w.sendLease(nd, crmember.Tenure{Members: w.members})
 }
 
 func (w *testNet) kill(nd *node) {
 	nd.dead = true
-	w.at(time.Second, w.tellPeers)
+	w.at(time.Second, w.sendPeers)
 }
 
-func (w *testNet) tellPeers() {
+func (w *testNet) sendPeers() {
 	var peers []crmember.Peer
 	for _, nd := range w.nodes {
 		peers = append(peers, crmember.Peer{Daemon: nd.name, Incarnation: nd.inc, Reachable: !nd.dead, Leaving: nd.leaving})
@@ -191,57 +191,57 @@
 	}
 }
 
-// relistTo begins the handover to a list.
-func (w *testNet) relistTo(list []crid.Daemon, takes time.Duration) {
+// beginHandover begins the handover to a list.
+func (w *testNet) beginHandover(list []crid.Daemon, takes time.Duration) {
 	rev := w.over[len(w.over)-1].Rev + 1
 	w.over = append(w.over, crmember.Membership{Rev: rev, Members: list})
-	w.handTo = w.now + takes
+	w.handoverUntil = w.now + takes
 }
 
-// beat renews tenure; evidence counts from now, whenever it arrives.
-func (w *testNet) beat() {
-	if newest := w.over[len(w.over)-1]; len(w.over) > 1 && w.now > w.tenureTo && w.now > w.handTo {
+// renewLeases renews tenure; evidence counts from now, whenever it arrives.
+func (w *testNet) renewLeases() {
+	if newest := w.over[len(w.over)-1]; len(w.over) > 1 && w.now > w.leaseUntil && w.now > w.handoverUntil {
 		w.members, w.rev = newest.Members, newest.Rev
 		w.over = w.over[len(w.over)-1:]
 	}
 	if len(w.over) > 1 {
-		w.bridge()
+		w.bridgeHandover()
 		return
 	}
-	w.tenureTo = w.now + horizon + horizon/50
+	w.leaseUntil = w.now + leaseTime + leaseTime/50
 	for _, nd := range w.nodes {
 		ev := crmember.Tenure{Members: w.members, Over: w.over}
 		if slices.Contains(w.members, nd.name) {
-			ev.Active, ev.Until = w.rev, w.clock(nd).Add(horizon)
+			ev.Active, ev.Until = w.rev, w.clock(nd).Add(leaseTime)
 		}
-		w.tellTenure(nd, ev)
+		w.sendLease(nd, ev)
 	}
 }
 
-// bridge tells some daemons, as crmember does during a handover, that they may
+// bridgeHandover tells some daemons, as crmember does during a handover, that they may
 // go on with what all lists that they know give them. Who does not know the
 // newest list holds up its activation.
-func (w *testNet) bridge() {
+func (w *testNet) bridgeHandover() {
 	for _, nd := range w.nodes {
-		if w.now > w.handTo || w.rng.IntN(12) == 0 {
-			nd.knows = w.over[len(w.over)-1].Rev
+		if w.now > w.handoverUntil || w.rng.IntN(12) == 0 {
+			nd.knownRev = w.over[len(w.over)-1].Rev
 		}
 		over := slices.DeleteFunc(slices.Clone(w.over), func(m crmember.Membership) bool {
-			return m.Rev > max(nd.knows, w.over[0].Rev)
+			return m.Rev > max(nd.knownRev, w.over[0].Rev)
 		})
 		named := !slices.ContainsFunc(over, func(m crmember.Membership) bool { return !slices.Contains(m.Members, nd.name) })
 		if w.rng.IntN(3) == 0 || !named {
-			w.tellTenure(nd, crmember.Tenure{})
+			w.sendLease(nd, crmember.Tenure{})
 			continue
 		}
 		if len(over) < len(w.over) {
-			w.tenureTo = w.now + horizon + horizon/50
+			w.leaseUntil = w.now + leaseTime + leaseTime/50
 		}
-		w.tellTenure(nd, crmember.Tenure{Bridge: w.clock(nd).Add(horizon), Over: over})
+		w.sendLease(nd, crmember.Tenure{Bridge: w.clock(nd).Add(leaseTime), Over: over})
 	}
 }
 
-func (w *testNet) tellTenure(nd *node, ev crmember.Tenure) {
+func (w *testNet) sendLease(nd *node, ev crmember.Tenure) {
 	w.deliver(nd, func() {
 		ev.Now = w.clock(nd)
 		w.step(nd, ev)
@@ -291,11 +291,11 @@
 		w.bytes += len(b)
 	}
 	copies := 1
-	if w.rng.Float64() < w.dup {
+	if w.rng.Float64() < w.dupRate {
 		copies = 2
 	}
 	for range copies {
-		if w.rng.Float64() < w.loss {
+		if w.rng.Float64() < w.lossRate {
 			continue
 		}
 		w.at(w.delay(), func() { w.arrive(nd.name, eff) })
@@ -303,7 +303,7 @@
 }
 
 func (w *testNet) delay() time.Duration {
-	if w.rng.Float64() < w.late {
+	if w.rng.Float64() < w.lateRate {
 		return time.Duration(w.rng.Int64N(int64(4 * time.Second)))
 	}
 	return time.Millisecond + time.Duration(w.rng.IntN(200))*time.Microsecond
@@ -335,7 +335,7 @@
 	if w.measure {
 		w.waited++
 	}
-	nd.colds = append(nd.colds, coldRequest{account: account, until: w.now + coldWait, done: done, began: w.now})
+	nd.coldRequests = append(nd.coldRequests, coldRequest{account: account, until: w.now + coldWait, done: done, began: w.now})
 	w.at(coldWait+1, func() { w.retry(nd) })
 	<-nd.wallet.Wanted()
 	now := w.clock(nd)
@@ -356,12 +356,12 @@
 	if nd.dead || w.now < nd.paused {
 		return
 	}
-	colds := nd.colds
-	nd.colds = nil
+	colds := nd.coldRequests
+	nd.coldRequests = nil
 	for _, c := range colds {
-		d := nd.wallet.retake(c.account, w.clock(nd))
+		d := nd.wallet.takeAfterWait(c.account, w.clock(nd))
 		if d.Outcome == Cold && w.now <= c.until {
-			nd.colds = append(nd.colds, c)
+			nd.coldRequests = append(nd.coldRequests, c)
 			continue
 		}
 		if d.Outcome == Admitted {
--- a/core/craccount/outbox.go
+++ b/core/craccount/outbox.go
@@ -16,35 +16,35 @@
 
 // outbox gathers what one Step sends, one message per destination.
 type outbox struct {
-	effects []crevent.Effect
-	grants  []Grant
-	toWhom  []destination
-	asks    []Ask
-	owners  []crid.Daemon
+	effects      []crevent.Effect
+	grants       []Grant
+	destinations []destination
+	requests     []Ask
+	owners       []crid.Daemon
 }
 
 func (o *outbox) grant(to crid.Daemon, inc crid.Incarnation, seq uint64, item GrantItem) {
 	dest := destination{to, inc, seq}
-	for i := range o.toWhom {
-		if o.toWhom[i] == dest {
+	for i := range o.destinations {
+		if o.destinations[i] == dest {
 			o.grants[i].Items = append(o.grants[i].Items, item)
 			return
 		}
 	}
-	o.toWhom = append(o.toWhom, dest)
+	o.destinations = append(o.destinations, dest)
 	o.grants = append(o.grants, Grant{To: inc, Seq: seq, Items: []GrantItem{item}})
 }
 
-// askFor returns the message that is being gathered for an owner.
-func (o *outbox) askFor(owner crid.Daemon) *Ask {
+// requestTo returns the message that is being gathered for an owner.
+func (o *outbox) requestTo(owner crid.Daemon) *Ask {
 	for i := range o.owners {
 		if o.owners[i] == owner {
-			return &o.asks[i]
+			return &o.requests[i]
 		}
 	}
 	o.owners = append(o.owners, owner)
-	o.asks = append(o.asks, Ask{})
-	return &o.asks[len(o.asks)-1]
+	o.requests = append(o.requests, Ask{})
+	return &o.requests[len(o.requests)-1]
 }
 
 func (s *State) emit(eff crevent.Effect) { s.out.effects = append(s.out.effects, eff) }
@@ -56,20 +56,20 @@
 // flush turns the outbox into effects. Messages from this daemon's entry to
 // its own owner role, and back, are handled on the spot.
 func (s *State) flush() []crevent.Effect {
-	for len(s.out.grants)+len(s.out.asks) > 0 {
+	for len(s.out.grants)+len(s.out.requests) > 0 {
 		for _, owner := range s.out.owners {
-			s.say(owner)
+			s.reportDeferred(owner)
 		}
-		asks, owners := s.out.asks, s.out.owners
-		grants, toWhom := s.out.grants, s.out.toWhom
-		s.out.asks, s.out.owners = nil, nil
-		s.out.grants, s.out.toWhom = nil, nil
+		asks, owners := s.out.requests, s.out.owners
+		grants, toWhom := s.out.grants, s.out.destinations
+		s.out.requests, s.out.owners = nil, nil
+		s.out.grants, s.out.destinations = nil, nil
 		for i, ask := range asks {
-			s.post(owners[i], s.seal(owners[i], ask))
+			s.deliver(owners[i], s.finishRequest(owners[i], ask))
 		}
 		for i, grant := range grants {
 			grant.Inc = s.inc
-			s.post(toWhom[i].to, grant)
+			s.deliver(toWhom[i].to, grant)
 		}
 	}
 	effects := s.out.effects
@@ -77,17 +77,17 @@
 	return effects
 }
 
-// seal numbers an Ask; one that asks for nothing goes as a Return.
-func (s *State) seal(owner crid.Daemon, ask Ask) crevent.Message {
+// finishRequest numbers an Ask; one that asks for nothing goes as a Return.
+func (s *State) finishRequest(owner crid.Daemon, ask Ask) crevent.Message {
 	if len(ask.Items) == 0 {
 		return Return{Uses: ask.Uses}
 	}
 	ask.Inc = s.inc
-	ask.Seq = s.entry.sendSeq(owner, s.now)
+	ask.Seq = s.entry.recordRequest(owner, s.now)
 	return ask
 }
 
-func (s *State) post(to crid.Daemon, msg crevent.Message) {
+func (s *State) deliver(to crid.Daemon, msg crevent.Message) {
 	if to == s.self {
 		s.receive(to, msg)
 		return
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	waitFor    = 400 * time.Millisecond // an Ask that could not be met is remembered
-	recallGap  = 200 * time.Millisecond // between two recalls for one share
-	sweepGap   = 10 * time.Second       // between two searches for idle shares
-	maxHistory = 8                      // lists remembered for shares not yet asked for
+	maxQueueTime   = 400 * time.Millisecond // an Ask that could not be met is remembered
+	recallInterval = 200 * time.Millisecond // between two recalls for one share
+	sweepInterval  = 10 * time.Second       // between two searches for idle shares
+	maxEpochs      = 8                      // lists remembered for shares not yet asked for
 )
 
 type shareKey struct {
@@ -24,35 +24,35 @@
 // epoch is a time, on the minting clock, from which a list was active here, or
 // from which it might have been active elsewhere.
 type epoch struct {
-	rev     crid.Revision
-	members roster
-	start   time.Duration
-	bridged bool // never active here so far
+	rev      crid.Revision
+	members  memberSet
+	start    time.Duration
+	handover bool // never active here so far
 }
 
-// owner is the minting role of a daemon.
-type owner struct {
-	clock   time.Duration // minting clock: time spent with tenure, nothing else
-	last    crid.Instant
-	heldTo  crid.Instant // the last instant with tenure
-	gapAt   crid.Instant // the last instant known to be without
-	lapsed  bool
-	active  crid.Revision
-	epochs  []epoch // with gaps in tenure of at most a lifetime, oldest first
-	shares  map[shareKey]*share
-	busy    []shareKey // shares with grants or waiters
-	isBusy  map[shareKey]bool
-	since   map[crid.Account]time.Duration // when a limit last changed
-	nextID  uint64
-	sweptAt crid.Instant
+// ownerRole is the minting role of a daemon.
+type ownerRole struct {
+	refillClock    time.Duration // minting clock: time spent with tenure, nothing else
+	advancedTo     crid.Instant
+	leaseHeldUntil crid.Instant // the last instant with tenure
+	lastGapAt      crid.Instant // the last instant known to be without
+	leaseLost      bool
+	active         crid.Revision
+	epochs         []epoch // with gaps in tenure of at most a lifetime, oldest first
+	shares         map[shareKey]*share
+	busy           []shareKey // shares with grants or waiters
+	isBusy         map[shareKey]bool
+	limitChangedAt map[crid.Account]time.Duration // when a limit last changed
+	nextID         uint64
+	sweptAt        crid.Instant
 }
 
-func newOwner() owner {
-	return owner{
-		lapsed: true,
-		shares: map[shareKey]*share{},
-		isBusy: map[shareKey]bool{},
-		since:  map[crid.Account]time.Duration{},
+func newOwnerRole() ownerRole {
+	return ownerRole{
+		leaseLost:      true,
+		shares:         map[shareKey]*share{},
+		isBusy:         map[shareKey]bool{},
+		limitChangedAt: map[crid.Account]time.Duration{},
 	}
 }
 
@@ -61,46 +61,46 @@
 // pause minted, its tokens would come on top of those that the daemon which
 // took over has minted for the same time.
 func (s *State) advance(now crid.Instant) {
-	end := min(now, s.tenure.Until)
-	if s.params.flaws.mintAsleep && s.owner.active != 0 {
+	end := min(now, s.lease.Until)
+	if s.params.mutations.refillWithoutLease && s.owner.active != 0 {
 		end = now
 	}
-	if d := end.Sub(s.owner.last); d > 0 {
-		s.owner.clock += d
-		s.owner.heldTo = end
+	if d := end.Sub(s.owner.advancedTo); d > 0 {
+		s.owner.refillClock += d
+		s.owner.leaseHeldUntil = end
 	}
 	if end.Before(now) {
-		s.owner.gapAt = max(s.owner.gapAt, now)
+		s.owner.lastGapAt = max(s.owner.lastGapAt, now)
 	}
-	s.owner.last = max(s.owner.last, now)
+	s.owner.advancedTo = max(s.owner.advancedTo, now)
 	s.now = max(s.now, now)
 }
 
-func (s *State) hasTenure() bool {
-	if s.params.flaws.mintAsleep {
+func (s *State) hasLease() bool {
+	if s.params.mutations.refillWithoutLease {
 		return s.owner.active != 0
 	}
-	return s.now.Before(s.tenure.Until)
+	return s.now.Before(s.lease.Until)
 }
 
-// takeTenure begins a new epoch when the active list has changed, or when this
+// handleLease begins a new epoch when the active list has changed, or when this
 // daemon was without tenure for so long that another may have minted.
-func (s *State) takeTenure(ev crmember.Tenure) {
+func (s *State) handleLease(ev crmember.Tenure) {
 	if len(ev.Members) > 0 && !slices.Equal(ev.Members, s.members.names) {
-		s.members = newRoster(ev.Members)
-		s.entry.reroute()
+		s.members = newMemberSet(ev.Members)
+		s.entry.invalidateSources()
 	}
-	kept := s.now.Sub(s.owner.heldTo) <= s.params.Lifetime
+	kept := s.now.Sub(s.owner.leaseHeldUntil) <= s.params.Lifetime
 	acts := ev.Active != 0 && s.now.Before(ev.Until)
-	s.tenure = ev
-	s.tenure.Members = nil
-	s.tenure.Over = nil
+	s.lease = ev
+	s.lease.Members = nil
+	s.lease.Over = nil
 	if !acts {
-		s.takeBridge(ev, kept)
+		s.handleHandover(ev, kept)
 		return
 	}
-	s.noteTenure()
-	s.owner.heldTo = s.now
+	s.reportLeaseGained()
+	s.owner.leaseHeldUntil = s.now
 	if ev.Active != s.owner.active || !kept {
 		s.beginEpoch(ev, kept)
 	}
@@ -114,21 +114,21 @@
 		s.owner.epochs = nil
 	}
 	s.owner.active = ev.Active
-	s.addEpoch(epoch{rev: ev.Active, members: s.members, start: s.owner.clock})
-	s.dropLost()
+	s.addEpoch(epoch{rev: ev.Active, members: s.members, start: s.owner.refillClock})
+	s.dropUnowned()
 }
 
 func (s *State) addEpoch(e epoch) {
 	s.owner.epochs = append(s.owner.epochs, e)
-	if len(s.owner.epochs) > maxHistory {
+	if len(s.owner.epochs) > maxEpochs {
 		s.owner.epochs = slices.Delete(s.owner.epochs, 0, 1)
 	}
 }
 
-func (s *State) dropLost() {
+func (s *State) dropUnowned() {
 	for key := range s.owner.shares {
 		since, ok := s.ownedSince(key)
-		if !ok || since == s.owner.clock {
+		if !ok || since == s.owner.refillClock {
 			delete(s.owner.shares, key)
 		}
 	}
@@ -141,16 +141,16 @@
 // its shares at once, and its callers would be refused inside their rate; so a
 // daemon is not to be called ready before.
 func (s *State) Settled() bool {
-	if !s.hasTenure() || len(s.owner.epochs) == 0 {
+	if !s.hasLease() || len(s.owner.epochs) == 0 {
 		return false
 	}
-	return s.owner.clock-s.owner.epochs[0].start >= s.params.ownerLifetime()
+	return s.owner.refillClock-s.owner.epochs[0].start >= s.params.ownerLifetime()
 }
 
-// minters is the list under which this daemon mints; members may be newer.
-func (s *State) minters() roster {
+// activeMembers is the list under which this daemon mints; members may be newer.
+func (s *State) activeMembers() memberSet {
 	if len(s.owner.epochs) == 0 {
-		return roster{}
+		return memberSet{}
 	}
 	return s.owner.epochs[len(s.owner.epochs)-1].members
 }
@@ -165,7 +165,7 @@
 // in which the list was handed over, for the owner before went on in it.
 func (s *State) ownedSince(key shareKey) (time.Duration, bool) {
 	limit := s.limits(key.account)
-	count := s.params.shareCount(len(s.minters().names), limit)
+	count := s.params.shareCount(len(s.activeMembers().names), limit)
 	last := len(s.owner.epochs) - 1
 	first := last + 1
 	for first > 0 {
@@ -179,10 +179,10 @@
 	if first > last {
 		return 0, false
 	}
-	for !s.params.flaws.shortEpochs && first < last && s.owner.epochs[first+1].start-s.owner.epochs[first].start < s.params.ownerLifetime() {
+	for !s.params.mutations.countShortEpochs && first < last && s.owner.epochs[first+1].start-s.owner.epochs[first].start < s.params.ownerLifetime() {
 		first++
 	}
-	for !s.params.flaws.bridgeAll && first <= last && s.owner.epochs[first].bridged {
+	for !s.params.mutations.countHandovers && first <= last && s.owner.epochs[first].handover {
 		first++
 	}
 	if first > last {
@@ -191,7 +191,7 @@
 	return s.owner.epochs[first].start, true
 }
 
-func (s *State) owns(key shareKey, members roster, limit crpolicy.Account) bool {
+func (s *State) owns(key shareKey, members memberSet, limit crpolicy.Account) bool {
 	count := s.params.shareCount(len(members.names), limit)
 	if key.share < 0 || key.share >= count {
 		return false
@@ -205,7 +205,7 @@
 // empty all that time, so that creating it late makes no difference.
 func (s *State) share(key shareKey) *share {
 	if sh, ok := s.owner.shares[key]; ok {
-		sh.mint(s.owner.clock)
+		sh.refill(s.owner.refillClock)
 		return sh
 	}
 	limit := s.limits(key.account)
@@ -213,74 +213,74 @@
 	if !ok || limit.Burst < 1 {
 		return nil
 	}
-	count := s.params.shareCount(len(s.minters().names), limit)
+	count := s.params.shareCount(len(s.activeMembers().names), limit)
 	sh := &share{
-		rate:   limit.Rate / float64(count),
-		burst:  shareBurst(limit.Burst, key.share, count),
-		minted: s.mintsFrom(key.account, since),
-		usedAt: s.now,
+		rate:       limit.Rate / float64(count),
+		burst:      shareBurst(limit.Burst, key.share, count),
+		refilledTo: s.refillsFrom(key.account, since),
+		usedAt:     s.now,
 	}
 	s.owner.shares[key] = sh
-	sh.mint(s.owner.clock)
+	sh.refill(s.owner.refillClock)
 	return sh
 }
 
-// mintsFrom is when a share that came to this daemon at since begins to fill.
+// refillsFrom is when a share that came to this daemon at since begins to fill.
 // The grants of whoever owned it before can be spent for one lifetime more, up
 // to the whole burst; minting at once would put new tokens beside them.
-func (s *State) mintsFrom(account crid.Account, since time.Duration) time.Duration {
+func (s *State) refillsFrom(account crid.Account, since time.Duration) time.Duration {
 	from := since
-	if !s.params.flaws.noPhantom {
+	if !s.params.mutations.noTakeoverDelay {
 		from += s.params.ownerLifetime()
 	}
-	return max(from, s.owner.since[account])
+	return max(from, s.owner.limitChangedAt[account])
 }
 
-// takeAsk settles the reports of an Ask and serves it as far as there are tokens.
-func (s *State) takeAsk(from crid.Daemon, ask Ask) {
-	s.settle(from, ask.Uses)
+// handleTokenRequest settles the reports of an Ask and serves it as far as there are tokens.
+func (s *State) handleTokenRequest(from crid.Daemon, ask Ask) {
+	s.applyUsage(from, ask.Uses)
 	for _, item := range ask.Items {
 		key := shareKey{item.Account, item.Share}
-		sh := s.mayGrant(key)
+		sh := s.grantableShare(key)
 		if sh == nil || item.Want <= 0 {
 			s.out.grant(from, ask.Inc, ask.Seq, GrantItem{Account: item.Account, Share: item.Share, Short: true})
 			continue
 		}
-		sh.wait(waiter{from: from, inc: ask.Inc, seq: ask.Seq, want: item.Want, keep: item.Keep, until: s.now.Add(waitFor)})
+		sh.enqueue(waiter{from: from, inc: ask.Inc, seq: ask.Seq, want: item.Want, waitForRest: item.Keep, until: s.now.Add(maxQueueTime)})
 		sh.usedAt = s.now
 		s.markBusy(key)
 		s.serve(key, sh)
 	}
 }
 
-func (s *State) takeReturn(from crid.Daemon, ret Return) { s.settle(from, ret.Uses) }
+func (s *State) handleUsageReport(from crid.Daemon, ret Return) { s.applyUsage(from, ret.Uses) }
 
-// mayGrant returns the share when this daemon may grant from it now. Without
+// grantableShare returns the share when this daemon may grant from it now. Without
 // tenure it may not: its successor counts the last grant from the end of that.
-func (s *State) mayGrant(key shareKey) *share {
-	if !s.hasTenure() {
+func (s *State) grantableShare(key shareKey) *share {
+	if !s.hasLease() {
 		return nil
 	}
 	sh := s.share(key)
 	if sh == nil {
-		s.reportSeldom(EventNotOwner, "account", string(key.account))
+		s.reportLimited(EventNotOwner, "account", string(key.account))
 	}
 	return sh
 }
 
-func (s *State) settle(from crid.Daemon, uses []Use) {
+func (s *State) applyUsage(from crid.Daemon, uses []Use) {
 	for _, use := range uses {
 		key := shareKey{use.Account, use.Share}
 		sh, ok := s.owner.shares[key]
 		if !ok || use.Inc != s.inc {
 			continue
 		}
-		if !s.params.flaws.settleFirst {
-			sh.mint(s.owner.clock)
+		if !s.params.mutations.applyUsageFirst {
+			sh.refill(s.owner.refillClock)
 		}
 		sh.expire(s.now)
-		sh.settle(from, use, func(spent []Spent, reported int) {
-			sh.credit(spent, reported, s.reading, s.params.flaws.creditTwice)
+		sh.applyUsage(from, use, func(spent []Spent, reported int) {
+			sh.credit(spent, reported, s.refillClockAt, s.params.mutations.creditTwice)
 		})
 	}
 }
@@ -291,15 +291,15 @@
 	sh.expire(s.now)
 	sh.prune(s.now)
 	unmet := false
-	for i, n := range sh.allot() {
+	for i, n := range sh.allocate() {
 		w := &sh.waiters[i]
 		w.want -= n
 		short := w.want > 0
 		unmet = unmet || short
-		if n == 0 && w.silent {
+		if n == 0 && w.notified {
 			continue
 		}
-		w.silent = true
+		w.notified = true
 		item := GrantItem{Account: key.account, Share: key.share, Tokens: n, Short: short}
 		if short {
 			item.After = int(sh.nextToken().Milliseconds())
@@ -322,7 +322,7 @@
 // recall asks those that hold tokens of the share, and want none, to give back
 // what they do not need at once.
 func (s *State) recall(key shareKey, sh *share) {
-	if sh.recalledAt != 0 && s.now.Sub(sh.recalledAt) < recallGap {
+	if sh.recalledAt != 0 && s.now.Sub(sh.recalledAt) < recallInterval {
 		return
 	}
 	asked := map[crid.Daemon]bool{}
@@ -331,7 +331,7 @@
 	}
 	for i := range sh.grants {
 		g := &sh.grants[i]
-		if g.open() == 0 || asked[g.to] {
+		if g.unspent() == 0 || asked[g.to] {
 			continue
 		}
 		asked[g.to] = true
@@ -348,8 +348,8 @@
 }
 
 func (s *State) tickOwner() {
-	if !s.hasTenure() {
-		s.noteLapse()
+	if !s.hasLease() {
+		s.reportLeaseLost()
 	}
 	kept := s.owner.busy[:0]
 	for _, key := range s.owner.busy {
@@ -358,9 +358,9 @@
 			delete(s.owner.isBusy, key)
 			continue
 		}
-		sh.mint(s.owner.clock)
+		sh.refill(s.owner.refillClock)
 		sh.expire(s.now)
-		if s.hasTenure() {
+		if s.hasLease() {
 			s.serve(key, sh)
 		}
 		if len(sh.grants)+len(sh.waiters) == 0 {
@@ -375,20 +375,20 @@
 
 // sweep drops shares that hold no more than a new one would.
 func (s *State) sweep() {
-	if s.now.Sub(s.owner.sweptAt) < sweepGap {
+	if s.now.Sub(s.owner.sweptAt) < sweepInterval {
 		return
 	}
 	s.owner.sweptAt = s.now
 	for key, sh := range s.owner.shares {
-		sh.mint(s.owner.clock)
+		sh.refill(s.owner.refillClock)
 		if sh.idle() && s.now.Sub(sh.usedAt) > s.params.IdleAfter {
 			delete(s.owner.shares, key)
 		}
 	}
-	for account, since := range s.owner.since {
+	for account, since := range s.owner.limitChangedAt {
 		limit := s.limits(account)
-		if (s.owner.clock-since).Seconds()*limit.Rate >= limit.Burst {
-			delete(s.owner.since, account)
+		if (s.owner.refillClock-since).Seconds()*limit.Rate >= limit.Burst {
+			delete(s.owner.limitChangedAt, account)
 		}
 	}
 }
--- a/core/craccount/rendezvous.go
+++ b/core/craccount/rendezvous.go
@@ -32,15 +32,15 @@
 	return part
 }
 
-// roster is the members of a list with their hashes, which are the costly part
+// memberSet is the members of a list with their hashes, which are the costly part
 // of a score and the same for every account.
-type roster struct {
+type memberSet struct {
 	names  []crid.Daemon
 	hashes []uint64
 }
 
-func newRoster(members []crid.Daemon) roster {
-	r := roster{names: slices.Clone(members), hashes: make([]uint64, len(members))}
+func newMemberSet(members []crid.Daemon) memberSet {
+	r := memberSet{names: slices.Clone(members), hashes: make([]uint64, len(members))}
 	for i, d := range members {
 		r.hashes[i] = xxhash.Sum64String(string(d))
 	}
@@ -50,7 +50,7 @@
 // shareOwners picks the owner of each share by rendezvous hash: of a changed
 // list, only the shares of daemons that came or went move. A daemon owns two
 // shares of one account only when there are fewer members than shares.
-func shareOwners(account crid.Account, members roster, count int) []crid.Daemon {
+func shareOwners(account crid.Account, members memberSet, count int) []crid.Daemon {
 	owners := make([]crid.Daemon, 0, count)
 	hash := xxhash.Sum64String(string(account))
 	for share := range count {
@@ -61,7 +61,7 @@
 
 // highest returns the member with the highest score that is not yet taken; of
 // equal scores the first by name wins, since members are sorted.
-func (r roster) highest(seed uint64, taken []crid.Daemon) crid.Daemon {
+func (r memberSet) highest(seed uint64, taken []crid.Daemon) crid.Daemon {
 	var best crid.Daemon
 	var bestScore uint64
 	for i, hash := range r.hashes {
--- a/core/craccount/settled_test.go
+++ b/core/craccount/settled_test.go
@@ -13,24 +13,24 @@
 // daemons were missing at one time, and callers were refused inside their rate.
 func TestADaemonIsSettledOnlyOnceItMints(t *testing.T) {
 	g := NewWithT(t)
-	r := newRig("a", flaws{})
+	r := newTestState("a", mutations{})
 	g.Expect(r.Settled()).To(BeFalse(), "without tenure")
-	r.tenured(1, 10, 4000, "a")
+	r.giveLease(1, 10, 4000, "a")
 	for at := 100; at < 3000; at += 50 {
 		r.Step(crevent.Tick{Now: ms(at)})
 		before := r.Settled()
-		minted := r.ask(ms(at), 1).Tokens > 0
+		minted := r.request(ms(at), 1).Tokens > 0
 		g.Expect(minted && !before).To(BeFalse(), "minted at %d ms and was not settled", at)
 		if before {
 			r.Step(crevent.Tick{Now: ms(at + 40)})
-			g.Expect(minted || r.ask(ms(at+40), 1).Tokens > 0).To(BeTrue(), "settled at %d ms and did not mint", at)
+			g.Expect(minted || r.request(ms(at+40), 1).Tokens > 0).To(BeTrue(), "settled at %d ms and did not mint", at)
 		}
 	}
 	g.Expect(r.Settled()).To(BeTrue())
 
 	r.Step(crevent.Tick{Now: ms(9000)})
 	g.Expect(r.Settled()).To(BeFalse(), "the tenure has ended")
-	r.tenured(1, 9000, 20000, "a")
+	r.giveLease(1, 9000, 20000, "a")
 	r.Step(crevent.Tick{Now: ms(10000)})
 	g.Expect(r.Settled()).To(BeFalse(), "after a gap it waits anew")
 }
--- a/core/craccount/share.go
+++ b/core/craccount/share.go
@@ -8,27 +8,27 @@
 	"camphorroad/core/crid"
 )
 
-// grantState is what an owner knows of one grant.
-type grantState struct {
-	id     uint64
-	to     crid.Daemon
-	tokens int
-	taken  int
-	back   int
-	voidAt crid.Instant
+// outstandingGrant is what an owner knows of one grant.
+type outstandingGrant struct {
+	id        uint64
+	to        crid.Daemon
+	tokens    int
+	taken     int
+	returned  int
+	expiresAt crid.Instant
 }
 
-func (g *grantState) open() int { return g.tokens - g.taken - g.back }
+func (g *outstandingGrant) unspent() int { return g.tokens - g.taken - g.returned }
 
 // waiter is an Ask that was not met in full.
 type waiter struct {
-	from   crid.Daemon
-	inc    crid.Incarnation
-	seq    uint64
-	want   int
-	until  crid.Instant
-	keep   bool // wants the rest when it is minted
-	silent bool // has been told that this owner is short
+	from        crid.Daemon
+	inc         crid.Incarnation
+	seq         uint64
+	want        int
+	until       crid.Instant
+	waitForRest bool // wants the rest when it is minted
+	notified    bool // has been told that this owner is short
 }
 
 // share is one share of an account at its owner: a token bucket whose level is
@@ -43,28 +43,28 @@
 	burst       float64
 	balance     float64
 	outstanding int
-	minted      time.Duration // reading of the minting clock up to which is minted
-	grants      []grantState  // by id, which grow
+	refilledTo  time.Duration      // reading of the minting clock up to which is minted
+	grants      []outstandingGrant // by id, which grow
 	waiters     []waiter
 	recalledAt  crid.Instant
 	usedAt      crid.Instant
-	rotate      int
-	spills      spills
+	nextWaiter  int
+	overflows   overflows
 }
 
-// mint accrues tokens up to the reading m of the minting clock.
-func (sh *share) mint(m time.Duration) {
-	if m <= sh.minted {
+// refill accrues tokens up to the reading m of the minting clock.
+func (sh *share) refill(m time.Duration) {
+	if m <= sh.refilledTo {
 		return
 	}
-	fresh := sh.rate * (m - sh.minted).Seconds()
-	from := sh.minted
-	sh.minted = m
+	fresh := sh.rate * (m - sh.refilledTo).Seconds()
+	from := sh.refilledTo
+	sh.refilledTo = m
 	room := sh.burst - sh.balance - float64(sh.outstanding)
 	got := math.Max(0, math.Min(fresh, room))
 	sh.balance += got
 	if got < fresh {
-		sh.spills.add(max(from, m-time.Duration((fresh-got)/sh.rate*float64(time.Second))), m)
+		sh.overflows.add(max(from, m-time.Duration((fresh-got)/sh.rate*float64(time.Second))), m)
 	}
 }
 
@@ -72,7 +72,7 @@
 // one is filled at the rate from now on.
 func (sh *share) resize(rate, burst float64) {
 	sh.rate, sh.burst = rate, burst
-	sh.spills = spills{}
+	sh.overflows = overflows{}
 	room := math.Max(0, burst-float64(sh.outstanding))
 	sh.balance = math.Min(sh.balance, room)
 }
@@ -81,28 +81,28 @@
 func (sh *share) grant(id uint64, to crid.Daemon, n int, voidAt crid.Instant) {
 	sh.balance -= float64(n)
 	sh.outstanding += n
-	sh.grants = append(sh.grants, grantState{id: id, to: to, tokens: n, voidAt: voidAt})
+	sh.grants = append(sh.grants, outstandingGrant{id: id, to: to, tokens: n, expiresAt: voidAt})
 }
 
-// settle applies a report on a grant. Reports are cumulative: a duplicate or
+// applyUsage applies a report on a grant. Reports are cumulative: a duplicate or
 // an overtaken one changes nothing. One on a grant already void is ignored,
 // since its room has been given out again.
-func (sh *share) settle(from crid.Daemon, use Use, credit func(spent []Spent, reported int)) {
-	i, ok := slices.BinarySearchFunc(sh.grants, use.Grant, func(g grantState, id uint64) int {
+func (sh *share) applyUsage(from crid.Daemon, use Use, credit func(spent []Spent, reported int)) {
+	i, ok := slices.BinarySearchFunc(sh.grants, use.Grant, func(g outstandingGrant, id uint64) int {
 		return compare(g.id, id)
 	})
 	if !ok || sh.grants[i].to != from {
 		return
 	}
 	g := &sh.grants[i]
-	taken, back := max(g.taken, use.Taken), max(g.back, use.Back)
+	taken, back := max(g.taken, use.Taken), max(g.returned, use.Back)
 	if taken+back > g.tokens {
 		return
 	}
-	sh.balance += float64(back - g.back)
+	sh.balance += float64(back - g.returned)
 	credit(use.Spent, taken-g.taken)
-	sh.outstanding -= taken + back - g.taken - g.back
-	g.taken, g.back = taken, back
+	sh.outstanding -= taken + back - g.taken - g.returned
+	g.taken, g.returned = taken, back
 	sh.balance = math.Min(sh.balance, math.Max(0, sh.burst-float64(sh.outstanding)))
 }
 
@@ -111,20 +111,20 @@
 func (sh *share) expire(now crid.Instant) {
 	kept := sh.grants[:0]
 	for _, g := range sh.grants {
-		void := !now.Before(g.voidAt)
+		void := !now.Before(g.expiresAt)
 		if void {
-			sh.outstanding -= g.open()
+			sh.outstanding -= g.unspent()
 		}
-		if !void && g.open() > 0 {
+		if !void && g.unspent() > 0 {
 			kept = append(kept, g)
 		}
 	}
 	sh.grants = kept
 }
 
-// wait remembers an Ask; a newer one of the same daemon replaces it, an older
+// enqueue remembers an Ask; a newer one of the same daemon replaces it, an older
 // or repeated one is refused.
-func (sh *share) wait(w waiter) {
+func (sh *share) enqueue(w waiter) {
 	for i, old := range sh.waiters {
 		if old.from != w.from {
 			continue
@@ -138,9 +138,9 @@
 	sh.waiters = append(sh.waiters, w)
 }
 
-// allot divides the whole tokens of the balance among the waiters so that the
+// allocate divides the whole tokens of the balance among the waiters so that the
 // worst-served gets as much as can be (max-min); the remainder rotates.
-func (sh *share) allot() []int {
+func (sh *share) allocate() []int {
 	free := int(math.Floor(sh.balance + 1e-9))
 	given := make([]int, len(sh.waiters))
 	hungry := len(sh.waiters)
@@ -148,7 +148,7 @@
 		part := max(1, free/hungry)
 		hungry = 0
 		for k := range sh.waiters {
-			i := (k + sh.rotate) % len(sh.waiters)
+			i := (k + sh.nextWaiter) % len(sh.waiters)
 			n := min(part, sh.waiters[i].want-given[i], free)
 			given[i] += n
 			free -= n
@@ -156,7 +156,7 @@
 				hungry++
 			}
 		}
-		sh.rotate++
+		sh.nextWaiter++
 	}
 	return given
 }
@@ -166,16 +166,16 @@
 func (sh *share) nextToken() time.Duration {
 	missing := math.Max(0, 1-sh.balance)
 	if sh.rate <= 0 {
-		return maxRetry
+		return maxRetryAfter
 	}
-	return min(maxRetry, time.Duration(missing/sh.rate*float64(time.Second)))
+	return min(maxRetryAfter, time.Duration(missing/sh.rate*float64(time.Second)))
 }
 
 // prune drops waiters that were served in full, wanted an answer at once only,
 // or have asked too long ago.
 func (sh *share) prune(now crid.Instant) {
 	sh.waiters = slices.DeleteFunc(sh.waiters, func(w waiter) bool {
-		return w.want <= 0 || !now.Before(w.until) || (w.silent && !w.keep)
+		return w.want <= 0 || !now.Before(w.until) || (w.notified && !w.waitForRest)
 	})
 }
 
--- a/core/craccount/spill.go
+++ b/core/craccount/spill.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	maxSpills = 16                    // times without room that a share remembers
-	leastAge  = 20 * time.Millisecond // of a spent token, for its age to be worth telling
+	maxOverflows = 16                    // times without room that a share remembers
+	minSpentAge  = 20 * time.Millisecond // of a spent token, for its age to be worth telling
 )
 
 // Spent tells how long ago, at least, tokens were spent when a report was sent.
@@ -25,28 +25,28 @@
 	at    crid.Instant
 }
 
-// spill is a time, on the minting clock, in which a share minted nothing for
+// overflow is a time, on the minting clock, in which a share minted nothing for
 // want of room.
-type spill struct {
+type overflow struct {
 	from, to time.Duration
 }
 
-// spills are the times without room, oldest first, none twice.
+// overflows are the times without room, oldest first, none twice.
 //
 // A spent token takes up room until its owner is told. Were the time from the
 // spending to the report not made good, an account that is near its full burst
 // would lose a part of it, and be refused inside its limit when it needs it.
-type spills struct {
-	all []spill
+type overflows struct {
+	all []overflow
 }
 
-func (o *spills) add(from, to time.Duration) {
+func (o *overflows) add(from, to time.Duration) {
 	if n := len(o.all); n > 0 && o.all[n-1].to == from {
 		o.all[n-1].to = to
 		return
 	}
-	o.all = append(o.all, spill{from, to})
-	if len(o.all) > maxSpills {
+	o.all = append(o.all, overflow{from, to})
+	if len(o.all) > maxOverflows {
 		o.all = slices.Delete(o.all, 0, 1)
 	}
 }
@@ -54,9 +54,9 @@
 // reclaim takes out at most so much time that lies after an instant of the
 // minting clock, the earliest first, and returns how much it was. What is taken
 // out is gone: were it counted for two reports, tokens would be made of nothing.
-func (o *spills) reclaim(after, most time.Duration, keep bool) time.Duration {
+func (o *overflows) reclaim(after, most time.Duration, keep bool) time.Duration {
 	var got time.Duration
-	var rest []spill
+	var rest []overflow
 	for _, sp := range o.all {
 		begin := max(sp.from, after)
 		part := max(0, min(sp.to-begin, most-got))
@@ -66,41 +66,41 @@
 			continue
 		}
 		if sp.from < begin {
-			rest = append(rest, spill{sp.from, begin})
+			rest = append(rest, overflow{sp.from, begin})
 		}
 		if begin+part < sp.to {
-			rest = append(rest, spill{begin + part, sp.to})
+			rest = append(rest, overflow{begin + part, sp.to})
 		}
 	}
 	o.all = rest
 	return got
 }
 
-// reading is what the minting clock showed, at the latest, when a token was
+// refillClockAt is what the minting clock showed, at the latest, when a token was
 // spent that a report just received gives an age. The time on the way only
 // makes the token older. Over a time without tenure the clocks can not be
 // compared: nothing before its end counts.
-func (s *State) reading(age int) time.Duration {
+func (s *State) refillClockAt(age int) time.Duration {
 	age = min(age, int(s.params.Lifetime.Milliseconds())) // no grant is older
 	passed := time.Duration(float64(age) * (1 - s.params.Drift) * float64(time.Millisecond))
-	if s.params.flaws.creditEarly {
+	if s.params.mutations.creditWholeLifetime {
 		passed = s.params.Lifetime
 	}
-	at := max(s.now.Add(-passed), s.owner.gapAt)
-	return s.owner.clock - s.now.Sub(at)
+	at := max(s.now.Add(-passed), s.owner.lastGapAt)
+	return s.owner.refillClock - s.now.Sub(at)
 }
 
-// ages tells how old the tokens of a lot are that were spent since its last
+// spentAges tells how old the tokens of a lot are that were spent since its last
 // report, and forgets them.
-func (s *State) ages(l *lot) []Spent {
+func (s *State) spentAges(l *heldGrant) []Spent {
 	var all []Spent
-	for _, sp := range l.fresh {
-		age := s.now.Sub(sp.at.Add(staleAfter))
-		if age >= leastAge {
+	for _, sp := range l.spends {
+		age := s.now.Sub(sp.at.Add(maxClockAge))
+		if age >= minSpentAge {
 			all = append(all, Spent{Count: sp.count, Age: int(age.Milliseconds())})
 		}
 	}
-	l.fresh = nil
+	l.spends = nil
 	return all
 }
 
@@ -119,6 +119,6 @@
 	}
 	for _, sp := range spent {
 		most := time.Duration(float64(sp.Count) / sh.rate * float64(time.Second))
-		sh.balance += sh.rate * sh.spills.reclaim(reading(sp.Age), most, keep).Seconds()
+		sh.balance += sh.rate * sh.overflows.reclaim(reading(sp.Age), most, keep).Seconds()
 	}
 }
--- a/core/craccount/spill_test.go
+++ b/core/craccount/spill_test.go
@@ -15,40 +15,40 @@
 // each of two reports, for a repeated one or over a pause, it would get too much.
 func TestTimeUntilAReportIsMadeGoodOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		flaws       flaws
+		mutations   mutations
 		age         int // of the reports, milliseconds
 		until       int // tenure of the first list; the report comes at 4100
 		first, both float64
 	}{
-		"in time":           {flaws{}, 100, 60000, 9.75, 9.75},
-		"fresh":             {flaws{}, 0, 60000, 0, 0},
-		"tenure had lapsed": {flaws{}, 100, 4050, 4, 4},
-		"counted twice":     {flaws{creditTwice: true}, 100, 60000, 9.75, 19.5},
+		"in time":           {mutations{}, 100, 60000, 9.75, 9.75},
+		"fresh":             {mutations{}, 0, 60000, 0, 0},
+		"tenure had lapsed": {mutations{}, 100, 4050, 4, 4},
+		"counted twice":     {mutations{creditTwice: true}, 100, 60000, 9.75, 19.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			o := newRig("o", c.flaws)
-			o.tenured(1, 1, c.until, "o")
-			one, two := o.ask(ms(4000), 10), o.ask(ms(4000), 10)
+			o := newTestState("o", c.mutations)
+			o.giveLease(1, 1, c.until, "o")
+			one, two := o.request(ms(4000), 10), o.request(ms(4000), 10)
 			if c.until < 4100 {
 				o.advance(ms(4060))
-				o.tenured(1, 4060, 60000, "o")
+				o.giveLease(1, 4060, 60000, "o")
 			}
 			report := func(at crid.Instant, item GrantItem) float64 {
-				use := spent(item, 10)
+				use := spentUsage(item, 10)
 				use.Spent = []Spent{{Count: 10, Age: c.age}}
 				for range 2 {
 					o.advance(at)
-					o.settle("e", []Use{use})
+					o.applyUsage("e", []Use{use})
 				}
 				return o.owner.shares[shareKey{acct, 0}].balance
 			}
 			g.Expect(report(ms(4100), one)).To(BeNumerically("~", c.first, 0.01))
 			g.Expect(report(ms(4100), two)).To(BeNumerically("~", c.both, 0.01))
-			use := spent(o.ask(ms(4100), 1), 1)
+			use := spentUsage(o.request(ms(4100), 1), 1)
 			use.Spent = []Spent{{Count: 5, Age: 1000}}
 			before := o.owner.shares[shareKey{acct, 0}].balance
-			o.settle("e", []Use{use})
+			o.applyUsage("e", []Use{use})
 			g.Expect(o.owner.shares[shareKey{acct, 0}].balance).To(Equal(before), "more ages than tokens")
 		})
 	}
@@ -59,16 +59,16 @@
 // long a pause as a request survives.
 func TestAgesAllowForAPausedRequest(t *testing.T) {
 	g := NewWithT(t)
-	w := holding(9, voidNever)
+	w := poolWith(9, neverExpires)
 	for _, at := range []int{40, 60, 50} {
 		w.Take(acct, ms(at))
 	}
 	usage := w.Drain(ms(100))
 	g.Expect(usage).To(HaveLen(1))
 	g.Expect(usage[0].Spent).To(Equal(ms(60)))
-	e := newRig("e", flaws{})
+	e := newTestState("e", mutations{})
 	e.now = ms(160)
-	l := &lot{fresh: []spend{{3, ms(60)}, {1, ms(140)}}}
-	g.Expect(e.ages(l)).To(Equal([]Spent{{Count: 3, Age: int((100*time.Millisecond - staleAfter).Milliseconds())}}))
-	g.Expect(l.fresh).To(BeEmpty())
+	l := &heldGrant{spends: []spend{{3, ms(60)}, {1, ms(140)}}}
+	g.Expect(e.spentAges(l)).To(Equal([]Spent{{Count: 3, Age: int((100*time.Millisecond - maxClockAge).Milliseconds())}}))
+	g.Expect(l.spends).To(BeEmpty())
 }
--- a/core/craccount/wallet.go
+++ b/core/craccount/wallet.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	walletShards = 256 // a power of two
-	firstLots    = 8
-	coldRetry    = time.Second
-	staleAfter   = 10 * time.Millisecond // less than Params.Margin
+	poolShards     = 256 // a power of two
+	initialGrants  = 8
+	coldRetryAfter = time.Second
+	maxClockAge    = 10 * time.Millisecond // less than Params.Margin
 )
 
 // Outcome is what a request for a token came to.
@@ -52,70 +52,70 @@
 	_ Limiter = (*LocalSplit)(nil)
 )
 
-// heldLot is the unspent rest of a grant.
-type heldLot struct {
-	key    GrantKey
-	left   int
-	taken  int          // since the last Drain
-	spent  crid.Instant // when the last of them was taken
-	back   int          // since the last Drain
-	voidAt crid.Instant
+// pooledGrant is the unspent rest of a grant.
+type pooledGrant struct {
+	key         GrantKey
+	remaining   int
+	taken       int          // since the last Drain
+	lastSpentAt crid.Instant // when the last of them was taken
+	returned    int          // since the last Drain
+	expiresAt   crid.Instant
 }
 
-// cell holds one account's tokens.
-type cell struct {
-	name       crid.Account
-	mu         sync.Mutex
-	listed     bool // the next Drain looks at it
-	lots       []heldLot
-	refused    int
-	cold       int
-	again      int
-	dryUntil   crid.Instant
-	retryAfter time.Duration
-	wake       chan struct{} // closed by the next Deposit; nil: nobody waits
+// accountPool holds one account's tokens.
+type accountPool struct {
+	name           crid.Account
+	mu             sync.Mutex
+	dirty          bool // the next Drain looks at it
+	grants         []pooledGrant
+	refused        int
+	cold           int
+	takenAfterWait int
+	exhaustedUntil crid.Instant
+	retryAfter     time.Duration
+	wake           chan struct{} // closed by the next Deposit; nil: nobody waits
 }
 
-type cells map[crid.Account]*cell
+type accountPools map[crid.Account]*accountPool
 
-// walletShard is a copy-on-write map: requests read it without a lock.
-type walletShard struct {
+// poolShard is a copy-on-write map: requests read it without a lock.
+type poolShard struct {
 	mu    sync.Mutex
-	cells atomic.Pointer[cells]
+	pools atomic.Pointer[accountPools]
 }
 
 // Wallet holds the tokens that requests at this daemon may spend. It is safe
 // for concurrent use.
 type Wallet struct {
-	shards [walletShards]walletShard
-	wanted chan struct{}
+	shards      [poolShards]poolShard
+	drainNeeded chan struct{}
 
-	listMu sync.Mutex
-	listed []*cell // with tokens, or used since the last Drain
+	dirtyMu sync.Mutex
+	dirty   []*accountPool // with tokens, or used since the last Drain
 }
 
 // NewWallet returns an empty wallet.
 func NewWallet() *Wallet {
-	return &Wallet{wanted: make(chan struct{}, 1)}
+	return &Wallet{drainNeeded: make(chan struct{}, 1)}
 }
 
-func (w *Wallet) shard(account crid.Account) *walletShard {
-	return &w.shards[xxhash.Sum64String(string(account))%walletShards]
+func (w *Wallet) shard(account crid.Account) *poolShard {
+	return &w.shards[xxhash.Sum64String(string(account))%poolShards]
 }
 
-func (s *walletShard) load() cells {
-	if m := s.cells.Load(); m != nil {
+func (s *poolShard) load() accountPools {
+	if m := s.pools.Load(); m != nil {
 		return *m
 	}
 	return nil
 }
 
-func (w *Wallet) find(account crid.Account) *cell {
+func (w *Wallet) find(account crid.Account) *accountPool {
 	return w.shard(account).load()[account]
 }
 
-// open returns the cell of an account, made when it is missing.
-func (w *Wallet) open(account crid.Account) *cell {
+// getOrCreate returns the cell of an account, made when it is missing.
+func (w *Wallet) getOrCreate(account crid.Account) *accountPool {
 	if c := w.find(account); c != nil {
 		return c
 	}
@@ -128,11 +128,11 @@
 	}
 	next := maps.Clone(old)
 	if next == nil {
-		next = cells{}
+		next = accountPools{}
 	}
-	c := &cell{name: account}
+	c := &accountPool{name: account}
 	next[account] = c
-	shard.cells.Store(&next)
+	shard.pools.Store(&next)
 	return c
 }
 
@@ -140,14 +140,14 @@
 // now just before: a process that wakes from a pause must not spend tokens
 // whose place has been minted anew while it slept.
 func (w *Wallet) Take(account crid.Account, now crid.Instant) Decision {
-	c := w.open(account)
+	c := w.getOrCreate(account)
 	c.mu.Lock()
-	w.list(c)
+	w.markDirty(c)
 	if c.spend(now) {
 		c.mu.Unlock()
 		return Decision{Outcome: Admitted}
 	}
-	if now.Before(c.dryUntil) {
+	if now.Before(c.exhaustedUntil) {
 		c.refused++
 		retry := c.retryAfter
 		c.mu.Unlock()
@@ -155,60 +155,60 @@
 	}
 	c.cold++
 	c.mu.Unlock()
-	w.signal()
+	w.signalDrain()
 	return Decision{Outcome: Cold}
 }
 
-// list has the next Drain look at a cell whose lock is held.
-func (w *Wallet) list(c *cell) {
-	if c.listed {
+// markDirty has the next Drain look at a cell whose lock is held.
+func (w *Wallet) markDirty(c *accountPool) {
+	if c.dirty {
 		return
 	}
-	c.listed = true
-	w.listMu.Lock()
-	w.listed = append(w.listed, c)
-	w.listMu.Unlock()
+	c.dirty = true
+	w.dirtyMu.Lock()
+	w.dirty = append(w.dirty, c)
+	w.dirtyMu.Unlock()
 }
 
 // spend takes from the valid lot that is void first.
-func (c *cell) spend(now crid.Instant) bool {
+func (c *accountPool) spend(now crid.Instant) bool {
 	best := -1
-	for i := range c.lots {
-		l := &c.lots[i]
-		if l.left == 0 || !now.Before(l.voidAt) {
+	for i := range c.grants {
+		l := &c.grants[i]
+		if l.remaining == 0 || !now.Before(l.expiresAt) {
 			continue
 		}
-		if best < 0 || l.voidAt < c.lots[best].voidAt {
+		if best < 0 || l.expiresAt < c.grants[best].expiresAt {
 			best = i
 		}
 	}
 	if best < 0 {
 		return false
 	}
-	c.lots[best].left--
-	c.lots[best].taken++
-	c.lots[best].spent = max(c.lots[best].spent, now)
+	c.grants[best].remaining--
+	c.grants[best].taken++
+	c.grants[best].lastSpentAt = max(c.grants[best].lastSpentAt, now)
 	return true
 }
 
-// signal tells the shell that draining at once is worth while.
-func (w *Wallet) signal() {
+// signalDrain tells the shell that draining at once is worth while.
+func (w *Wallet) signalDrain() {
 	select {
-	case w.wanted <- struct{}{}:
+	case w.drainNeeded <- struct{}{}:
 	default:
 	}
 }
 
 // Wanted fires when a request is cold or tokens were withdrawn; the shell then
 // drains without waiting for the next tick.
-func (w *Wallet) Wanted() <-chan struct{} { return w.wanted }
+func (w *Wallet) Wanted() <-chan struct{} { return w.drainNeeded }
 
 // Wait returns nil when something has been heard from an owner of the account
 // that came out [Cold], or the error of ctx.
 func (w *Wallet) Wait(ctx context.Context, account crid.Account, now crid.Instant) error {
-	c := w.open(account)
+	c := w.getOrCreate(account)
 	c.mu.Lock()
-	if c.valid(now) || now.Before(c.dryUntil) {
+	if c.hasToken(now) || now.Before(c.exhaustedUntil) {
 		c.mu.Unlock()
 		return nil
 	}
@@ -225,9 +225,9 @@
 	}
 }
 
-func (c *cell) valid(now crid.Instant) bool {
-	return slices.ContainsFunc(c.lots, func(l heldLot) bool {
-		return l.left > 0 && now.Before(l.voidAt)
+func (c *accountPool) hasToken(now crid.Instant) bool {
+	return slices.ContainsFunc(c.grants, func(l pooledGrant) bool {
+		return l.remaining > 0 && now.Before(l.expiresAt)
 	})
 }
 
@@ -243,28 +243,28 @@
 	d := w.Take(account, now)
 	for d.Outcome == Cold {
 		if err := w.Wait(ctx, account, clock()); err != nil {
-			return Decision{Outcome: Refused, RetryAfter: coldRetry}
+			return Decision{Outcome: Refused, RetryAfter: coldRetryAfter}
 		}
 		now = clock()
-		d = w.retake(account, now)
+		d = w.takeAfterWait(account, now)
 	}
-	if d.Outcome == Admitted && clock().Sub(now) > staleAfter {
-		return Decision{Outcome: Refused, RetryAfter: coldRetry}
+	if d.Outcome == Admitted && clock().Sub(now) > maxClockAge {
+		return Decision{Outcome: Refused, RetryAfter: coldRetryAfter}
 	}
 	return d
 }
 
-// retake is Take for a request that has been counted already.
-func (w *Wallet) retake(account crid.Account, now crid.Instant) Decision {
-	c := w.open(account)
+// takeAfterWait is Take for a request that has been counted already.
+func (w *Wallet) takeAfterWait(account crid.Account, now crid.Instant) Decision {
+	c := w.getOrCreate(account)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w.list(c)
+	w.markDirty(c)
 	if c.spend(now) {
-		c.again++
+		c.takenAfterWait++
 		return Decision{Outcome: Admitted}
 	}
-	if now.Before(c.dryUntil) {
+	if now.Before(c.exhaustedUntil) {
 		return Decision{Outcome: Refused, RetryAfter: c.retryAfter}
 	}
 	return Decision{Outcome: Cold}
@@ -272,20 +272,20 @@
 
 // Deposit carries the effect out.
 func (w *Wallet) Deposit(d Deposit) {
-	c := w.open(d.Account)
+	c := w.getOrCreate(d.Account)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w.list(c)
+	w.markDirty(c)
 	if d.Tokens > 0 {
-		if c.lots == nil {
-			c.lots = make([]heldLot, 0, firstLots)
+		if c.grants == nil {
+			c.grants = make([]pooledGrant, 0, initialGrants)
 		}
-		c.lots = append(c.lots, heldLot{key: d.Key, left: d.Tokens, voidAt: d.VoidAt})
+		c.grants = append(c.grants, pooledGrant{key: d.Key, remaining: d.Tokens, expiresAt: d.VoidAt})
 		if !d.Short {
-			c.dryUntil = 0
+			c.exhaustedUntil = 0
 		}
 	} else {
-		c.dryUntil, c.retryAfter = d.DryUntil, d.RetryAfter
+		c.exhaustedUntil, c.retryAfter = d.DryUntil, d.RetryAfter
 	}
 	if c.wake != nil {
 		close(c.wake)
@@ -302,15 +302,15 @@
 	}
 	c.mu.Lock()
 	keep := d.Keep
-	for i := range c.lots {
-		l := &c.lots[i]
-		stay := min(keep, l.left)
+	for i := range c.grants {
+		l := &c.grants[i]
+		stay := min(keep, l.remaining)
 		keep -= stay
-		l.back += l.left - stay
-		l.left = stay
+		l.returned += l.remaining - stay
+		l.remaining = stay
 	}
 	c.mu.Unlock()
-	w.signal()
+	w.signalDrain()
 }
 
 // Forget carries the effect out. Tokens still held are lost until void.
@@ -320,16 +320,16 @@
 	defer shard.mu.Unlock()
 	next := maps.Clone(shard.load())
 	delete(next, d.Account)
-	shard.cells.Store(&next)
+	shard.pools.Store(&next)
 }
 
 // Drain returns what happened since the last Drain, by account and grant, and
 // takes out lots that are void at now.
 func (w *Wallet) Drain(now crid.Instant) []Usage {
-	w.listMu.Lock()
-	listed := w.listed
-	w.listed = nil
-	w.listMu.Unlock()
+	w.dirtyMu.Lock()
+	listed := w.dirty
+	w.dirty = nil
+	w.dirtyMu.Unlock()
 	var usage []Usage
 	for _, c := range listed {
 		usage = w.drain(usage, c, now)
@@ -339,37 +339,37 @@
 }
 
 // drain keeps a cell listed while it has tokens, since they will be void.
-func (w *Wallet) drain(usage []Usage, c *cell, now crid.Instant) []Usage {
+func (w *Wallet) drain(usage []Usage, c *accountPool, now crid.Instant) []Usage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	usage = c.drain(usage, now)
-	c.listed = false
-	if len(c.lots) > 0 {
-		w.list(c)
+	c.dirty = false
+	if len(c.grants) > 0 {
+		w.markDirty(c)
 	}
 	return usage
 }
 
-func (c *cell) drain(usage []Usage, now crid.Instant) []Usage {
-	if c.refused+c.cold+c.again > 0 {
-		usage = append(usage, Usage{Account: c.name, Refused: c.refused, Cold: c.cold, Again: c.again})
-		c.refused, c.cold, c.again = 0, 0, 0
+func (c *accountPool) drain(usage []Usage, now crid.Instant) []Usage {
+	if c.refused+c.cold+c.takenAfterWait > 0 {
+		usage = append(usage, Usage{Account: c.name, Refused: c.refused, Cold: c.cold, Again: c.takenAfterWait})
+		c.refused, c.cold, c.takenAfterWait = 0, 0, 0
 	}
-	kept := c.lots[:0]
-	for _, l := range c.lots {
-		if !now.Before(l.voidAt) {
-			l.back += l.left
-			l.left = 0
+	kept := c.grants[:0]
+	for _, l := range c.grants {
+		if !now.Before(l.expiresAt) {
+			l.returned += l.remaining
+			l.remaining = 0
 		}
-		if l.taken+l.back > 0 {
-			usage = append(usage, Usage{Account: c.name, Key: l.key, Taken: l.taken, Spent: l.spent, Back: l.back})
-			l.taken, l.back = 0, 0
+		if l.taken+l.returned > 0 {
+			usage = append(usage, Usage{Account: c.name, Key: l.key, Taken: l.taken, Spent: l.lastSpentAt, Back: l.returned})
+			l.taken, l.returned = 0, 0
 		}
-		if l.left > 0 {
+		if l.remaining > 0 {
 			kept = append(kept, l)
 		}
 	}
-	c.lots = kept
+	c.grants = kept
 	return usage
 }
 
--- a/core/craccount/walletdump.go
+++ b/core/craccount/walletdump.go
@@ -27,13 +27,13 @@
 	return all
 }
 
-func (c *cell) dump(now crid.Instant) WalletDump {
+func (c *accountPool) dump(now crid.Instant) WalletDump {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := WalletDump{Account: c.name, Dry: now.Before(c.dryUntil)}
-	for _, l := range c.lots {
-		if l.left > 0 && now.Before(l.voidAt) {
-			d.Tokens += l.left
+	d := WalletDump{Account: c.name, Dry: now.Before(c.exhaustedUntil)}
+	for _, l := range c.grants {
+		if l.remaining > 0 && now.Before(l.expiresAt) {
+			d.Tokens += l.remaining
 			d.Lots++
 		}
 	}
