--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -84,7 +84,7 @@
 	return nil, 0
 }
 
-func poolWith(tokens int, voidAt crid.Instant) *Wallet {
+func poolWith(tokens int, voidAt crid.Instant) *TokenPool {
 	w := NewWallet()
 	w.Deposit(Deposit{Account: acct, Key: GrantKey{ID: 1}, Tokens: tokens, VoidAt: voidAt})
 	return w
--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -9,7 +9,7 @@
 // until it is void and its room is minted anew. docs/design/03-account-rate.md
 // has the proof that no window w sees more than burst + rate*w admissions.
 //
-// [State] is the reducer for both roles, owner and entry. [Wallet] is the
+// [State] is the reducer for both roles, owner and entry. [TokenPool] is the
 // concurrency-safe side that request goroutines take tokens from.
 //
 // # Usage
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -95,7 +95,7 @@
 	ID    uint64
 }
 
-// Deposit is the effect that puts tokens into the [Wallet], or, with no tokens,
+// Deposit is the effect that puts tokens into the [TokenPool], or, with no tokens,
 // tells it that the account is exhausted until DryUntil.
 type Deposit struct {
 	Account    crid.Account
@@ -112,7 +112,7 @@
 func (Deposit) EffectName() string { return "deposit" }
 
 // Withdraw is the effect that takes all but Keep tokens of an account out of
-// the [Wallet]; the next Drain reports them as given back.
+// the [TokenPool]; the next Drain reports them as given back.
 type Withdraw struct {
 	Account crid.Account
 	Keep    int
@@ -121,7 +121,7 @@
 // EffectName implements crevent.Effect.
 func (Withdraw) EffectName() string { return "withdraw" }
 
-// Forget is the effect that drops an idle account from the [Wallet].
+// Forget is the effect that drops an idle account from the [TokenPool].
 type Forget struct {
 	Account crid.Account
 }
@@ -142,7 +142,7 @@
 	Again   int // taken after the wait by requests that were counted as Cold
 }
 
-// Used feeds the drained counts of the [Wallet] back into the reducer.
+// Used feeds the drained counts of the [TokenPool] back into the reducer.
 type Used struct {
 	Now   crid.Instant
 	Usage []Usage
--- a/core/craccount/net_test.go
+++ b/core/craccount/net_test.go
@@ -55,7 +55,7 @@
 type node struct {
 	name         crid.Daemon
 	state        *State
-	wallet       *Wallet
+	wallet       *TokenPool
 	inc          crid.Incarnation
 	skew         float64
 	offset       time.Duration
--- a/core/craccount/wallet.go
+++ b/core/craccount/wallet.go
@@ -24,7 +24,7 @@
 // Outcome is what a request for a token came to.
 type Outcome uint8
 
-// The outcomes of [Wallet.Take].
+// The outcomes of [TokenPool.Take].
 const (
 	// Admitted means that one token was spent.
 	Admitted Outcome = iota + 1
@@ -48,7 +48,7 @@
 }
 
 var (
-	_ Limiter = (*Wallet)(nil)
+	_ Limiter = (*TokenPool)(nil)
 	_ Limiter = (*LocalSplit)(nil)
 )
 
@@ -84,9 +84,9 @@
 	pools atomic.Pointer[accountPools]
 }
 
-// Wallet holds the tokens that requests at this daemon may spend. It is safe
+// TokenPool holds the tokens that requests at this daemon may spend. It is safe
 // for concurrent use.
-type Wallet struct {
+type TokenPool struct {
 	shards      [poolShards]poolShard
 	drainNeeded chan struct{}
 
@@ -95,11 +95,11 @@
 }
 
 // NewWallet returns an empty wallet.
-func NewWallet() *Wallet {
-	return &Wallet{drainNeeded: make(chan struct{}, 1)}
+func NewWallet() *TokenPool {
+	return &TokenPool{drainNeeded: make(chan struct{}, 1)}
 }
 
-func (w *Wallet) shard(account crid.Account) *poolShard {
+func (w *TokenPool) shard(account crid.Account) *poolShard {
 	return &w.shards[xxhash.Sum64String(string(account))%poolShards]
 }
 
@@ -110,12 +110,12 @@
 	return nil
 }
 
-func (w *Wallet) find(account crid.Account) *accountPool {
+func (w *TokenPool) find(account crid.Account) *accountPool {
 	return w.shard(account).load()[account]
 }
 
 // getOrCreate returns the cell of an account, made when it is missing.
-func (w *Wallet) getOrCreate(account crid.Account) *accountPool {
+func (w *TokenPool) getOrCreate(account crid.Account) *accountPool {
 	if c := w.find(account); c != nil {
 		return c
 	}
@@ -139,7 +139,7 @@
 // Take spends one token that is valid at now and never waits. The caller reads
 // now just before: a process that wakes from a pause must not spend tokens
 // whose place has been minted anew while it slept.
-func (w *Wallet) Take(account crid.Account, now crid.Instant) Decision {
+func (w *TokenPool) Take(account crid.Account, now crid.Instant) Decision {
 	c := w.getOrCreate(account)
 	c.mu.Lock()
 	w.markDirty(c)
@@ -160,7 +160,7 @@
 }
 
 // markDirty has the next Drain look at a cell whose lock is held.
-func (w *Wallet) markDirty(c *accountPool) {
+func (w *TokenPool) markDirty(c *accountPool) {
 	if c.dirty {
 		return
 	}
@@ -192,7 +192,7 @@
 }
 
 // signalDrain tells the shell that draining at once is worth while.
-func (w *Wallet) signalDrain() {
+func (w *TokenPool) signalDrain() {
 	select {
 	case w.drainNeeded <- struct{}{}:
 	default:
@@ -201,11 +201,11 @@
 
 // Wanted fires when a request is cold or tokens were withdrawn; the shell then
 // drains without waiting for the next tick.
-func (w *Wallet) Wanted() <-chan struct{} { return w.drainNeeded }
+func (w *TokenPool) Wanted() <-chan struct{} { return w.drainNeeded }
 
 // Wait returns nil when something has been heard from an owner of the account
 // that came out [Cold], or the error of ctx.
-func (w *Wallet) Wait(ctx context.Context, account crid.Account, now crid.Instant) error {
+func (w *TokenPool) Wait(ctx context.Context, account crid.Account, now crid.Instant) error {
 	c := w.getOrCreate(account)
 	c.mu.Lock()
 	if c.hasToken(now) || now.Before(c.exhaustedUntil) {
@@ -238,7 +238,7 @@
 // A process may be paused between reading the clock and taking the token, and
 // would then spend tokens long void. Admit reads the clock again and refuses
 // when more time has passed than owners allow for.
-func (w *Wallet) Admit(ctx context.Context, account crid.Account, clock func() crid.Instant) Decision {
+func (w *TokenPool) Admit(ctx context.Context, account crid.Account, clock func() crid.Instant) Decision {
 	now := clock()
 	d := w.Take(account, now)
 	for d.Outcome == Cold {
@@ -255,7 +255,7 @@
 }
 
 // takeAfterWait is Take for a request that has been counted already.
-func (w *Wallet) takeAfterWait(account crid.Account, now crid.Instant) Decision {
+func (w *TokenPool) takeAfterWait(account crid.Account, now crid.Instant) Decision {
 	c := w.getOrCreate(account)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -271,7 +271,7 @@
 }
 
 // Deposit carries the effect out.
-func (w *Wallet) Deposit(d Deposit) {
+func (w *TokenPool) Deposit(d Deposit) {
 	c := w.getOrCreate(d.Account)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -295,7 +295,7 @@
 
 // Withdraw carries the effect out: the tokens leave the wallet before the
 // reducer hears of them, so that none is both spent and given back.
-func (w *Wallet) Withdraw(d Withdraw) {
+func (w *TokenPool) Withdraw(d Withdraw) {
 	c := w.find(d.Account)
 	if c == nil {
 		return
@@ -314,7 +314,7 @@
 }
 
 // Forget carries the effect out. Tokens still held are lost until void.
-func (w *Wallet) Forget(d Forget) {
+func (w *TokenPool) Forget(d Forget) {
 	shard := w.shard(d.Account)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -325,7 +325,7 @@
 
 // Drain returns what happened since the last Drain, by account and grant, and
 // takes out lots that are void at now.
-func (w *Wallet) Drain(now crid.Instant) []Usage {
+func (w *TokenPool) Drain(now crid.Instant) []Usage {
 	w.dirtyMu.Lock()
 	listed := w.dirty
 	w.dirty = nil
@@ -339,7 +339,7 @@
 }
 
 // drain keeps a cell listed while it has tokens, since they will be void.
-func (w *Wallet) drain(usage []Usage, c *accountPool, now crid.Instant) []Usage {
+func (w *TokenPool) drain(usage []Usage, c *accountPool, now crid.Instant) []Usage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	usage = c.drain(usage, now)
--- a/core/craccount/walletdump.go
+++ b/core/craccount/walletdump.go
@@ -16,7 +16,7 @@
 }
 
 // Dump returns what the wallet holds at now, sorted by account.
-func (w *Wallet) Dump(now crid.Instant) []WalletDump {
+func (w *TokenPool) Dump(now crid.Instant) []WalletDump {
 	var all []WalletDump
 	for i := range w.shards {
 		for _, c := range w.shards[i].load() {
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -37,7 +37,7 @@
 	loop   *crcontrol.Loop
 	reader *reader
 
-	wallet   *craccount.Wallet
+	wallet   *craccount.TokenPool
 	split    *craccount.LocalSplit // a baseline; nil in service
 	recorder *crhealth.Recorder
 
