--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -85,7 +85,7 @@
 }
 
 func poolWith(tokens int, voidAt crid.Instant) *TokenPool {
-	w := NewWallet()
+	w := NewTokenPool()
 	w.Deposit(Deposit{Account: acct, Key: GrantKey{ID: 1}, Tokens: tokens, VoidAt: voidAt})
 	return w
 }
@@ -300,7 +300,7 @@
 func TestStoppingHandsBack(t *testing.T) {
 	g := NewWithT(t)
 	e, seq := entryWithRequest(g, ms(100))
-	w := NewWallet()
+	w := NewTokenPool()
 	deposits, _ := e.receiveGrant(ms(110), seq, 1)
 	w.Deposit(deposits[0])
 	for _, eff := range e.Step(crevent.Stopping{Now: ms(120)}) {
@@ -371,7 +371,7 @@
 // once for the owners' answer, and not at all when they are known to be short.
 func TestAdmitWaitsOnceWhenCold(t *testing.T) {
 	g := NewWithT(t)
-	w := NewWallet()
+	w := NewTokenPool()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	clock := func() crid.Instant { return 1 }
--- a/core/craccount/bench_test.go
+++ b/core/craccount/bench_test.go
@@ -14,7 +14,7 @@
 func BenchmarkWalletTake(b *testing.B) {
 	for _, accounts := range []int{1, 1000} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
-			w := NewWallet()
+			w := NewTokenPool()
 			names := make([]crid.Account, accounts)
 			for i := range names {
 				names[i] = crid.Account(fmt.Sprintf("account%d", i))
@@ -43,7 +43,7 @@
 	const accounts = 10000
 	for b.Loop() {
 		before := heapInUse()
-		s, w := New(DefaultParams()), NewWallet()
+		s, w := New(DefaultParams()), NewTokenPool()
 		s.entry.sent[1] = sentRequest{to: "x", at: 1}
 		s.now = 2
 		for i := range accounts {
--- a/core/craccount/net_test.go
+++ b/core/craccount/net_test.go
@@ -155,7 +155,7 @@
 // start begins a new life of a node.
 func (w *testNet) start(nd *node) {
 	nd.inc = crid.Incarnation(w.rng.Uint64() | 1)
-	nd.state, nd.wallet, nd.coldRequests = New(w.params), NewWallet(), nil
+	nd.state, nd.wallet, nd.coldRequests = New(w.params), NewTokenPool(), nil
 	nd.paused, nd.dead, nd.leaving = 0, false, false
 	now := w.clock(nd)
 	w.step(nd, crevent.Started{Now: now, Self: nd.name, Incarnation: nd.inc})
--- a/core/craccount/wallet.go
+++ b/core/craccount/wallet.go
@@ -94,8 +94,8 @@
 	dirty   []*accountPool // with tokens, or used since the last Drain
 }
 
-// NewWallet returns an empty wallet.
-func NewWallet() *TokenPool {
+// NewTokenPool returns an empty wallet.
+func NewTokenPool() *TokenPool {
 	return &TokenPool{drainNeeded: make(chan struct{}, 1)}
 }
 
--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -148,7 +148,7 @@
 		loads: crview.NewLoads(),
 	}
 	s.in = crview.Input{Self: s.self, Domain: crid.Domain(cfg.Domain), Loads: s.loads}
-	s.wallet = craccount.NewWallet()
+	s.wallet = craccount.NewTokenPool()
 	s.split = newSplit(cfg.Policy, s)
 	s.recorder = rec
 	s.steers = make(map[crid.Service]crhealth.Steer)
