--- a/core/craccount/walletdump.go
+++ b/core/craccount/walletdump.go
@@ -7,8 +7,8 @@
 	"camphorroad/core/crid"
 )
 
-// WalletDump is one account's tokens at this daemon, for the state dump.
-type WalletDump struct {
+// PoolDump is one account's tokens at this daemon, for the state dump.
+type PoolDump struct {
 	Account crid.Account `json:"account"`
 	Tokens  int          `json:"tokens"` // that may be spent now
 	Lots    int          `json:"lots"`   // grants they came with
@@ -16,21 +16,21 @@
 }
 
 // Dump returns what the wallet holds at now, sorted by account.
-func (w *TokenPool) Dump(now crid.Instant) []WalletDump {
-	var all []WalletDump
+func (w *TokenPool) Dump(now crid.Instant) []PoolDump {
+	var all []PoolDump
 	for i := range w.shards {
 		for _, c := range w.shards[i].load() {
 			all = append(all, c.dump(now))
 		}
 	}
-	slices.SortFunc(all, func(a, b WalletDump) int { return cmp.Compare(a.Account, b.Account) })
+	slices.SortFunc(all, func(a, b PoolDump) int { return cmp.Compare(a.Account, b.Account) })
 	return all
 }
 
-func (c *accountPool) dump(now crid.Instant) WalletDump {
+func (c *accountPool) dump(now crid.Instant) PoolDump {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := WalletDump{Account: c.name, Dry: now.Before(c.exhaustedUntil)}
+	d := PoolDump{Account: c.name, Dry: now.Before(c.exhaustedUntil)}
 	for _, l := range c.grants {
 		if l.remaining > 0 && now.Before(l.expiresAt) {
 			d.Tokens += l.remaining
--- a/io/crdaemon/state.go
+++ b/io/crdaemon/state.go
@@ -36,7 +36,7 @@
 // accountDump is the part of client accounts.
 type accountDump struct {
 	Control any                    `json:"control"`
-	Wallet  []craccount.WalletDump `json:"wallet"`
+	Wallet  []craccount.PoolDump `json:"wallet"`
 }
 
 // trafficDump is the part of requests and connections.
