--- a/core/craccount/walletdump.go
+++ b/core/craccount/walletdump.go
@@ -11,7 +11,7 @@
 type PoolDump struct {
 	Account crid.Account `json:"account"`
 	Tokens  int          `json:"tokens"` // that may be spent now
-	Lots    int          `json:"lots"`   // grants they came with
+	Grants  int          `json:"lots"`   // grants they came with
 	Dry     bool         `json:"dry"`    // the account is known to be exhausted
 }
 
@@ -34,7 +34,7 @@
 	for _, l := range c.grants {
 		if l.remaining > 0 && now.Before(l.expiresAt) {
 			d.Tokens += l.remaining
-			d.Lots++
+			d.Grants++
 		}
 	}
 	return d
