--- a/core/craccount/walletdump.go
+++ b/core/craccount/walletdump.go
@@ -9,10 +9,10 @@
 
 // PoolDump is one account's tokens at this daemon, for the state dump.
 type PoolDump struct {
-	Account crid.Account `json:"account"`
-	Tokens  int          `json:"tokens"` // that may be spent now
-	Grants  int          `json:"lots"`   // grants they came with
-	Dry     bool         `json:"dry"`    // the account is known to be exhausted
+	Account   crid.Account `json:"account"`
+	Tokens    int          `json:"tokens"` // that may be spent now
+	Grants    int          `json:"lots"`   // grants they came with
+	Exhausted bool         `json:"dry"`    // the account is known to be exhausted
 }
 
 // Dump returns what the wallet holds at now, sorted by account.
@@ -30,7 +30,7 @@
 func (c *accountPool) dump(now crid.Instant) PoolDump {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := PoolDump{Account: c.name, Dry: now.Before(c.exhaustedUntil)}
+	d := PoolDump{Account: c.name, Exhausted: now.Before(c.exhaustedUntil)}
 	for _, l := range c.grants {
 		if l.remaining > 0 && now.Before(l.expiresAt) {
 			d.Tokens += l.remaining
