--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -377,7 +377,7 @@
 	clock := func() crid.Instant { return 1 }
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		<-w.Wanted()
+		<-w.DrainNeeded()
 		w.Deposit(Deposit{Account: acct, Key: GrantKey{ID: 1}, Tokens: 1, VoidAt: ms(1000)})
 	})
 	g.Expect(w.Admit(ctx, acct, clock).Outcome).To(Equal(Admitted))
--- a/core/craccount/net_test.go
+++ b/core/craccount/net_test.go
@@ -274,7 +274,7 @@
 	}
 	w.retry(nd)
 	select {
-	case <-nd.wallet.Wanted():
+	case <-nd.wallet.DrainNeeded():
 		now := w.clock(nd)
 		w.step(nd, Used{Now: now, Usage: nd.wallet.Drain(now)})
 	default:
@@ -337,7 +337,7 @@
 	}
 	nd.coldRequests = append(nd.coldRequests, coldRequest{account: account, until: w.now + coldWait, done: done, began: w.now})
 	w.at(coldWait+1, func() { w.retry(nd) })
-	<-nd.wallet.Wanted()
+	<-nd.wallet.DrainNeeded()
 	now := w.clock(nd)
 	w.step(nd, Used{Now: now, Usage: nd.wallet.Drain(now)})
 }
--- a/core/craccount/wallet.go
+++ b/core/craccount/wallet.go
@@ -199,9 +199,9 @@
 	}
 }
 
-// Wanted fires when a request is cold or tokens were withdrawn; the shell then
+// DrainNeeded fires when a request is cold or tokens were withdrawn; the shell then
 // drains without waiting for the next tick.
-func (w *TokenPool) Wanted() <-chan struct{} { return w.drainNeeded }
+func (w *TokenPool) DrainNeeded() <-chan struct{} { return w.drainNeeded }
 
 // Wait returns nil when something has been heard from an owner of the account
 // that came out [Cold], or the error of ctx.
