--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -57,7 +57,7 @@
 // request has the entry "e" request for tokens, and returns the item it is answered with.
 func (r *testState) request(at crid.Instant, want int, uses ...Use) GrantItem {
 	r.seq++
-	msg := Ask{Inc: entryInc, Seq: r.seq, Items: []AskItem{{Account: acct, Want: want}}, Uses: uses}
+	msg := TokenRequest{Inc: entryInc, Seq: r.seq, Items: []AskItem{{Account: acct, Want: want}}, Uses: uses}
 	for _, eff := range r.Step(crevent.Received{Now: at, From: "e", Msg: msg}) {
 		if send, ok := eff.(crevent.Send); ok {
 			return send.Msg.(Grant).Items[0]
@@ -77,7 +77,7 @@
 	e.Step(crmember.Peers{Now: 1, Peers: []crmember.Peer{{Daemon: "x", Reachable: true}}})
 	for _, eff := range e.Step(Used{Now: at, Usage: []Usage{{Account: acct, Cold: 5}}}) {
 		if send, ok := eff.(crevent.Send); ok {
-			return e, send.Msg.(Ask).Seq
+			return e, send.Msg.(TokenRequest).Seq
 		}
 	}
 	g.Expect("an Ask").To(BeEmpty())
--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -160,7 +160,7 @@
 
 func (s *State) receive(from crid.Daemon, msg crevent.Message) {
 	switch msg := msg.(type) {
-	case Ask:
+	case TokenRequest:
 		s.handleTokenRequest(from, msg)
 	case Grant:
 		s.handleGrant(from, msg)
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -7,8 +7,8 @@
 	"camphorroad/core/crid"
 )
 
-// Ask asks the owner of shares for tokens, and reports on earlier grants.
-type Ask struct {
+// TokenRequest asks the owner of shares for tokens, and reports on earlier grants.
+type TokenRequest struct {
 	_ struct{} `cbor:",toarray"`
 
 	Inc   crid.Incarnation `cbor:"i"` // of the asking daemon
@@ -18,7 +18,7 @@
 }
 
 // MessageKind implements crevent.Message.
-func (Ask) MessageKind() string { return "ask" }
+func (TokenRequest) MessageKind() string { return "ask" }
 
 // AskItem asks for tokens of one share.
 type AskItem struct {
@@ -85,7 +85,7 @@
 
 // Messages returns a zero value of each message, for the codec's registry.
 func Messages() []crevent.Message {
-	return []crevent.Message{Ask{}, Grant{}, Return{}}
+	return []crevent.Message{TokenRequest{}, Grant{}, Return{}}
 }
 
 // GrantKey names a grant in the fleet, over all time.
--- a/core/craccount/outbox.go
+++ b/core/craccount/outbox.go
@@ -19,7 +19,7 @@
 	effects      []crevent.Effect
 	grants       []Grant
 	destinations []destination
-	requests     []Ask
+	requests     []TokenRequest
 	owners       []crid.Daemon
 }
 
@@ -36,14 +36,14 @@
 }
 
 // requestTo returns the message that is being gathered for an owner.
-func (o *outbox) requestTo(owner crid.Daemon) *Ask {
+func (o *outbox) requestTo(owner crid.Daemon) *TokenRequest {
 	for i := range o.owners {
 		if o.owners[i] == owner {
 			return &o.requests[i]
 		}
 	}
 	o.owners = append(o.owners, owner)
-	o.requests = append(o.requests, Ask{})
+	o.requests = append(o.requests, TokenRequest{})
 	return &o.requests[len(o.requests)-1]
 }
 
@@ -78,7 +78,7 @@
 }
 
 // finishRequest numbers an Ask; one that asks for nothing goes as a Return.
-func (s *State) finishRequest(owner crid.Daemon, ask Ask) crevent.Message {
+func (s *State) finishRequest(owner crid.Daemon, ask TokenRequest) crevent.Message {
 	if len(ask.Items) == 0 {
 		return Return{Uses: ask.Uses}
 	}
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -237,7 +237,7 @@
 }
 
 // handleTokenRequest settles the reports of an Ask and serves it as far as there are tokens.
-func (s *State) handleTokenRequest(from crid.Daemon, ask Ask) {
+func (s *State) handleTokenRequest(from crid.Daemon, ask TokenRequest) {
 	s.applyUsage(from, ask.Uses)
 	for _, item := range ask.Items {
 		key := shareKey{item.Account, item.Share}
