--- a/core/craccount/asking_test.go
+++ b/core/craccount/asking_test.go
@@ -56,7 +56,7 @@
 	e.entry.accounts[acct].sources[0].requested = 0
 	e.entry.accounts[acct].coldRequests = 0 // who asked before has given up
 	effects := e.Step(Used{Now: ms(130), Usage: []Usage{{Account: acct, Cold: 2}}})
-	items := []AskItem{{Account: acct, Want: 2}}
+	items := []TokenRequestItem{{Account: acct, Want: 2}}
 	g.Expect(effects).To(ContainElement(crevent.Send{To: "x", Msg: TokenRequest{Inc: 5, Seq: 2, Items: items}}))
 	deposits, _ := e.receiveGrant(ms(131), 2, 7)
 	g.Expect(deposits).To(HaveLen(1))
@@ -76,7 +76,7 @@
 	a := e.entry.accounts[acct]
 	a.demand = 6
 	leaving := []crmember.Peer{{Daemon: "x", Reachable: true, Leaving: true}}
-	asked := crevent.Send{To: "x", Msg: TokenRequest{Inc: 5, Seq: 2, Items: []AskItem{{Account: acct, Want: 12, Keep: true}}}}
+	asked := crevent.Send{To: "x", Msg: TokenRequest{Inc: 5, Seq: 2, Items: []TokenRequestItem{{Account: acct, Want: 12, Keep: true}}}}
 	g.Expect(e.Step(crmember.Peers{Now: ms(4002), Peers: leaving})).To(ContainElement(asked))
 	a.sources[0].requested = 0
 	g.Expect(e.Step(crmember.Peers{Now: ms(4003), Peers: leaving})).To(BeEmpty(), "once only")
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -11,17 +11,17 @@
 type TokenRequest struct {
 	_ struct{} `cbor:",toarray"`
 
-	Inc   crid.Incarnation `cbor:"i"` // of the asking daemon
-	Seq   uint64           `cbor:"q"` // grows with every Ask of one incarnation
-	Items []AskItem        `cbor:"t"`
-	Uses  []Use            `cbor:"u"`
+	Inc   crid.Incarnation   `cbor:"i"` // of the asking daemon
+	Seq   uint64             `cbor:"q"` // grows with every Ask of one incarnation
+	Items []TokenRequestItem `cbor:"t"`
+	Uses  []Use              `cbor:"u"`
 }
 
 // MessageKind implements crevent.Message.
 func (TokenRequest) MessageKind() string { return "ask" }
 
-// AskItem asks for tokens of one share.
-type AskItem struct {
+// TokenRequestItem asks for tokens of one share.
+type TokenRequestItem struct {
 	_ struct{} `cbor:",toarray"`
 
 	Account crid.Account `cbor:"a"`
