--- a/core/craccount/asking_test.go
+++ b/core/craccount/asking_test.go
@@ -76,7 +76,7 @@
 	a := e.entry.accounts[acct]
 	a.demand = 6
 	leaving := []crmember.Peer{{Daemon: "x", Reachable: true, Leaving: true}}
-	asked := crevent.Send{To: "x", Msg: TokenRequest{Inc: 5, Seq: 2, Items: []TokenRequestItem{{Account: acct, Want: 12, Keep: true}}}}
+	asked := crevent.Send{To: "x", Msg: TokenRequest{Inc: 5, Seq: 2, Items: []TokenRequestItem{{Account: acct, Want: 12, WaitForRest: true}}}}
 	g.Expect(e.Step(crmember.Peers{Now: ms(4002), Peers: leaving})).To(ContainElement(asked))
 	a.sources[0].requested = 0
 	g.Expect(e.Step(crmember.Peers{Now: ms(4003), Peers: leaving})).To(BeEmpty(), "once only")
--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -265,7 +265,7 @@
 	src := &a.sources[share]
 	src.requested, src.requestedAt = want, s.now
 	ask := s.out.requestTo(src.owner)
-	ask.Items = append(ask.Items, TokenRequestItem{Account: a.name, Share: share, Want: want, Keep: keep})
+	ask.Items = append(ask.Items, TokenRequestItem{Account: a.name, Share: share, Want: want, WaitForRest: keep})
 }
 
 // fullestFirst orders the free owners by the tokens that they may have now. In
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -24,10 +24,10 @@
 type TokenRequestItem struct {
 	_ struct{} `cbor:",toarray"`
 
-	Account crid.Account `cbor:"a"`
-	Share   int          `cbor:"s"`
-	Want    int          `cbor:"w"` // tokens
-	Keep    bool         `cbor:"k"` // send the rest as it is minted
+	Account     crid.Account `cbor:"a"`
+	Share       int          `cbor:"s"`
+	Want        int          `cbor:"w"` // tokens
+	WaitForRest bool         `cbor:"k"` // send the rest as it is minted
 }
 
 // Use reports on one grant, cumulatively, so that a duplicate changes nothing
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -246,7 +246,7 @@
 			s.out.grant(from, ask.Inc, ask.Seq, GrantItem{Account: item.Account, Share: item.Share, Short: true})
 			continue
 		}
-		sh.enqueue(waiter{from: from, inc: ask.Inc, seq: ask.Seq, want: item.Want, waitForRest: item.Keep, until: s.now.Add(maxQueueTime)})
+		sh.enqueue(waiter{from: from, inc: ask.Inc, seq: ask.Seq, want: item.Want, waitForRest: item.WaitForRest, until: s.now.Add(maxQueueTime)})
 		sh.usedAt = s.now
 		s.markBusy(key)
 		s.serve(key, sh)
