--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -164,7 +164,7 @@
 		s.handleTokenRequest(from, msg)
 	case Grant:
 		s.handleGrant(from, msg)
-	case Return:
+	case UsageReport:
 		s.handleUsageReport(from, msg)
 	}
 }
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -73,19 +73,19 @@
 	Recall  bool         `cbor:"r"` // others are short: give back what is not needed at once
 }
 
-// Return reports on grants without asking for more.
-type Return struct {
+// UsageReport reports on grants without asking for more.
+type UsageReport struct {
 	_ struct{} `cbor:",toarray"`
 
 	Uses []Use `cbor:"u"`
 }
 
 // MessageKind implements crevent.Message.
-func (Return) MessageKind() string { return "return" }
+func (UsageReport) MessageKind() string { return "return" }
 
 // Messages returns a zero value of each message, for the codec's registry.
 func Messages() []crevent.Message {
-	return []crevent.Message{TokenRequest{}, Grant{}, Return{}}
+	return []crevent.Message{TokenRequest{}, Grant{}, UsageReport{}}
 }
 
 // GrantKey names a grant in the fleet, over all time.
