--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -75,7 +75,7 @@
 	e := newTestState("e", mutations{})
 	e.Step(crmember.Tenure{Now: 1, Members: []crid.Daemon{"x"}})
 	e.Step(crmember.Peers{Now: 1, Peers: []crmember.Peer{{Daemon: "x", Reachable: true}}})
-	for _, eff := range e.Step(Used{Now: at, Usage: []Usage{{Account: acct, Cold: 5}}}) {
+	for _, eff := range e.Step(Used{Now: at, Usage: []UsageDelta{{Account: acct, Cold: 5}}}) {
 		if send, ok := eff.(crevent.Send); ok {
 			return e, send.Msg.(TokenRequest).Seq
 		}
@@ -178,7 +178,7 @@
 	g.Expect(w.Take(acct, ms(1999)).Outcome).To(Equal(Admitted))
 	g.Expect(w.Take(acct, ms(2000)).Outcome).To(Equal(Cold))
 	usage := w.Drain(ms(2000))
-	g.Expect(usage).To(ContainElement(Usage{Account: acct, Key: GrantKey{ID: 1}, Taken: 1, Spent: ms(1999), Back: 2}))
+	g.Expect(usage).To(ContainElement(UsageDelta{Account: acct, Key: GrantKey{ID: 1}, Taken: 1, Spent: ms(1999), Back: 2}))
 }
 
 // An owner is frozen and resumes. Had it minted for that time, its tokens would
--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -168,7 +168,7 @@
 }
 
 // handleUsage counts what requests did and asks for more where that is needed.
-func (s *State) handleUsage(usage []Usage) {
+func (s *State) handleUsage(usage []UsageDelta) {
 	var touched []*account
 	for _, u := range usage {
 		if u.Key != (GrantKey{}) {
--- a/core/craccount/lot.go
+++ b/core/craccount/lot.go
@@ -23,7 +23,7 @@
 	deferred  bool    // spent tokens that the owner has not been told of
 }
 
-func (s *State) handleGrantUsage(u Usage) {
+func (s *State) handleGrantUsage(u UsageDelta) {
 	l, ok := s.entry.grants[u.Key]
 	if !ok {
 		return
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -129,9 +129,9 @@
 // EffectName implements crevent.Effect.
 func (Forget) EffectName() string { return "forget" }
 
-// Usage is what happened to one grant, or to an account's requests that found
+// UsageDelta is what happened to one grant, or to an account's requests that found
 // no token, since the last Drain. A zero Key marks the latter.
-type Usage struct {
+type UsageDelta struct {
 	Account crid.Account
 	Key     GrantKey
 	Taken   int
@@ -145,7 +145,7 @@
 // Used feeds the drained counts of the [TokenPool] back into the reducer.
 type Used struct {
 	Now   crid.Instant
-	Usage []Usage
+	Usage []UsageDelta
 }
 
 // At implements crevent.Event.
--- a/core/craccount/wallet.go
+++ b/core/craccount/wallet.go
@@ -325,12 +325,12 @@
 
 // Drain returns what happened since the last Drain, by account and grant, and
 // takes out lots that are void at now.
-func (w *TokenPool) Drain(now crid.Instant) []Usage {
+func (w *TokenPool) Drain(now crid.Instant) []UsageDelta {
 	w.dirtyMu.Lock()
 	listed := w.dirty
 	w.dirty = nil
 	w.dirtyMu.Unlock()
-	var usage []Usage
+	var usage []UsageDelta
 	for _, c := range listed {
 		usage = w.drain(usage, c, now)
 	}
@@ -339,7 +339,7 @@
 }
 
 // drain keeps a cell listed while it has tokens, since they will be void.
-func (w *TokenPool) drain(usage []Usage, c *accountPool, now crid.Instant) []Usage {
+func (w *TokenPool) drain(usage []UsageDelta, c *accountPool, now crid.Instant) []UsageDelta {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	usage = c.drain(usage, now)
@@ -350,9 +350,9 @@
 	return usage
 }
 
-func (c *accountPool) drain(usage []Usage, now crid.Instant) []Usage {
+func (c *accountPool) drain(usage []UsageDelta, now crid.Instant) []UsageDelta {
 	if c.refused+c.cold+c.takenAfterWait > 0 {
-		usage = append(usage, Usage{Account: c.name, Refused: c.refused, Cold: c.cold, Again: c.takenAfterWait})
+		usage = append(usage, UsageDelta{Account: c.name, Refused: c.refused, Cold: c.cold, Again: c.takenAfterWait})
 		c.refused, c.cold, c.takenAfterWait = 0, 0, 0
 	}
 	kept := c.grants[:0]
@@ -362,7 +362,7 @@
 			l.remaining = 0
 		}
 		if l.taken+l.returned > 0 {
-			usage = append(usage, Usage{Account: c.name, Key: l.key, Taken: l.taken, Spent: l.lastSpentAt, Back: l.returned})
+			usage = append(usage, UsageDelta{Account: c.name, Key: l.key, Taken: l.taken, Spent: l.lastSpentAt, Back: l.returned})
 			l.taken, l.returned = 0, 0
 		}
 		if l.remaining > 0 {
@@ -373,7 +373,7 @@
 	return usage
 }
 
-func compareUsage(a, b Usage) int {
+func compareUsage(a, b UsageDelta) int {
 	return cmp.Or(
 		cmp.Compare(a.Account, b.Account),
 		cmp.Compare(a.Key.Owner, b.Key.Owner),
