--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -55,7 +55,7 @@
 }
 
 // request has the entry "e" request for tokens, and returns the item it is answered with.
-func (r *testState) request(at crid.Instant, want int, uses ...Use) GrantItem {
+func (r *testState) request(at crid.Instant, want int, uses ...GrantUsage) GrantItem {
 	r.seq++
 	msg := TokenRequest{Inc: entryInc, Seq: r.seq, Items: []TokenRequestItem{{Account: acct, Want: want}}, Uses: uses}
 	for _, eff := range r.Step(crevent.Received{Now: at, From: "e", Msg: msg}) {
@@ -66,8 +66,8 @@
 	return GrantItem{}
 }
 
-func spentUsage(item GrantItem, n int) Use {
-	return Use{Account: acct, Inc: 5, Grant: item.ID, Taken: n}
+func spentUsage(item GrantItem, n int) GrantUsage {
+	return GrantUsage{Account: acct, Inc: 5, Grant: item.ID, Taken: n}
 }
 
 // entryWithRequest returns an entry that has asked the owner "x", and the Ask's number.
@@ -309,8 +309,8 @@
 		}
 	}
 	effects := e.Step(Used{Now: ms(121), Usage: w.Drain(ms(121))})
-	use := Use{Account: acct, Inc: 9, Grant: 1, Back: 5}
-	g.Expect(effects).To(ContainElement(crevent.Send{To: "x", Msg: UsageReport{Uses: []Use{use}}}))
+	use := GrantUsage{Account: acct, Inc: 9, Grant: 1, Back: 5}
+	g.Expect(effects).To(ContainElement(crevent.Send{To: "x", Msg: UsageReport{Uses: []GrantUsage{use}}}))
 	g.Expect(w.Take(acct, ms(122)).Outcome).NotTo(Equal(Admitted))
 }
 
--- a/core/craccount/lot.go
+++ b/core/craccount/lot.go
@@ -78,7 +78,7 @@
 
 func (s *State) addUsage(key GrantKey, l *heldGrant) {
 	ask := s.out.requestTo(key.Owner)
-	use := Use{Account: l.account, Share: l.share, Inc: key.Inc, Grant: key.ID, Taken: l.taken, Back: l.returned, Spent: s.spentAges(l)}
+	use := GrantUsage{Account: l.account, Share: l.share, Inc: key.Inc, Grant: key.ID, Taken: l.taken, Back: l.returned, Spent: s.spentAges(l)}
 	for i := range ask.Uses {
 		if ask.Uses[i].Grant == use.Grant && ask.Uses[i].Inc == use.Inc {
 			use.Spent = append(ask.Uses[i].Spent, use.Spent...)
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -14,7 +14,7 @@
 	Inc   crid.Incarnation   `cbor:"i"` // of the asking daemon
 	Seq   uint64             `cbor:"q"` // grows with every Ask of one incarnation
 	Items []TokenRequestItem `cbor:"t"`
-	Uses  []Use              `cbor:"u"`
+	Uses  []GrantUsage       `cbor:"u"`
 }
 
 // MessageKind implements crevent.Message.
@@ -30,9 +30,9 @@
 	WaitForRest bool         `cbor:"k"` // send the rest as it is minted
 }
 
-// Use reports on one grant, cumulatively, so that a duplicate changes nothing
+// GrantUsage reports on one grant, cumulatively, so that a duplicate changes nothing
 // and a lost report is made good by the next.
-type Use struct {
+type GrantUsage struct {
 	_ struct{} `cbor:",toarray"`
 
 	Account crid.Account     `cbor:"a"`
@@ -77,7 +77,7 @@
 type UsageReport struct {
 	_ struct{} `cbor:",toarray"`
 
-	Uses []Use `cbor:"u"`
+	Uses []GrantUsage `cbor:"u"`
 }
 
 // MessageKind implements crevent.Message.
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -268,7 +268,7 @@
 	return sh
 }
 
-func (s *State) applyUsage(from crid.Daemon, uses []Use) {
+func (s *State) applyUsage(from crid.Daemon, uses []GrantUsage) {
 	for _, use := range uses {
 		key := shareKey{use.Account, use.Share}
 		sh, ok := s.owner.shares[key]
--- a/core/craccount/spill_test.go
+++ b/core/craccount/spill_test.go
@@ -39,7 +39,7 @@
 				use.Spent = []Spent{{Count: 10, Age: c.age}}
 				for range 2 {
 					o.advance(at)
-					o.applyUsage("e", []Use{use})
+					o.applyUsage("e", []GrantUsage{use})
 				}
 				return o.owner.shares[shareKey{acct, 0}].balance
 			}
@@ -48,7 +48,7 @@
 			use := spentUsage(o.request(ms(4100), 1), 1)
 			use.Spent = []Spent{{Count: 5, Age: 1000}}
 			before := o.owner.shares[shareKey{acct, 0}].balance
-			o.applyUsage("e", []Use{use})
+			o.applyUsage("e", []GrantUsage{use})
 			g.Expect(o.owner.shares[shareKey{acct, 0}].balance).To(Equal(before), "more ages than tokens")
 		})
 	}
