--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -57,7 +57,7 @@
 // request has the entry "e" request for tokens, and returns the item it is answered with.
 func (r *testState) request(at crid.Instant, want int, uses ...GrantUsage) GrantItem {
 	r.seq++
-	msg := TokenRequest{Inc: entryInc, Seq: r.seq, Items: []TokenRequestItem{{Account: acct, Want: want}}, Uses: uses}
+	msg := TokenRequest{Inc: entryInc, Seq: r.seq, Items: []TokenRequestItem{{Account: acct, Want: want}}, Usage: uses}
 	for _, eff := range r.Step(crevent.Received{Now: at, From: "e", Msg: msg}) {
 		if send, ok := eff.(crevent.Send); ok {
 			return send.Msg.(Grant).Items[0]
--- a/core/craccount/lot.go
+++ b/core/craccount/lot.go
@@ -79,14 +79,14 @@
 func (s *State) addUsage(key GrantKey, l *heldGrant) {
 	ask := s.out.requestTo(key.Owner)
 	use := GrantUsage{Account: l.account, Share: l.share, Inc: key.Inc, Grant: key.ID, Taken: l.taken, Back: l.returned, Spent: s.spentAges(l)}
-	for i := range ask.Uses {
-		if ask.Uses[i].Grant == use.Grant && ask.Uses[i].Inc == use.Inc {
-			use.Spent = append(ask.Uses[i].Spent, use.Spent...)
-			ask.Uses[i] = use
+	for i := range ask.Usage {
+		if ask.Usage[i].Grant == use.Grant && ask.Usage[i].Inc == use.Inc {
+			use.Spent = append(ask.Usage[i].Spent, use.Spent...)
+			ask.Usage[i] = use
 			return
 		}
 	}
-	ask.Uses = append(ask.Uses, use)
+	ask.Usage = append(ask.Usage, use)
 }
 
 // dropExpired forgets Asks and lots that no message can refer to any more.
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -14,7 +14,7 @@
 	Inc   crid.Incarnation   `cbor:"i"` // of the asking daemon
 	Seq   uint64             `cbor:"q"` // grows with every Ask of one incarnation
 	Items []TokenRequestItem `cbor:"t"`
-	Uses  []GrantUsage       `cbor:"u"`
+	Usage []GrantUsage       `cbor:"u"`
 }
 
 // MessageKind implements crevent.Message.
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -238,7 +238,7 @@
 
 // handleTokenRequest settles the reports of an Ask and serves it as far as there are tokens.
 func (s *State) handleTokenRequest(from crid.Daemon, ask TokenRequest) {
-	s.applyUsage(from, ask.Uses)
+	s.applyUsage(from, ask.Usage)
 	for _, item := range ask.Items {
 		key := shareKey{item.Account, item.Share}
 		sh := s.grantableShare(key)
