--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -77,7 +77,7 @@
 type UsageReport struct {
 	_ struct{} `cbor:",toarray"`
 
-	Uses []GrantUsage `cbor:"u"`
+	Usage []GrantUsage `cbor:"u"`
 }
 
 // MessageKind implements crevent.Message.
--- a/core/craccount/outbox.go
+++ b/core/craccount/outbox.go
@@ -80,7 +80,7 @@
 // finishRequest numbers an Ask; one that asks for nothing goes as a Return.
 func (s *State) finishRequest(owner crid.Daemon, ask TokenRequest) crevent.Message {
 	if len(ask.Items) == 0 {
-		return UsageReport{Uses: ask.Usage}
+		return UsageReport{Usage: ask.Usage}
 	}
 	ask.Inc = s.inc
 	ask.Seq = s.entry.recordRequest(owner, s.now)
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -253,7 +253,7 @@
 	}
 }
 
-func (s *State) handleUsageReport(from crid.Daemon, ret UsageReport) { s.applyUsage(from, ret.Uses) }
+func (s *State) handleUsageReport(from crid.Daemon, ret UsageReport) { s.applyUsage(from, ret.Usage) }
 
 // grantableShare returns the share when this daemon may grant from it now. Without
 // tenure it may not: its successor counts the last grant from the end of that.
