--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -309,7 +309,7 @@
 		}
 	}
 	effects := e.Step(Used{Now: ms(121), Usage: w.Drain(ms(121))})
-	use := GrantUsage{Account: acct, Inc: 9, Grant: 1, Back: 5}
+	use := GrantUsage{Account: acct, Inc: 9, Grant: 1, Returned: 5}
 	g.Expect(effects).To(ContainElement(crevent.Send{To: "x", Msg: UsageReport{Usage: []GrantUsage{use}}}))
 	g.Expect(w.Take(acct, ms(122)).Outcome).NotTo(Equal(Admitted))
 }
--- a/core/craccount/lot.go
+++ b/core/craccount/lot.go
@@ -78,7 +78,7 @@
 
 func (s *State) addUsage(key GrantKey, l *heldGrant) {
 	ask := s.out.requestTo(key.Owner)
-	use := GrantUsage{Account: l.account, Share: l.share, Inc: key.Inc, Grant: key.ID, Taken: l.taken, Back: l.returned, Spent: s.spentAges(l)}
+	use := GrantUsage{Account: l.account, Share: l.share, Inc: key.Inc, Grant: key.ID, Taken: l.taken, Returned: l.returned, Spent: s.spentAges(l)}
 	for i := range ask.Usage {
 		if ask.Usage[i].Grant == use.Grant && ask.Usage[i].Inc == use.Inc {
 			use.Spent = append(ask.Usage[i].Spent, use.Spent...)
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -35,13 +35,13 @@
 type GrantUsage struct {
 	_ struct{} `cbor:",toarray"`
 
-	Account crid.Account     `cbor:"a"`
-	Share   int              `cbor:"s"`
-	Inc     crid.Incarnation `cbor:"i"` // of the granting daemon
-	Grant   uint64           `cbor:"g"`
-	Taken   int              `cbor:"t"` // tokens spent
-	Back    int              `cbor:"b"` // tokens given up unspent
-	Spent   []Spent          `cbor:"p"` // ages of tokens that no report told of before
+	Account  crid.Account     `cbor:"a"`
+	Share    int              `cbor:"s"`
+	Inc      crid.Incarnation `cbor:"i"` // of the granting daemon
+	Grant    uint64           `cbor:"g"`
+	Taken    int              `cbor:"t"` // tokens spent
+	Returned int              `cbor:"b"` // tokens given up unspent
+	Spent    []Spent          `cbor:"p"` // ages of tokens that no report told of before
 }
 
 // Grant moves tokens to the daemon that asked.
--- a/core/craccount/share.go
+++ b/core/craccount/share.go
@@ -95,7 +95,7 @@
 		return
 	}
 	g := &sh.grants[i]
-	taken, back := max(g.taken, use.Taken), max(g.returned, use.Back)
+	taken, back := max(g.taken, use.Taken), max(g.returned, use.Returned)
 	if taken+back > g.tokens {
 		return
 	}
