--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -75,7 +75,7 @@
 	e := newTestState("e", mutations{})
 	e.Step(crmember.Tenure{Now: 1, Members: []crid.Daemon{"x"}})
 	e.Step(crmember.Peers{Now: 1, Peers: []crmember.Peer{{Daemon: "x", Reachable: true}}})
-	for _, eff := range e.Step(Used{Now: at, Usage: []UsageDelta{{Account: acct, Cold: 5}}}) {
+	for _, eff := range e.Step(UsageDrained{Now: at, Usage: []UsageDelta{{Account: acct, Cold: 5}}}) {
 		if send, ok := eff.(crevent.Send); ok {
 			return e, send.Msg.(TokenRequest).Seq
 		}
@@ -308,7 +308,7 @@
 			w.Withdraw(eff)
 		}
 	}
-	effects := e.Step(Used{Now: ms(121), Usage: w.Drain(ms(121))})
+	effects := e.Step(UsageDrained{Now: ms(121), Usage: w.Drain(ms(121))})
 	use := GrantUsage{Account: acct, Inc: 9, Grant: 1, Returned: 5}
 	g.Expect(effects).To(ContainElement(crevent.Send{To: "x", Msg: UsageReport{Usage: []GrantUsage{use}}}))
 	g.Expect(w.Take(acct, ms(122)).Outcome).NotTo(Equal(Admitted))
--- a/core/craccount/asking_test.go
+++ b/core/craccount/asking_test.go
@@ -55,7 +55,7 @@
 	e.Step(crevent.Stopping{Now: ms(120)})
 	e.entry.accounts[acct].sources[0].requested = 0
 	e.entry.accounts[acct].coldRequests = 0 // who asked before has given up
-	effects := e.Step(Used{Now: ms(130), Usage: []UsageDelta{{Account: acct, Cold: 2}}})
+	effects := e.Step(UsageDrained{Now: ms(130), Usage: []UsageDelta{{Account: acct, Cold: 2}}})
 	items := []TokenRequestItem{{Account: acct, Want: 2}}
 	g.Expect(effects).To(ContainElement(crevent.Send{To: "x", Msg: TokenRequest{Inc: 5, Seq: 2, Items: items}}))
 	deposits, _ := e.receiveGrant(ms(131), 2, 7)
--- a/core/craccount/chaos_test.go
+++ b/core/craccount/chaos_test.go
@@ -46,7 +46,7 @@
 		}
 	}
 	now := w.clock(nd)
-	w.step(nd, Used{Now: now, Usage: nd.wallet.Drain(now)})
+	w.step(nd, UsageDrained{Now: now, Usage: nd.wallet.Drain(now)})
 }
 
 // runWithLoad keeps the entries' demand up, so that they hold tokens ahead.
--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -150,7 +150,7 @@
 		s.handleConfig(ev.Snapshot)
 	case crevent.Received:
 		s.receive(ev.From, ev.Msg)
-	case Used:
+	case UsageDrained:
 		s.handleUsage(ev.Usage)
 	case crevent.Stopping:
 		s.stop()
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -142,11 +142,11 @@
 	Again   int // taken after the wait by requests that were counted as Cold
 }
 
-// Used feeds the drained counts of the [TokenPool] back into the reducer.
-type Used struct {
+// UsageDrained feeds the drained counts of the [TokenPool] back into the reducer.
+type UsageDrained struct {
 	Now   crid.Instant
 	Usage []UsageDelta
 }
 
 // At implements crevent.Event.
-func (e Used) At() crid.Instant { return e.Now }
+func (e UsageDrained) At() crid.Instant { return e.Now }
--- a/core/craccount/net_test.go
+++ b/core/craccount/net_test.go
@@ -253,7 +253,7 @@
 		return
 	}
 	now := w.clock(nd)
-	w.step(nd, Used{Now: now, Usage: nd.wallet.Drain(now)})
+	w.step(nd, UsageDrained{Now: now, Usage: nd.wallet.Drain(now)})
 	w.step(nd, crevent.Tick{Now: now})
 }
 
@@ -276,7 +276,7 @@
 	select {
 	case <-nd.wallet.DrainNeeded():
 		now := w.clock(nd)
-		w.step(nd, Used{Now: now, Usage: nd.wallet.Drain(now)})
+		w.step(nd, UsageDrained{Now: now, Usage: nd.wallet.Drain(now)})
 	default:
 	}
 }
@@ -339,7 +339,7 @@
 	w.at(coldWait+1, func() { w.retry(nd) })
 	<-nd.wallet.DrainNeeded()
 	now := w.clock(nd)
-	w.step(nd, Used{Now: now, Usage: nd.wallet.Drain(now)})
+	w.step(nd, UsageDrained{Now: now, Usage: nd.wallet.Drain(now)})
 }
 
 // count returns a done that counts admissions.
--- a/io/crdaemon/steer.go
+++ b/io/crdaemon/steer.go
@@ -75,7 +75,7 @@
 func (s *shell) drained(now crid.Instant) []crevent.Event {
 	var events []crevent.Event
 	if usage := s.wallet.Drain(now); len(usage) > 0 {
-		events = append(events, craccount.Used{Now: now, Usage: usage})
+		events = append(events, craccount.UsageDrained{Now: now, Usage: usage})
 	}
 	if samples := s.recorder.Drain(now); len(samples) > 0 {
 		events = append(events, crhealth.Observed{Now: now, Samples: samples})
--- a/io/crtrace/event.go
+++ b/io/crtrace/event.go
@@ -32,7 +32,7 @@
 		"stopping":  reflect.TypeFor[crevent.Stopping](),
 		"advertise": reflect.TypeFor[crmember.Advertise](),
 		"watched":   reflect.TypeFor[crconfig.WatchResult](),
-		"used":      reflect.TypeFor[craccount.Used](),
+		"used":      reflect.TypeFor[craccount.UsageDrained](),
 		"observed":  reflect.TypeFor[crhealth.Observed](),
 	}
 }
