--- a/core/craccount/lot.go
+++ b/core/craccount/lot.go
@@ -30,7 +30,7 @@
 	}
 	l.taken += u.Taken
 	if u.Taken > 0 {
-		l.spends = append(l.spends, spend{u.Taken, u.Spent})
+		l.spends = append(l.spends, spend{u.Taken, u.LastSpentAt})
 	}
 	l.returned += u.Back
 	if a, ok := s.entry.accounts[l.account]; ok {
--- a/core/craccount/spill_test.go
+++ b/core/craccount/spill_test.go
@@ -65,7 +65,7 @@
 	}
 	usage := w.Drain(ms(100))
 	g.Expect(usage).To(HaveLen(1))
-	g.Expect(usage[0].Spent).To(Equal(ms(60)))
+	g.Expect(usage[0].LastSpentAt).To(Equal(ms(60)))
 	e := newTestState("e", mutations{})
 	e.now = ms(160)
 	l := &heldGrant{spends: []spend{{3, ms(60)}, {1, ms(140)}}}
