--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -178,7 +178,7 @@
 	g.Expect(w.Take(acct, ms(1999)).Outcome).To(Equal(Admitted))
 	g.Expect(w.Take(acct, ms(2000)).Outcome).To(Equal(Cold))
 	usage := w.Drain(ms(2000))
-	g.Expect(usage).To(ContainElement(UsageDelta{Account: acct, Key: GrantKey{ID: 1}, Taken: 1, LastSpentAt: ms(1999), Back: 2}))
+	g.Expect(usage).To(ContainElement(UsageDelta{Account: acct, Key: GrantKey{ID: 1}, Taken: 1, LastSpentAt: ms(1999), Returned: 2}))
 }
 
 // An owner is frozen and resumes. Had it minted for that time, its tokens would
--- a/core/craccount/lot.go
+++ b/core/craccount/lot.go
@@ -32,11 +32,11 @@
 	if u.Taken > 0 {
 		l.spends = append(l.spends, spend{u.Taken, u.LastSpentAt})
 	}
-	l.returned += u.Back
+	l.returned += u.Returned
 	if a, ok := s.entry.accounts[l.account]; ok {
-		a.held -= u.Taken + u.Back
+		a.held -= u.Taken + u.Returned
 	}
-	if u.Back == 0 && s.canDeferReport(l.account) {
+	if u.Returned == 0 && s.canDeferReport(l.account) {
 		s.deferReport(u.Key, l)
 		return
 	}
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -136,7 +136,7 @@
 	Key         GrantKey
 	Taken       int
 	LastSpentAt crid.Instant `cbor:"Spent" json:"Spent"` // when the last of Taken was spent, by the request's clock reading
-	Back        int
+	Returned    int          `cbor:"Back" json:"Back"`
 	Refused     int
 	Cold        int
 	Again       int // taken after the wait by requests that were counted as Cold
--- a/core/craccount/wallet.go
+++ b/core/craccount/wallet.go
@@ -362,7 +362,7 @@
 			l.remaining = 0
 		}
 		if l.taken+l.returned > 0 {
-			usage = append(usage, UsageDelta{Account: c.name, Key: l.key, Taken: l.taken, LastSpentAt: l.lastSpentAt, Back: l.returned})
+			usage = append(usage, UsageDelta{Account: c.name, Key: l.key, Taken: l.taken, LastSpentAt: l.lastSpentAt, Returned: l.returned})
 			l.taken, l.returned = 0, 0
 		}
 		if l.remaining > 0 {
