--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -174,7 +174,7 @@
 		if u.Key != (GrantKey{}) {
 			s.handleGrantUsage(u)
 		}
-		asked := u.Taken + u.Refused + u.Cold - u.Again
+		asked := u.Taken + u.Refused + u.Cold - u.TakenAfterWait
 		if asked == 0 {
 			continue
 		}
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -132,14 +132,14 @@
 // UsageDelta is what happened to one grant, or to an account's requests that found
 // no token, since the last Drain. A zero Key marks the latter.
 type UsageDelta struct {
-	Account     crid.Account
-	Key         GrantKey
-	Taken       int
-	LastSpentAt crid.Instant `cbor:"Spent" json:"Spent"` // when the last of Taken was spent, by the request's clock reading
-	Returned    int          `cbor:"Back" json:"Back"`
-	Refused     int
-	Cold        int
-	Again       int // taken after the wait by requests that were counted as Cold
+	Account        crid.Account
+	Key            GrantKey
+	Taken          int
+	LastSpentAt    crid.Instant `cbor:"Spent" json:"Spent"` // when the last of Taken was spent, by the request's clock reading
+	Returned       int          `cbor:"Back" json:"Back"`
+	Refused        int
+	Cold           int
+	TakenAfterWait int `cbor:"Again" json:"Again"` // taken after the wait by requests that were counted as Cold
 }
 
 // UsageDrained feeds the drained counts of the [TokenPool] back into the reducer.
--- a/core/craccount/wallet.go
+++ b/core/craccount/wallet.go
@@ -352,7 +352,7 @@
 
 func (c *accountPool) drain(usage []UsageDelta, now crid.Instant) []UsageDelta {
 	if c.refused+c.cold+c.takenAfterWait > 0 {
-		usage = append(usage, UsageDelta{Account: c.name, Refused: c.refused, Cold: c.cold, Again: c.takenAfterWait})
+		usage = append(usage, UsageDelta{Account: c.name, Refused: c.refused, Cold: c.cold, TakenAfterWait: c.takenAfterWait})
 		c.refused, c.cold, c.takenAfterWait = 0, 0, 0
 	}
 	kept := c.grants[:0]
