--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -41,7 +41,7 @@
 	Grant    uint64           `cbor:"g"`
 	Taken    int              `cbor:"t"` // tokens spent
 	Returned int              `cbor:"b"` // tokens given up unspent
-	Spent    []Spent          `cbor:"p"` // ages of tokens that no report told of before
+	Spent    []SpentTokens    `cbor:"p"` // ages of tokens that no report told of before
 }
 
 // Grant moves tokens to the daemon that asked.
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -279,7 +279,7 @@
 			sh.refill(s.owner.refillClock)
 		}
 		sh.expire(s.now)
-		sh.applyUsage(from, use, func(spent []Spent, reported int) {
+		sh.applyUsage(from, use, func(spent []SpentTokens, reported int) {
 			sh.credit(spent, reported, s.refillClockAt, s.params.mutations.creditTwice)
 		})
 	}
--- a/core/craccount/share.go
+++ b/core/craccount/share.go
@@ -87,7 +87,7 @@
 // applyUsage applies a report on a grant. Reports are cumulative: a duplicate or
 // an overtaken one changes nothing. One on a grant already void is ignored,
 // since its room has been given out again.
-func (sh *share) applyUsage(from crid.Daemon, use GrantUsage, credit func(spent []Spent, reported int)) {
+func (sh *share) applyUsage(from crid.Daemon, use GrantUsage, credit func(spent []SpentTokens, reported int)) {
 	i, ok := slices.BinarySearchFunc(sh.grants, use.Grant, func(g outstandingGrant, id uint64) int {
 		return compare(g.id, id)
 	})
--- a/core/craccount/spill.go
+++ b/core/craccount/spill.go
@@ -12,8 +12,8 @@
 	minSpentAge  = 20 * time.Millisecond // of a spent token, for its age to be worth telling
 )
 
-// Spent tells how long ago, at least, tokens were spent when a report was sent.
-type Spent struct {
+// SpentTokens tells how long ago, at least, tokens were spent when a report was sent.
+type SpentTokens struct {
 	_     struct{} `cbor:",toarray"`
 	Count int      // tokens
 	Age   int      // milliseconds, on the entry's clock
@@ -92,12 +92,12 @@
 
 // spentAges tells how old the tokens of a lot are that were spent since its last
 // report, and forgets them.
-func (s *State) spentAges(l *heldGrant) []Spent {
-	var all []Spent
+func (s *State) spentAges(l *heldGrant) []SpentTokens {
+	var all []SpentTokens
 	for _, sp := range l.spends {
 		age := s.now.Sub(sp.at.Add(maxClockAge))
 		if age >= minSpentAge {
-			all = append(all, Spent{Count: sp.count, Age: int(age.Milliseconds())})
+			all = append(all, SpentTokens{Count: sp.count, Age: int(age.Milliseconds())})
 		}
 	}
 	l.spends = nil
@@ -106,7 +106,7 @@
 
 // credit mints for the time in which tokens, now reported, took up room though
 // they were spent: no more than was spent, and no time twice.
-func (sh *share) credit(spent []Spent, reported int, reading func(age int) time.Duration, keep bool) {
+func (sh *share) credit(spent []SpentTokens, reported int, reading func(age int) time.Duration, keep bool) {
 	total := 0
 	for _, sp := range spent {
 		if sp.Count < 0 || sp.Age < 0 {
--- a/core/craccount/spill_test.go
+++ b/core/craccount/spill_test.go
@@ -36,7 +36,7 @@
 			}
 			report := func(at crid.Instant, item GrantItem) float64 {
 				use := spentUsage(item, 10)
-				use.Spent = []Spent{{Count: 10, Age: c.age}}
+				use.Spent = []SpentTokens{{Count: 10, Age: c.age}}
 				for range 2 {
 					o.advance(at)
 					o.applyUsage("e", []GrantUsage{use})
@@ -46,7 +46,7 @@
 			g.Expect(report(ms(4100), one)).To(BeNumerically("~", c.first, 0.01))
 			g.Expect(report(ms(4100), two)).To(BeNumerically("~", c.both, 0.01))
 			use := spentUsage(o.request(ms(4100), 1), 1)
-			use.Spent = []Spent{{Count: 5, Age: 1000}}
+			use.Spent = []SpentTokens{{Count: 5, Age: 1000}}
 			before := o.owner.shares[shareKey{acct, 0}].balance
 			o.applyUsage("e", []GrantUsage{use})
 			g.Expect(o.owner.shares[shareKey{acct, 0}].balance).To(Equal(before), "more ages than tokens")
@@ -69,6 +69,6 @@
 	e := newTestState("e", mutations{})
 	e.now = ms(160)
 	l := &heldGrant{spends: []spend{{3, ms(60)}, {1, ms(140)}}}
-	g.Expect(e.spentAges(l)).To(Equal([]Spent{{Count: 3, Age: int((100*time.Millisecond - maxClockAge).Milliseconds())}}))
+	g.Expect(e.spentAges(l)).To(Equal([]SpentTokens{{Count: 3, Age: int((100*time.Millisecond - maxClockAge).Milliseconds())}}))
 	g.Expect(l.spends).To(BeEmpty())
 }
