--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -86,7 +86,7 @@
 
 func poolWith(tokens int, voidAt crid.Instant) *TokenPool {
 	w := NewTokenPool()
-	w.Deposit(Deposit{Account: acct, Key: GrantKey{ID: 1}, Tokens: tokens, VoidAt: voidAt})
+	w.Deposit(Deposit{Account: acct, Key: GrantKey{ID: 1}, Tokens: tokens, ExpiresAt: voidAt})
 	return w
 }
 
@@ -136,7 +136,7 @@
 	e, seq := entryWithRequest(g, ms(100))
 	deposits, _ := e.receiveGrant(ms(110), seq, 1)
 	g.Expect(deposits).To(HaveLen(1))
-	g.Expect(deposits[0].VoidAt).To(Equal(ms(2100)), "void counts from the sending of the Ask")
+	g.Expect(deposits[0].ExpiresAt).To(Equal(ms(2100)), "void counts from the sending of the Ask")
 	deposits, _ = e.receiveGrant(ms(120), seq, 1)
 	g.Expect(deposits).To(BeEmpty())
 	deposits, reports := e.receiveGrant(ms(2100), seq, 2)
@@ -378,7 +378,7 @@
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		<-w.DrainNeeded()
-		w.Deposit(Deposit{Account: acct, Key: GrantKey{ID: 1}, Tokens: 1, VoidAt: ms(1000)})
+		w.Deposit(Deposit{Account: acct, Key: GrantKey{ID: 1}, Tokens: 1, ExpiresAt: ms(1000)})
 	})
 	g.Expect(w.Admit(ctx, acct, clock).Outcome).To(Equal(Admitted))
 	wg.Wait()
--- a/core/craccount/bench_test.go
+++ b/core/craccount/bench_test.go
@@ -18,7 +18,7 @@
 			names := make([]crid.Account, accounts)
 			for i := range names {
 				names[i] = crid.Account(fmt.Sprintf("account%d", i))
-				w.Deposit(Deposit{Account: names[i], Key: GrantKey{ID: 1}, Tokens: math.MaxInt, VoidAt: neverExpires})
+				w.Deposit(Deposit{Account: names[i], Key: GrantKey{ID: 1}, Tokens: math.MaxInt, ExpiresAt: neverExpires})
 			}
 			b.ReportAllocs()
 			b.RunParallel(func(pb *testing.PB) {
--- a/core/craccount/grant.go
+++ b/core/craccount/grant.go
@@ -65,12 +65,12 @@
 	a.held += item.Tokens
 	a.coldRequests = max(0, a.coldRequests-item.Tokens)
 	s.emit(Deposit{
-		Account: item.Account,
-		Share:   item.Share,
-		Key:     key,
-		Tokens:  item.Tokens,
-		Short:   item.Short,
-		VoidAt:  voidAt,
+		Account:   item.Account,
+		Share:     item.Share,
+		Key:       key,
+		Tokens:    item.Tokens,
+		Short:     item.Short,
+		ExpiresAt: voidAt,
 	})
 }
 
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -103,7 +103,7 @@
 	Key        GrantKey
 	Tokens     int
 	Short      bool         // the owner had no more: an exhausted account stays so
-	VoidAt     crid.Instant // never spent at or after this instant
+	ExpiresAt  crid.Instant `cbor:"VoidAt" json:"VoidAt"` // never spent at or after this instant
 	DryUntil   crid.Instant
 	RetryAfter time.Duration // advice for refused callers while dry
 }
--- a/core/craccount/wallet.go
+++ b/core/craccount/wallet.go
@@ -280,7 +280,7 @@
 		if c.grants == nil {
 			c.grants = make([]pooledGrant, 0, initialGrants)
 		}
-		c.grants = append(c.grants, pooledGrant{key: d.Key, remaining: d.Tokens, expiresAt: d.VoidAt})
+		c.grants = append(c.grants, pooledGrant{key: d.Key, remaining: d.Tokens, expiresAt: d.ExpiresAt})
 		if !d.Short {
 			c.exhaustedUntil = 0
 		}
