--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -382,7 +382,7 @@
 	})
 	g.Expect(w.Admit(ctx, acct, clock).Outcome).To(Equal(Admitted))
 	wg.Wait()
-	w.Deposit(Deposit{Account: acct, DryUntil: ms(100), RetryAfter: time.Second})
+	w.Deposit(Deposit{Account: acct, ExhaustedUntil: ms(100), RetryAfter: time.Second})
 	g.Expect(w.Admit(ctx, acct, clock)).To(Equal(Decision{Outcome: Refused, RetryAfter: time.Second}))
 }
 
--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -295,7 +295,7 @@
 	}
 	a.exhaustedAt = s.now
 	a.coldRequests = 0
-	s.emit(Deposit{Account: a.name, DryUntil: s.exhaustedUntil(a), RetryAfter: s.retryAfter(a)})
+	s.emit(Deposit{Account: a.name, ExhaustedUntil: s.exhaustedUntil(a), RetryAfter: s.retryAfter(a)})
 	if a.reportedAt == 0 || s.now.Sub(a.reportedAt) >= exhaustedReportInterval {
 		a.reportedAt = s.now
 		s.report(EventExhausted, "account", string(a.name))
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -98,14 +98,14 @@
 // Deposit is the effect that puts tokens into the [TokenPool], or, with no tokens,
 // tells it that the account is exhausted until DryUntil.
 type Deposit struct {
-	Account    crid.Account
-	Share      int
-	Key        GrantKey
-	Tokens     int
-	Short      bool         // the owner had no more: an exhausted account stays so
-	ExpiresAt  crid.Instant `cbor:"VoidAt" json:"VoidAt"` // never spent at or after this instant
-	DryUntil   crid.Instant
-	RetryAfter time.Duration // advice for refused callers while dry
+	Account        crid.Account
+	Share          int
+	Key            GrantKey
+	Tokens         int
+	Short          bool          // the owner had no more: an exhausted account stays so
+	ExpiresAt      crid.Instant  `cbor:"VoidAt" json:"VoidAt"` // never spent at or after this instant
+	ExhaustedUntil crid.Instant  `cbor:"DryUntil" json:"DryUntil"`
+	RetryAfter     time.Duration // advice for refused callers while dry
 }
 
 // EffectName implements crevent.Effect.
--- a/core/craccount/wallet.go
+++ b/core/craccount/wallet.go
@@ -285,7 +285,7 @@
 			c.exhaustedUntil = 0
 		}
 	} else {
-		c.exhaustedUntil, c.retryAfter = d.DryUntil, d.RetryAfter
+		c.exhaustedUntil, c.retryAfter = d.ExhaustedUntil, d.RetryAfter
 	}
 	if c.wake != nil {
 		close(c.wake)
