--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -91,7 +91,7 @@
 }
 
 func (r *testState) receiveGrant(at crid.Instant, seq, id uint64) (deposits []Deposit, reports []int) {
-	msg := Grant{Inc: 9, To: 5, Seq: seq, Items: []GrantItem{{Account: acct, ID: id, Tokens: 5}}}
+	msg := Grant{Inc: 9, ToInc: 5, Seq: seq, Items: []GrantItem{{Account: acct, ID: id, Tokens: 5}}}
 	for _, eff := range r.Step(crevent.Received{Now: at, From: "x", Msg: msg}) {
 		switch eff := eff.(type) {
 		case Deposit:
--- a/core/craccount/asking_test.go
+++ b/core/craccount/asking_test.go
@@ -23,7 +23,7 @@
 		a.demand = 100
 		g.Expect(e.targetTokens(a)).To(Equal(30))
 		item := GrantItem{Account: acct, ID: 1, Tokens: 1, Short: true, Rivals: rivals}
-		e.handleGrant("x", Grant{Inc: 9, To: 5, Seq: seq, Items: []GrantItem{item}})
+		e.handleGrant("x", Grant{Inc: 9, ToInc: 5, Seq: seq, Items: []GrantItem{item}})
 		if rivals {
 			g.Expect(e.targetTokens(a)).To(Equal(5))
 			e.advance(e.now.Add(contendedTime + time.Millisecond))
--- a/core/craccount/bench_test.go
+++ b/core/craccount/bench_test.go
@@ -52,7 +52,7 @@
 			a.sources, a.sourcesValid = make([]source, s.params.Shares), true
 			for share := range s.params.Shares {
 				item := GrantItem{Account: name, Share: share, ID: uint64(i*s.params.Shares + share), Tokens: 1}
-				s.handleGrant("x", Grant{To: s.inc, Seq: 1, Items: []GrantItem{item}})
+				s.handleGrant("x", Grant{ToInc: s.inc, Seq: 1, Items: []GrantItem{item}})
 			}
 			for _, eff := range s.flush() {
 				if d, ok := eff.(Deposit); ok {
--- a/core/craccount/grant.go
+++ b/core/craccount/grant.go
@@ -16,10 +16,10 @@
 // a paused process, would be spent after its owner had minted in its place.
 func (s *State) handleGrant(from crid.Daemon, g Grant) {
 	sent, known := s.entry.sent[g.Seq]
-	current := g.To == s.inc && known && sent.to == from
+	current := g.ToInc == s.inc && known && sent.to == from
 	voidAt := sent.at.Add(s.params.Lifetime)
 	if s.params.mutations.expireFromArrival {
-		current, voidAt = g.To == s.inc, s.now.Add(s.params.Lifetime)
+		current, voidAt = g.ToInc == s.inc, s.now.Add(s.params.Lifetime)
 	}
 	if s.params.mutations.neverExpire {
 		voidAt = neverExpires - crid.Instant(2*grantRetention)
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -49,7 +49,7 @@
 	_ struct{} `cbor:",toarray"`
 
 	Inc   crid.Incarnation `cbor:"i"` // of the granting daemon
-	To    crid.Incarnation `cbor:"o"` // of the asking daemon
+	ToInc crid.Incarnation `cbor:"o"` // of the asking daemon
 	Seq   uint64           `cbor:"q"` // of the Ask that is answered
 	Items []GrantItem      `cbor:"t"`
 }
--- a/core/craccount/outbox.go
+++ b/core/craccount/outbox.go
@@ -32,7 +32,7 @@
 		}
 	}
 	o.destinations = append(o.destinations, dest)
-	o.grants = append(o.grants, Grant{To: inc, Seq: seq, Items: []GrantItem{item}})
+	o.grants = append(o.grants, Grant{ToInc: inc, Seq: seq, Items: []GrantItem{item}})
 }
 
 // requestTo returns the message that is being gathered for an owner.
