--- a/core/craccount/grant.go
+++ b/core/craccount/grant.go
@@ -105,7 +105,7 @@
 	if s.targetTokens(a) > 0 {
 		return s.params.ShortFor
 	}
-	after := time.Duration(item.After) * time.Millisecond
+	after := time.Duration(item.NextTokenMillis) * time.Millisecond
 	return min(s.params.ShortFor, max(minShortBackoff, after))
 }
 
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -62,15 +62,15 @@
 type GrantItem struct {
 	_ struct{} `cbor:",toarray"`
 
-	Account crid.Account `cbor:"a"`
-	Share   int          `cbor:"s"`
-	ID      uint64       `cbor:"g"` // unique in the granting incarnation
-	Tokens  int          `cbor:"n"`
-	Short   bool         `cbor:"h"` // less than was asked for
-	After   int          `cbor:"f"` // when short: milliseconds until the next token is minted
-	Left    int          `cbor:"l"` // tokens the owner has after this
-	Rivals  bool         `cbor:"v"` // when short: other daemons wait, too
-	Recall  bool         `cbor:"r"` // others are short: give back what is not needed at once
+	Account         crid.Account `cbor:"a"`
+	Share           int          `cbor:"s"`
+	ID              uint64       `cbor:"g"` // unique in the granting incarnation
+	Tokens          int          `cbor:"n"`
+	Short           bool         `cbor:"h"` // less than was asked for
+	NextTokenMillis int          `cbor:"f"` // when short: milliseconds until the next token is minted
+	Left            int          `cbor:"l"` // tokens the owner has after this
+	Rivals          bool         `cbor:"v"` // when short: other daemons wait, too
+	Recall          bool         `cbor:"r"` // others are short: give back what is not needed at once
 }
 
 // UsageReport reports on grants without asking for more.
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -302,7 +302,7 @@
 		w.notified = true
 		item := GrantItem{Account: key.account, Share: key.share, Tokens: n, Short: short}
 		if short {
-			item.After = int(sh.nextToken().Milliseconds())
+			item.NextTokenMillis = int(sh.nextToken().Milliseconds())
 			item.Rivals = len(sh.waiters) > 1
 		}
 		if n > 0 {
