--- a/core/craccount/grant.go
+++ b/core/craccount/grant.go
@@ -87,7 +87,7 @@
 	}
 	src := &a.sources[item.Share]
 	src.requested = 0
-	src.remaining, src.remainingAt = item.Left, s.now
+	src.remaining, src.remainingAt = item.Remaining, s.now
 	if !item.Short {
 		return
 	}
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -309,7 +309,7 @@
 			s.owner.nextID++
 			item.ID = s.owner.nextID
 			sh.grant(item.ID, w.from, n, s.now.Add(s.params.ownerLifetime()))
-			item.Left = int(sh.balance)
+			item.Remaining = int(sh.balance)
 		}
 		s.out.grant(w.from, w.inc, w.seq, item)
 	}
