--- a/core/craccount/asking_test.go
+++ b/core/craccount/asking_test.go
@@ -22,7 +22,7 @@
 		a := e.entry.accounts[acct]
 		a.demand = 100
 		g.Expect(e.targetTokens(a)).To(Equal(30))
-		item := GrantItem{Account: acct, ID: 1, Tokens: 1, Short: true, Rivals: rivals}
+		item := GrantItem{Account: acct, ID: 1, Tokens: 1, Short: true, Contended: rivals}
 		e.handleGrant("x", Grant{Inc: 9, ToInc: 5, Seq: seq, Items: []GrantItem{item}})
 		if rivals {
 			g.Expect(e.targetTokens(a)).To(Equal(5))
--- a/core/craccount/grant.go
+++ b/core/craccount/grant.go
@@ -92,7 +92,7 @@
 		return
 	}
 	src.shortUntil = s.now.Add(s.shortBackoff(a, item))
-	if item.Rivals {
+	if item.Contended {
 		a.contendedUntil = s.now.Add(contendedTime)
 	}
 	s.requestMissing(a)
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -69,7 +69,7 @@
 	Short           bool         `cbor:"h"` // less than was asked for
 	NextTokenMillis int          `cbor:"f"` // when short: milliseconds until the next token is minted
 	Remaining       int          `cbor:"l"` // tokens the owner has after this
-	Rivals          bool         `cbor:"v"` // when short: other daemons wait, too
+	Contended       bool         `cbor:"v"` // when short: other daemons wait, too
 	Recall          bool         `cbor:"r"` // others are short: give back what is not needed at once
 }
 
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -303,7 +303,7 @@
 		item := GrantItem{Account: key.account, Share: key.share, Tokens: n, Short: short}
 		if short {
 			item.NextTokenMillis = int(sh.nextToken().Milliseconds())
-			item.Rivals = len(sh.waiters) > 1
+			item.Contended = len(sh.waiters) > 1
 		}
 		if n > 0 {
 			s.owner.nextID++
