--- a/core/craccount/dump.go
+++ b/core/craccount/dump.go
@@ -7,7 +7,7 @@
 
 // Dump returns a JSON-ready copy of the state; it holds no key.
 func (s *State) Dump() any {
-	d := Dump{Active: s.owner.active, Minting: s.hasLease(), Stopping: s.stopping}
+	d := Dump{Active: s.owner.active, Refilling: s.hasLease(), Stopping: s.stopping}
 	for key, sh := range s.owner.shares {
 		d.Shares = append(d.Shares, ShareDump{
 			Account:     key.account,
--- a/core/craccount/events.go
+++ b/core/craccount/events.go
@@ -48,11 +48,11 @@
 
 // Dump is the state for the dump of the process.
 type Dump struct {
-	Active   crid.Revision `json:"active"`
-	Minting  bool          `json:"minting"`
-	Stopping bool          `json:"stopping"`
-	Shares   []ShareDump   `json:"shares"`
-	Accounts []AccountDump `json:"accounts"`
+	Active    crid.Revision `json:"active"`
+	Refilling bool          `json:"minting"`
+	Stopping  bool          `json:"stopping"`
+	Shares    []ShareDump   `json:"shares"`
+	Accounts  []AccountDump `json:"accounts"`
 }
 
 // ShareDump is a share that this daemon owns.
