--- a/io/crlog/catalogue_account.go
+++ b/io/crlog/catalogue_account.go
@@ -5,7 +5,7 @@
 func accountEntries() []Entry {
 	return []Entry{
 		{
-			craccount.EventTenure, LevelInfo, "minting",
+			craccount.EventRefillStarted, LevelInfo, "minting",
 			"this daemon has tenure under the named list",
 			none, none,
 		},
