--- a/core/craccount/events.go
+++ b/core/craccount/events.go
@@ -10,7 +10,7 @@
 // describes each.
 const (
 	EventRefillStarted = 300 // this daemon mints
-	EventLapsed        = 301 // this daemon stopped minting
+	EventRefillStopped = 301 // this daemon stopped minting
 	EventLateGrant     = 302 // a grant came too late, or twice over a restart, and was not used
 	EventNotOwner      = 303 // asked for a share that this daemon does not own
 	EventTooMany       = 304 // more accounts in use than MaxActive
@@ -42,7 +42,7 @@
 func (s *State) reportLeaseLost() {
 	if !s.owner.leaseLost {
 		s.owner.leaseLost = true
-		s.report(EventLapsed, "list", itoa(int(s.owner.active)))
+		s.report(EventRefillStopped, "list", itoa(int(s.owner.active)))
 	}
 }
 
--- a/io/crlog/catalogue_account.go
+++ b/io/crlog/catalogue_account.go
@@ -10,7 +10,7 @@
 			none, none,
 		},
 		{
-			craccount.EventLapsed, LevelWarn, "minting stopped",
+			craccount.EventRefillStopped, LevelWarn, "minting stopped",
 			"tenure has run out: cut off, paused, or between two lists",
 			"accounts with a share here have less than their rate", "nothing if 300 follows; else look at the membership events of this daemon",
 		},
