--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -133,7 +133,7 @@
 			oldest = name
 		}
 	}
-	s.reportLimited(EventTooMany, "account", string(oldest))
+	s.reportLimited(EventTooManyAccounts, "account", string(oldest))
 	s.forgetAccount(oldest)
 }
 
--- a/core/craccount/events.go
+++ b/core/craccount/events.go
@@ -9,13 +9,13 @@
 // Numbers of the events this package reports; docs/events.md
 // describes each.
 const (
-	EventRefillStarted = 300 // this daemon mints
-	EventRefillStopped = 301 // this daemon stopped minting
-	EventLateGrant     = 302 // a grant came too late, or twice over a restart, and was not used
-	EventNotOwner      = 303 // asked for a share that this daemon does not own
-	EventTooMany       = 304 // more accounts in use than MaxActive
-	EventExhausted     = 305 // an account's requests are being refused
-	EventStopped       = 306 // tokens are handed back before the stop
+	EventRefillStarted   = 300 // this daemon mints
+	EventRefillStopped   = 301 // this daemon stopped minting
+	EventLateGrant       = 302 // a grant came too late, or twice over a restart, and was not used
+	EventNotOwner        = 303 // asked for a share that this daemon does not own
+	EventTooManyAccounts = 304 // more accounts in use than MaxActive
+	EventExhausted       = 305 // an account's requests are being refused
+	EventStopped         = 306 // tokens are handed back before the stop
 )
 
 // logInterval is the least time between two reports of one number, so that a
--- a/io/crlog/catalogue_account.go
+++ b/io/crlog/catalogue_account.go
@@ -25,7 +25,7 @@
 			"cold requests of the account may be refused", "nothing for some seconds; if it lasts, compare the lists and revisions in the dumps",
 		},
 		{
-			craccount.EventTooMany, LevelWarn, "too many accounts in use",
+			craccount.EventTooManyAccounts, LevelWarn, "too many accounts in use",
 			"more accounts than MaxActive send through this daemon; told once in 10 s",
 			"the first request of a forgotten account waits one round trip", "spread callers over more daemons",
 		},
