--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -134,13 +134,13 @@
 	}
 }
 
-// Settled reports whether this daemon mints all shares that it owns.
+// RefillsAllShares reports whether this daemon mints all shares that it owns.
 //
 // In a rolling replacement each new process waits out a lifetime before it
 // mints. Were the next daemon stopped within it, an account could lose most of
 // its shares at once, and its callers would be refused inside their rate; so a
 // daemon is not to be called ready before.
-func (s *State) Settled() bool {
+func (s *State) RefillsAllShares() bool {
 	if !s.hasLease() || len(s.owner.epochs) == 0 {
 		return false
 	}
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -105,7 +105,7 @@
 // were withdrawn in it, and trusts none.
 func (s *shell) trust(now crid.Instant) {
 	s.ready.Store(s.config.Ready())
-	s.settled.Store(s.account.Settled())
+	s.settled.Store(s.account.RefillsAllShares())
 	if !s.config.Trusted(now) {
 		s.trusted.Store(0)
 		return
