--- a/core/craccount/bench_test.go
+++ b/core/craccount/bench_test.go
@@ -49,9 +49,9 @@
 		for i := range accounts {
 			name := crid.Account(fmt.Sprintf("account%05d", i))
 			a := s.openAccount(name)
-			a.sources, a.sourcesValid = make([]source, s.params.Shares), true
-			for share := range s.params.Shares {
-				item := GrantItem{Account: name, Share: share, ID: uint64(i*s.params.Shares + share), Tokens: 1}
+			a.sources, a.sourcesValid = make([]source, s.params.MaxShares), true
+			for share := range s.params.MaxShares {
+				item := GrantItem{Account: name, Share: share, ID: uint64(i*s.params.MaxShares + share), Tokens: 1}
 				s.handleGrant("x", Grant{ToInc: s.inc, Seq: 1, Items: []GrantItem{item}})
 			}
 			for _, eff := range s.flush() {
--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -43,7 +43,7 @@
 // Params tunes the reducer. All daemons of a fleet must agree on Shares,
 // ShareBurst and Lifetime, since owners count on entries to void tokens in time.
 type Params struct {
-	Shares     int           // shares of one account's limit, at most; default 4
+	MaxShares  int           `cbor:"Shares" json:"Shares"` // shares of one account's limit, at most; default 4
 	ShareBurst float64       // burst of one share, at least, while there is more than one; default 10 tokens
 	Lifetime   time.Duration // a grant is void this long after the Ask it answers was sent; default 2 s
 	Drift      float64       // how far two daemons' clocks may run apart, as a fraction; default 0.025
@@ -77,7 +77,7 @@
 // DefaultParams returns the documented defaults.
 func DefaultParams() Params {
 	return Params{
-		Shares:     4,
+		MaxShares:  4,
 		ShareBurst: 10,
 		Lifetime:   2 * time.Second,
 		Drift:      0.025,
--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -123,7 +123,7 @@
 
 // firstShare spreads the daemons' first Asks over an account's shares.
 func (s *State) firstShare(name crid.Account) int {
-	return int(xxhash.Sum64String(string(s.self)+string(name)) % uint64(max(1, s.params.Shares)))
+	return int(xxhash.Sum64String(string(s.self)+string(name)) % uint64(max(1, s.params.MaxShares)))
 }
 
 func (s *State) forgetLeastRecent() {
--- a/core/craccount/measure_test.go
+++ b/core/craccount/measure_test.go
@@ -83,7 +83,7 @@
 			accounts[i].Burst = math.Max(1, accounts[i].Rate*sc.burstSeconds)
 		}
 	}
-	params.Shares = max(1, shares)
+	params.MaxShares = max(1, shares)
 	w := newNet(seed, fleetSize, params, accounts...)
 	for _, nd := range w.nodes {
 		nd.split = NewLocalSplit(fleetSize, w.limit)
@@ -242,7 +242,7 @@
 func BenchmarkBurst(b *testing.B) {
 	for _, seconds := range []float64{0.1, 0.25, 0.5, 1, 2} {
 		b.Run(fmt.Sprintf("seconds=%v", seconds), func(b *testing.B) {
-			benchmarkSeeds(b, DefaultParams().Shares, scenario{burstSeconds: seconds})
+			benchmarkSeeds(b, DefaultParams().MaxShares, scenario{burstSeconds: seconds})
 		})
 	}
 }
--- a/core/craccount/rendezvous.go
+++ b/core/craccount/rendezvous.go
@@ -14,8 +14,8 @@
 // and so few that each has a burst worth having. Every share may hold a part
 // of a token that no request can use, which a small burst can not spare.
 func (p Params) shareCount(members int, limit crpolicy.Account) int {
-	worth := int(math.Min(limit.Burst/p.ShareBurst, float64(p.Shares)))
-	return max(1, min(p.Shares, members, worth))
+	worth := int(math.Min(limit.Burst/p.ShareBurst, float64(p.MaxShares)))
+	return max(1, min(p.MaxShares, members, worth))
 }
 
 // shareBurst splits a burst in whole tokens; the last share has the fraction.
--- a/core/craccount/split.go
+++ b/core/craccount/split.go
@@ -52,6 +52,6 @@
 // OneOwner returns params under which an account has a single owner, for
 // comparison: its loss takes the whole of the account's rate away at once.
 func OneOwner(params Params) Params {
-	params.Shares = 1
+	params.MaxShares = 1
 	return params
 }
