--- a/core/craccount/rendezvous.go
+++ b/core/craccount/rendezvous.go
@@ -14,7 +14,7 @@
 // and so few that each has a burst worth having. Every share may hold a part
 // of a token that no request can use, which a small burst can not spare.
 func (p Params) shareCount(members int, limit crpolicy.Account) int {
-	worth := int(math.Min(limit.Burst/p.ShareBurst, float64(p.MaxShares)))
+	worth := int(math.Min(limit.Burst/p.MinShareBurst, float64(p.MaxShares)))
 	return max(1, min(p.MaxShares, members, worth))
 }
 
