--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -48,7 +48,7 @@
 	Lifetime      time.Duration // a grant is void this long after the Ask it answers was sent; default 2 s
 	Drift         float64       // how far two daemons' clocks may run apart, as a fraction; default 0.025
 	Margin        time.Duration // added to Lifetime by owners; default 20 ms
-	Ahead         time.Duration // demand an entry holds tokens for; default 300 ms
+	PrefetchTime  time.Duration `cbor:"Ahead" json:"Ahead"` // demand an entry holds tokens for; default 300 ms
 	AskTimeout    time.Duration // an unanswered Ask is given up after this; default 150 ms
 	ShortFor      time.Duration // an owner that was short is not asked again for this long; default 200 ms
 	ReportGap     time.Duration // between reports of spent tokens, where the burst allows; default 200 ms
@@ -82,7 +82,7 @@
 		Lifetime:      2 * time.Second,
 		Drift:         0.025,
 		Margin:        20 * time.Millisecond,
-		Ahead:         300 * time.Millisecond,
+		PrefetchTime:  300 * time.Millisecond,
 		AskTimeout:    150 * time.Millisecond,
 		ShortFor:      200 * time.Millisecond,
 		ReportGap:     200 * time.Millisecond,
--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -193,9 +193,9 @@
 // short, what one entry holds prefetchTime another lacks for a request of this moment.
 func (s *State) prefetchTime(a *account) time.Duration {
 	if s.now.Before(a.contendedUntil) {
-		return min(contendedPrefetch, s.params.Ahead)
+		return min(contendedPrefetch, s.params.PrefetchTime)
 	}
-	return s.params.Ahead
+	return s.params.PrefetchTime
 }
 
 // targetTokens is how many tokens an account should have at hand here.
