--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -361,7 +361,7 @@
 func (s *State) expireRequests(a *account) {
 	for i := range a.sources {
 		src := &a.sources[i]
-		if src.requested > 0 && s.now.Sub(src.requestedAt) >= s.params.AskTimeout {
+		if src.requested > 0 && s.now.Sub(src.requestedAt) >= s.params.RequestTimeout {
 			src.requested = 0
 			a.coldRequests = 0
 			src.shortUntil = s.now.Add(s.params.ShortFor)
