--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -50,7 +50,7 @@
 	Margin         time.Duration // added to Lifetime by owners; default 20 ms
 	PrefetchTime   time.Duration `cbor:"Ahead" json:"Ahead"`           // demand an entry holds tokens for; default 300 ms
 	RequestTimeout time.Duration `cbor:"AskTimeout" json:"AskTimeout"` // an unanswered Ask is given up after this; default 150 ms
-	ShortFor       time.Duration // an owner that was short is not asked again for this long; default 200 ms
+	ShortBackoff   time.Duration `cbor:"ShortFor" json:"ShortFor"`     // an owner that was short is not asked again for this long; default 200 ms
 	ReportGap      time.Duration // between reports of spent tokens, where the burst allows; default 200 ms
 	Smooth         time.Duration // time constant of the demand estimate; default 1 s
 	IdleAfter      time.Duration // an account without requests is forgotten after this; default 30 s
@@ -84,7 +84,7 @@
 		Margin:         20 * time.Millisecond,
 		PrefetchTime:   300 * time.Millisecond,
 		RequestTimeout: 150 * time.Millisecond,
-		ShortFor:       200 * time.Millisecond,
+		ShortBackoff:   200 * time.Millisecond,
 		ReportGap:      200 * time.Millisecond,
 		Smooth:         time.Second,
 		IdleAfter:      30 * time.Second,
--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -304,7 +304,7 @@
 
 // exhaustedUntil is when the first owner may have a token again.
 func (s *State) exhaustedUntil(a *account) crid.Instant {
-	until := s.now.Add(s.params.ShortFor)
+	until := s.now.Add(s.params.ShortBackoff)
 	for i := range a.sources {
 		if a.sources[i].shortUntil > s.now {
 			until = min(until, a.sources[i].shortUntil)
@@ -364,7 +364,7 @@
 		if src.requested > 0 && s.now.Sub(src.requestedAt) >= s.params.RequestTimeout {
 			src.requested = 0
 			a.coldRequests = 0
-			src.shortUntil = s.now.Add(s.params.ShortFor)
+			src.shortUntil = s.now.Add(s.params.ShortBackoff)
 		}
 	}
 }
--- a/core/craccount/grant.go
+++ b/core/craccount/grant.go
@@ -103,10 +103,10 @@
 // request should have the next token.
 func (s *State) shortBackoff(a *account, item GrantItem) time.Duration {
 	if s.targetTokens(a) > 0 {
-		return s.params.ShortFor
+		return s.params.ShortBackoff
 	}
 	after := time.Duration(item.NextTokenMillis) * time.Millisecond
-	return min(s.params.ShortFor, max(minShortBackoff, after))
+	return min(s.params.ShortBackoff, max(minShortBackoff, after))
 }
 
 // handleRecall gives back what the account does not need here at once.
