--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -51,7 +51,7 @@
 	PrefetchTime   time.Duration `cbor:"Ahead" json:"Ahead"`           // demand an entry holds tokens for; default 300 ms
 	RequestTimeout time.Duration `cbor:"AskTimeout" json:"AskTimeout"` // an unanswered Ask is given up after this; default 150 ms
 	ShortBackoff   time.Duration `cbor:"ShortFor" json:"ShortFor"`     // an owner that was short is not asked again for this long; default 200 ms
-	ReportGap      time.Duration // between reports of spent tokens, where the burst allows; default 200 ms
+	ReportInterval time.Duration `cbor:"ReportGap" json:"ReportGap"`   // between reports of spent tokens, where the burst allows; default 200 ms
 	Smooth         time.Duration // time constant of the demand estimate; default 1 s
 	IdleAfter      time.Duration // an account without requests is forgotten after this; default 30 s
 	MaxActive      int           // accounts in use at this daemon, at most; default 20000
@@ -85,7 +85,7 @@
 		PrefetchTime:   300 * time.Millisecond,
 		RequestTimeout: 150 * time.Millisecond,
 		ShortBackoff:   200 * time.Millisecond,
-		ReportGap:      200 * time.Millisecond,
+		ReportInterval: 200 * time.Millisecond,
 		Smooth:         time.Second,
 		IdleAfter:      30 * time.Second,
 		MaxActive:      20000,
--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -338,7 +338,7 @@
 			a.coldRequests = 0
 		}
 	}
-	if s.now.Sub(s.entry.usageReportedAt) >= s.params.ReportGap {
+	if s.now.Sub(s.entry.usageReportedAt) >= s.params.ReportInterval {
 		s.entry.usageReportedAt = s.now
 		s.reportDeferred("")
 	}
--- a/core/craccount/lot.go
+++ b/core/craccount/lot.go
@@ -47,7 +47,7 @@
 // late: until then they take up room that the owner could mint into.
 func (s *State) canDeferReport(name crid.Account) bool {
 	limit := s.limits(name)
-	return limit.Burst >= deferBurstFactor*limit.Rate*s.params.ReportGap.Seconds()
+	return limit.Burst >= deferBurstFactor*limit.Rate*s.params.ReportInterval.Seconds()
 }
 
 func (s *State) deferReport(key GrantKey, l *heldGrant) {
