--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -43,18 +43,18 @@
 // Params tunes the reducer. All daemons of a fleet must agree on Shares,
 // ShareBurst and Lifetime, since owners count on entries to void tokens in time.
 type Params struct {
-	MaxShares      int           `cbor:"Shares" json:"Shares"`         // shares of one account's limit, at most; default 4
-	MinShareBurst  float64       `cbor:"ShareBurst" json:"ShareBurst"` // burst of one share, at least, while there is more than one; default 10 tokens
-	Lifetime       time.Duration // a grant is void this long after the Ask it answers was sent; default 2 s
-	Drift          float64       // how far two daemons' clocks may run apart, as a fraction; default 0.025
-	Margin         time.Duration // added to Lifetime by owners; default 20 ms
-	PrefetchTime   time.Duration `cbor:"Ahead" json:"Ahead"`           // demand an entry holds tokens for; default 300 ms
-	RequestTimeout time.Duration `cbor:"AskTimeout" json:"AskTimeout"` // an unanswered Ask is given up after this; default 150 ms
-	ShortBackoff   time.Duration `cbor:"ShortFor" json:"ShortFor"`     // an owner that was short is not asked again for this long; default 200 ms
-	ReportInterval time.Duration `cbor:"ReportGap" json:"ReportGap"`   // between reports of spent tokens, where the burst allows; default 200 ms
-	Smooth         time.Duration // time constant of the demand estimate; default 1 s
-	IdleAfter      time.Duration // an account without requests is forgotten after this; default 30 s
-	MaxActive      int           // accounts in use at this daemon, at most; default 20000
+	MaxShares          int           `cbor:"Shares" json:"Shares"`         // shares of one account's limit, at most; default 4
+	MinShareBurst      float64       `cbor:"ShareBurst" json:"ShareBurst"` // burst of one share, at least, while there is more than one; default 10 tokens
+	Lifetime           time.Duration // a grant is void this long after the Ask it answers was sent; default 2 s
+	Drift              float64       // how far two daemons' clocks may run apart, as a fraction; default 0.025
+	Margin             time.Duration // added to Lifetime by owners; default 20 ms
+	PrefetchTime       time.Duration `cbor:"Ahead" json:"Ahead"`           // demand an entry holds tokens for; default 300 ms
+	RequestTimeout     time.Duration `cbor:"AskTimeout" json:"AskTimeout"` // an unanswered Ask is given up after this; default 150 ms
+	ShortBackoff       time.Duration `cbor:"ShortFor" json:"ShortFor"`     // an owner that was short is not asked again for this long; default 200 ms
+	ReportInterval     time.Duration `cbor:"ReportGap" json:"ReportGap"`   // between reports of spent tokens, where the burst allows; default 200 ms
+	DemandTimeConstant time.Duration `cbor:"Smooth" json:"Smooth"`         // time constant of the demand estimate; default 1 s
+	IdleAfter          time.Duration // an account without requests is forgotten after this; default 30 s
+	MaxActive          int           // accounts in use at this daemon, at most; default 20000
 
 	mutations mutations
 }
@@ -77,18 +77,18 @@
 // DefaultParams returns the documented defaults.
 func DefaultParams() Params {
 	return Params{
-		MaxShares:      4,
-		MinShareBurst:  10,
-		Lifetime:       2 * time.Second,
-		Drift:          0.025,
-		Margin:         20 * time.Millisecond,
-		PrefetchTime:   300 * time.Millisecond,
-		RequestTimeout: 150 * time.Millisecond,
-		ShortBackoff:   200 * time.Millisecond,
-		ReportInterval: 200 * time.Millisecond,
-		Smooth:         time.Second,
-		IdleAfter:      30 * time.Second,
-		MaxActive:      20000,
+		MaxShares:          4,
+		MinShareBurst:      10,
+		Lifetime:           2 * time.Second,
+		Drift:              0.025,
+		Margin:             20 * time.Millisecond,
+		PrefetchTime:       300 * time.Millisecond,
+		RequestTimeout:     150 * time.Millisecond,
+		ShortBackoff:       200 * time.Millisecond,
+		ReportInterval:     200 * time.Millisecond,
+		DemandTimeConstant: time.Second,
+		IdleAfter:          30 * time.Second,
+		MaxActive:          20000,
 	}
 }
 
--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -351,7 +351,7 @@
 	if dt <= 0 {
 		return
 	}
-	weight := 1 - math.Exp(-dt.Seconds()/s.params.Smooth.Seconds())
+	weight := 1 - math.Exp(-dt.Seconds()/s.params.DemandTimeConstant.Seconds())
 	a.demand += weight * (float64(a.recentRequests)/dt.Seconds() - a.demand)
 	a.recentRequests, a.demandAt = 0, s.now
 }
