--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -28,7 +28,7 @@
 
 func ms(n int) crid.Instant { return crid.Instant(time.Duration(n) * time.Millisecond) }
 
-// testState is one reducer that is driven by hand; acct has rate 100 and burst 20.
+// testState is a reducer that a test drives step by step; acct has rate 100 and burst 20.
 type testState struct {
 	*State
 	seq uint64
@@ -43,7 +43,7 @@
 	return r
 }
 
-// ownerWithLease returns an owner, "x", with tenure for a minute.
+// ownerWithLease returns the owner "x" with a lease for a minute.
 func ownerWithLease(mutations mutations) *testState {
 	x := newTestState("x", mutations)
 	x.giveLease(1, 0, 60000, "x")
@@ -54,10 +54,10 @@
 	r.Step(crmember.Tenure{Now: ms(from), Active: rev, Members: members, Until: ms(until)})
 }
 
-// request has the entry "e" request for tokens, and returns the item it is answered with.
-func (r *testState) request(at crid.Instant, want int, uses ...GrantUsage) GrantItem {
+// request sends a token request of the entry daemon "e", and returns the answer's item.
+func (r *testState) request(at crid.Instant, want int, usage ...GrantUsage) GrantItem {
 	r.seq++
-	msg := TokenRequest{Inc: entryInc, Seq: r.seq, Items: []TokenRequestItem{{Account: acct, Want: want}}, Usage: uses}
+	msg := TokenRequest{Inc: entryInc, Seq: r.seq, Items: []TokenRequestItem{{Account: acct, Want: want}}, Usage: usage}
 	for _, eff := range r.Step(crevent.Received{Now: at, From: "e", Msg: msg}) {
 		if send, ok := eff.(crevent.Send); ok {
 			return send.Msg.(Grant).Items[0]
@@ -70,7 +70,8 @@
 	return GrantUsage{Account: acct, Inc: 5, Grant: item.ID, Taken: n}
 }
 
-// entryWithRequest returns an entry that has asked the owner "x", and the Ask's number.
+// entryWithRequest returns an entry daemon that has sent a token request to the owner "x", and
+// the request's number.
 func entryWithRequest(g Gomega, at crid.Instant) (*testState, uint64) {
 	e := newTestState("e", mutations{})
 	e.Step(crmember.Tenure{Now: 1, Members: []crid.Daemon{"x"}})
@@ -80,14 +81,14 @@
 			return e, send.Msg.(TokenRequest).Seq
 		}
 	}
-	g.Expect("an Ask").To(BeEmpty())
+	g.Expect("a TokenRequest").To(BeEmpty())
 	return nil, 0
 }
 
 func poolWith(tokens int, voidAt crid.Instant) *TokenPool {
-	w := NewTokenPool()
-	w.Deposit(Deposit{Account: acct, Key: GrantKey{ID: 1}, Tokens: tokens, ExpiresAt: voidAt})
-	return w
+	p := NewTokenPool()
+	p.Deposit(Deposit{Account: acct, Key: GrantKey{ID: 1}, Tokens: tokens, ExpiresAt: voidAt})
+	return p
 }
 
 func (r *testState) receiveGrant(at crid.Instant, seq, id uint64) (deposits []Deposit, reports []int) {
@@ -103,10 +104,9 @@
 	return deposits, reports
 }
 
-// A Grant is lost on the way. Nobody can spend its tokens, and callers would
-// miss them for good if the owner did not take them for void in the end; taken
-// for void too soon, they would be spent twice should the Grant arrive after all.
-func TestLostGrantBecomesRoomOnlyWhenVoid(t *testing.T) {
+// A Grant is lost. Without its expiry the owner's room is lost for good; with an early expiry
+// the tokens are spent twice if the Grant arrives after all.
+func TestLostGrantBecomesRoomOnlyOnceExpired(t *testing.T) {
 	g := NewWithT(t)
 	x := ownerWithLease(mutations{})
 	g.Expect(x.request(ms(3000), 20).Tokens).To(Equal(20))
@@ -115,28 +115,28 @@
 	g.Expect(x.request(ms(5175), 20).Tokens).To(Equal(10))
 }
 
-// Two clocks run apart by two percent, the owner's fast and the entry's slow.
-// Without an allowance the owner mints while the entry can still spend.
-func TestVoidAllowsForDrift(t *testing.T) {
+// The owner's clock is two percent faster than the entry daemon's. Without a margin for drift,
+// the owner refills while the entry daemon can still spend.
+func TestOwnerExpiryAllowsForClockDrift(t *testing.T) {
 	g := NewWithT(t)
-	late := func(f mutations) int {
+	lateTokens := func(f mutations) int {
 		x := ownerWithLease(f)
 		g.Expect(x.request(ms(3000), 20).Tokens).To(Equal(20))
 		x.Step(crevent.Tick{Now: ms(5000)})
 		return x.request(ms(5040), 20).Tokens
 	}
-	g.Expect(late(mutations{})).To(BeZero())
-	g.Expect(late(mutations{noClockMargin: true})).To(BeNumerically(">", 0))
+	g.Expect(lateTokens(mutations{})).To(BeZero())
+	g.Expect(lateTokens(mutations{noClockMargin: true})).To(BeNumerically(">", 0))
 }
 
-// The network repeats a Grant, or delivers it after the tokens are void. Added
-// again, they would be spent twice, and the account exceeds its limit.
-func TestGrantCountsOnceAndInTime(t *testing.T) {
+// The network repeats a Grant, or delivers it after its tokens have expired. Added again, they
+// are spent twice and the account exceeds its limit.
+func TestGrantIsAddedOnceAndBeforeExpiry(t *testing.T) {
 	g := NewWithT(t)
 	e, seq := entryWithRequest(g, ms(100))
 	deposits, _ := e.receiveGrant(ms(110), seq, 1)
 	g.Expect(deposits).To(HaveLen(1))
-	g.Expect(deposits[0].ExpiresAt).To(Equal(ms(2100)), "void counts from the sending of the Ask")
+	g.Expect(deposits[0].ExpiresAt).To(Equal(ms(2100)), "expiry counts from the sending of the request")
 	deposits, _ = e.receiveGrant(ms(120), seq, 1)
 	g.Expect(deposits).To(BeEmpty())
 	deposits, reports := e.receiveGrant(ms(2100), seq, 2)
@@ -144,9 +144,9 @@
 	g.Expect(reports).To(ContainElement(EventLateGrant))
 }
 
-// An entry is replaced while a Grant is under way to it. The new process must
-// not take what was meant for the old one, nor an answer to no Ask of its own.
-func TestRestartedEntryRefusesOldGrants(t *testing.T) {
+// An entry daemon restarts while a Grant to it is in transit. The new process must not accept a
+// Grant to the old one, or an answer to a request that it did not send.
+func TestRestartedEntryIgnoresOldGrants(t *testing.T) {
 	g := NewWithT(t)
 	e, seq := entryWithRequest(g, ms(100))
 	e.inc = 6
@@ -157,9 +157,9 @@
 	g.Expect(deposits).To(BeEmpty())
 }
 
-// Reports overtake one another, or come twice. If an older one counted again,
-// the owner would believe in room that is not there.
-func TestReportsAreIdempotent(t *testing.T) {
+// Usage reports arrive reordered or repeated. If an older one counted again, the owner would
+// refill room that does not exist.
+func TestUsageReportsAreIdempotent(t *testing.T) {
 	g := NewWithT(t)
 	x := ownerWithLease(mutations{})
 	item := x.request(ms(3000), 20)
@@ -170,34 +170,34 @@
 	g.Expect(x.request(ms(4000), 20).Tokens).To(Equal(10))
 }
 
-// An entry is frozen for minutes and resumes. Its tokens have been minted anew
-// in the meantime, so it must not spend them.
-func TestPausedEntrySpendsNothingVoid(t *testing.T) {
+// An entry daemon is paused for minutes. Its tokens have expired and been refilled at the
+// owner, so it must not spend them.
+func TestPausedEntrySpendsNoExpiredTokens(t *testing.T) {
 	g := NewWithT(t)
-	w := poolWith(3, ms(2000))
-	g.Expect(w.Take(acct, ms(1999)).Outcome).To(Equal(Admitted))
-	g.Expect(w.Take(acct, ms(2000)).Outcome).To(Equal(Cold))
-	usage := w.Drain(ms(2000))
+	p := poolWith(3, ms(2000))
+	g.Expect(p.Take(acct, ms(1999)).Outcome).To(Equal(Admitted))
+	g.Expect(p.Take(acct, ms(2000)).Outcome).To(Equal(Cold))
+	usage := p.Drain(ms(2000))
 	g.Expect(usage).To(ContainElement(UsageDelta{Account: acct, Key: GrantKey{ID: 1}, Taken: 1, LastSpentAt: ms(1999), Returned: 2}))
 }
 
-// An owner is frozen and resumes. Had it minted for that time, its tokens would
-// come on top of those of the daemon that took over.
-func TestPausedOwnerMintsNothing(t *testing.T) {
+// An owner is paused and resumes. If it refilled for that time, its tokens would add to those of
+// the daemon that took over.
+func TestPausedOwnerRefillsNothing(t *testing.T) {
 	g := NewWithT(t)
 	x := newTestState("x", mutations{})
 	x.giveLease(1, 0, 5000, "x")
 	item := x.request(ms(4990), 20)
 	g.Expect(item.Tokens).To(Equal(20))
-	g.Expect(x.request(ms(60000), 20).Tokens).To(BeZero(), "woken without tenure")
+	g.Expect(x.request(ms(60000), 20).Tokens).To(BeZero(), "resumed without a lease")
 	x.giveLease(1, 60001, 70000, "x")
-	g.Expect(x.request(ms(60002), 20).Tokens).To(BeZero(), "renewed, as empty as a new owner")
+	g.Expect(x.request(ms(60002), 20).Tokens).To(BeZero(), "renewed lease, empty like a new owner")
 	g.Expect(x.request(ms(62300), 20).Tokens).To(BeNumerically(">", 0))
 }
 
-// The list changes and another daemon owns the share. What its predecessor
-// granted can be spent for a while; tokens minted beside that are too many.
-func TestSuccessorWaitsForThePredecessorsGrants(t *testing.T) {
+// The list changes and a share gets a new owner. The previous owner's grants can be spent for
+// one more lifetime; tokens refilled in that time exceed the limit.
+func TestNewOwnerWaitsForGrantsOfPreviousOwner(t *testing.T) {
 	g := NewWithT(t)
 	y := newTestState("y", mutations{})
 	y.giveLease(2, 10000, 60000, "y")
@@ -205,9 +205,9 @@
 	g.Expect(y.request(ms(12120), 20).Tokens).To(Equal(5))
 }
 
-// A list change leaves a daemon without tenure for a second. It is still the
-// share's owner, and an account at rest keeps its burst.
-func TestOwnerKeepsItsBalanceOverAShortGap(t *testing.T) {
+// A list change leaves a daemon without a lease for a second. It still owns the share, and an
+// idle account keeps its burst.
+func TestOwnerKeepsBalanceOverShortLeaseGap(t *testing.T) {
 	g := NewWithT(t)
 	x := newTestState("x", mutations{})
 	x.giveLease(1, 0, 5000, "x")
@@ -215,17 +215,17 @@
 	g.Expect(x.request(ms(6001), 20).Tokens).To(Equal(20))
 }
 
-// handOver tells a reducer of a handover from list 1 to list 2.
+// handOver notifies the reducer of a handover from list 1 to list 2.
 func (r *testState) handOver(from, until int, first, second crid.Daemon) {
-	over := []crmember.Membership{{Rev: 1, Members: []crid.Daemon{first}}, {Rev: 2, Members: []crid.Daemon{second}}}
+	lists := []crmember.Membership{{Rev: 1, Members: []crid.Daemon{first}}, {Rev: 2, Members: []crid.Daemon{second}}}
 	for at := from; at < until; at += 500 {
-		r.Step(crmember.Tenure{Now: ms(at), Bridge: ms(at + 600), Over: over})
+		r.Step(crmember.Tenure{Now: ms(at), Bridge: ms(at + 600), Over: lists})
 	}
 }
 
-// A daemon is lost, and the others hand over to a list without it. Did their
-// owners stop meanwhile, every account would be refused for seconds.
-func TestOwnerGoesOnThroughAHandover(t *testing.T) {
+// A daemon fails, and the others hand over to a list without it. If their owners stopped
+// refilling meanwhile, every account would be refused for seconds.
+func TestOwnerRefillsDuringHandover(t *testing.T) {
 	g := NewWithT(t)
 	x := newTestState("x", mutations{})
 	x.giveLease(1, 0, 5000, "x")
@@ -234,12 +234,12 @@
 	x = newTestState("x", mutations{})
 	x.giveLease(1, 0, 5000, "x")
 	x.handOver(5000, 9000, "x", "y")
-	g.Expect(x.request(ms(9000), 20).Tokens).To(BeZero(), "the newest list gives the share to another")
+	g.Expect(x.request(ms(9000), 20).Tokens).To(BeZero(), "the newest list assigns the share to another daemon")
 }
 
-// A handover takes long, and the former owner goes on in it. Did the next one
-// count that time as its own, it would mint beside tokens that are still out.
-func TestHandoverGivesNothingToANewOwner(t *testing.T) {
+// The previous owner refills during a long handover. If the new owner counted that time as its
+// own, it would refill while the previous owner's grants can be spent.
+func TestHandoverTimeDoesNotCountForNewOwner(t *testing.T) {
 	g := NewWithT(t)
 	tokens := func(f mutations) int {
 		y := newTestState("y", f)
@@ -252,10 +252,9 @@
 	g.Expect(tokens(mutations{countHandovers: true})).To(Equal(20))
 }
 
-// The list flaps and two daemons swap a share, and swap it again, within two
-// seconds. If a daemon that never began to mint counted as the former owner,
-// both would fill the same bucket.
-func TestQuickSwapsMakeNoSecondOwner(t *testing.T) {
+// The list flaps, and two daemons swap a share twice within two seconds. If a daemon that never
+// refilled counted as the previous owner, both would fill the bucket.
+func TestQuickOwnerSwapsDoNotRefillTwice(t *testing.T) {
 	g := NewWithT(t)
 	tokens := func(f mutations) int {
 		x, y := newTestState("x", f), newTestState("y", f)
@@ -270,8 +269,8 @@
 	g.Expect(tokens(mutations{countShortEpochs: true})).To(BeNumerically(">", 25))
 }
 
-// An owner is replaced by a process of the same name. Reports on the old one's
-// grants must not make room in the new one's bucket.
+// An owner is replaced by a process of the same name. Usage reports for the old process's grants
+// must not make room in the new one's bucket.
 func TestRestartedOwnerIgnoresOldReports(t *testing.T) {
 	g := NewWithT(t)
 	x := ownerWithLease(mutations{})
@@ -282,9 +281,9 @@
 	g.Expect(x.request(ms(4000), 20).Tokens).To(BeZero())
 }
 
-// Operators lower an account's limit. What is above it is gone at once; a
-// raised limit fills at its rate and gives no sudden burst.
-func TestChangedLimitShrinksAtOnceAndGrowsAtRate(t *testing.T) {
+// An operator changes an account's limit. A lower limit cuts the balance at once; a higher one
+// fills at its rate and gives no sudden burst.
+func TestLowerLimitAppliesAtOnceHigherFillsAtRate(t *testing.T) {
 	g := NewWithT(t)
 	x := ownerWithLease(mutations{})
 	x.request(ms(3000), 1)
@@ -295,27 +294,26 @@
 	g.Expect(x.request(ms(9001), 20).Tokens).To(Equal(12))
 }
 
-// A daemon is asked to stop while it holds tokens. It hands them back, so that
-// callers elsewhere have them.
-func TestStoppingHandsBack(t *testing.T) {
+// A daemon that stops returns its tokens, so that callers elsewhere can use them.
+func TestStoppingEntryReturnsTokens(t *testing.T) {
 	g := NewWithT(t)
 	e, seq := entryWithRequest(g, ms(100))
-	w := NewTokenPool()
+	p := NewTokenPool()
 	deposits, _ := e.receiveGrant(ms(110), seq, 1)
-	w.Deposit(deposits[0])
+	p.Deposit(deposits[0])
 	for _, eff := range e.Step(crevent.Stopping{Now: ms(120)}) {
 		if eff, ok := eff.(Withdraw); ok {
-			w.Withdraw(eff)
+			p.Withdraw(eff)
 		}
 	}
-	effects := e.Step(UsageDrained{Now: ms(121), Usage: w.Drain(ms(121))})
-	use := GrantUsage{Account: acct, Inc: 9, Grant: 1, Returned: 5}
-	g.Expect(effects).To(ContainElement(crevent.Send{To: "x", Msg: UsageReport{Usage: []GrantUsage{use}}}))
-	g.Expect(w.Take(acct, ms(122)).Outcome).NotTo(Equal(Admitted))
+	effects := e.Step(UsageDrained{Now: ms(121), Usage: p.Drain(ms(121))})
+	usage := GrantUsage{Account: acct, Inc: 9, Grant: 1, Returned: 5}
+	g.Expect(effects).To(ContainElement(crevent.Send{To: "x", Msg: UsageReport{Usage: []GrantUsage{usage}}}))
+	g.Expect(p.Take(acct, ms(122)).Outcome).NotTo(Equal(Admitted))
 }
 
-// All callers of an account turn from one daemon to two others at one moment.
-// Together they get its burst, and not a token more.
+// All callers of an account move from one daemon to two others at once. Together they get its
+// burst and not one token more.
 func TestRacingDaemonsShareOneBurst(t *testing.T) {
 	g := NewWithT(t)
 	w := newNet(3, 3, DefaultParams(), crpolicy.Account{Name: acct, Rate: 1, Burst: 20})
@@ -330,14 +328,14 @@
 	g.Expect(admitted).To(Equal(20))
 }
 
-// One entry holds a small account's tokens for callers that went away, and
-// callers elsewhere are short. The tokens are recalled and follow the callers.
-func TestUnusedTokensFollowTheCallers(t *testing.T) {
+// An entry daemon holds a small account's tokens for callers that have left, while callers
+// elsewhere run short. The tokens are recalled and granted to the other entry daemon.
+func TestUnusedTokensAreRecalled(t *testing.T) {
 	g := NewWithT(t)
 	w := newNet(3, 3, DefaultParams(), crpolicy.Account{Name: acct, Rate: 0.01, Burst: 5})
 	w.run(600 * time.Second)
 	for range 5 {
-		w.nodes[0].wallet.Take(acct, w.clock(w.nodes[0]))
+		w.nodes[0].pool.Take(acct, w.clock(w.nodes[0]))
 	}
 	w.run(100 * time.Millisecond)
 	admitted := 0
@@ -348,16 +346,16 @@
 	g.Expect(admitted).To(BeNumerically(">=", 4))
 }
 
-// Many requests race for the last tokens of a wallet; each token admits one.
-func TestWalletSpendsEachTokenOnce(t *testing.T) {
+// Many requests race for the last tokens of a pool; each token admits one request.
+func TestPoolSpendsEachTokenOnce(t *testing.T) {
 	g := NewWithT(t)
-	w := poolWith(1000, ms(1000))
+	p := poolWith(1000, ms(1000))
 	var admitted atomic.Int64
 	var wg sync.WaitGroup
 	for range 16 {
 		wg.Go(func() {
 			for range 200 {
-				if w.Take(acct, 1).Outcome == Admitted {
+				if p.Take(acct, 1).Outcome == Admitted {
 					admitted.Add(1)
 				}
 			}
@@ -367,41 +365,41 @@
 	g.Expect(admitted.Load()).To(BeEquivalentTo(1000))
 }
 
-// The first request of an account at a daemon finds no token there. It waits
-// once for the owners' answer, and not at all when they are known to be short.
+// The first request of an account at a daemon finds no token. It waits once for the owners'
+// answer, and not at all when the account is known to be exhausted.
 func TestAdmitWaitsOnceWhenCold(t *testing.T) {
 	g := NewWithT(t)
-	w := NewTokenPool()
+	p := NewTokenPool()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	clock := func() crid.Instant { return 1 }
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		<-w.DrainNeeded()
-		w.Deposit(Deposit{Account: acct, Key: GrantKey{ID: 1}, Tokens: 1, ExpiresAt: ms(1000)})
+		<-p.DrainNeeded()
+		p.Deposit(Deposit{Account: acct, Key: GrantKey{ID: 1}, Tokens: 1, ExpiresAt: ms(1000)})
 	})
-	g.Expect(w.Admit(ctx, acct, clock).Outcome).To(Equal(Admitted))
+	g.Expect(p.Admit(ctx, acct, clock).Outcome).To(Equal(Admitted))
 	wg.Wait()
-	w.Deposit(Deposit{Account: acct, ExhaustedUntil: ms(100), RetryAfter: time.Second})
-	g.Expect(w.Admit(ctx, acct, clock)).To(Equal(Decision{Outcome: Refused, RetryAfter: time.Second}))
+	p.Deposit(Deposit{Account: acct, ExhaustedUntil: ms(100), RetryAfter: time.Second})
+	g.Expect(p.Admit(ctx, acct, clock)).To(Equal(Decision{Outcome: Refused, RetryAfter: time.Second}))
 }
 
-// A process is paused for an hour after a request has read the clock. The token
-// it then takes is void, and admitting it would exceed the account's limit.
-func TestPauseInsideAdmitRefuses(t *testing.T) {
+// A process is paused for an hour after a request has read the clock. The token that it then
+// takes has expired, and admitting it would exceed the account's limit.
+func TestAdmitRefusesAfterPause(t *testing.T) {
 	g := NewWithT(t)
-	w := poolWith(1, ms(1000))
+	p := poolWith(1, ms(1000))
 	readings := []crid.Instant{1, ms(3600_000)}
 	clock := func() crid.Instant {
 		now := readings[0]
 		readings = readings[1:]
 		return now
 	}
-	g.Expect(w.Admit(t.Context(), acct, clock).Outcome).To(Equal(Refused))
+	g.Expect(p.Admit(t.Context(), acct, clock).Outcome).To(Equal(Refused))
 }
 
-// A daemon leaves the list. Only its own shares may move: each share that moves
-// is without tokens for two seconds, and callers are refused meanwhile.
+// A daemon leaves the list. Only its shares may move: a share that moves has no tokens for two
+// seconds, and callers are refused meanwhile.
 func TestOnlySharesOfTheLeavingDaemonMove(t *testing.T) {
 	g := NewWithT(t)
 	var members []crid.Daemon
@@ -423,5 +421,5 @@
 	for _, d := range members {
 		g.Expect(owned[d]).To(BeNumerically("~", 160, 60), string(d))
 	}
-	g.Expect(moved).To(BeNumerically("<", 30), "distinct owners move a few more")
+	g.Expect(moved).To(BeNumerically("<", 30), "keeping owners distinct moves a few more")
 }
--- a/core/craccount/asking_test.go
+++ b/core/craccount/asking_test.go
@@ -10,21 +10,20 @@
 	"camphorroad/core/crmember"
 )
 
-// An account sends too much, and each entry wants to hold 300 ms of that ahead.
-// When the crowd is gone, tokens lie at entries where nobody asks for them, and
-// callers elsewhere are refused inside the rate. So little is held ahead while
-// others wait, too; alone at one entry, an account keeps its tokens ahead.
-func TestLittleIsHeldAheadWhileOthersWait(t *testing.T) {
-	for _, rivals := range []bool{false, true} {
+// An account exceeds its rate, and tokens prefetched at one entry daemon are missing for callers
+// elsewhere, who are refused within the rate. Prefetch is therefore reduced while other daemons
+// wait; an account at a single entry daemon keeps its full prefetch.
+func TestPrefetchIsReducedUnderContention(t *testing.T) {
+	for _, contended := range []bool{false, true} {
 		g := NewWithT(t)
 		e, seq := entryWithRequest(g, ms(10))
 		e.snap = limitSnapshot(100, 200)
 		a := e.entry.accounts[acct]
 		a.demand = 100
 		g.Expect(e.targetTokens(a)).To(Equal(30))
-		item := GrantItem{Account: acct, ID: 1, Tokens: 1, Short: true, Contended: rivals}
+		item := GrantItem{Account: acct, ID: 1, Tokens: 1, Short: true, Contended: contended}
 		e.handleGrant("x", Grant{Inc: 9, ToInc: 5, Seq: seq, Items: []GrantItem{item}})
-		if rivals {
+		if contended {
 			g.Expect(e.targetTokens(a)).To(Equal(5))
 			e.advance(e.now.Add(contendedTime + time.Millisecond))
 		}
@@ -32,10 +31,10 @@
 	}
 }
 
-// Entries draw more from one share than from another. Were the full one not asked
-// first, it would mint in vain, and the account's burst be a part short when an
-// owner is lost or callers surge. One not heard of for long may be full again.
-func TestTheFullestOwnerIsAskedFirst(t *testing.T) {
+// Entry daemons draw more from one share than from another. If the full share is not asked
+// first, its refill overflows, and less of the burst is left when an owner is lost or callers
+// surge. An owner without a recent answer may be full again.
+func TestFullestOwnerIsAskedFirst(t *testing.T) {
 	g := NewWithT(t)
 	e := newTestState("e", mutations{})
 	e.now = ms(10000)
@@ -45,16 +44,15 @@
 	g.Expect(e.fullestFirst(a, []int{0, 1})).To(Equal([]int{1, 0}))
 }
 
-// A daemon is stopped as planned and still takes new work for a moment, until its
-// callers have turned away. Those that come in this moment would be refused inside
-// their rate if it asked for no more tokens; but it holds none ahead, since they
-// would be lost with it.
-func TestAStoppingEntryStillServesWhoComes(t *testing.T) {
+// A daemon that stops as planned accepts requests until its callers have moved. These would be
+// refused within their rate if it requested no tokens. It prefetches none, since they would be
+// lost with it.
+func TestStoppingEntryStillRequestsTokens(t *testing.T) {
 	g := NewWithT(t)
 	e, _ := entryWithRequest(g, ms(100))
 	e.Step(crevent.Stopping{Now: ms(120)})
 	e.entry.accounts[acct].sources[0].requested = 0
-	e.entry.accounts[acct].coldRequests = 0 // who asked before has given up
+	e.entry.accounts[acct].coldRequests = 0 // earlier requests have given up
 	effects := e.Step(UsageDrained{Now: ms(130), Usage: []UsageDelta{{Account: acct, Cold: 2}}})
 	items := []TokenRequestItem{{Account: acct, Want: 2}}
 	g.Expect(effects).To(ContainElement(crevent.Send{To: "x", Msg: TokenRequest{Inc: 5, Seq: 2, Items: items}}))
@@ -62,10 +60,10 @@
 	g.Expect(deposits).To(HaveLen(1))
 }
 
-// The owner of a share is stopped as planned. Its successor starts empty seconds
-// later; what the owner has would be lost, and a small account's callers refused,
-// if it did not grant while it can, and entries did not ask once more in time.
-func TestEntriesStockUpFromALeavingOwner(t *testing.T) {
+// The owner of a share stops as planned, and its successor starts empty seconds later. A small
+// account's callers would be refused if the owner did not grant its balance before it stops and
+// entry daemons did not request it in time.
+func TestEntriesPrefetchFromLeavingOwner(t *testing.T) {
 	g := NewWithT(t)
 	o := ownerWithLease(mutations{})
 	o.Step(crevent.Stopping{Now: ms(4000)})
@@ -76,8 +74,8 @@
 	a := e.entry.accounts[acct]
 	a.demand = 6
 	leaving := []crmember.Peer{{Daemon: "x", Reachable: true, Leaving: true}}
-	asked := crevent.Send{To: "x", Msg: TokenRequest{Inc: 5, Seq: 2, Items: []TokenRequestItem{{Account: acct, Want: 12, WaitForRest: true}}}}
-	g.Expect(e.Step(crmember.Peers{Now: ms(4002), Peers: leaving})).To(ContainElement(asked))
+	want := crevent.Send{To: "x", Msg: TokenRequest{Inc: 5, Seq: 2, Items: []TokenRequestItem{{Account: acct, Want: 12, WaitForRest: true}}}}
+	g.Expect(e.Step(crmember.Peers{Now: ms(4002), Peers: leaving})).To(ContainElement(want))
 	a.sources[0].requested = 0
 	g.Expect(e.Step(crmember.Peers{Now: ms(4003), Peers: leaving})).To(BeEmpty(), "once only")
 }
--- a/core/craccount/bench_test.go
+++ b/core/craccount/bench_test.go
@@ -9,21 +9,21 @@
 	"camphorroad/core/crid"
 )
 
-// BenchmarkWalletTake measures a request's whole part: all goroutines on one
-// account, and spread over many.
-func BenchmarkWalletTake(b *testing.B) {
+// BenchmarkTokenPoolTake measures the cost of a request, with all goroutines on one account and
+// spread over many.
+func BenchmarkTokenPoolTake(b *testing.B) {
 	for _, accounts := range []int{1, 1000} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
-			w := NewTokenPool()
+			p := NewTokenPool()
 			names := make([]crid.Account, accounts)
 			for i := range names {
 				names[i] = crid.Account(fmt.Sprintf("account%d", i))
-				w.Deposit(Deposit{Account: names[i], Key: GrantKey{ID: 1}, Tokens: math.MaxInt, ExpiresAt: neverExpires})
+				p.Deposit(Deposit{Account: names[i], Key: GrantKey{ID: 1}, Tokens: math.MaxInt, ExpiresAt: neverExpires})
 			}
 			b.ReportAllocs()
 			b.RunParallel(func(pb *testing.PB) {
 				for i := 0; pb.Next(); i++ {
-					w.Take(names[i%accounts], 1)
+					p.Take(names[i%accounts], 1)
 				}
 			})
 		})
@@ -37,13 +37,13 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkBytesPerAccount measures the memory of an account in use at an
-// entry, in the reducer and the wallet, with one grant of each share.
+// BenchmarkBytesPerAccount measures the memory of an account in use at an entry daemon, in the
+// reducer and the pool, with one grant of each share.
 func BenchmarkBytesPerAccount(b *testing.B) {
 	const accounts = 10000
 	for b.Loop() {
 		before := heapInUse()
-		s, w := New(DefaultParams()), NewTokenPool()
+		s, p := New(DefaultParams()), NewTokenPool()
 		s.entry.sent[1] = sentRequest{to: "x", at: 1}
 		s.now = 2
 		for i := range accounts {
@@ -56,13 +56,13 @@
 			}
 			for _, eff := range s.flush() {
 				if d, ok := eff.(Deposit); ok {
-					w.Deposit(d)
+					p.Deposit(d)
 				}
 			}
 		}
 		b.ReportMetric((heapInUse()-before)/accounts, "B/account")
 		runtime.KeepAlive(s)
-		runtime.KeepAlive(w)
+		runtime.KeepAlive(p)
 	}
 }
 
@@ -84,9 +84,9 @@
 	}
 }
 
-// BenchmarkRoute measures finding the owners of an account's shares, which is
-// done for each account in use when the list changes.
-func BenchmarkRoute(b *testing.B) {
+// BenchmarkShareOwners measures finding the owners of an account's shares, which is done for
+// each account in use when the list changes.
+func BenchmarkShareOwners(b *testing.B) {
 	for _, n := range []int{25, 5500} {
 		members := make([]crid.Daemon, n)
 		for i := range members {
--- a/core/craccount/bridge.go
+++ b/core/craccount/bridge.go
@@ -7,15 +7,14 @@
 	"camphorroad/core/crmember"
 )
 
-// handleHandover goes on during a handover with the shares that every list of it
-// gives to this daemon. Whichever of those lists is the active one somewhere,
-// no other daemon mints these shares; the others of its shares it drops.
+// handleHandover keeps the lease during a handover, for the shares that every list of the
+// handover assigns to this daemon. No other daemon refills these shares, whichever list is
+// active elsewhere. All other shares are dropped.
 //
-// Without it each change of the list would stop all minting until the handover
-// is done, and every account would be refused once its entries' tokens are
-// spent, though most shares stay where they are.
-func (s *State) handleHandover(ev crmember.Tenure, kept bool) {
-	if !kept || len(s.owner.epochs) == 0 || !s.now.Before(ev.Bridge) {
+// Otherwise every change of the list would stop all refilling until the handover ends. Entry
+// daemons would run out of tokens and refuse every account, although most shares do not move.
+func (s *State) handleHandover(ev crmember.Tenure, leaseKept bool) {
+	if !leaseKept || len(s.owner.epochs) == 0 || !s.now.Before(ev.Bridge) {
 		s.lease.Until = 0
 		s.reportLeaseLost()
 		return
--- a/core/craccount/chaos_test.go
+++ b/core/craccount/chaos_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// sendBurst sends bursts of requests everywhere, with pauses in which entries
-// gather tokens: the worst that callers can do to the bound.
+// sendBurst sends requests to random nodes. With pauses in which entry daemons gather tokens,
+// this is the load most likely to exceed the bound.
 func (w *testNet) sendBurst(burst int) {
 	for range burst {
 		nd := w.nodes[w.rng.IntN(len(w.nodes))]
@@ -32,24 +32,24 @@
 	}
 }
 
-// takeAndGiveUp has callers ask and give up at once, so that the entry is left with
-// tokens that nobody spends for now.
+// takeAndGiveUp sends requests whose callers give up at once, so that the entry daemon is left
+// with tokens that nobody spends.
 func (w *testNet) takeAndGiveUp(nd *node, callers int) {
 	if nd.dead || w.now < nd.paused {
 		return
 	}
 	for range callers {
 		for _, a := range chaosAccounts() {
-			if nd.wallet.Take(a.Name, w.clock(nd)).Outcome == Admitted {
+			if nd.pool.Take(a.Name, w.clock(nd)).Outcome == Admitted {
 				w.oracles[a.Name].admit(w.now)
 			}
 		}
 	}
 	now := w.clock(nd)
-	w.step(nd, UsageDrained{Now: now, Usage: nd.wallet.Drain(now)})
+	w.step(nd, UsageDrained{Now: now, Usage: nd.pool.Drain(now)})
 }
 
-// runWithLoad keeps the entries' demand up, so that they hold tokens ahead.
+// runWithLoad keeps up the demand at the entry daemons, so that they prefetch tokens.
 func (w *testNet) runWithLoad(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.run(20 * time.Millisecond)
@@ -59,7 +59,7 @@
 
 func (w *testNet) pause(nd *node, d time.Duration) { nd.paused = max(nd.paused, w.now+d) }
 
-// changeList has a list with one or two daemons missing become active.
+// changeList activates a list without the node with index skip, if there is one.
 func (w *testNet) changeList(skip int) {
 	var list []crid.Daemon
 	for i, nd := range w.nodes {
@@ -67,8 +67,8 @@
 			list = append(list, nd.name)
 		}
 	}
-	takes := []time.Duration{0, 0, time.Second, 6 * time.Second}
-	w.beginHandover(list, takes[w.rng.IntN(len(takes))])
+	durations := []time.Duration{0, 0, time.Second, 6 * time.Second}
+	w.beginHandover(list, durations[w.rng.IntN(len(durations))])
 }
 
 func (w *testNet) maxExcess() float64 {
@@ -79,7 +79,7 @@
 	return worst
 }
 
-// injectFault does one random mischief.
+// injectFault applies one random fault or burst of load.
 func (w *testNet) injectFault() {
 	nd := w.nodes[w.rng.IntN(len(w.nodes))]
 	switch w.rng.IntN(8) {
@@ -101,7 +101,7 @@
 	}
 }
 
-// runChaos returns by how many tokens the bound was broken in one seeded run.
+// runChaos returns the most tokens by which the bound was exceeded in one seeded run.
 func runChaos(seed uint64, mutations mutations) float64 {
 	const steps = 60
 	params := DefaultParams()
@@ -118,10 +118,9 @@
 	return w.maxExcess()
 }
 
-// Daemons pause, restart and are listed away while messages are lost, repeated
-// and late, and callers take all they can get everywhere. If any guard were
-// missing, an account would get more than its rate and burst for a moment, and
-// another tenant's requests would be crowded out.
+// Daemons pause, restart and leave the list while messages are lost, repeated and delayed, and
+// callers take all they can get. Without any one safeguard, an account would exceed its rate
+// and burst and crowd out the requests of other accounts.
 func TestBoundHoldsUnderChaos(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -131,37 +130,37 @@
 	}
 }
 
-// The check above must be able to fail: with each guard switched off in turn,
-// the same runs admit more than burst + rate*w.
-func TestEachGuardMatters(t *testing.T) {
-	for name, broken := range map[string]struct {
+// The test above must be able to fail: with each safeguard disabled in turn, the same runs admit
+// more than burst + rate*w.
+func TestEachSafeguardIsNeeded(t *testing.T) {
+	for name, c := range map[string]struct {
 		mutations mutations
-		seed      uint64 // the first that is known to show it
+		seed      uint64 // the first seed that shows it
 	}{
-		"tokens never void":             {mutations{neverExpire: true}, 1},
-		"void counted from arrival":     {mutations{expireFromArrival: true}, 5},
-		"grants not deduplicated":       {mutations{noDedup: true}, 17},
-		"successor mints at once":       {mutations{noTakeoverDelay: true}, 5},
-		"time without tenure is minted": {mutations{refillWithoutLease: true}, 9},
-		"room is made before minting":   {mutations{applyUsageFirst: true}, 2},
-		"room is made before the spend": {mutations{creditWholeLifetime: true}, 0},
+		"tokens never expire":         {mutations{neverExpire: true}, 1},
+		"expiry counted from arrival": {mutations{expireFromArrival: true}, 5},
+		"grants not deduplicated":     {mutations{noDedup: true}, 17},
+		"new owner refills at once":   {mutations{noTakeoverDelay: true}, 5},
+		"refill without a lease":      {mutations{refillWithoutLease: true}, 9},
+		"usage applied before refill": {mutations{applyUsageFirst: true}, 2},
+		"credit for a whole lifetime": {mutations{creditWholeLifetime: true}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			worst := 0.0
-			seed := broken.seed
-			for ; seed < 60 && worst < 0.5; seed++ {
-				worst = runChaos(seed, broken.mutations)
+			excess := 0.0
+			seed := c.seed
+			for ; seed < 60 && excess < 0.5; seed++ {
+				excess = runChaos(seed, c.mutations)
 			}
-			t.Logf("seed %d: over the bound by %.1f tokens", seed-1, worst)
-			g.Expect(worst).To(BeNumerically(">=", 0.5))
+			t.Logf("seed %d: bound exceeded by %.1f tokens", seed-1, excess)
+			g.Expect(excess).To(BeNumerically(">=", 0.5))
 		})
 	}
 }
 
-// Any order of pauses, restarts, list changes, faults of the network and bursts
-// of callers must keep every window of every account within its bound.
+// Every window of every account stays within its bound under any order of pauses, restarts,
+// list changes, network faults and bursts.
 func TestBoundStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newNet(rapid.Uint64().Draw(t, "seed"), 4, DefaultParams(), chaosAccounts()...)
@@ -172,7 +171,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"run":     func(t *rapid.T) { w.runWithLoad(millis(t, 1500)) },
 			"idle":    func(t *rapid.T) { w.run(millis(t, 3000)) },
-			"hoard":   func(t *rapid.T) { w.takeAndGiveUp(pick(t), 80) },
+			"giveup":  func(t *rapid.T) { w.takeAndGiveUp(pick(t), 80) },
 			"burst":   func(*rapid.T) { w.sendBurst(150) },
 			"pause":   func(t *rapid.T) { w.pause(pick(t), millis(t, 5000)) },
 			"restart": func(t *rapid.T) { w.start(pick(t)) },
@@ -184,16 +183,16 @@
 			},
 			"": func(t *rapid.T) {
 				if w.maxExcess() > 0 {
-					t.Fatalf("bound broken by %.2f tokens", w.maxExcess())
+					t.Fatalf("bound exceeded by %.2f tokens", w.maxExcess())
 				}
 			},
 		})
 	})
 }
 
-// Operators change a limit to and fro, and daemons learn of it at different
-// times. Callers must not get more than the larger limit in any window, or,
-// where the number of shares changes too, than both limits together.
+// An operator changes a limit back and forth, and daemons apply each change at different times.
+// Callers must not get more than the larger limit in any window or, where the number of shares
+// changes too, than both limits together.
 func TestBoundHoldsWhileConfigurationsDiffer(t *testing.T) {
 	for name, limits := range map[string][2]crpolicy.Account{
 		"same shares":  {{Name: "ample", Rate: 100, Burst: 80}, {Name: "ample", Rate: 50, Burst: 40}},
--- a/core/craccount/config.go
+++ b/core/craccount/config.go
@@ -2,8 +2,8 @@
 
 import "camphorroad/core/crpolicy"
 
-// handleConfig applies changed limits. A share whose number per account changes
-// starts anew, and waits for the grants of the former ones to be void.
+// handleConfig applies changed limits. When the number of an account's shares changes, its
+// shares start empty, and refill only once the grants of the former shares have expired.
 func (s *State) handleConfig(snap *crpolicy.Snapshot) {
 	old := s.snap
 	s.snap = snap
--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -1,33 +1,40 @@
-// Package craccount holds every account to its rate and burst over the whole
-// fleet, without a request waiting for another daemon in the common case.
+// Package craccount enforces the rate and burst of every client account across the fleet. In the
+// common case a request is admitted without waiting for another daemon.
 //
-// An account's limit is split in a few shares. Each share has one owner, a
-// daemon chosen by rendezvous hash over the active list of instances, which
-// alone mints the share's tokens. Daemons where requests enter ask the owners
-// for tokens ahead of demand. Tokens are moved and never copied: the owner
-// subtracts before it sends, a grant is added once, and what is lost is lost
-// until it is void and its room is minted anew. docs/design/03-account-rate.md
-// has the proof that no window w sees more than burst + rate*w admissions.
+// An account's limit is split into a few shares, each a token bucket. Each share has one owner, a
+// daemon selected by rendezvous hashing over the active instance list. Only the owner refills the
+// share. Entry daemons, where requests arrive, request tokens from the owners ahead of demand.
+// Tokens are moved and never copied: the owner subtracts tokens from its balance before it sends a
+// grant, and the entry daemon adds a grant once. The tokens of a lost grant become room at the
+// owner when the grant has expired. docs/design/03-account-rate.md proves that no window w sees
+// more than burst + rate*w admissions.
 //
-// [State] is the reducer for both roles, owner and entry. [TokenPool] is the
-// concurrency-safe side that request goroutines take tokens from.
+// Owners refill only under a membership lease ([crmember.Tenure]). The refill clock counts the time
+// spent with one.
+//
+// [State] is the reducer of both roles, owner and entry daemon, and part of core/crdaemon.
+// [TokenPool] is the concurrency-safe side that request goroutines take tokens from. Package
+// crquota enforces the same limits for core/crmesh, with one owner for a whole account and a
+// message for each request.
 //
 // # Usage
 //
 //	state := craccount.New(craccount.DefaultParams())
-//	wallet := craccount.NewWallet()
+//	pool := craccount.NewTokenPool()
 //	for _, eff := range state.Step(ev) {
 //		switch eff := eff.(type) {
 //		case craccount.Deposit:
-//			wallet.Deposit(eff)
+//			pool.Deposit(eff)
 //		case craccount.Withdraw:
-//			wallet.Withdraw(eff)
+//			pool.Withdraw(eff)
+//		case craccount.Forget:
+//			pool.Forget(eff)
 //		}
 //	}
-//	// every tick, and when wallet.Wanted() fires:
-//	state.Step(craccount.Used{Now: now, Usage: wallet.Drain(now)})
+//	// on every tick, and when pool.DrainNeeded() receives:
+//	state.Step(craccount.UsageDrained{Now: now, Usage: pool.Drain(now)})
 //	// in a request:
-//	decision := wallet.Admit(ctx, account, clock)
+//	decision := pool.Admit(ctx, account, clock)
 package craccount
 
 import (
@@ -40,26 +47,26 @@
 	"camphorroad/core/crpolicy"
 )
 
-// Params tunes the reducer. All daemons of a fleet must agree on Shares,
-// ShareBurst and Lifetime, since owners count on entries to void tokens in time.
+// Params configures the reducer. All daemons of a fleet must agree on MaxShares, MinShareBurst
+// and Lifetime, since owners rely on entry daemons to expire tokens in time.
 type Params struct {
 	MaxShares          int           `cbor:"Shares" json:"Shares"`         // shares of one account's limit, at most; default 4
-	MinShareBurst      float64       `cbor:"ShareBurst" json:"ShareBurst"` // burst of one share, at least, while there is more than one; default 10 tokens
-	Lifetime           time.Duration // a grant is void this long after the Ask it answers was sent; default 2 s
-	Drift              float64       // how far two daemons' clocks may run apart, as a fraction; default 0.025
+	MinShareBurst      float64       `cbor:"ShareBurst" json:"ShareBurst"` // burst of a share, at least, when an account has several; default 10 tokens
+	Lifetime           time.Duration // time from sending a TokenRequest until the tokens of its Grant expire; default 2 s
+	Drift              float64       // difference in speed of two daemons' clocks, at most, as a fraction; default 0.025
 	Margin             time.Duration // added to Lifetime by owners; default 20 ms
-	PrefetchTime       time.Duration `cbor:"Ahead" json:"Ahead"`           // demand an entry holds tokens for; default 300 ms
-	RequestTimeout     time.Duration `cbor:"AskTimeout" json:"AskTimeout"` // an unanswered Ask is given up after this; default 150 ms
-	ShortBackoff       time.Duration `cbor:"ShortFor" json:"ShortFor"`     // an owner that was short is not asked again for this long; default 200 ms
+	PrefetchTime       time.Duration `cbor:"Ahead" json:"Ahead"`           // an entry daemon holds tokens for the demand of this time; default 300 ms
+	RequestTimeout     time.Duration `cbor:"AskTimeout" json:"AskTimeout"` // an unanswered TokenRequest is abandoned after this time; default 150 ms
+	ShortBackoff       time.Duration `cbor:"ShortFor" json:"ShortFor"`     // an owner that ran short is not asked again for this time; default 200 ms
 	ReportInterval     time.Duration `cbor:"ReportGap" json:"ReportGap"`   // between reports of spent tokens, where the burst allows; default 200 ms
-	DemandTimeConstant time.Duration `cbor:"Smooth" json:"Smooth"`         // time constant of the demand estimate; default 1 s
-	IdleAfter          time.Duration // an account without requests is forgotten after this; default 30 s
+	DemandTimeConstant time.Duration `cbor:"Smooth" json:"Smooth"`         // of the exponential average of the demand; default 1 s
+	IdleAfter          time.Duration // an account without requests is dropped after this time; default 30 s
 	MaxActive          int           // accounts in use at this daemon, at most; default 20000
 
 	mutations mutations
 }
 
-// mutations switch single guards off, so that tests can show that each matters.
+// mutations disable single safeguards, so that tests can show that each is needed.
 type mutations struct {
 	neverExpire         bool
 	expireFromArrival   bool
@@ -92,10 +99,10 @@
 	}
 }
 
-// ownerLifetime is how long an owner counts an unreported grant as spendable.
-// It exceeds the entry's Lifetime by the drift of both clocks: were it shorter,
-// the owner would mint into room whose tokens can still be spent, and a window
-// would see more than burst + rate*w.
+// ownerLifetime is how long an owner counts an unreported grant as spendable. It exceeds the
+// entry daemon's Lifetime by the drift of both clocks. If it were shorter, the owner would
+// refill room whose tokens can still be spent, and a window w would see more than
+// burst + rate*w admissions.
 func (p Params) ownerLifetime() time.Duration {
 	if p.mutations.noClockMargin {
 		return p.Lifetime
@@ -103,15 +110,16 @@
 	return time.Duration(float64(p.Lifetime)*(1+p.Drift)) + p.Margin
 }
 
-// State is the reducer of account tokens. It is not safe for concurrent use.
+// State is the reducer of an account's tokens, for the roles of owner and entry daemon. It is
+// not safe for concurrent use.
 type State struct {
 	params     Params
 	self       crid.Daemon
 	inc        crid.Incarnation
 	now        crid.Instant
 	snap       *crpolicy.Snapshot
-	lease      crmember.Tenure // its Members are nil: see members
-	members    memberSet       // of the list last known
+	lease      crmember.Tenure // without its Members and Over
+	members    memberSet       // of the last known list
 	peers      map[crid.Daemon]crmember.Peer
 	reportedAt map[int]crid.Instant
 	stopping   bool
@@ -132,7 +140,7 @@
 	}
 }
 
-// Step applies one event and returns what is to be done.
+// Step applies one event and returns the effects to carry out.
 func (s *State) Step(ev crevent.Event) []crevent.Effect {
 	s.advance(ev.At())
 	switch ev := ev.(type) {
@@ -169,7 +177,7 @@
 	}
 }
 
-// canRequestFrom reports whether asking d is worth a message.
+// canRequestFrom reports whether d is expected to answer a TokenRequest.
 func (s *State) canRequestFrom(d crid.Daemon) bool {
 	if d == s.self {
 		return true
@@ -178,7 +186,7 @@
 	return ok && !p.Lost() && !p.Leaving
 }
 
-// limits returns an account's rate and burst; zeros for an unknown account.
+// limits returns an account's rate and burst, or zeros for an unknown account.
 func (s *State) limits(account crid.Account) crpolicy.Account {
 	if s.snap == nil {
 		return crpolicy.Account{}
@@ -187,9 +195,9 @@
 	return a
 }
 
-// stop hands back what is held ahead. Requests that still come ask for their own
-// tokens, and as an owner this daemon grants as long as it runs: what it has not
-// granted by then is lost, since its successor trusts no word of a predecessor.
+// stop returns the prefetched tokens. Requests that still arrive obtain tokens of their own.
+// As an owner, this daemon grants tokens as long as it runs. What it has not granted by then is
+// lost, since its successor accepts no balance from it.
 func (s *State) stop() {
 	s.stopping = true
 	s.report(EventStopped, "accounts", itoa(len(s.entry.accounts)))
--- a/core/craccount/dump.go
+++ b/core/craccount/dump.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Dump returns a JSON-ready copy of the state; it holds no key.
+// Dump returns a copy of the state for JSON. It contains no API key.
 func (s *State) Dump() any {
 	d := Dump{Active: s.owner.active, Refilling: s.hasLease(), Stopping: s.stopping}
 	for key, sh := range s.owner.shares {
--- a/core/craccount/election_test.go
+++ b/core/craccount/election_test.go
@@ -11,7 +11,7 @@
 	"camphorroad/core/crid"
 )
 
-// ownerFunc picks the owner of an account's share from a list, with no message.
+// ownerFunc selects the owner of an account's share from a list, without messages.
 type ownerFunc func(account crid.Account, members []crid.Daemon) crid.Daemon
 
 var ownerFuncs = map[string]ownerFunc{
@@ -24,8 +24,8 @@
 	},
 }
 
-// moved is the share of accounts whose owner differs between two lists, and the
-// largest part of them that one daemon owns under the first.
+// moved returns the fraction of accounts whose owner differs between two lists, and the largest
+// fraction that one daemon owns under the first list.
 func (e ownerFunc) moved(accounts int, before, after []crid.Daemon) (moved, largest float64) {
 	owned := make(map[crid.Daemon]int)
 	changed := 0
@@ -37,17 +37,16 @@
 			changed++
 		}
 	}
-	most := 0
+	largestCount := 0
 	for _, n := range owned {
-		most = max(most, n)
+		largestCount = max(largestCount, n)
 	}
-	return float64(changed) / float64(accounts), float64(most) / float64(accounts)
+	return float64(changed) / float64(accounts), float64(largestCount) / float64(accounts)
 }
 
-// Owners are elected by the list alone. A share that moves without need stands
-// still until its new owner may mint, so that callers of accounts that have
-// nothing to do with the daemon that was replaced are refused.
-func TestElectionByListMovesNoShareWithoutNeed(t *testing.T) {
+// A share that changes its owner is not refilled until the new owner may start. If a list change
+// moved shares of unrelated accounts, their callers would be refused.
+func TestRendezvousMovesFewestShares(t *testing.T) {
 	const daemons, accounts = 500, 5000
 	g := gomega.NewWithT(t)
 	var before []crid.Daemon
@@ -59,7 +58,7 @@
 		after := slices.Delete(slices.Clone(before), i, i+1)
 		for name, e := range ownerFuncs {
 			moved, largest := e.moved(accounts, before, after)
-			t.Logf("%s leaves: by %s %.2f %% of shares move, the busiest daemon owns %.2f %%", where, name, 100*moved, 100*largest)
+			t.Logf("%s leaves: by %s %.2f %% of shares move, the daemon with the most shares owns %.2f %%", where, name, 100*moved, 100*largest)
 		}
 		moved, largest := ownerFuncs["rendezvous"].moved(accounts, before, after)
 		g.Expect(moved).To(gomega.BeNumerically("<=", largest))
--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -12,49 +12,49 @@
 )
 
 const (
-	exhaustedInterval       = 50 * time.Millisecond  // between two notes that an account is exhausted
-	recallKeepTime          = 100 * time.Millisecond // demand kept when an owner recalls
-	spareTokenTime          = 10 * time.Second       // one spare token is held this long after a request
-	maxPrefetchFraction     = 0.25                   // of the burst, that all entries together hold ahead of demand
-	tokensPerOwner          = 8                      // tokens asked of one owner before the next is asked, too
-	lowWatermark            = 0.6                    // ask again when below this part of the target
-	contendedPrefetch       = 50 * time.Millisecond  // demand that tokens are held for while the owners are short
-	contendedTime           = 500 * time.Millisecond // after an owner was short
+	exhaustedInterval       = 50 * time.Millisecond  // between two notices to the pool that an account is exhausted
+	recallKeepTime          = 100 * time.Millisecond // on a recall, tokens for the demand of this time are kept
+	spareTokenTime          = 10 * time.Second       // one spare token is held for this time after a request
+	maxPrefetchFraction     = 0.25                   // of the burst, prefetched by all entry daemons together at most
+	tokensPerOwner          = 8                      // tokens requested from one owner before another is asked as well
+	lowWatermark            = 0.6                    // fraction of the target below which tokens are requested
+	contendedPrefetch       = 50 * time.Millisecond  // replaces PrefetchTime while an account's owners are short
+	contendedTime           = 500 * time.Millisecond // how long contendedPrefetch applies after an owner ran short
 	maxRetryAfter           = time.Minute
 	neverExpires            = crid.Instant(math.MaxInt64)
-	exhaustedReportInterval = 10 * time.Second // between two reports that an account is exhausted
-	minPrefetch             = 0.5              // tokens of demand ahead below which none are held
+	exhaustedReportInterval = 10 * time.Second // between two events that report an account as exhausted
+	minPrefetch             = 0.5              // tokens; below this none are prefetched
 )
 
-// source is what an entry knows of one share's owner.
+// source is an entry daemon's view of the owner of one share.
 type source struct {
 	owner       crid.Daemon
 	requestedAt crid.Instant
-	remaining   int // tokens that the owner had left when it answered
+	remaining   int // the owner's balance after its last answer
 	remainingAt crid.Instant
-	requested   int // asked for and not answered; zero: none
+	requested   int // tokens requested and not yet answered; zero: none
 	shortUntil  crid.Instant
 }
 
-// account is an account in use at this daemon.
+// account is the state of an account in use at this entry daemon.
 type account struct {
 	name           crid.Account
-	demand         float64 // requests a second
-	recentRequests int     // requests since the last estimate
-	coldRequests   int     // requests that wait for a first token
-	held           int     // tokens in the wallet
+	demand         float64 // requests per second
+	recentRequests int     // since demand was last updated
+	coldRequests   int     // that wait for a first token
+	held           int     // tokens in the pool
 	nextSource     int
 	demandAt       crid.Instant
 	usedAt         crid.Instant
 	exhaustedAt    crid.Instant
 	reportedAt     crid.Instant
-	contendedUntil crid.Instant // an owner was short; little is held ahead until then
-	noSpareUntil   crid.Instant // asks for no float until then
+	contendedUntil crid.Instant // few tokens are prefetched until then, since an owner ran short
+	noSpareUntil   crid.Instant // no spare token is requested until then
 	sources        []source
 	sourcesValid   bool
 }
 
-// pending is the number of tokens asked for and not answered.
+// pending is the number of tokens requested and not yet answered.
 func (a *account) pending() int {
 	n := 0
 	for i := range a.sources {
@@ -68,7 +68,7 @@
 	at crid.Instant
 }
 
-// entryRole is the asking role of a daemon.
+// entryRole is the state of the entry daemon, which requests tokens.
 type entryRole struct {
 	accounts        map[crid.Account]*account
 	accountOrder    []crid.Account
@@ -93,7 +93,7 @@
 
 func (e *entryRole) accountNames() []crid.Account { return slices.Clone(e.accountOrder) }
 
-// invalidateSources has the owners of all accounts found anew.
+// invalidateSources makes the next use of each account look up its owners again.
 func (e *entryRole) invalidateSources() {
 	for _, a := range e.accounts {
 		a.sourcesValid = false
@@ -107,7 +107,8 @@
 	return seq
 }
 
-// openAccount returns an account's state, made when there is room for it.
+// openAccount returns an account's state. It creates a missing one, and drops the least
+// recently used account when there are MaxActive of them.
 func (s *State) openAccount(name crid.Account) *account {
 	if a, ok := s.entry.accounts[name]; ok {
 		return a
@@ -121,7 +122,7 @@
 	return a
 }
 
-// firstShare spreads the daemons' first Asks over an account's shares.
+// firstShare spreads the first token requests of the daemons over an account's shares.
 func (s *State) firstShare(name crid.Account) int {
 	return int(xxhash.Sum64String(string(s.self)+string(name)) % uint64(max(1, s.params.MaxShares)))
 }
@@ -144,7 +145,7 @@
 	s.emit(Forget{Account: name})
 }
 
-// resolveSources finds the owners of an account's shares under the list last known.
+// resolveSources finds the owners of an account's shares under the last known list.
 func (s *State) resolveSources(a *account) {
 	if a.sourcesValid {
 		return
@@ -167,19 +168,19 @@
 	a.sources = sources
 }
 
-// handleUsage counts what requests did and asks for more where that is needed.
+// handleUsage counts tokens and requests, and requests more tokens where needed.
 func (s *State) handleUsage(usage []UsageDelta) {
 	var touched []*account
 	for _, u := range usage {
 		if u.Key != (GrantKey{}) {
 			s.handleGrantUsage(u)
 		}
-		asked := u.Taken + u.Refused + u.Cold - u.TakenAfterWait
-		if asked == 0 {
+		requests := u.Taken + u.Refused + u.Cold - u.TakenAfterWait
+		if requests == 0 {
 			continue
 		}
 		a := s.openAccount(u.Account)
-		a.recentRequests += asked
+		a.recentRequests += requests
 		a.coldRequests += u.Cold
 		a.usedAt = s.now
 		touched = append(touched, a)
@@ -189,8 +190,8 @@
 	}
 }
 
-// prefetchTime is the demand that an account holds tokens for. While the owners are
-// short, what one entry holds prefetchTime another lacks for a request of this moment.
+// prefetchTime is the time for whose demand tokens are held. While the owners are short it is
+// reduced, since tokens prefetched at one entry daemon are missing for present requests at another.
 func (s *State) prefetchTime(a *account) time.Duration {
 	if s.now.Before(a.contendedUntil) {
 		return min(contendedPrefetch, s.params.PrefetchTime)
@@ -198,59 +199,59 @@
 	return s.params.PrefetchTime
 }
 
-// targetTokens is how many tokens an account should have at hand here.
+// targetTokens is the number of tokens that an account should hold at this entry daemon.
 func (s *State) targetTokens(a *account) int {
 	if s.stopping {
 		return 0
 	}
 	limit := s.limits(a.name)
-	ahead := a.demand * s.prefetchTime(a).Seconds()
+	prefetch := a.demand * s.prefetchTime(a).Seconds()
 	if limit.Rate > 0 {
-		ahead = min(ahead, a.demand*limit.Burst/limit.Rate*maxPrefetchFraction)
+		prefetch = min(prefetch, a.demand*limit.Burst/limit.Rate*maxPrefetchFraction)
 	}
-	if ahead >= minPrefetch {
-		return int(math.Min(math.Ceil(ahead), limit.Burst))
+	if prefetch >= minPrefetch {
+		return int(math.Min(math.Ceil(prefetch), limit.Burst))
 	}
-	ample := limit.Burst >= 2*float64(len(s.members.names))
+	largeBurst := limit.Burst >= 2*float64(len(s.members.names))
 	recent := s.now.Sub(a.usedAt) < spareTokenTime
-	if ample && recent && !s.now.Before(a.noSpareUntil) {
+	if largeBurst && recent && !s.now.Before(a.noSpareUntil) {
 		return 1
 	}
 	return 0
 }
 
-// requestMissing asks the owners for what is missing. An owner that was short is left
-// out for a while: it remembers the Ask and sends tokens as it mints them.
+// requestMissing requests the tokens that are missing. An owner that ran short is skipped
+// for a while: it keeps the request in a queue and sends tokens as they are refilled.
 func (s *State) requestMissing(a *account) {
 	s.resolveSources(a)
 	pending := a.pending()
-	var free []int
+	var available []int
 	for i := range a.sources {
 		src := &a.sources[i]
 		if src.requested == 0 && !s.now.Before(src.shortUntil) && s.canRequestFrom(src.owner) {
-			free = append(free, i)
+			available = append(available, i)
 		}
 	}
 	target := s.targetTokens(a)
-	at := a.held + pending
-	need := target + a.coldRequests - at
-	if need <= 0 || (a.coldRequests == 0 && float64(at) >= lowWatermark*float64(target)) {
+	expected := a.held + pending
+	need := target + a.coldRequests - expected
+	if need <= 0 || (a.coldRequests == 0 && float64(expected) >= lowWatermark*float64(target)) {
 		return
 	}
-	if len(free) == 0 {
+	if len(available) == 0 {
 		s.noteExhausted(a, pending)
 		return
 	}
-	s.requestFromOwners(a, free, need, target > 0)
+	s.requestFromOwners(a, available, need, target > 0)
 }
 
-// requestFromOwners spreads an Ask over the free owners; a small one goes to a single
-// owner, in turn.
-func (s *State) requestFromOwners(a *account, free []int, need int, keep bool) {
-	asked := min(len(free), (need+tokensPerOwner-1)/tokensPerOwner)
-	part, rest := need/asked, need%asked
-	order := s.fullestFirst(a, free)
-	for k := range asked {
+// requestFromOwners spreads a request over the available owners. A small one goes to a
+// single owner.
+func (s *State) requestFromOwners(a *account, available []int, need int, keep bool) {
+	count := min(len(available), (need+tokensPerOwner-1)/tokensPerOwner)
+	part, rest := need/count, need%count
+	order := s.fullestFirst(a, available)
+	for k := range count {
 		share := order[k]
 		want := part
 		if k < rest {
@@ -258,24 +259,24 @@
 		}
 		s.requestFromShare(a, share, want, keep)
 	}
-	a.nextSource += asked
+	a.nextSource += count
 }
 
 func (s *State) requestFromShare(a *account, share, want int, keep bool) {
 	src := &a.sources[share]
 	src.requested, src.requestedAt = want, s.now
-	ask := s.out.requestTo(src.owner)
-	ask.Items = append(ask.Items, TokenRequestItem{Account: a.name, Share: share, Want: want, WaitForRest: keep})
+	req := s.out.requestTo(src.owner)
+	req.Items = append(req.Items, TokenRequestItem{Account: a.name, Share: share, Want: want, WaitForRest: keep})
 }
 
-// fullestFirst orders the free owners by the tokens that they may have now. In
-// turn, one share would be drained while another is full and mints in vain, and
-// what is left would be the less when an owner is lost.
-func (s *State) fullestFirst(a *account, free []int) []int {
+// fullestFirst orders the available owners by their estimated balance, highest first. Plain
+// round robin would drain one share while the refill of another overflows, and less would be
+// left when an owner is lost.
+func (s *State) fullestFirst(a *account, available []int) []int {
 	rate := s.limits(a.name).Rate / float64(len(a.sources))
-	order := make([]int, 0, len(free))
-	for k := range free {
-		order = append(order, free[(a.nextSource+k)%len(free)])
+	order := make([]int, 0, len(available))
+	for k := range available {
+		order = append(order, available[(a.nextSource+k)%len(available)])
 	}
 	slices.SortStableFunc(order, func(x, y int) int {
 		return cmp.Compare(a.sources[y].estimatedTokens(s.now, rate), a.sources[x].estimatedTokens(s.now, rate))
@@ -283,12 +284,12 @@
 	return order
 }
 
-// estimatedTokens is how many tokens an owner may have, by its last answer.
+// estimatedTokens extrapolates an owner's balance from its last answer.
 func (src *source) estimatedTokens(now crid.Instant, rate float64) float64 {
 	return float64(src.remaining) + rate*now.Sub(src.remainingAt).Seconds()
 }
 
-// noteExhausted lets requests be refused at once, since no owner has a token.
+// noteExhausted makes the pool refuse requests at once, since no owner has a token.
 func (s *State) noteExhausted(a *account, pending int) {
 	if a.held > 0 || pending > 0 || (a.coldRequests == 0 && s.now.Sub(a.exhaustedAt) < exhaustedInterval) {
 		return
@@ -313,8 +314,8 @@
 	return until
 }
 
-// retryAfter is the time in which the account's rate serves one second of the
-// demand seen here, and one request more.
+// retryAfter is the time in which the account's rate covers one second of the demand at this
+// daemon, and one more request.
 func (s *State) retryAfter(a *account) time.Duration {
 	limit := s.limits(a.name)
 	if limit.Rate <= 0 {
@@ -345,7 +346,7 @@
 	s.dropExpired()
 }
 
-// updateDemand moves the demand estimate towards the updateDemand seen since the last one.
+// updateDemand moves the demand estimate towards the rate since the last update.
 func (s *State) updateDemand(a *account) {
 	dt := s.now.Sub(a.demandAt)
 	if dt <= 0 {
@@ -356,8 +357,8 @@
 	a.recentRequests, a.demandAt = 0, s.now
 }
 
-// expireRequests gives up Asks without an answer: the message or the owner is lost,
-// and the other owners are asked in its place.
+// expireRequests abandons token requests without an answer. The message or the owner is lost,
+// and the other owners are asked instead.
 func (s *State) expireRequests(a *account) {
 	for i := range a.sources {
 		src := &a.sources[i]
--- a/core/craccount/events.go
+++ b/core/craccount/events.go
@@ -6,23 +6,22 @@
 	"camphorroad/core/crid"
 )
 
-// Numbers of the events this package reports; docs/events.md
-// describes each.
+// Numbers of the events that this package reports. docs/events.md describes each.
 const (
-	EventRefillStarted   = 300 // this daemon mints
-	EventRefillStopped   = 301 // this daemon stopped minting
-	EventLateGrant       = 302 // a grant came too late, or twice over a restart, and was not used
-	EventNotOwner        = 303 // asked for a share that this daemon does not own
+	EventRefillStarted   = 300 // this daemon refills its shares
+	EventRefillStopped   = 301 // this daemon stopped refilling
+	EventLateGrant       = 302 // a grant arrived after it expired, or for an earlier incarnation, and was not used
+	EventNotOwner        = 303 // tokens were requested from a share that this daemon does not own
 	EventTooManyAccounts = 304 // more accounts in use than MaxActive
-	EventExhausted       = 305 // an account's requests are being refused
-	EventStopped         = 306 // tokens are handed back before the stop
+	EventExhausted       = 305 // requests of an account are refused
+	EventStopped         = 306 // tokens are returned before the stop
 )
 
-// logInterval is the least time between two reports of one number, so that a
-// fault on the path of every request does not fill the logs.
+// logInterval is the least time between two reports of one number, so that a fault on the
+// path of every request does not flood the logs.
 const logInterval = 10 * time.Second
 
-// reportLimited reports unless the number was reported within quietGap.
+// reportLimited reports an event unless its number was reported within logInterval.
 func (s *State) reportLimited(number int, name, value string) {
 	last, ok := s.reportedAt[number]
 	if ok && s.now.Sub(last) < logInterval {
@@ -46,7 +45,7 @@
 	}
 }
 
-// Dump is the state for the dump of the process.
+// Dump is the reducer's state in the state dump of the process.
 type Dump struct {
 	Active    crid.Revision `json:"active"`
 	Refilling bool          `json:"minting"`
@@ -66,7 +65,7 @@
 	Waiting     int          `json:"waiting"`
 }
 
-// AccountDump is an account in use at this daemon.
+// AccountDump is an account in use at this entry daemon.
 type AccountDump struct {
 	Account crid.Account  `json:"account"`
 	Demand  float64       `json:"demand"`
--- a/core/craccount/grant.go
+++ b/core/craccount/grant.go
@@ -6,31 +6,31 @@
 	"camphorroad/core/crid"
 )
 
-// minShortBackoff bounds how often an owner that is short is asked again.
+// minShortBackoff is the least time before an owner that ran short is asked again.
 const minShortBackoff = 20 * time.Millisecond
 
-// handleGrant puts granted tokens into the wallet. A Grant counts only as an
-// answer to an Ask that this incarnation sent less than a lifetime ago, and
-// its tokens are void one lifetime after that sending, by this daemon's clock.
-// Were they void a lifetime after arrival, a Grant that lay in a queue, or in
-// a paused process, would be spent after its owner had minted in its place.
+// handleGrant adds granted tokens to the pool. A Grant is valid only as the answer to a
+// TokenRequest that this incarnation sent less than a lifetime ago. Its tokens expire one
+// lifetime after that request was sent, by this daemon's clock. If they expired a lifetime
+// after arrival, a Grant delayed in a queue or a paused process would be spent after its owner
+// had refilled its room.
 func (s *State) handleGrant(from crid.Daemon, g Grant) {
 	sent, known := s.entry.sent[g.Seq]
-	current := g.ToInc == s.inc && known && sent.to == from
+	valid := g.ToInc == s.inc && known && sent.to == from
 	voidAt := sent.at.Add(s.params.Lifetime)
 	if s.params.mutations.expireFromArrival {
-		current, voidAt = g.ToInc == s.inc, s.now.Add(s.params.Lifetime)
+		valid, voidAt = g.ToInc == s.inc, s.now.Add(s.params.Lifetime)
 	}
 	if s.params.mutations.neverExpire {
 		voidAt = neverExpires - crid.Instant(2*grantRetention)
 	}
-	current = current && s.now.Before(voidAt)
+	valid = valid && s.now.Before(voidAt)
 	for _, item := range g.Items {
 		if item.Recall {
 			s.handleRecall(item)
 			continue
 		}
-		if !current {
+		if !valid {
 			s.reportLateGrant(item)
 			continue
 		}
@@ -47,8 +47,8 @@
 	}
 }
 
-// addGrant adds a grant once. Duplicates come within the lifetime of the Ask,
-// and the lot is remembered for longer than that.
+// addGrant adds a grant once. Duplicates arrive within the lifetime of the request, and the
+// grant is remembered for longer than that.
 func (s *State) addGrant(key GrantKey, item GrantItem, voidAt crid.Instant) {
 	if _, dup := s.entry.grants[key]; dup && !s.params.mutations.noDedup {
 		return
@@ -74,8 +74,8 @@
 	})
 }
 
-// noteAnswer notes that an owner has replied, and turns to the others when it
-// was short.
+// noteAnswer records an owner's answer, and requests the rest from the other owners when
+// this one ran short.
 func (s *State) noteAnswer(from crid.Daemon, item GrantItem) {
 	a, ok := s.entry.accounts[item.Account]
 	if !ok {
@@ -98,9 +98,9 @@
 	s.requestMissing(a)
 }
 
-// shortBackoff is how long an owner that was short is left alone. One that sends
-// the rest as it is minted need not be asked again soon; of another, the next
-// request should have the next token.
+// shortBackoff is how long an owner that ran short is not asked again. It is ShortBackoff
+// when the owner sends the rest as it is refilled. Otherwise it ends with the refill of the
+// owner's next token, so that the next request can have that token.
 func (s *State) shortBackoff(a *account, item GrantItem) time.Duration {
 	if s.targetTokens(a) > 0 {
 		return s.params.ShortBackoff
@@ -109,7 +109,7 @@
 	return min(s.params.ShortBackoff, max(minShortBackoff, after))
 }
 
-// handleRecall gives back what the account does not need here at once.
+// handleRecall returns the tokens that the account does not need at once.
 func (s *State) handleRecall(item GrantItem) {
 	a, ok := s.entry.accounts[item.Account]
 	if !ok || a.held == 0 {
--- a/core/craccount/leave.go
+++ b/core/craccount/leave.go
@@ -7,29 +7,28 @@
 	"camphorroad/core/crmember"
 )
 
-// handlePeers notes who can be asked, and stocks up from owners that are about
-// to stop.
+// handlePeers records which peers can be asked, and prefetches from owners that begin to leave.
 func (s *State) handlePeers(ev crmember.Peers) {
-	var left []crid.Daemon
+	var leaving []crid.Daemon
 	for _, p := range ev.Peers {
 		before, known := s.peers[p.Daemon]
 		if known && p.Leaving && !before.Leaving && !p.Lost() {
-			left = append(left, p.Daemon)
+			leaving = append(leaving, p.Daemon)
 		}
 	}
 	clear(s.peers)
 	for _, p := range ev.Peers {
 		s.peers[p.Daemon] = p
 	}
-	for _, d := range left {
+	for _, d := range leaving {
 		s.prefetchFrom(d)
 	}
 }
 
-// prefetchFrom asks an owner that is leaving for what its share will be missed for:
-// one lifetime of this entry's demand on it. What it still has would be lost
-// with it, and its successor starts empty and waits a lifetime before it mints.
-// The owner stays until its requests are done, which is longer than one Ask takes.
+// prefetchFrom requests tokens from an owner that is leaving, for one lifetime of this entry
+// daemon's demand on its share. The owner's balance is lost with it, and its successor starts
+// empty and waits a lifetime before it refills. The owner stays until its requests are done,
+// which takes longer than the answer.
 func (s *State) prefetchFrom(leaving crid.Daemon) {
 	if s.stopping {
 		return
--- a/core/craccount/lot.go
+++ b/core/craccount/lot.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	deferBurstFactor = 5           // reports wait while the burst is this often what comes in meanwhile
-	grantRetention   = time.Second // void lots are remembered for late counts
+	deferBurstFactor = 5           // reports are deferred when the burst is at least this multiple of the refill in a ReportInterval
+	grantRetention   = time.Second // expired grants are remembered for late usage counts
 )
 
-// heldGrant is one grant held by this daemon.
+// heldGrant is a grant that this entry daemon has received.
 type heldGrant struct {
 	account   crid.Account
 	share     int
@@ -20,7 +20,7 @@
 	returned  int
 	expiresAt crid.Instant
 	spends    []spend // since the last report
-	deferred  bool    // spent tokens that the owner has not been told of
+	deferred  bool    // the owner has not been told of some spent tokens
 }
 
 func (s *State) handleGrantUsage(u UsageDelta) {
@@ -43,8 +43,8 @@
 	s.addUsage(u.Key, l)
 }
 
-// canDeferReport reports whether an account's burst bears that spent tokens are told
-// late: until then they take up room that the owner could mint into.
+// canDeferReport reports whether an account's burst is large enough to report spent tokens
+// late. Until they are reported they occupy room that the owner could refill.
 func (s *State) canDeferReport(name crid.Account) bool {
 	limit := s.limits(name)
 	return limit.Burst >= deferBurstFactor*limit.Rate*s.params.ReportInterval.Seconds()
@@ -57,39 +57,39 @@
 	}
 }
 
-// reportDeferred reports the spent tokens that were kept back, to one owner when a
-// message goes there anyway, or to all (owner empty).
+// reportDeferred reports the spent tokens whose report was deferred. It reports to one owner
+// when a message goes there anyway, or to all owners if owner is empty.
 func (s *State) reportDeferred(owner crid.Daemon) {
-	kept := s.entry.deferred[:0]
+	deferred := s.entry.deferred[:0]
 	for _, key := range s.entry.deferred {
 		l, ok := s.entry.grants[key]
 		if !ok {
 			continue
 		}
 		if owner != "" && key.Owner != owner {
-			kept = append(kept, key)
+			deferred = append(deferred, key)
 			continue
 		}
 		l.deferred = false
 		s.addUsage(key, l)
 	}
-	s.entry.deferred = kept
+	s.entry.deferred = deferred
 }
 
 func (s *State) addUsage(key GrantKey, l *heldGrant) {
-	ask := s.out.requestTo(key.Owner)
-	use := GrantUsage{Account: l.account, Share: l.share, Inc: key.Inc, Grant: key.ID, Taken: l.taken, Returned: l.returned, Spent: s.spentAges(l)}
-	for i := range ask.Usage {
-		if ask.Usage[i].Grant == use.Grant && ask.Usage[i].Inc == use.Inc {
-			use.Spent = append(ask.Usage[i].Spent, use.Spent...)
-			ask.Usage[i] = use
+	req := s.out.requestTo(key.Owner)
+	usage := GrantUsage{Account: l.account, Share: l.share, Inc: key.Inc, Grant: key.ID, Taken: l.taken, Returned: l.returned, Spent: s.spentAges(l)}
+	for i := range req.Usage {
+		if req.Usage[i].Grant == usage.Grant && req.Usage[i].Inc == usage.Inc {
+			usage.Spent = append(req.Usage[i].Spent, usage.Spent...)
+			req.Usage[i] = usage
 			return
 		}
 	}
-	ask.Usage = append(ask.Usage, use)
+	req.Usage = append(req.Usage, usage)
 }
 
-// dropExpired forgets Asks and lots that no message can refer to any more.
+// dropExpired drops token requests and grants that no further message can refer to.
 func (s *State) dropExpired() {
 	for s.entry.oldestSeq < s.entry.nextSeq {
 		sent := s.entry.sent[s.entry.oldestSeq]
--- a/core/craccount/measure_test.go
+++ b/core/craccount/measure_test.go
@@ -33,7 +33,7 @@
 	return all
 }
 
-// idealBucket compares one account with an ideal single bucket of its limit.
+// idealBucket compares one account with a single token bucket of its limit.
 type idealBucket struct {
 	limit    crpolicy.Account
 	level    float64
@@ -57,10 +57,10 @@
 
 type results struct {
 	offered, wrongful int
-	others            int // wrongful, but for the account that surges
+	others            int // wrongful, without the account that surges
 	worst             float64
-	messages, bytes   float64 // a second, whole fleet
-	waited            float64 // share of requests
+	messages, bytes   float64 // per second, whole fleet
+	waited            float64 // fraction of requests
 	wait              time.Duration
 	over              float64
 }
@@ -69,12 +69,12 @@
 	name         string
 	oneEntry     bool
 	loseOne      bool
-	leaveOne     bool // the lost daemon is stopped as planned, and goes a second later
+	leaveOne     bool // the lost daemon stops as planned, and exits a second later
 	surge        float64
 	burstSeconds float64 // burst in seconds of the rate; zero: two
 }
 
-// runScenario offers Poisson arrivals at loadFactor of each account's rate.
+// runScenario offers Poisson arrivals at loadFraction of each account's rate.
 func runScenario(seed uint64, shares int, sc scenario) results {
 	params := DefaultParams()
 	accounts := benchAccounts()
@@ -134,11 +134,11 @@
 	return shareOwners(a.Name, newMemberSet(members), params.shareCount(len(members), a))[0]
 }
 
-// stopPlanned stops a daemon as planned: it tells the others, and takes requests for
-// 300 ms more, as the daemon does.
-func (w *testNet) stopPlanned(victim crid.Daemon) {
+// stopPlanned stops a daemon as planned: it notifies its peers, and accepts requests for 300 ms
+// more, as the daemon does.
+func (w *testNet) stopPlanned(name crid.Daemon) {
 	for _, nd := range w.nodes {
-		if nd.name == victim {
+		if nd.name == name {
 			nd.leaving = true
 			w.at(300*time.Millisecond, func() { nd.closed = true })
 			w.step(nd, crevent.Stopping{Now: w.clock(nd)})
@@ -147,11 +147,11 @@
 	w.at(5*time.Millisecond, w.sendPeers)
 }
 
-// killOwner kills a daemon; the list without it becomes active two seconds later.
-func (w *testNet) killOwner(victim crid.Daemon) {
+// killOwner kills a daemon. The list without it becomes active two seconds later.
+func (w *testNet) killOwner(name crid.Daemon) {
 	var rest []crid.Daemon
 	for _, nd := range w.nodes {
-		if nd.name == victim {
+		if nd.name == name {
 			w.kill(nd)
 			continue
 		}
@@ -165,7 +165,7 @@
 	return a
 }
 
-// pickEntry chooses a living entry: callers turn to another address at once.
+// pickEntry selects a live entry daemon: callers move to another address at once.
 func (w *testNet) pickEntry(sc scenario, account int) int {
 	i := account % fleetSize
 	if !sc.oneEntry {
@@ -238,7 +238,7 @@
 	}
 }
 
-// BenchmarkBurst shows what a burst that is small against the rate costs.
+// BenchmarkBurst shows the cost of a burst that is small against the rate.
 func BenchmarkBurst(b *testing.B) {
 	for _, seconds := range []float64{0.1, 0.25, 0.5, 1, 2} {
 		b.Run(fmt.Sprintf("seconds=%v", seconds), func(b *testing.B) {
--- a/core/craccount/net_test.go
+++ b/core/craccount/net_test.go
@@ -18,24 +18,24 @@
 
 const (
 	tickEvery  = 50 * time.Millisecond
-	leaseTime  = 600 * time.Millisecond // of the fake's tenure
+	leaseTime  = 600 * time.Millisecond // of the simulated lease
 	coldWait   = 20 * time.Millisecond
 	clockError = 0.01
 )
 
-// scheduledCall is something that happens at a true time.
+// scheduledCall is a function that runs at a point in simulated time.
 type scheduledCall struct {
 	at time.Duration
 	do func()
 }
 
-// oracle holds all admissions of an account to burst + rate*w for every w: a
-// level that leaks at the rate exceeds the burst in some window or in none.
+// oracle checks all admissions of an account against burst + rate*w for every w: a level that
+// leaks at the rate exceeds the burst exactly when some window exceeds the bound.
 type oracle struct {
 	rate, burst float64
 	level       float64
 	at          time.Duration
-	maxExcess   float64 // by how many tokens the bound was broken at most
+	maxExcess   float64 // tokens above the bound, at most
 }
 
 func (o *oracle) admit(at time.Duration) {
@@ -44,7 +44,7 @@
 	o.maxExcess = max(o.maxExcess, o.level-o.burst)
 }
 
-// coldRequest is a request that waits once for its account's owners.
+// coldRequest is a request that waits once for the owners of its account.
 type coldRequest struct {
 	account crid.Account
 	until   time.Duration
@@ -55,33 +55,33 @@
 type node struct {
 	name         crid.Daemon
 	state        *State
-	wallet       *TokenPool
+	pool         *TokenPool
 	inc          crid.Incarnation
 	skew         float64
 	offset       time.Duration
 	paused       time.Duration // until
 	dead         bool
 	leaving      bool
-	closed       bool // takes no more requests
+	closed       bool // accepts no more requests
 	coldRequests []coldRequest
 	knownRev     crid.Revision // newest list it was told of in a handover
-	split        *LocalSplit   // the baseline's part of this daemon
+	split        *LocalSplit   // the baseline policy of this daemon
 }
 
-// testNet runs real reducers and wallets over a network that may lose, repeat
-// and delay, with a fake that hands out tenure as crmember promises.
+// testNet runs reducers and token pools over a simulated network that may lose, repeat and
+// delay messages. It issues leases with the guarantees of crmember.
 type testNet struct {
 	rng           *rand.Rand
 	now           time.Duration
-	queue         []scheduledCall // by time, then in the order of coming
+	queue         []scheduledCall // by time, then by order of insertion
 	nodes         []*node
 	params        Params
 	snap          *crpolicy.Snapshot
 	rev           crid.Revision
 	members       []crid.Daemon
-	over          []crmember.Membership // the active list and those to come
-	leaseUntil    time.Duration         // nothing that lacks the newest list holds after this
-	handoverUntil time.Duration         // the handover takes at least until then
+	over          []crmember.Membership // the active list and those that follow it
+	leaseUntil    time.Duration         // leases of lists before the newest end by then
+	handoverUntil time.Duration         // the handover lasts at least until then
 	lossRate      float64
 	dupRate       float64
 	lateRate      float64
@@ -152,10 +152,10 @@
 	return crid.Instant(nd.offset + time.Duration(float64(w.now)*nd.skew))
 }
 
-// start begins a new life of a node.
+// start restarts a node with a new incarnation.
 func (w *testNet) start(nd *node) {
 	nd.inc = crid.Incarnation(w.rng.Uint64() | 1)
-	nd.state, nd.wallet, nd.coldRequests = New(w.params), NewTokenPool(), nil
+	nd.state, nd.pool, nd.coldRequests = New(w.params), NewTokenPool(), nil
 	nd.paused, nd.dead, nd.leaving = 0, false, false
 	now := w.clock(nd)
 	w.step(nd, crevent.Started{Now: now, Self: nd.name, Incarnation: nd.inc})
@@ -179,7 +179,7 @@
 	}
 }
 
-// deliver runs do at a node when it is not paused; a dead one gets nothing.
+// deliver runs do at a node once it is not paused. A dead node receives nothing.
 func (w *testNet) deliver(nd *node, do func()) {
 	inc := nd.inc
 	if w.now < nd.paused {
@@ -192,13 +192,13 @@
 }
 
 // beginHandover begins the handover to a list.
-func (w *testNet) beginHandover(list []crid.Daemon, takes time.Duration) {
+func (w *testNet) beginHandover(list []crid.Daemon, duration time.Duration) {
 	rev := w.over[len(w.over)-1].Rev + 1
 	w.over = append(w.over, crmember.Membership{Rev: rev, Members: list})
-	w.handoverUntil = w.now + takes
+	w.handoverUntil = w.now + duration
 }
 
-// renewLeases renews tenure; evidence counts from now, whenever it arrives.
+// renewLeases renews the leases; their time counts from now, whenever the event arrives.
 func (w *testNet) renewLeases() {
 	if newest := w.over[len(w.over)-1]; len(w.over) > 1 && w.now > w.leaseUntil && w.now > w.handoverUntil {
 		w.members, w.rev = newest.Members, newest.Rev
@@ -218,9 +218,9 @@
 	}
 }
 
-// bridgeHandover tells some daemons, as crmember does during a handover, that they may
-// go on with what all lists that they know give them. Who does not know the
-// newest list holds up its activation.
+// bridgeHandover extends some leases during a handover, as crmember does, for what all lists
+// that the daemon knows assign to it. A daemon that does not know the newest list delays its
+// activation.
 func (w *testNet) bridgeHandover() {
 	for _, nd := range w.nodes {
 		if w.now > w.handoverUntil || w.rng.IntN(12) == 0 {
@@ -229,8 +229,8 @@
 		over := slices.DeleteFunc(slices.Clone(w.over), func(m crmember.Membership) bool {
 			return m.Rev > max(nd.knownRev, w.over[0].Rev)
 		})
-		named := !slices.ContainsFunc(over, func(m crmember.Membership) bool { return !slices.Contains(m.Members, nd.name) })
-		if w.rng.IntN(3) == 0 || !named {
+		listed := !slices.ContainsFunc(over, func(m crmember.Membership) bool { return !slices.Contains(m.Members, nd.name) })
+		if w.rng.IntN(3) == 0 || !listed {
 			w.sendLease(nd, crmember.Tenure{})
 			continue
 		}
@@ -253,7 +253,7 @@
 		return
 	}
 	now := w.clock(nd)
-	w.step(nd, UsageDrained{Now: now, Usage: nd.wallet.Drain(now)})
+	w.step(nd, UsageDrained{Now: now, Usage: nd.pool.Drain(now)})
 	w.step(nd, crevent.Tick{Now: now})
 }
 
@@ -263,20 +263,20 @@
 		case crevent.Send:
 			w.send(nd, eff)
 		case Deposit:
-			nd.wallet.Deposit(eff)
+			nd.pool.Deposit(eff)
 		case Withdraw:
-			nd.wallet.Withdraw(eff)
+			nd.pool.Withdraw(eff)
 		case Forget:
-			nd.wallet.Forget(eff)
+			nd.pool.Forget(eff)
 		case crevent.Report:
 			w.reports[eff.Number]++
 		}
 	}
 	w.retry(nd)
 	select {
-	case <-nd.wallet.DrainNeeded():
+	case <-nd.pool.DrainNeeded():
 		now := w.clock(nd)
-		w.step(nd, UsageDrained{Now: now, Usage: nd.wallet.Drain(now)})
+		w.step(nd, UsageDrained{Now: now, Usage: nd.pool.Drain(now)})
 	default:
 	}
 }
@@ -319,12 +319,12 @@
 	}
 }
 
-// request sends one request to a node; done hears whether it was admitted.
+// request sends one request to a node; done receives whether it was admitted.
 func (w *testNet) request(nd *node, account crid.Account, done func(bool)) {
 	if nd.dead || w.now < nd.paused {
 		return
 	}
-	d := nd.wallet.Take(account, w.clock(nd))
+	d := nd.pool.Take(account, w.clock(nd))
 	if d.Outcome == Admitted {
 		w.oracles[account].admit(w.now)
 	}
@@ -337,12 +337,12 @@
 	}
 	nd.coldRequests = append(nd.coldRequests, coldRequest{account: account, until: w.now + coldWait, done: done, began: w.now})
 	w.at(coldWait+1, func() { w.retry(nd) })
-	<-nd.wallet.DrainNeeded()
+	<-nd.pool.DrainNeeded()
 	now := w.clock(nd)
-	w.step(nd, UsageDrained{Now: now, Usage: nd.wallet.Drain(now)})
+	w.step(nd, UsageDrained{Now: now, Usage: nd.pool.Drain(now)})
 }
 
-// count returns a done that counts admissions.
+// count returns a done function that counts admissions.
 func count(n *int) func(bool) {
 	return func(ok bool) {
 		if ok {
@@ -351,7 +351,7 @@
 	}
 }
 
-// retry lets waiting requests take what has been deposited.
+// retry lets waiting requests take deposited tokens.
 func (w *testNet) retry(nd *node) {
 	if nd.dead || w.now < nd.paused {
 		return
@@ -359,7 +359,7 @@
 	colds := nd.coldRequests
 	nd.coldRequests = nil
 	for _, c := range colds {
-		d := nd.wallet.takeAfterWait(c.account, w.clock(nd))
+		d := nd.pool.takeAfterWait(c.account, w.clock(nd))
 		if d.Outcome == Cold && w.now <= c.until {
 			nd.coldRequests = append(nd.coldRequests, c)
 			continue
--- a/core/craccount/outbox.go
+++ b/core/craccount/outbox.go
@@ -7,14 +7,14 @@
 	"camphorroad/core/crid"
 )
 
-// destination is where a Grant goes and which Ask it answers.
+// destination is the receiver of a Grant and the TokenRequest that it answers.
 type destination struct {
 	to  crid.Daemon
 	inc crid.Incarnation
 	seq uint64
 }
 
-// outbox gathers what one Step sends, one message per destination.
+// outbox collects the messages of one Step, one message per destination.
 type outbox struct {
 	effects      []crevent.Effect
 	grants       []Grant
@@ -35,7 +35,7 @@
 	o.grants = append(o.grants, Grant{ToInc: inc, Seq: seq, Items: []GrantItem{item}})
 }
 
-// requestTo returns the message that is being gathered for an owner.
+// requestTo returns the pending message to an owner.
 func (o *outbox) requestTo(owner crid.Daemon) *TokenRequest {
 	for i := range o.owners {
 		if o.owners[i] == owner {
@@ -53,19 +53,19 @@
 	s.emit(crevent.Report{Number: number, Fields: map[string]string{name: value}})
 }
 
-// flush turns the outbox into effects. Messages from this daemon's entry to
-// its own owner role, and back, are handled on the spot.
+// flush turns the outbox into effects. Messages between the two roles of this daemon are
+// handled directly.
 func (s *State) flush() []crevent.Effect {
 	for len(s.out.grants)+len(s.out.requests) > 0 {
 		for _, owner := range s.out.owners {
 			s.reportDeferred(owner)
 		}
-		asks, owners := s.out.requests, s.out.owners
+		requests, owners := s.out.requests, s.out.owners
 		grants, toWhom := s.out.grants, s.out.destinations
 		s.out.requests, s.out.owners = nil, nil
 		s.out.grants, s.out.destinations = nil, nil
-		for i, ask := range asks {
-			s.deliver(owners[i], s.finishRequest(owners[i], ask))
+		for i, req := range requests {
+			s.deliver(owners[i], s.finishRequest(owners[i], req))
 		}
 		for i, grant := range grants {
 			grant.Inc = s.inc
@@ -77,14 +77,14 @@
 	return effects
 }
 
-// finishRequest numbers an Ask; one that asks for nothing goes as a Return.
-func (s *State) finishRequest(owner crid.Daemon, ask TokenRequest) crevent.Message {
-	if len(ask.Items) == 0 {
-		return UsageReport{Usage: ask.Usage}
+// finishRequest numbers a TokenRequest. One without items becomes a UsageReport.
+func (s *State) finishRequest(owner crid.Daemon, req TokenRequest) crevent.Message {
+	if len(req.Items) == 0 {
+		return UsageReport{Usage: req.Usage}
 	}
-	ask.Inc = s.inc
-	ask.Seq = s.entry.recordRequest(owner, s.now)
-	return ask
+	req.Inc = s.inc
+	req.Seq = s.entry.recordRequest(owner, s.now)
+	return req
 }
 
 func (s *State) deliver(to crid.Daemon, msg crevent.Message) {
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	maxQueueTime   = 400 * time.Millisecond // an Ask that could not be met is remembered
+	maxQueueTime   = 400 * time.Millisecond // an unmet request waits at most this long for tokens
 	recallInterval = 200 * time.Millisecond // between two recalls for one share
-	sweepInterval  = 10 * time.Second       // between two searches for idle shares
-	maxEpochs      = 8                      // lists remembered for shares not yet asked for
+	sweepInterval  = 10 * time.Second       // between two removals of idle shares
+	maxEpochs      = 8                      // epochs remembered, for shares that are not in use yet
 )
 
 type shareKey struct {
@@ -21,28 +21,28 @@
 	share   int
 }
 
-// epoch is a time, on the minting clock, from which a list was active here, or
-// from which it might have been active elsewhere.
+// epoch is the period in which one list was active. It begins at a reading of the refill clock
+// at which the list became active here, or might have become active elsewhere.
 type epoch struct {
 	rev      crid.Revision
 	members  memberSet
 	start    time.Duration
-	handover bool // never active here so far
+	handover bool // known from a handover, and not active here yet
 }
 
-// ownerRole is the minting role of a daemon.
+// ownerRole is the state of the owner, which refills shares.
 type ownerRole struct {
-	refillClock    time.Duration // minting clock: time spent with tenure, nothing else
+	refillClock    time.Duration // the time spent with a lease
 	advancedTo     crid.Instant
-	leaseHeldUntil crid.Instant // the last instant with tenure
-	lastGapAt      crid.Instant // the last instant known to be without
+	leaseHeldUntil crid.Instant // the last known instant with a lease
+	lastGapAt      crid.Instant // the last known instant without a lease
 	leaseLost      bool
 	active         crid.Revision
-	epochs         []epoch // with gaps in tenure of at most a lifetime, oldest first
+	epochs         []epoch // oldest first; gaps between their leases last a lifetime at most
 	shares         map[shareKey]*share
 	busy           []shareKey // shares with grants or waiters
 	isBusy         map[shareKey]bool
-	limitChangedAt map[crid.Account]time.Duration // when a limit last changed
+	limitChangedAt map[crid.Account]time.Duration // on the refill clock
 	nextID         uint64
 	sweptAt        crid.Instant
 }
@@ -56,10 +56,9 @@
 	}
 }
 
-// advance moves the minting clock over the time up to now for which there was
-// tenure. A process that was paused wakes with a tenure long run out; were the
-// pause minted, its tokens would come on top of those that the daemon which
-// took over has minted for the same time.
+// advance moves the refill clock over the time up to now that a lease covers. The lease of a
+// process that was paused has expired when it resumes. If the pause counted, its tokens
+// would add to those of the daemon that took over the shares.
 func (s *State) advance(now crid.Instant) {
 	end := min(now, s.lease.Until)
 	if s.params.mutations.refillWithoutLease && s.owner.active != 0 {
@@ -83,34 +82,34 @@
 	return s.now.Before(s.lease.Until)
 }
 
-// handleLease begins a new epoch when the active list has changed, or when this
-// daemon was without tenure for so long that another may have minted.
+// handleLease begins a new epoch when the active list has changed, or when this daemon was
+// without a lease for so long that another may have refilled its shares.
 func (s *State) handleLease(ev crmember.Tenure) {
 	if len(ev.Members) > 0 && !slices.Equal(ev.Members, s.members.names) {
 		s.members = newMemberSet(ev.Members)
 		s.entry.invalidateSources()
 	}
-	kept := s.now.Sub(s.owner.leaseHeldUntil) <= s.params.Lifetime
-	acts := ev.Active != 0 && s.now.Before(ev.Until)
+	leaseKept := s.now.Sub(s.owner.leaseHeldUntil) <= s.params.Lifetime
+	leaseActive := ev.Active != 0 && s.now.Before(ev.Until)
 	s.lease = ev
 	s.lease.Members = nil
 	s.lease.Over = nil
-	if !acts {
-		s.handleHandover(ev, kept)
+	if !leaseActive {
+		s.handleHandover(ev, leaseKept)
 		return
 	}
 	s.reportLeaseGained()
 	s.owner.leaseHeldUntil = s.now
-	if ev.Active != s.owner.active || !kept {
-		s.beginEpoch(ev, kept)
+	if ev.Active != s.owner.active || !leaseKept {
+		s.beginEpoch(ev, leaseKept)
 	}
 }
 
-// beginEpoch drops the shares that another daemon may have minted since. A new
-// owner mints nothing for one lifetime of tenure, so after a gap no longer than
-// that nobody can have taken over; after a longer one this daemon is new, too.
-func (s *State) beginEpoch(ev crmember.Tenure, kept bool) {
-	if !kept {
+// beginEpoch drops the shares that another daemon may have refilled. A new owner refills
+// nothing for one lifetime under a lease, so no daemon can have taken over in a gap that is
+// not longer. After a longer gap, this daemon counts as a new owner as well.
+func (s *State) beginEpoch(ev crmember.Tenure, leaseKept bool) {
+	if !leaseKept {
 		s.owner.epochs = nil
 	}
 	s.owner.active = ev.Active
@@ -134,12 +133,12 @@
 	}
 }
 
-// RefillsAllShares reports whether this daemon mints all shares that it owns.
+// RefillsAllShares reports whether this daemon refills all shares that it owns.
 //
-// In a rolling replacement each new process waits out a lifetime before it
-// mints. Were the next daemon stopped within it, an account could lose most of
-// its shares at once, and its callers would be refused inside their rate; so a
-// daemon is not to be called ready before.
+// During a rolling replacement, each new process waits a lifetime before it refills. If the
+// next daemon were stopped within this time, an account could lose most of its shares at once
+// and its callers would be refused within their rate. A daemon must therefore not be reported
+// ready earlier.
 func (s *State) RefillsAllShares() bool {
 	if !s.hasLease() || len(s.owner.epochs) == 0 {
 		return false
@@ -147,7 +146,7 @@
 	return s.owner.refillClock-s.owner.epochs[0].start >= s.params.ownerLifetime()
 }
 
-// activeMembers is the list under which this daemon mints; members may be newer.
+// activeMembers returns the list under which this daemon refills. State.members may be newer.
 func (s *State) activeMembers() memberSet {
 	if len(s.owner.epochs) == 0 {
 		return memberSet{}
@@ -155,14 +154,13 @@
 	return s.owner.epochs[len(s.owner.epochs)-1].members
 }
 
-// ownedSince returns the reading of the minting clock since which this daemon
-// has been the share's only owner; false when it does not own it.
+// ownedSince returns the reading of the refill clock since which this daemon has been the only
+// owner of a share, or false when it does not own the share.
 //
-// The first epoch that counts must have lasted a lifetime, or be the present
-// one. In a shorter one this daemon had not begun to mint, and the owner before
-// it might have come back within a lifetime and kept its tokens: two daemons
-// that swap a share quickly would both take it for theirs. Nor does a time count
-// in which the list was handed over, for the owner before went on in it.
+// The first epoch that counts must have lasted a lifetime, or be the current one. In a shorter
+// epoch this daemon had not begun to refill, and the previous owner could have returned within
+// a lifetime and kept its tokens: two daemons that swap a share quickly would both refill it.
+// The time of a handover does not count either, since the previous owner refills during it.
 func (s *State) ownedSince(key shareKey) (time.Duration, bool) {
 	limit := s.limits(key.account)
 	count := s.params.shareCount(len(s.activeMembers().names), limit)
@@ -200,9 +198,9 @@
 	return owners[key.share] == s.self
 }
 
-// share returns an owned share, minted up to now; nil when not owned here. A
-// share that nobody asked for since this daemon came to own it has grown from
-// empty all that time, so that creating it late makes no difference.
+// share returns an owned share, refilled up to now, or nil when this daemon does not own it.
+// A share without requests since this daemon became its owner would have filled from empty for
+// all that time, so that creating it late makes no difference.
 func (s *State) share(key shareKey) *share {
 	if sh, ok := s.owner.shares[key]; ok {
 		sh.refill(s.owner.refillClock)
@@ -225,9 +223,9 @@
 	return sh
 }
 
-// refillsFrom is when a share that came to this daemon at since begins to fill.
-// The grants of whoever owned it before can be spent for one lifetime more, up
-// to the whole burst; minting at once would put new tokens beside them.
+// refillsFrom is when a share that this daemon owns since the given reading begins to refill.
+// The previous owner's grants, up to the whole burst, can be spent for one more lifetime.
+// Tokens refilled in that time would add to them.
 func (s *State) refillsFrom(account crid.Account, since time.Duration) time.Duration {
 	from := since
 	if !s.params.mutations.noTakeoverDelay {
@@ -236,27 +234,29 @@
 	return max(from, s.owner.limitChangedAt[account])
 }
 
-// handleTokenRequest settles the reports of an Ask and serves it as far as there are tokens.
-func (s *State) handleTokenRequest(from crid.Daemon, ask TokenRequest) {
-	s.applyUsage(from, ask.Usage)
-	for _, item := range ask.Items {
+// handleTokenRequest applies the usage that a request reports, and grants what tokens there are.
+func (s *State) handleTokenRequest(from crid.Daemon, req TokenRequest) {
+	s.applyUsage(from, req.Usage)
+	for _, item := range req.Items {
 		key := shareKey{item.Account, item.Share}
 		sh := s.grantableShare(key)
 		if sh == nil || item.Want <= 0 {
-			s.out.grant(from, ask.Inc, ask.Seq, GrantItem{Account: item.Account, Share: item.Share, Short: true})
+			s.out.grant(from, req.Inc, req.Seq, GrantItem{Account: item.Account, Share: item.Share, Short: true})
 			continue
 		}
-		sh.enqueue(waiter{from: from, inc: ask.Inc, seq: ask.Seq, want: item.Want, waitForRest: item.WaitForRest, until: s.now.Add(maxQueueTime)})
+		sh.enqueue(waiter{from: from, inc: req.Inc, seq: req.Seq, want: item.Want, waitForRest: item.WaitForRest, until: s.now.Add(maxQueueTime)})
 		sh.usedAt = s.now
 		s.markBusy(key)
 		s.serve(key, sh)
 	}
 }
 
-func (s *State) handleUsageReport(from crid.Daemon, ret UsageReport) { s.applyUsage(from, ret.Usage) }
+func (s *State) handleUsageReport(from crid.Daemon, report UsageReport) {
+	s.applyUsage(from, report.Usage)
+}
 
-// grantableShare returns the share when this daemon may grant from it now. Without
-// tenure it may not: its successor counts the last grant from the end of that.
+// grantableShare returns a share that this daemon may grant from now, or nil. It requires a
+// lease, since a successor counts the lifetime of the last grant from the end of the lease.
 func (s *State) grantableShare(key shareKey) *share {
 	if !s.hasLease() {
 		return nil
@@ -268,8 +268,8 @@
 	return sh
 }
 
-func (s *State) applyUsage(from crid.Daemon, uses []GrantUsage) {
-	for _, use := range uses {
+func (s *State) applyUsage(from crid.Daemon, usage []GrantUsage) {
+	for _, use := range usage {
 		key := shareKey{use.Account, use.Share}
 		sh, ok := s.owner.shares[key]
 		if !ok || use.Inc != s.inc {
@@ -285,8 +285,7 @@
 	}
 }
 
-// serve divides what there is among those who wait, and recalls unused tokens
-// when that is not enough.
+// serve divides the balance among the waiters. It recalls unused tokens when that is not enough.
 func (s *State) serve(key shareKey, sh *share) {
 	sh.expire(s.now)
 	sh.prune(s.now)
@@ -319,22 +318,22 @@
 	sh.prune(s.now)
 }
 
-// recall asks those that hold tokens of the share, and want none, to give back
-// what they do not need at once.
+// recall asks the daemons that hold tokens of the share, and request none, to return what
+// they do not need at once.
 func (s *State) recall(key shareKey, sh *share) {
 	if sh.recalledAt != 0 && s.now.Sub(sh.recalledAt) < recallInterval {
 		return
 	}
-	asked := map[crid.Daemon]bool{}
+	skip := map[crid.Daemon]bool{}
 	for _, w := range sh.waiters {
-		asked[w.from] = w.want > 0
+		skip[w.from] = w.want > 0
 	}
 	for i := range sh.grants {
 		g := &sh.grants[i]
-		if g.unspent() == 0 || asked[g.to] {
+		if g.unspent() == 0 || skip[g.to] {
 			continue
 		}
-		asked[g.to] = true
+		skip[g.to] = true
 		sh.recalledAt = s.now
 		s.out.grant(g.to, 0, 0, GrantItem{Account: key.account, Share: key.share, Recall: true})
 	}
@@ -373,7 +372,7 @@
 	s.sweep()
 }
 
-// sweep drops shares that hold no more than a new one would.
+// sweep drops shares that hold no more than a newly created one would.
 func (s *State) sweep() {
 	if s.now.Sub(s.owner.sweptAt) < sweepInterval {
 		return
--- a/core/craccount/rendezvous.go
+++ b/core/craccount/rendezvous.go
@@ -10,16 +10,16 @@
 	"camphorroad/core/crpolicy"
 )
 
-// shareCount is the number of shares of an account: at most one per member,
-// and so few that each has a burst worth having. Every share may hold a part
-// of a token that no request can use, which a small burst can not spare.
+// shareCount is the number of shares of an account: at most one for each member, and so few
+// that each has a burst of MinShareBurst. Every share may hold a fraction of a token that no
+// request can use, which a small burst cannot afford.
 func (p Params) shareCount(members int, limit crpolicy.Account) int {
-	worth := int(math.Min(limit.Burst/p.MinShareBurst, float64(p.MaxShares)))
-	return max(1, min(p.MaxShares, members, worth))
+	byBurst := int(math.Min(limit.Burst/p.MinShareBurst, float64(p.MaxShares)))
+	return max(1, min(p.MaxShares, members, byBurst))
 }
 
-// shareBurst splits a burst in whole tokens; the last share has the fraction.
-// Fractions in every share would be burst that no request can ever use.
+// shareBurst splits a burst into whole tokens; the last share has the remaining fraction. A
+// fraction in every share would be burst that no request can use.
 func shareBurst(burst float64, share, count int) float64 {
 	whole := math.Floor(burst)
 	part := math.Floor(whole / float64(count))
@@ -32,8 +32,8 @@
 	return part
 }
 
-// memberSet is the members of a list with their hashes, which are the costly part
-// of a score and the same for every account.
+// memberSet is the members of a list with their hashes. These are the expensive part of a
+// score, and the same for every account.
 type memberSet struct {
 	names  []crid.Daemon
 	hashes []uint64
@@ -47,9 +47,9 @@
 	return r
 }
 
-// shareOwners picks the owner of each share by rendezvous hash: of a changed
-// list, only the shares of daemons that came or went move. A daemon owns two
-// shares of one account only when there are fewer members than shares.
+// shareOwners selects the owner of each share by rendezvous hashing: when the list changes,
+// only the shares of daemons that joined or left move. A daemon owns two shares of an account
+// only when there are fewer members than shares.
 func shareOwners(account crid.Account, members memberSet, count int) []crid.Daemon {
 	owners := make([]crid.Daemon, 0, count)
 	hash := xxhash.Sum64String(string(account))
@@ -59,8 +59,8 @@
 	return owners
 }
 
-// highest returns the member with the highest score that is not yet taken; of
-// equal scores the first by name wins, since members are sorted.
+// highest returns the member with the highest score that is not in taken. Of equal scores the
+// first name wins, since members are sorted.
 func (r memberSet) highest(seed uint64, taken []crid.Daemon) crid.Daemon {
 	var best crid.Daemon
 	var bestScore uint64
@@ -76,7 +76,7 @@
 	return best
 }
 
-// mix is the finalizer of SplitMix64: each bit of x moves half of the result.
+// mix is the finalizer of SplitMix64: each bit of x affects half of the result's bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/core/craccount/share.go
+++ b/core/craccount/share.go
@@ -8,7 +8,7 @@
 	"camphorroad/core/crid"
 )
 
-// outstandingGrant is what an owner knows of one grant.
+// outstandingGrant is an owner's record of one grant.
 type outstandingGrant struct {
 	id        uint64
 	to        crid.Daemon
@@ -20,31 +20,31 @@
 
 func (g *outstandingGrant) unspent() int { return g.tokens - g.taken - g.returned }
 
-// waiter is an Ask that was not met in full.
+// waiter is a TokenRequest that was not met in full.
 type waiter struct {
 	from        crid.Daemon
 	inc         crid.Incarnation
 	seq         uint64
 	want        int
 	until       crid.Instant
-	waitForRest bool // wants the rest when it is minted
+	waitForRest bool // stays until the remaining tokens are refilled
 	notified    bool // has been told that this owner is short
 }
 
-// share is one share of an account at its owner: a token bucket whose level is
-// balance plus all tokens that may still be spent elsewhere.
+// share is one share of an account at its owner: a token bucket whose level is the balance
+// plus all tokens that may still be spent elsewhere.
 //
-// Its invariant is balance + outstanding <= burst. Minting first takes the time
-// up to now into the room there was, and only then may a change make room:
-// otherwise the time before a spend would be minted into the room the spend
-// made, and a window could see burst + rate*(w + that time).
+// Its invariant is balance + outstanding <= burst. Before any change that makes room, the
+// bucket is refilled up to now with the room there was. Otherwise the time before a spend would
+// be refilled into the room that the spend made, and a window w could see
+// burst + rate*(w + that time).
 type share struct {
-	rate        float64 // tokens a second
+	rate        float64 // tokens per second
 	burst       float64
 	balance     float64
 	outstanding int
-	refilledTo  time.Duration      // reading of the minting clock up to which is minted
-	grants      []outstandingGrant // by id, which grow
+	refilledTo  time.Duration      // on the refill clock
+	grants      []outstandingGrant // by ascending id
 	waiters     []waiter
 	recalledAt  crid.Instant
 	usedAt      crid.Instant
@@ -52,24 +52,24 @@
 	overflows   overflows
 }
 
-// refill accrues tokens up to the reading m of the minting clock.
+// refill adds the tokens accrued up to the reading m of the refill clock.
 func (sh *share) refill(m time.Duration) {
 	if m <= sh.refilledTo {
 		return
 	}
-	fresh := sh.rate * (m - sh.refilledTo).Seconds()
+	accrued := sh.rate * (m - sh.refilledTo).Seconds()
 	from := sh.refilledTo
 	sh.refilledTo = m
 	room := sh.burst - sh.balance - float64(sh.outstanding)
-	got := math.Max(0, math.Min(fresh, room))
-	sh.balance += got
-	if got < fresh {
-		sh.overflows.add(max(from, m-time.Duration((fresh-got)/sh.rate*float64(time.Second))), m)
+	added := math.Max(0, math.Min(accrued, room))
+	sh.balance += added
+	if added < accrued {
+		sh.overflows.add(max(from, m-time.Duration((accrued-added)/sh.rate*float64(time.Second))), m)
 	}
 }
 
-// resize applies a new limit at once: a lower one cuts the balance, a higher
-// one is filled at the rate from now on.
+// resize applies a changed limit. A lower burst cuts the balance at once; a higher one is
+// filled at the rate from now on.
 func (sh *share) resize(rate, burst float64) {
 	sh.rate, sh.burst = rate, burst
 	sh.overflows = overflows{}
@@ -77,53 +77,53 @@
 	sh.balance = math.Min(sh.balance, room)
 }
 
-// grant subtracts n tokens and records them as outstanding.
+// grant subtracts n tokens from the balance and records them as outstanding.
 func (sh *share) grant(id uint64, to crid.Daemon, n int, voidAt crid.Instant) {
 	sh.balance -= float64(n)
 	sh.outstanding += n
 	sh.grants = append(sh.grants, outstandingGrant{id: id, to: to, tokens: n, expiresAt: voidAt})
 }
 
-// applyUsage applies a report on a grant. Reports are cumulative: a duplicate or
-// an overtaken one changes nothing. One on a grant already void is ignored,
-// since its room has been given out again.
-func (sh *share) applyUsage(from crid.Daemon, use GrantUsage, credit func(spent []SpentTokens, reported int)) {
-	i, ok := slices.BinarySearchFunc(sh.grants, use.Grant, func(g outstandingGrant, id uint64) int {
+// applyUsage applies a usage report of a grant. Reports are cumulative: a duplicate or a
+// reordered one changes nothing. A report of an expired grant is ignored, since its room may
+// have been granted again.
+func (sh *share) applyUsage(from crid.Daemon, usage GrantUsage, credit func(spent []SpentTokens, reported int)) {
+	i, ok := slices.BinarySearchFunc(sh.grants, usage.Grant, func(g outstandingGrant, id uint64) int {
 		return compare(g.id, id)
 	})
 	if !ok || sh.grants[i].to != from {
 		return
 	}
 	g := &sh.grants[i]
-	taken, back := max(g.taken, use.Taken), max(g.returned, use.Returned)
-	if taken+back > g.tokens {
+	taken, returned := max(g.taken, usage.Taken), max(g.returned, usage.Returned)
+	if taken+returned > g.tokens {
 		return
 	}
-	sh.balance += float64(back - g.returned)
-	credit(use.Spent, taken-g.taken)
-	sh.outstanding -= taken + back - g.taken - g.returned
-	g.taken, g.returned = taken, back
+	sh.balance += float64(returned - g.returned)
+	credit(usage.Spent, taken-g.taken)
+	sh.outstanding -= taken + returned - g.taken - g.returned
+	g.taken, g.returned = taken, returned
 	sh.balance = math.Min(sh.balance, math.Max(0, sh.burst-float64(sh.outstanding)))
 }
 
-// expire drops grants that no entry can spend any more; their tokens come back
-// as room, not as tokens.
+// expire drops grants that no entry daemon can spend any more. Their tokens become room; they
+// are not added to the balance.
 func (sh *share) expire(now crid.Instant) {
 	kept := sh.grants[:0]
 	for _, g := range sh.grants {
-		void := !now.Before(g.expiresAt)
-		if void {
+		expired := !now.Before(g.expiresAt)
+		if expired {
 			sh.outstanding -= g.unspent()
 		}
-		if !void && g.unspent() > 0 {
+		if !expired && g.unspent() > 0 {
 			kept = append(kept, g)
 		}
 	}
 	sh.grants = kept
 }
 
-// enqueue remembers an Ask; a newer one of the same daemon replaces it, an older
-// or repeated one is refused.
+// enqueue queues a token request. A newer request of the same daemon replaces its older one;
+// an older or repeated one is ignored.
 func (sh *share) enqueue(w waiter) {
 	for i, old := range sh.waiters {
 		if old.from != w.from {
@@ -138,31 +138,30 @@
 	sh.waiters = append(sh.waiters, w)
 }
 
-// allocate divides the whole tokens of the balance among the waiters so that the
-// worst-served gets as much as can be (max-min); the remainder rotates.
+// allocate divides the whole tokens of the balance among the waiters by max-min fairness. The
+// remainder rotates.
 func (sh *share) allocate() []int {
 	free := int(math.Floor(sh.balance + 1e-9))
-	given := make([]int, len(sh.waiters))
-	hungry := len(sh.waiters)
-	for free > 0 && hungry > 0 {
-		part := max(1, free/hungry)
-		hungry = 0
+	granted := make([]int, len(sh.waiters))
+	unsatisfied := len(sh.waiters)
+	for free > 0 && unsatisfied > 0 {
+		part := max(1, free/unsatisfied)
+		unsatisfied = 0
 		for k := range sh.waiters {
 			i := (k + sh.nextWaiter) % len(sh.waiters)
-			n := min(part, sh.waiters[i].want-given[i], free)
-			given[i] += n
+			n := min(part, sh.waiters[i].want-granted[i], free)
+			granted[i] += n
 			free -= n
-			if sh.waiters[i].want > given[i] {
-				hungry++
+			if sh.waiters[i].want > granted[i] {
+				unsatisfied++
 			}
 		}
 		sh.nextWaiter++
 	}
-	return given
+	return granted
 }
 
-// nextToken is the time until the balance holds a whole token, if no room is
-// missing.
+// nextToken is the time until the balance holds a whole token, provided that there is room.
 func (sh *share) nextToken() time.Duration {
 	missing := math.Max(0, 1-sh.balance)
 	if sh.rate <= 0 {
@@ -171,16 +170,15 @@
 	return min(maxRetryAfter, time.Duration(missing/sh.rate*float64(time.Second)))
 }
 
-// prune drops waiters that were served in full, wanted an answer at once only,
-// or have asked too long ago.
+// prune drops waiters that were served in full, that do not wait for the rest, or that have
+// waited too long.
 func (sh *share) prune(now crid.Instant) {
 	sh.waiters = slices.DeleteFunc(sh.waiters, func(w waiter) bool {
 		return w.want <= 0 || !now.Before(w.until) || (w.notified && !w.waitForRest)
 	})
 }
 
-// idle reports whether the share may be dropped: recreated later it holds no
-// more than it does now.
+// idle reports whether the share may be dropped: created again later, it holds no more than now.
 func (sh *share) idle() bool {
 	full := sh.balance >= sh.burst
 	return full && len(sh.grants) == 0 && len(sh.waiters) == 0
--- a/core/craccount/spill.go
+++ b/core/craccount/spill.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	maxOverflows = 16                    // times without room that a share remembers
-	minSpentAge  = 20 * time.Millisecond // of a spent token, for its age to be worth telling
+	maxOverflows = 16                    // overflows that a share remembers
+	minSpentAge  = 20 * time.Millisecond // spent tokens younger than this are reported without an age
 )
 
-// SpentTokens tells how long ago, at least, tokens were spent when a report was sent.
+// SpentTokens tells how long ago, at least, tokens were spent when the report was sent.
 type SpentTokens struct {
 	_     struct{} `cbor:",toarray"`
 	Count int      // tokens
-	Age   int      // milliseconds, on the entry's clock
+	Age   int      // milliseconds, by the entry daemon's clock
 }
 
-// spend is a number of tokens with the latest instant at which one was spent.
+// spend is a number of spent tokens and the latest instant at which one of them was spent.
 type spend struct {
 	count int
 	at    crid.Instant
 }
 
-// overflow is a time, on the minting clock, in which a share minted nothing for
-// want of room.
+// overflow is a period, on the refill clock, in which a share was not refilled because it had
+// no room.
 type overflow struct {
 	from, to time.Duration
 }
 
-// overflows are the times without room, oldest first, none twice.
+// overflows are the periods without room, oldest first, without overlap.
 //
-// A spent token takes up room until its owner is told. Were the time from the
-// spending to the report not made good, an account that is near its full burst
-// would lose a part of it, and be refused inside its limit when it needs it.
+// A spent token occupies room until the owner receives the report. If the time from the spend
+// to the report were lost, an account near its full burst would lose part of its burst and be
+// refused within its limit.
 type overflows struct {
 	all []overflow
 }
@@ -51,15 +51,15 @@
 	}
 }
 
-// reclaim takes out at most so much time that lies after an instant of the
-// minting clock, the earliest first, and returns how much it was. What is taken
-// out is gone: were it counted for two reports, tokens would be made of nothing.
-func (o *overflows) reclaim(after, most time.Duration, keep bool) time.Duration {
+// reclaim removes up to a given time of the overflows that lie after an instant of the refill
+// clock, earliest first, and returns how much it removed. If the same time counted for two
+// reports, tokens beyond the rate would result.
+func (o *overflows) reclaim(after, limit time.Duration, keep bool) time.Duration {
 	var got time.Duration
 	var rest []overflow
 	for _, sp := range o.all {
 		begin := max(sp.from, after)
-		part := max(0, min(sp.to-begin, most-got))
+		part := max(0, min(sp.to-begin, limit-got))
 		got += part
 		if part == 0 || keep {
 			rest = append(rest, sp)
@@ -76,22 +76,22 @@
 	return got
 }
 
-// refillClockAt is what the minting clock showed, at the latest, when a token was
-// spent that a report just received gives an age. The time on the way only
-// makes the token older. Over a time without tenure the clocks can not be
-// compared: nothing before its end counts.
+// refillClockAt returns the latest possible reading of the refill clock when a token was spent,
+// given the age in a report that has just arrived. The time in transit only makes the token older.
+// Readings before the end of a gap in the lease cannot be compared, so the end of the last gap
+// is the earliest result.
 func (s *State) refillClockAt(age int) time.Duration {
 	age = min(age, int(s.params.Lifetime.Milliseconds())) // no grant is older
-	passed := time.Duration(float64(age) * (1 - s.params.Drift) * float64(time.Millisecond))
+	elapsed := time.Duration(float64(age) * (1 - s.params.Drift) * float64(time.Millisecond))
 	if s.params.mutations.creditWholeLifetime {
-		passed = s.params.Lifetime
+		elapsed = s.params.Lifetime
 	}
-	at := max(s.now.Add(-passed), s.owner.lastGapAt)
+	at := max(s.now.Add(-elapsed), s.owner.lastGapAt)
 	return s.owner.refillClock - s.now.Sub(at)
 }
 
-// spentAges tells how old the tokens of a lot are that were spent since its last
-// report, and forgets them.
+// spentAges returns the ages of a grant's tokens that were spent since its last report, and
+// clears them.
 func (s *State) spentAges(l *heldGrant) []SpentTokens {
 	var all []SpentTokens
 	for _, sp := range l.spends {
@@ -104,9 +104,9 @@
 	return all
 }
 
-// credit mints for the time in which tokens, now reported, took up room though
-// they were spent: no more than was spent, and no time twice.
-func (sh *share) credit(spent []SpentTokens, reported int, reading func(age int) time.Duration, keep bool) {
+// credit refills for the time in which reported tokens occupied room although they were spent.
+// It credits no more tokens than were spent, and no time twice.
+func (sh *share) credit(spent []SpentTokens, reported int, reading func(age int) time.Duration, keepOverflows bool) {
 	total := 0
 	for _, sp := range spent {
 		if sp.Count < 0 || sp.Age < 0 {
@@ -118,7 +118,7 @@
 		return
 	}
 	for _, sp := range spent {
-		most := time.Duration(float64(sp.Count) / sh.rate * float64(time.Second))
-		sh.balance += sh.rate * sh.overflows.reclaim(reading(sp.Age), most, keep).Seconds()
+		limit := time.Duration(float64(sp.Count) / sh.rate * float64(time.Second))
+		sh.balance += sh.rate * sh.overflows.reclaim(reading(sp.Age), limit, keepOverflows).Seconds()
 	}
 }
--- a/core/craccount/spill_test.go
+++ b/core/craccount/spill_test.go
@@ -9,21 +9,20 @@
 	"camphorroad/core/crid"
 )
 
-// An account near its full burst spends tokens, and the owner hears of it 100 ms
-// later. Up to then it had no room to mint into; were that time lost, the account
-// would be refused inside its burst at the next surge, and were it counted for
-// each of two reports, for a repeated one or over a pause, it would get too much.
-func TestTimeUntilAReportIsMadeGoodOnce(t *testing.T) {
+// An account near its full burst spends tokens, and the owner is told 100 ms later. Without
+// credit for that time the account is refused within its burst at the next surge; credited for
+// each of two reports, for a repeated one or over a pause, it gets too much.
+func TestReportDelayIsCreditedOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		mutations   mutations
-		age         int // of the reports, milliseconds
-		until       int // tenure of the first list; the report comes at 4100
+		age         int // of the reports, in milliseconds
+		until       int // end of the first list's lease in ms; the report arrives at 4100
 		first, both float64
 	}{
-		"in time":           {mutations{}, 100, 60000, 9.75, 9.75},
-		"fresh":             {mutations{}, 0, 60000, 0, 0},
-		"tenure had lapsed": {mutations{}, 100, 4050, 4, 4},
-		"counted twice":     {mutations{creditTwice: true}, 100, 60000, 9.75, 19.5},
+		"in time":         {mutations{}, 100, 60000, 9.75, 9.75},
+		"no age":          {mutations{}, 0, 60000, 0, 0},
+		"lease had a gap": {mutations{}, 100, 4050, 4, 4},
+		"counted twice":   {mutations{creditTwice: true}, 100, 60000, 9.75, 19.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -54,16 +53,15 @@
 	}
 }
 
-// A requester that is paused between its clock reading and the spending makes the
-// token seem older than it is. An entry therefore tells an age that allows for as
-// long a pause as a request survives.
-func TestAgesAllowForAPausedRequest(t *testing.T) {
+// A request that is paused between its clock reading and the spend makes the token seem older than
+// it is. The reported age therefore allows for the longest pause of an admitted request.
+func TestSpentAgeAllowsForPausedRequest(t *testing.T) {
 	g := NewWithT(t)
-	w := poolWith(9, neverExpires)
+	p := poolWith(9, neverExpires)
 	for _, at := range []int{40, 60, 50} {
-		w.Take(acct, ms(at))
+		p.Take(acct, ms(at))
 	}
-	usage := w.Drain(ms(100))
+	usage := p.Drain(ms(100))
 	g.Expect(usage).To(HaveLen(1))
 	g.Expect(usage[0].LastSpentAt).To(Equal(ms(60)))
 	e := newTestState("e", mutations{})
--- a/core/craccount/split.go
+++ b/core/craccount/split.go
@@ -8,9 +8,9 @@
 	"camphorroad/core/crpolicy"
 )
 
-// LocalSplit is the baseline policy: each of n daemons has 1/n of an account's
-// rate and burst, and nothing is exchanged. It breaks the limit when daemons
-// differ in n, and refuses callers that enter unevenly.
+// LocalSplit is the baseline policy: each of n daemons enforces 1/n of an account's rate and
+// burst without any messages. It exceeds the limit when daemons disagree on n, and refuses
+// callers within the limit when they enter unevenly.
 type LocalSplit struct {
 	mu      sync.Mutex
 	n       float64
@@ -23,7 +23,7 @@
 	at      crid.Instant
 }
 
-// NewLocalSplit returns the policy of one of n daemons, with full buckets.
+// NewLocalSplit returns the policy of one of n daemons. Its buckets start full.
 func NewLocalSplit(n int, limits func(crid.Account) crpolicy.Account) *LocalSplit {
 	return &LocalSplit{n: float64(n), limits: limits, buckets: map[crid.Account]*bucket{}}
 }
@@ -49,8 +49,8 @@
 	return Decision{Outcome: Admitted}
 }
 
-// OneOwner returns params under which an account has a single owner, for
-// comparison: its loss takes the whole of the account's rate away at once.
+// OneOwner returns params under which an account has a single owner, for comparison: the loss
+// of that owner makes the account's whole rate unavailable.
 func OneOwner(params Params) Params {
 	params.MaxShares = 1
 	return params
--- a/core/craccount/wallet.go
+++ b/core/craccount/wallet.go
@@ -18,10 +18,10 @@
 	poolShards     = 256 // a power of two
 	initialGrants  = 8
 	coldRetryAfter = time.Second
-	maxClockAge    = 10 * time.Millisecond // less than Params.Margin
+	maxClockAge    = 10 * time.Millisecond // of a clock reading when its token is taken; less than Params.Margin
 )
 
-// Outcome is what a request for a token came to.
+// Outcome is the result of a request for a token.
 type Outcome uint8
 
 // The outcomes of [TokenPool.Take].
@@ -30,19 +30,19 @@
 	Admitted Outcome = iota + 1
 	// Refused means that the account is known to be exhausted.
 	Refused
-	// Cold means that no token is at hand and the owners have not been asked
-	// yet; the caller may wait for them once.
+	// Cold means that no token is available and the owners have not been asked yet. The caller
+	// may wait once for their answer.
 	Cold
 )
 
-// Decision is an outcome with advice for a refused caller.
+// Decision is an outcome, with advice for a refused caller.
 type Decision struct {
 	Outcome    Outcome
 	RetryAfter time.Duration // zero unless refused
 }
 
-// Limiter decides on requests of accounts; the policies that are compared
-// with one another implement it.
+// Limiter decides on the requests of accounts. It is implemented by the policies that are
+// compared with each other.
 type Limiter interface {
 	Take(account crid.Account, now crid.Instant) Decision
 }
@@ -52,12 +52,12 @@
 	_ Limiter = (*LocalSplit)(nil)
 )
 
-// pooledGrant is the unspent rest of a grant.
+// pooledGrant is the unspent part of a grant.
 type pooledGrant struct {
 	key         GrantKey
 	remaining   int
 	taken       int          // since the last Drain
-	lastSpentAt crid.Instant // when the last of them was taken
+	lastSpentAt crid.Instant // when the last of taken was spent
 	returned    int          // since the last Drain
 	expiresAt   crid.Instant
 }
@@ -66,26 +66,26 @@
 type accountPool struct {
 	name           crid.Account
 	mu             sync.Mutex
-	dirty          bool // the next Drain looks at it
+	dirty          bool // the next Drain visits it
 	grants         []pooledGrant
 	refused        int
 	cold           int
 	takenAfterWait int
 	exhaustedUntil crid.Instant
 	retryAfter     time.Duration
-	wake           chan struct{} // closed by the next Deposit; nil: nobody waits
+	wake           chan struct{} // closed by the next Deposit; nil: no request waits
 }
 
 type accountPools map[crid.Account]*accountPool
 
-// poolShard is a copy-on-write map: requests read it without a lock.
+// poolShard is a copy-on-write map, which requests read without a lock.
 type poolShard struct {
 	mu    sync.Mutex
 	pools atomic.Pointer[accountPools]
 }
 
-// TokenPool holds the tokens that requests at this daemon may spend. It is safe
-// for concurrent use.
+// TokenPool holds the tokens that requests at this daemon may spend. It is safe for
+// concurrent use.
 type TokenPool struct {
 	shards      [poolShards]poolShard
 	drainNeeded chan struct{}
@@ -94,13 +94,13 @@
 	dirty   []*accountPool // with tokens, or used since the last Drain
 }
 
-// NewTokenPool returns an empty wallet.
+// NewTokenPool returns an empty pool.
 func NewTokenPool() *TokenPool {
 	return &TokenPool{drainNeeded: make(chan struct{}, 1)}
 }
 
-func (w *TokenPool) shard(account crid.Account) *poolShard {
-	return &w.shards[xxhash.Sum64String(string(account))%poolShards]
+func (p *TokenPool) shard(account crid.Account) *poolShard {
+	return &p.shards[xxhash.Sum64String(string(account))%poolShards]
 }
 
 func (s *poolShard) load() accountPools {
@@ -110,113 +110,113 @@
 	return nil
 }
 
-func (w *TokenPool) find(account crid.Account) *accountPool {
-	return w.shard(account).load()[account]
+func (p *TokenPool) find(account crid.Account) *accountPool {
+	return p.shard(account).load()[account]
 }
 
-// getOrCreate returns the cell of an account, made when it is missing.
-func (w *TokenPool) getOrCreate(account crid.Account) *accountPool {
-	if c := w.find(account); c != nil {
-		return c
+// getOrCreate returns the pool of an account. It creates a missing one.
+func (p *TokenPool) getOrCreate(account crid.Account) *accountPool {
+	if ap := p.find(account); ap != nil {
+		return ap
 	}
-	shard := w.shard(account)
+	shard := p.shard(account)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	old := shard.load()
-	if c := old[account]; c != nil {
-		return c
+	if ap := old[account]; ap != nil {
+		return ap
 	}
 	next := maps.Clone(old)
 	if next == nil {
 		next = accountPools{}
 	}
-	c := &accountPool{name: account}
-	next[account] = c
+	ap := &accountPool{name: account}
+	next[account] = ap
 	shard.pools.Store(&next)
-	return c
+	return ap
 }
 
-// Take spends one token that is valid at now and never waits. The caller reads
-// now just before: a process that wakes from a pause must not spend tokens
-// whose place has been minted anew while it slept.
-func (w *TokenPool) Take(account crid.Account, now crid.Instant) Decision {
-	c := w.getOrCreate(account)
-	c.mu.Lock()
-	w.markDirty(c)
-	if c.spend(now) {
-		c.mu.Unlock()
+// Take spends one token that is valid at now. It never waits. The caller reads now just
+// before the call: a process that resumes from a pause must not spend tokens whose room has been
+// refilled in the meantime.
+func (p *TokenPool) Take(account crid.Account, now crid.Instant) Decision {
+	ap := p.getOrCreate(account)
+	ap.mu.Lock()
+	p.markDirty(ap)
+	if ap.spend(now) {
+		ap.mu.Unlock()
 		return Decision{Outcome: Admitted}
 	}
-	if now.Before(c.exhaustedUntil) {
-		c.refused++
-		retry := c.retryAfter
-		c.mu.Unlock()
+	if now.Before(ap.exhaustedUntil) {
+		ap.refused++
+		retry := ap.retryAfter
+		ap.mu.Unlock()
 		return Decision{Outcome: Refused, RetryAfter: retry}
 	}
-	c.cold++
-	c.mu.Unlock()
-	w.signalDrain()
+	ap.cold++
+	ap.mu.Unlock()
+	p.signalDrain()
 	return Decision{Outcome: Cold}
 }
 
-// markDirty has the next Drain look at a cell whose lock is held.
-func (w *TokenPool) markDirty(c *accountPool) {
-	if c.dirty {
+// markDirty makes the next Drain visit an account pool, whose lock the caller holds.
+func (p *TokenPool) markDirty(ap *accountPool) {
+	if ap.dirty {
 		return
 	}
-	c.dirty = true
-	w.dirtyMu.Lock()
-	w.dirty = append(w.dirty, c)
-	w.dirtyMu.Unlock()
+	ap.dirty = true
+	p.dirtyMu.Lock()
+	p.dirty = append(p.dirty, ap)
+	p.dirtyMu.Unlock()
 }
 
-// spend takes from the valid lot that is void first.
-func (c *accountPool) spend(now crid.Instant) bool {
+// spend takes a token from the valid grant that expires first.
+func (ap *accountPool) spend(now crid.Instant) bool {
 	best := -1
-	for i := range c.grants {
-		l := &c.grants[i]
+	for i := range ap.grants {
+		l := &ap.grants[i]
 		if l.remaining == 0 || !now.Before(l.expiresAt) {
 			continue
 		}
-		if best < 0 || l.expiresAt < c.grants[best].expiresAt {
+		if best < 0 || l.expiresAt < ap.grants[best].expiresAt {
 			best = i
 		}
 	}
 	if best < 0 {
 		return false
 	}
-	c.grants[best].remaining--
-	c.grants[best].taken++
-	c.grants[best].lastSpentAt = max(c.grants[best].lastSpentAt, now)
+	ap.grants[best].remaining--
+	ap.grants[best].taken++
+	ap.grants[best].lastSpentAt = max(ap.grants[best].lastSpentAt, now)
 	return true
 }
 
-// signalDrain tells the shell that draining at once is worth while.
-func (w *TokenPool) signalDrain() {
+// signalDrain tells the caller of Drain not to wait for the next tick.
+func (p *TokenPool) signalDrain() {
 	select {
-	case w.drainNeeded <- struct{}{}:
+	case p.drainNeeded <- struct{}{}:
 	default:
 	}
 }
 
-// DrainNeeded fires when a request is cold or tokens were withdrawn; the shell then
-// drains without waiting for the next tick.
-func (w *TokenPool) DrainNeeded() <-chan struct{} { return w.drainNeeded }
-
-// Wait returns nil when something has been heard from an owner of the account
-// that came out [Cold], or the error of ctx.
-func (w *TokenPool) Wait(ctx context.Context, account crid.Account, now crid.Instant) error {
-	c := w.getOrCreate(account)
-	c.mu.Lock()
-	if c.hasToken(now) || now.Before(c.exhaustedUntil) {
-		c.mu.Unlock()
+// DrainNeeded receives a value when a request came out [Cold] or tokens were withdrawn. The
+// shell then drains without waiting for the next tick.
+func (p *TokenPool) DrainNeeded() <-chan struct{} { return p.drainNeeded }
+
+// Wait waits after [Cold]. It returns nil once an owner of the account has answered, or the
+// error of ctx.
+func (p *TokenPool) Wait(ctx context.Context, account crid.Account, now crid.Instant) error {
+	ap := p.getOrCreate(account)
+	ap.mu.Lock()
+	if ap.hasToken(now) || now.Before(ap.exhaustedUntil) {
+		ap.mu.Unlock()
 		return nil
 	}
-	if c.wake == nil {
-		c.wake = make(chan struct{})
+	if ap.wake == nil {
+		ap.wake = make(chan struct{})
 	}
-	wake := c.wake
-	c.mu.Unlock()
+	wake := ap.wake
+	ap.mu.Unlock()
 	select {
 	case <-wake:
 		return nil
@@ -225,28 +225,28 @@
 	}
 }
 
-func (c *accountPool) hasToken(now crid.Instant) bool {
-	return slices.ContainsFunc(c.grants, func(l pooledGrant) bool {
+func (ap *accountPool) hasToken(now crid.Instant) bool {
+	return slices.ContainsFunc(ap.grants, func(l pooledGrant) bool {
 		return l.remaining > 0 && now.Before(l.expiresAt)
 	})
 }
 
-// Admit takes a token and, only when the account is cold here, waits for its
-// owners until ctx ends, which the caller bounds to some 20 ms. It returns
-// Admitted or Refused.
+// Admit takes a token. Only when the account is cold at this daemon, it waits for the answer of
+// its owners until ctx ends; the caller limits this to about 20 ms. It returns Admitted or
+// Refused.
 //
-// A process may be paused between reading the clock and taking the token, and
-// would then spend tokens long void. Admit reads the clock again and refuses
-// when more time has passed than owners allow for.
-func (w *TokenPool) Admit(ctx context.Context, account crid.Account, clock func() crid.Instant) Decision {
+// A process may be paused between reading the clock and taking the token, and would then spend
+// an expired token. Admit therefore reads the clock again, and refuses when more time has
+// passed than owners allow for.
+func (p *TokenPool) Admit(ctx context.Context, account crid.Account, clock func() crid.Instant) Decision {
 	now := clock()
-	d := w.Take(account, now)
+	d := p.Take(account, now)
 	for d.Outcome == Cold {
-		if err := w.Wait(ctx, account, clock()); err != nil {
+		if err := p.Wait(ctx, account, clock()); err != nil {
 			return Decision{Outcome: Refused, RetryAfter: coldRetryAfter}
 		}
 		now = clock()
-		d = w.takeAfterWait(account, now)
+		d = p.takeAfterWait(account, now)
 	}
 	if d.Outcome == Admitted && clock().Sub(now) > maxClockAge {
 		return Decision{Outcome: Refused, RetryAfter: coldRetryAfter}
@@ -254,68 +254,68 @@
 	return d
 }
 
-// takeAfterWait is Take for a request that has been counted already.
-func (w *TokenPool) takeAfterWait(account crid.Account, now crid.Instant) Decision {
-	c := w.getOrCreate(account)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	w.markDirty(c)
-	if c.spend(now) {
-		c.takenAfterWait++
+// takeAfterWait is Take for a request that is already counted as Cold.
+func (p *TokenPool) takeAfterWait(account crid.Account, now crid.Instant) Decision {
+	ap := p.getOrCreate(account)
+	ap.mu.Lock()
+	defer ap.mu.Unlock()
+	p.markDirty(ap)
+	if ap.spend(now) {
+		ap.takenAfterWait++
 		return Decision{Outcome: Admitted}
 	}
-	if now.Before(c.exhaustedUntil) {
-		return Decision{Outcome: Refused, RetryAfter: c.retryAfter}
+	if now.Before(ap.exhaustedUntil) {
+		return Decision{Outcome: Refused, RetryAfter: ap.retryAfter}
 	}
 	return Decision{Outcome: Cold}
 }
 
-// Deposit carries the effect out.
-func (w *TokenPool) Deposit(d Deposit) {
-	c := w.getOrCreate(d.Account)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	w.markDirty(c)
+// Deposit carries out the [Deposit] effect.
+func (p *TokenPool) Deposit(d Deposit) {
+	ap := p.getOrCreate(d.Account)
+	ap.mu.Lock()
+	defer ap.mu.Unlock()
+	p.markDirty(ap)
 	if d.Tokens > 0 {
-		if c.grants == nil {
-			c.grants = make([]pooledGrant, 0, initialGrants)
+		if ap.grants == nil {
+			ap.grants = make([]pooledGrant, 0, initialGrants)
 		}
-		c.grants = append(c.grants, pooledGrant{key: d.Key, remaining: d.Tokens, expiresAt: d.ExpiresAt})
+		ap.grants = append(ap.grants, pooledGrant{key: d.Key, remaining: d.Tokens, expiresAt: d.ExpiresAt})
 		if !d.Short {
-			c.exhaustedUntil = 0
+			ap.exhaustedUntil = 0
 		}
 	} else {
-		c.exhaustedUntil, c.retryAfter = d.ExhaustedUntil, d.RetryAfter
+		ap.exhaustedUntil, ap.retryAfter = d.ExhaustedUntil, d.RetryAfter
 	}
-	if c.wake != nil {
-		close(c.wake)
-		c.wake = nil
+	if ap.wake != nil {
+		close(ap.wake)
+		ap.wake = nil
 	}
 }
 
-// Withdraw carries the effect out: the tokens leave the wallet before the
-// reducer hears of them, so that none is both spent and given back.
-func (w *TokenPool) Withdraw(d Withdraw) {
-	c := w.find(d.Account)
-	if c == nil {
+// Withdraw carries out the [Withdraw] effect. The tokens leave the pool before the reducer
+// learns of them, so that none is both spent and returned.
+func (p *TokenPool) Withdraw(d Withdraw) {
+	ap := p.find(d.Account)
+	if ap == nil {
 		return
 	}
-	c.mu.Lock()
+	ap.mu.Lock()
 	keep := d.Keep
-	for i := range c.grants {
-		l := &c.grants[i]
-		stay := min(keep, l.remaining)
-		keep -= stay
-		l.returned += l.remaining - stay
-		l.remaining = stay
+	for i := range ap.grants {
+		l := &ap.grants[i]
+		kept := min(keep, l.remaining)
+		keep -= kept
+		l.returned += l.remaining - kept
+		l.remaining = kept
 	}
-	c.mu.Unlock()
-	w.signalDrain()
+	ap.mu.Unlock()
+	p.signalDrain()
 }
 
-// Forget carries the effect out. Tokens still held are lost until void.
-func (w *TokenPool) Forget(d Forget) {
-	shard := w.shard(d.Account)
+// Forget carries out the [Forget] effect. Tokens still held are unusable until they expire.
+func (p *TokenPool) Forget(d Forget) {
+	shard := p.shard(d.Account)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	next := maps.Clone(shard.load())
@@ -323,53 +323,53 @@
 	shard.pools.Store(&next)
 }
 
-// Drain returns what happened since the last Drain, by account and grant, and
-// takes out lots that are void at now.
-func (w *TokenPool) Drain(now crid.Instant) []UsageDelta {
-	w.dirtyMu.Lock()
-	listed := w.dirty
-	w.dirty = nil
-	w.dirtyMu.Unlock()
+// Drain returns the usage since the last Drain, by account and grant, and removes grants that
+// have expired at now.
+func (p *TokenPool) Drain(now crid.Instant) []UsageDelta {
+	p.dirtyMu.Lock()
+	listed := p.dirty
+	p.dirty = nil
+	p.dirtyMu.Unlock()
 	var usage []UsageDelta
-	for _, c := range listed {
-		usage = w.drain(usage, c, now)
+	for _, ap := range listed {
+		usage = p.drain(usage, ap, now)
 	}
 	slices.SortFunc(usage, compareUsage)
 	return usage
 }
 
-// drain keeps a cell listed while it has tokens, since they will be void.
-func (w *TokenPool) drain(usage []UsageDelta, c *accountPool, now crid.Instant) []UsageDelta {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	usage = c.drain(usage, now)
-	c.dirty = false
-	if len(c.grants) > 0 {
-		w.markDirty(c)
+// drain keeps an account pool dirty while it has tokens, since they will expire.
+func (p *TokenPool) drain(usage []UsageDelta, ap *accountPool, now crid.Instant) []UsageDelta {
+	ap.mu.Lock()
+	defer ap.mu.Unlock()
+	usage = ap.drain(usage, now)
+	ap.dirty = false
+	if len(ap.grants) > 0 {
+		p.markDirty(ap)
 	}
 	return usage
 }
 
-func (c *accountPool) drain(usage []UsageDelta, now crid.Instant) []UsageDelta {
-	if c.refused+c.cold+c.takenAfterWait > 0 {
-		usage = append(usage, UsageDelta{Account: c.name, Refused: c.refused, Cold: c.cold, TakenAfterWait: c.takenAfterWait})
-		c.refused, c.cold, c.takenAfterWait = 0, 0, 0
+func (ap *accountPool) drain(usage []UsageDelta, now crid.Instant) []UsageDelta {
+	if ap.refused+ap.cold+ap.takenAfterWait > 0 {
+		usage = append(usage, UsageDelta{Account: ap.name, Refused: ap.refused, Cold: ap.cold, TakenAfterWait: ap.takenAfterWait})
+		ap.refused, ap.cold, ap.takenAfterWait = 0, 0, 0
 	}
-	kept := c.grants[:0]
-	for _, l := range c.grants {
+	kept := ap.grants[:0]
+	for _, l := range ap.grants {
 		if !now.Before(l.expiresAt) {
 			l.returned += l.remaining
 			l.remaining = 0
 		}
 		if l.taken+l.returned > 0 {
-			usage = append(usage, UsageDelta{Account: c.name, Key: l.key, Taken: l.taken, LastSpentAt: l.lastSpentAt, Returned: l.returned})
+			usage = append(usage, UsageDelta{Account: ap.name, Key: l.key, Taken: l.taken, LastSpentAt: l.lastSpentAt, Returned: l.returned})
 			l.taken, l.returned = 0, 0
 		}
 		if l.remaining > 0 {
 			kept = append(kept, l)
 		}
 	}
-	c.grants = kept
+	ap.grants = kept
 	return usage
 }
 
