--- a/core/crquota/crquota.go
+++ b/core/crquota/crquota.go
@@ -26,24 +26,24 @@
 	"camphorroad/core/crid"
 )
 
-// startLevel is the part of the burst that a bucket holds at first. A new owner
+// startFraction is the part of the burst that a bucket holds at first. A new owner
 // does not know what was taken from the former one: a full bucket would hand the
 // burst out twice, an empty one would refuse callers that are inside their rate.
-const startLevel = 0.5
+const startFraction = 0.5
 
-// forgetAfter is the time without requests after which a bucket is dropped. It
+// ownerIdleTime is the time without requests after which a bucket is dropped. It
 // is then full as a rule, and a fresh one holds half.
-const forgetAfter = time.Minute
+const ownerIdleTime = time.Minute
 
 // Owner returns the daemon that keeps the account's bucket: the one with the
 // greatest hash of both names. When a daemon goes, only its own accounts move.
 func Owner(a crid.Account, daemons []crid.Daemon) crid.Daemon {
 	var best crid.Daemon
-	var most uint64
+	var bestHash uint64
 	for _, d := range daemons {
 		h := xxhash.Sum64String(string(a) + "\x00" + string(d))
-		if best == "" || h > most || (h == most && d < best) {
-			best, most = d, h
+		if best == "" || h > bestHash || (h == bestHash && d < best) {
+			best, bestHash = d, h
 		}
 	}
 	return best
@@ -62,11 +62,11 @@
 	return Owner(a, others)
 }
 
-// cutSlack is how much more than the rate the sides of a cut fleet hand out
+// partitionSlack is how much more than the rate the sides of a cut fleet hand out
 // together: a tenth of the daemons may be dead without an account losing any of
 // its rate. The users allow a quarter more; the rest is for buckets that start
 // anew.
-const cutSlack = 1.1
+const partitionSlack = 1.1
 
 // Share is the part of an account's rate that its owner hands out which hears so
 // many daemons, itself included, of a fleet of that size. Without it each half of a
@@ -75,19 +75,19 @@
 	if size <= 0 {
 		return 1
 	}
-	return min(1, cutSlack*float64(heard)/float64(size))
+	return min(1, partitionSlack*float64(heard)/float64(size))
 }
 
 // bucket holds an account's tokens.
 type bucket struct {
 	tokens float64
-	at     crid.Instant // of the last request
+	usedAt crid.Instant // of the last request
 }
 
 // take takes a token, or tells how long it is until there is one.
-func (b *bucket) take(now crid.Instant, rate, size float64) (ok bool, wait time.Duration) {
-	b.tokens = min(b.tokens+max(now.Sub(b.at).Seconds(), 0)*rate, size)
-	b.at = max(b.at, now)
+func (b *bucket) take(now crid.Instant, rate, burst float64) (ok bool, wait time.Duration) {
+	b.tokens = min(b.tokens+max(now.Sub(b.usedAt).Seconds(), 0)*rate, burst)
+	b.usedAt = max(b.usedAt, now)
 	if b.tokens >= 1 {
 		b.tokens--
 		return true, 0
@@ -97,34 +97,34 @@
 
 // buckets are accounts' buckets, dropped after a time without requests.
 type buckets struct {
-	by    map[crid.Account]*bucket
-	keep  time.Duration
-	swept crid.Instant
+	byAccount map[crid.Account]*bucket
+	idleTime  time.Duration
+	sweptAt   crid.Instant
 }
 
-func newBuckets(keep time.Duration) buckets {
-	return buckets{by: make(map[crid.Account]*bucket), keep: keep}
+func newBuckets(idleTime time.Duration) buckets {
+	return buckets{byAccount: make(map[crid.Account]*bucket), idleTime: idleTime}
 }
 
-// of returns an account's bucket, or a fresh one if none is kept.
-func (s *buckets) of(now crid.Instant, a crid.Account, start func() float64) *bucket {
+// bucket returns an account's bucket, or a fresh one if none is kept.
+func (s *buckets) bucket(now crid.Instant, a crid.Account, start func() float64) *bucket {
 	s.sweep(now)
-	b := s.by[a]
-	if b == nil || now.Sub(b.at) > s.keep {
-		b = &bucket{tokens: start(), at: now}
-		s.by[a] = b
+	b := s.byAccount[a]
+	if b == nil || now.Sub(b.usedAt) > s.idleTime {
+		b = &bucket{tokens: start(), usedAt: now}
+		s.byAccount[a] = b
 	}
 	return b
 }
 
 func (s *buckets) sweep(now crid.Instant) {
-	if now.Sub(s.swept) < s.keep {
+	if now.Sub(s.sweptAt) < s.idleTime {
 		return
 	}
-	s.swept = now
-	for a, b := range s.by {
-		if now.Sub(b.at) > s.keep {
-			delete(s.by, a)
+	s.sweptAt = now
+	for a, b := range s.byAccount {
+		if now.Sub(b.usedAt) > s.idleTime {
+			delete(s.byAccount, a)
 		}
 	}
 }
@@ -136,13 +136,13 @@
 }
 
 // NewMeter returns a meter without buckets.
-func NewMeter() *Meter { return &Meter{buckets: newBuckets(forgetAfter)} }
+func NewMeter() *Meter { return &Meter{buckets: newBuckets(ownerIdleTime)} }
 
 // Take takes a token of the account, or tells how long it is until there is one.
 func (m *Meter) Take(now crid.Instant, a crid.Account, rate, burst float64) (ok bool, wait time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	size := max(burst, 1)
-	b := m.buckets.of(now, a, func() float64 { return max(size*startLevel, 1) })
+	b := m.buckets.bucket(now, a, func() float64 { return max(size*startFraction, 1) })
 	return b.take(now, rate, size)
 }
--- a/core/crquota/parts.go
+++ b/core/crquota/parts.go
@@ -8,27 +8,27 @@
 	"camphorroad/core/crid"
 )
 
-// partAnew is the time without requests after which a daemon's part of an account
+// fallbackIdleTime is the time without requests after which a daemon's part of an account
 // starts anew. Parts that filled up meanwhile would together be a token for each
 // daemon of the fleet, which is many times the burst of a small account.
-const partAnew = 2 * time.Second
+const fallbackIdleTime = 2 * time.Second
 
-// partsStart is how many tokens the parts of all daemons hold at first: a quarter
+// fallbackStartTokens is how many tokens the parts of all daemons hold at first: a quarter
 // of the slack that the users allow an account, since parts may start anew twice
 // in a window in which the account also has up to three new owners.
-const partsStart = 5
+const fallbackStartTokens = 5
 
 // Parts keeps this daemon's parts of accounts whose owner is silent. It is safe
 // for concurrent use.
 type Parts struct {
-	draw    func() float64 // in [0,1)
+	random  func() float64 // in [0,1)
 	mu      sync.Mutex
 	buckets buckets
 }
 
 // NewParts returns no parts yet. Draw gives random numbers in [0,1).
-func NewParts(draw func() float64) *Parts {
-	return &Parts{draw: draw, buckets: newBuckets(partAnew)}
+func NewParts(random func() float64) *Parts {
+	return &Parts{random: random, buckets: newBuckets(fallbackIdleTime)}
 }
 
 // Take takes a token of this daemon's part of an account in a fleet of a size, or
@@ -37,15 +37,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := float64(max(size, 1))
-	b := p.buckets.of(now, a, func() float64 { return p.start(partsStart / n) })
+	b := p.buckets.bucket(now, a, func() float64 { return p.startTokens(fallbackStartTokens / n) })
 	return b.take(now, rate/n, max(burst/n, 1))
 }
 
-// start is the number of tokens at first, in whole ones. A part of a token is one
-// with that probability, so that all daemons together start with the right number.
-func (p *Parts) start(tokens float64) float64 {
-	whole, part := math.Modf(tokens)
-	if p.draw() < part {
+// startTokens is the number of tokens at first, in whole ones. A part of a token is one
+// with that probability, so that all daemons together startTokens with the right number.
+func (p *Parts) startTokens(tokens float64) float64 {
+	whole, fraction := math.Modf(tokens)
+	if p.random() < fraction {
 		whole++
 	}
 	return whole
--- a/core/crquota/way.go
+++ b/core/crquota/way.go
@@ -34,20 +34,20 @@
 // daemons that heard it: the account got half as much again as its limit. So one
 // that would own an account only because it does not hear another asks a third
 // daemon first, which may hear that one, and is the owner only if that fails.
-func Decide(a crid.Account, members, heard []crid.Daemon, self crid.Daemon, by Asked) Step {
-	owner := Owner(a, heard)
+func Decide(a crid.Account, members, reachable []crid.Daemon, self crid.Daemon, origin Asked) Step {
+	owner := Owner(a, reachable)
 	if owner != self && owner != "" {
-		return ask(owner, by)
+		return forward(owner, origin)
 	}
 	first := Owner(a, members)
-	if first == self || first == "" || by == ByRelay || by == ByOther {
+	if first == self || first == "" || origin == ByRelay || origin == ByOther {
 		return Step{Grant: true}
 	}
-	return Step{To: Through(a, heard, first, self), As: ByRelay, Grant: true}
+	return Step{To: Through(a, reachable, first, self), As: ByRelay, Grant: true}
 }
 
-func ask(owner crid.Daemon, by Asked) Step {
-	switch by {
+func forward(owner crid.Daemon, origin Asked) Step {
+	switch origin {
 	case ByCaller:
 		return Step{To: owner, As: ByPeer}
 	case ByOther:
