--- a/core/crquota/crquota.go
+++ b/core/crquota/crquota.go
@@ -49,10 +49,10 @@
 	return best
 }
 
-// Through returns the daemon to ask through for an account's tokens where others do
+// Relay returns the daemon to ask through for an account's tokens where others do
 // not answer: the owner that the account would have without them. None, if there
 // are no more.
-func Through(a crid.Account, daemons []crid.Daemon, without ...crid.Daemon) crid.Daemon {
+func Relay(a crid.Account, daemons []crid.Daemon, without ...crid.Daemon) crid.Daemon {
 	others := make([]crid.Daemon, 0, len(daemons))
 	for _, d := range daemons {
 		if !slices.Contains(without, d) {
--- a/core/crquota/cut_test.go
+++ b/core/crquota/cut_test.go
@@ -99,10 +99,10 @@
 		if self == owner {
 			continue
 		}
-		through := crquota.Through("survey", daemons, owner, self)
+		through := crquota.Relay("survey", daemons, owner, self)
 		g.Expect(through).NotTo(gomega.BeElementOf(owner, self, crid.Daemon("")))
 	}
-	g.Expect(crquota.Through("survey", []crid.Daemon{owner, "10.0.0.9"}, owner, "10.0.0.9")).To(gomega.BeEmpty())
+	g.Expect(crquota.Relay("survey", []crid.Daemon{owner, "10.0.0.9"}, owner, "10.0.0.9")).To(gomega.BeEmpty())
 }
 
 // cutFleet is a fleet in which some pairs of daemons do not hear each other.
@@ -154,7 +154,7 @@
 		f.meters[d] = crquota.NewMeter()
 	}
 	owner := crquota.Owner("large", f.daemons)
-	next := crquota.Through("large", f.daemons, owner, "")
+	next := crquota.Relay("large", f.daemons, owner, "")
 	f.cut[[2]crid.Daemon{owner, next}] = true
 	for _, d := range f.daemons[:8] {
 		if d != owner && d != next {
--- a/core/crquota/way.go
+++ b/core/crquota/way.go
@@ -43,7 +43,7 @@
 	if first == self || first == "" || origin == ByRelay || origin == ByOther {
 		return Step{Grant: true}
 	}
-	return Step{To: Through(a, reachable, first, self), As: ByRelay, Grant: true}
+	return Step{To: Relay(a, reachable, first, self), As: ByRelay, Grant: true}
 }
 
 func forward(owner crid.Daemon, origin Asked) Step {
