--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -178,7 +178,7 @@
 // the whole rate to its own callers.
 func (v *View) Share() float64 {
 	if len(v.Daemons) <= 1 {
-		return crquota.Share(1, v.Known)
+		return crquota.RateFraction(1, v.Known)
 	}
-	return crquota.Share(v.Heard, v.Known)
+	return crquota.RateFraction(v.Heard, v.Known)
 }
--- a/core/crquota/crquota.go
+++ b/core/crquota/crquota.go
@@ -68,10 +68,10 @@
 // anew.
 const partitionSlack = 1.1
 
-// Share is the part of an account's rate that its owner hands out which hears so
+// RateFraction is the part of an account's rate that its owner hands out which hears so
 // many daemons, itself included, of a fleet of that size. Without it each half of a
 // fleet that is cut in two would hand out the whole rate.
-func Share(heard, size int) float64 {
+func RateFraction(heard, size int) float64 {
 	if size <= 0 {
 		return 1
 	}
--- a/core/crquota/cut_test.go
+++ b/core/crquota/cut_test.go
@@ -25,7 +25,7 @@
 		taken := 0
 		for _, heard := range sides {
 			m := crquota.NewMeter()
-			share := crquota.Share(heard, size)
+			share := crquota.RateFraction(heard, size)
 			for at := start; at < start.Add(span*time.Second); at = at.Add(10 * time.Millisecond) {
 				if ok, _ := m.Take(at, "small", rate*share, burst*share); ok {
 					taken++
@@ -39,9 +39,9 @@
 // One of ten machines is dead. What the accounts may send is what it was.
 func TestADeadMachineCostsAccountsNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(crquota.Share(10, 10)).To(gomega.Equal(1.0))
-	g.Expect(crquota.Share(20, 22)).To(gomega.Equal(1.0))
-	g.Expect(crquota.Share(11, 22)).To(gomega.BeNumerically("~", 0.55))
+	g.Expect(crquota.RateFraction(10, 10)).To(gomega.Equal(1.0))
+	g.Expect(crquota.RateFraction(20, 22)).To(gomega.Equal(1.0))
+	g.Expect(crquota.RateFraction(11, 22)).To(gomega.BeNumerically("~", 0.55))
 }
 
 // The owner of a small account dies in a fleet of a hundred. Each daemon falls
