--- a/core/crquota/crquota.go
+++ b/core/crquota/crquota.go
@@ -129,17 +129,17 @@
 	}
 }
 
-// Meter keeps the buckets of accounts. It is safe for concurrent use.
-type Meter struct {
+// OwnerLimiter keeps the buckets of accounts. It is safe for concurrent use.
+type OwnerLimiter struct {
 	mu      sync.Mutex
 	buckets buckets
 }
 
 // NewMeter returns a meter without buckets.
-func NewMeter() *Meter { return &Meter{buckets: newBuckets(ownerIdleTime)} }
+func NewMeter() *OwnerLimiter { return &OwnerLimiter{buckets: newBuckets(ownerIdleTime)} }
 
 // Take takes a token of the account, or tells how long it is until there is one.
-func (m *Meter) Take(now crid.Instant, a crid.Account, rate, burst float64) (ok bool, wait time.Duration) {
+func (m *OwnerLimiter) Take(now crid.Instant, a crid.Account, rate, burst float64) (ok bool, wait time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	size := max(burst, 1)
--- a/core/crquota/cut_test.go
+++ b/core/crquota/cut_test.go
@@ -109,7 +109,7 @@
 type cutFleet struct {
 	daemons []crid.Daemon
 	cut     map[[2]crid.Daemon]bool
-	meters  map[crid.Daemon]*crquota.Meter
+	meters  map[crid.Daemon]*crquota.OwnerLimiter
 }
 
 func (f *cutFleet) hears(a, b crid.Daemon) bool {
@@ -147,7 +147,7 @@
 func TestAnAccountHasOneOwnerThoughSomePathsAreCut(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const rate, burst, span = 100.0, 100.0, 5
-	f := &cutFleet{cut: make(map[[2]crid.Daemon]bool), meters: make(map[crid.Daemon]*crquota.Meter)}
+	f := &cutFleet{cut: make(map[[2]crid.Daemon]bool), meters: make(map[crid.Daemon]*crquota.OwnerLimiter)}
 	for i := range 20 {
 		d := crid.Daemon([]byte{'a' + byte(i)})
 		f.daemons = append(f.daemons, d)
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -29,7 +29,7 @@
 type ownerMeter struct {
 	self  crid.Daemon
 	loop  *loop
-	meter *crquota.Meter
+	meter *crquota.OwnerLimiter
 }
 
 func newOwnerMeter(opts Options, loop *loop) *ownerMeter {
