--- a/core/crquota/crquota.go
+++ b/core/crquota/crquota.go
@@ -135,8 +135,8 @@
 	buckets buckets
 }
 
-// NewMeter returns a meter without buckets.
-func NewMeter() *OwnerLimiter { return &OwnerLimiter{buckets: newBuckets(ownerIdleTime)} }
+// NewOwnerLimiter returns a meter without buckets.
+func NewOwnerLimiter() *OwnerLimiter { return &OwnerLimiter{buckets: newBuckets(ownerIdleTime)} }
 
 // Take takes a token of the account, or tells how long it is until there is one.
 func (m *OwnerLimiter) Take(now crid.Instant, a crid.Account, rate, burst float64) (ok bool, wait time.Duration) {
--- a/core/crquota/crquota_test.go
+++ b/core/crquota/crquota_test.go
@@ -17,7 +17,7 @@
 // over the fleet it must get its rate and no more.
 func TestAnAccountGetsItsRateAndNoMore(t *testing.T) {
 	g := gomega.NewWithT(t)
-	m := crquota.NewMeter()
+	m := crquota.NewOwnerLimiter()
 	taken := 0
 	for at := time.Duration(0); at < 20*time.Second; at += 10 * time.Millisecond {
 		if ok, _ := m.Take(start.Add(at), "survey", 25, 25); ok {
@@ -29,7 +29,7 @@
 
 func TestARefusalTellsWhenThereIsAToken(t *testing.T) {
 	g := gomega.NewWithT(t)
-	m := crquota.NewMeter()
+	m := crquota.NewOwnerLimiter()
 	var wait time.Duration
 	for ok := true; ok; {
 		ok, wait = m.Take(start, "survey", 10, 4)
--- a/core/crquota/cut_test.go
+++ b/core/crquota/cut_test.go
@@ -24,7 +24,7 @@
 		}
 		taken := 0
 		for _, heard := range sides {
-			m := crquota.NewMeter()
+			m := crquota.NewOwnerLimiter()
 			share := crquota.RateFraction(heard, size)
 			for at := start; at < start.Add(span*time.Second); at = at.Add(10 * time.Millisecond) {
 				if ok, _ := m.Take(at, "small", rate*share, burst*share); ok {
@@ -151,7 +151,7 @@
 	for i := range 20 {
 		d := crid.Daemon([]byte{'a' + byte(i)})
 		f.daemons = append(f.daemons, d)
-		f.meters[d] = crquota.NewMeter()
+		f.meters[d] = crquota.NewOwnerLimiter()
 	}
 	owner := crquota.Owner("large", f.daemons)
 	next := crquota.Relay("large", f.daemons, owner, "")
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -33,7 +33,7 @@
 }
 
 func newOwnerMeter(opts Options, loop *loop) *ownerMeter {
-	return &ownerMeter{self: crid.Daemon(opts.Settings.Address), loop: loop, meter: crquota.NewMeter()}
+	return &ownerMeter{self: crid.Daemon(opts.Settings.Address), loop: loop, meter: crquota.NewOwnerLimiter()}
 }
 
 // decide returns what this daemon does about a token of an account.
