--- a/core/crquota/cut_test.go
+++ b/core/crquota/cut_test.go
@@ -51,7 +51,7 @@
 	g := gomega.NewWithT(t)
 	const rate, burst, size = 10.0, 10.0, 100
 	rng := rand.New(rand.NewPCG(1, 2))
-	daemons := make([]*crquota.Parts, size)
+	daemons := make([]*crquota.FallbackLimiter, size)
 	for i := range daemons {
 		daemons[i] = crquota.NewParts(rng.Float64)
 	}
--- a/core/crquota/parts.go
+++ b/core/crquota/parts.go
@@ -18,22 +18,22 @@
 // in a window in which the account also has up to three new owners.
 const fallbackStartTokens = 5
 
-// Parts keeps this daemon's parts of accounts whose owner is silent. It is safe
+// FallbackLimiter keeps this daemon's parts of accounts whose owner is silent. It is safe
 // for concurrent use.
-type Parts struct {
+type FallbackLimiter struct {
 	random  func() float64 // in [0,1)
 	mu      sync.Mutex
 	buckets buckets
 }
 
 // NewParts returns no parts yet. Draw gives random numbers in [0,1).
-func NewParts(random func() float64) *Parts {
-	return &Parts{random: random, buckets: newBuckets(fallbackIdleTime)}
+func NewParts(random func() float64) *FallbackLimiter {
+	return &FallbackLimiter{random: random, buckets: newBuckets(fallbackIdleTime)}
 }
 
 // Take takes a token of this daemon's part of an account in a fleet of a size, or
 // tells how long it is until there is one.
-func (p *Parts) Take(now crid.Instant, a crid.Account, rate, burst float64, size int) (ok bool, wait time.Duration) {
+func (p *FallbackLimiter) Take(now crid.Instant, a crid.Account, rate, burst float64, size int) (ok bool, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := float64(max(size, 1))
@@ -43,7 +43,7 @@
 
 // startTokens is the number of tokens at first, in whole ones. A part of a token is one
 // with that probability, so that all daemons together startTokens with the right number.
-func (p *Parts) startTokens(tokens float64) float64 {
+func (p *FallbackLimiter) startTokens(tokens float64) float64 {
 	whole, fraction := math.Modf(tokens)
 	if p.random() < fraction {
 		whole++
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -72,7 +72,7 @@
 	self    crid.Daemon
 	loop    *loop
 	owner   *ownerMeter
-	parts   *crquota.Parts
+	parts   *crquota.FallbackLimiter
 	channel *crbeat.Channel
 	log     *crlog.Logger
 	mu      sync.Mutex
