--- a/core/crquota/cut_test.go
+++ b/core/crquota/cut_test.go
@@ -53,7 +53,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	daemons := make([]*crquota.FallbackLimiter, size)
 	for i := range daemons {
-		daemons[i] = crquota.NewParts(rng.Float64)
+		daemons[i] = crquota.NewFallbackLimiter(rng.Float64)
 	}
 	now := start
 	for range 5 {
@@ -74,7 +74,7 @@
 // that daemon's part and are told when to come back for more.
 func TestAPartTellsWhenThereIsMore(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := crquota.NewParts(func() float64 { return 0.9 })
+	p := crquota.NewFallbackLimiter(func() float64 { return 0.9 })
 	now := crid.Instant(time.Hour)
 	n := 0
 	for ok := true; ok; {
--- a/core/crquota/parts.go
+++ b/core/crquota/parts.go
@@ -26,8 +26,8 @@
 	buckets buckets
 }
 
-// NewParts returns no parts yet. Draw gives random numbers in [0,1).
-func NewParts(random func() float64) *FallbackLimiter {
+// NewFallbackLimiter returns no parts yet. Draw gives random numbers in [0,1).
+func NewFallbackLimiter(random func() float64) *FallbackLimiter {
 	return &FallbackLimiter{random: random, buckets: newBuckets(fallbackIdleTime)}
 }
 
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -83,7 +83,7 @@
 
 func newQuota(opts Options, loop *loop, m *ownerMeter, ch *crbeat.Channel, l *crlog.Logger) *quota {
 	q := &quota{
-		self: crid.Daemon(opts.Settings.Address), loop: loop, owner: m, parts: crquota.NewParts(rand.Float64), channel: ch, log: l,
+		self: crid.Daemon(opts.Settings.Address), loop: loop, owner: m, parts: crquota.NewFallbackLimiter(rand.Float64), channel: ch, log: l,
 		silent: make(map[way]crid.Instant),
 	}
 	ch.PassOn(q.passOn)
