--- a/core/crquota/cut_test.go
+++ b/core/crquota/cut_test.go
@@ -127,7 +127,7 @@
 }
 
 // take plays a question for a token over the fleet.
-func (f *cutFleet) take(now crid.Instant, self crid.Daemon, by crquota.Asked, rate, burst float64) (ok, answered bool) {
+func (f *cutFleet) take(now crid.Instant, self crid.Daemon, by crquota.Origin, rate, burst float64) (ok, answered bool) {
 	step := crquota.Decide("large", f.daemons, f.heard(self), self, by)
 	if step.To != "" {
 		if ok, answered := f.take(now, step.To, step.As, rate, burst); answered {
--- a/core/crquota/way.go
+++ b/core/crquota/way.go
@@ -2,13 +2,13 @@
 
 import "camphorroad/core/crid"
 
-// Asked says for whom a token is wanted, and so how far the question may go on.
-type Asked uint8
+// Origin says for whom a token is wanted, and so how far the question may go on.
+type Origin uint8
 
 // The askers.
 const (
 	// ByCaller: a request that entered at this daemon.
-	ByCaller Asked = iota + 1
+	ByCaller Origin = iota + 1
 	// ByPeer: a peer that takes this daemon for the owner.
 	ByPeer
 	// ByRelay: a peer that does not hear the owner itself.
@@ -21,7 +21,7 @@
 // grants it from its own bucket. With neither it leaves the question unanswered.
 type Step struct {
 	To    crid.Daemon // to ask; none: nobody
-	As    Asked       // what the question is there
+	As    Origin      // what the question is there
 	Grant bool        // at once, or when To does not answer
 }
 
@@ -34,7 +34,7 @@
 // daemons that heard it: the account got half as much again as its limit. So one
 // that would own an account only because it does not hear another asks a third
 // daemon first, which may hear that one, and is the owner only if that fails.
-func Decide(a crid.Account, members, reachable []crid.Daemon, self crid.Daemon, origin Asked) Step {
+func Decide(a crid.Account, members, reachable []crid.Daemon, self crid.Daemon, origin Origin) Step {
 	owner := Owner(a, reachable)
 	if owner != self && owner != "" {
 		return forward(owner, origin)
@@ -46,7 +46,7 @@
 	return Step{To: Relay(a, reachable, first, self), As: ByRelay, Grant: true}
 }
 
-func forward(owner crid.Daemon, origin Asked) Step {
+func forward(owner crid.Daemon, origin Origin) Step {
 	switch origin {
 	case ByCaller:
 		return Step{To: owner, As: ByPeer}
--- a/io/crbeat/crbeat.go
+++ b/io/crbeat/crbeat.go
@@ -56,7 +56,7 @@
 	_       struct{} `cbor:",toarray"`
 	Number  uint64
 	Account crid.Account
-	As      crquota.Asked // how far it may go on
+	As      crquota.Origin // how far it may go on
 }
 
 type answer struct {
@@ -71,11 +71,11 @@
 	Address string
 	Heard   func(from crid.Daemon, b crmesh.Beat)
 	// Grant gives a token, unless another daemon has to be asked.
-	Grant func(a crid.Account, as crquota.Asked) (ok bool, wait time.Duration, mine bool)
+	Grant func(a crid.Account, as crquota.Origin) (ok bool, wait time.Duration, mine bool)
 }
 
 // Asker asks other daemons for a token that a peer wants.
-type Asker func(ctx context.Context, a crid.Account, as crquota.Asked) (ok bool, wait time.Duration, err error)
+type Asker func(ctx context.Context, a crid.Account, as crquota.Origin) (ok bool, wait time.Duration, err error)
 
 // Channel sends and receives messages. It is safe for concurrent use.
 type Channel struct {
@@ -193,7 +193,7 @@
 
 // Ask asks a daemon for a token of an account. The answer to a relayed question takes
 // longer, as that daemon asks another one.
-func (c *Channel) Ask(ctx context.Context, to crid.Daemon, a crid.Account, as crquota.Asked) (ok bool, wait time.Duration, err error) {
+func (c *Channel) Ask(ctx context.Context, to crid.Daemon, a crid.Account, as crquota.Origin) (ok bool, wait time.Duration, err error) {
 	if as == crquota.ByRelay {
 		return c.question(ctx, to, ask{Account: a, As: as}, 1, relayTimeout)
 	}
--- a/io/crbeat/crbeat_test.go
+++ b/io/crbeat/crbeat_test.go
@@ -16,7 +16,7 @@
 )
 
 // listen opens a channel on an address of its own; grant tells what it grants.
-func listen(t *testing.T, host string, port int, grant func(crid.Account, crquota.Asked) (bool, time.Duration, bool)) *crbeat.Channel {
+func listen(t *testing.T, host string, port int, grant func(crid.Account, crquota.Origin) (bool, time.Duration, bool)) *crbeat.Channel {
 	t.Helper()
 	c, err := crbeat.Listen(crbeat.Options{
 		Address: fmt.Sprintf("%s:%d", host, port), Heard: func(crid.Daemon, crmesh.Beat) {}, Grant: grant,
@@ -45,7 +45,7 @@
 }
 
 // others takes another daemon for the owner of all accounts.
-func others(crid.Account, crquota.Asked) (bool, time.Duration, bool) { return false, 0, false }
+func others(crid.Account, crquota.Origin) (bool, time.Duration, bool) { return false, 0, false }
 
 // The path between an entry and the owner of an account is cut, and both reach a
 // third daemon. Held to a part of the rate, callers inside it would be refused for
@@ -56,11 +56,11 @@
 	asked := make(chan crid.Account, 1)
 	entry := listen(t, "127.0.40.1", port, others)
 	third := listen(t, "127.0.40.2", port, others)
-	owner := listen(t, "127.0.40.3", port, func(a crid.Account, _ crquota.Asked) (bool, time.Duration, bool) {
+	owner := listen(t, "127.0.40.3", port, func(a crid.Account, _ crquota.Origin) (bool, time.Duration, bool) {
 		asked <- a
 		return true, 0, true
 	})
-	third.PassOn(func(ctx context.Context, a crid.Account, _ crquota.Asked) (bool, time.Duration, error) {
+	third.PassOn(func(ctx context.Context, a crid.Account, _ crquota.Origin) (bool, time.Duration, error) {
 		return third.Ask(ctx, "127.0.40.3", a, crquota.ByPeer)
 	})
 	run(t, entry, third, owner)
@@ -77,7 +77,7 @@
 	const port = 28412
 	entry := listen(t, "127.0.40.1", port, others)
 	third := listen(t, "127.0.40.2", port, others)
-	third.PassOn(func(context.Context, crid.Account, crquota.Asked) (bool, time.Duration, error) {
+	third.PassOn(func(context.Context, crid.Account, crquota.Origin) (bool, time.Duration, error) {
 		return false, 0, errors.New("silent")
 	})
 	run(t, entry, third)
@@ -94,10 +94,10 @@
 	entry := listen(t, "127.0.40.1", port, others)
 	one := listen(t, "127.0.40.2", port, others)
 	other := listen(t, "127.0.40.3", port, others)
-	one.PassOn(func(ctx context.Context, a crid.Account, _ crquota.Asked) (bool, time.Duration, error) {
+	one.PassOn(func(ctx context.Context, a crid.Account, _ crquota.Origin) (bool, time.Duration, error) {
 		return one.Ask(ctx, "127.0.40.3", a, crquota.ByOther)
 	})
-	other.PassOn(func(context.Context, crid.Account, crquota.Asked) (bool, time.Duration, error) {
+	other.PassOn(func(context.Context, crid.Account, crquota.Origin) (bool, time.Duration, error) {
 		t.Error("it was passed on again")
 		return false, 0, errors.New("again")
 	})
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -37,13 +37,13 @@
 }
 
 // decide returns what this daemon does about a token of an account.
-func (m *ownerMeter) decide(name crid.Account, by crquota.Asked) crquota.Step {
+func (m *ownerMeter) decide(name crid.Account, by crquota.Origin) crquota.Step {
 	return m.loop.view.Load().TokenStep(name, m.self, by)
 }
 
 // answer gives a token of an account to a peer, unless another daemon has to be
 // asked.
-func (m *ownerMeter) answer(name crid.Account, by crquota.Asked) (ok bool, wait time.Duration, mine bool) {
+func (m *ownerMeter) answer(name crid.Account, by crquota.Origin) (ok bool, wait time.Duration, mine bool) {
 	if step := m.decide(name, by); step.To != "" || !step.Grant {
 		return false, 0, false
 	}
@@ -94,7 +94,7 @@
 // answer as the other.
 type way struct {
 	to crid.Daemon
-	as crquota.Asked
+	as crquota.Origin
 }
 
 // Take implements cringress.Quota.
@@ -122,7 +122,7 @@
 }
 
 // passOn asks for a peer.
-func (q *quota) passOn(ctx context.Context, a crid.Account, by crquota.Asked) (ok bool, wait time.Duration, err error) {
+func (q *quota) passOn(ctx context.Context, a crid.Account, by crquota.Origin) (ok bool, wait time.Duration, err error) {
 	return q.do(ctx, a, q.owner.decide(a, by))
 }
 
