--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -331,7 +331,7 @@
 	v := views(s.Step(crmesh.Heard{Now: start, From: f.names[0], Beat: crmesh.Beat{Incarnation: 1, Revision: 5}}))
 	for n := range 20 {
 		a := crid.Account("account-" + strconv.Itoa(n))
-		step := v[len(v)-1].TokenStep(a, fresh, crquota.ByCaller)
+		step := v[len(v)-1].TokenStep(a, fresh, crquota.FromCaller)
 		if owner := crquota.Owner(a, f.names); owner != fresh {
 			g.Expect(step).To(gomega.Equal(crquota.Step{To: owner, As: crquota.ByPeer}))
 		} else {
--- a/core/crquota/cut_test.go
+++ b/core/crquota/cut_test.go
@@ -164,7 +164,7 @@
 	taken := 0
 	for at := start; at < start.Add(span*time.Second); at = at.Add(20 * time.Millisecond) {
 		for _, d := range f.daemons {
-			ok, answered := f.take(at, d, crquota.ByCaller, rate, burst)
+			ok, answered := f.take(at, d, crquota.FromCaller, rate, burst)
 			g.Expect(answered).To(gomega.BeTrue())
 			if ok {
 				taken++
@@ -188,7 +188,7 @@
 		}
 	}
 	next := crquota.Owner("survey", heard)
-	step := crquota.Decide("survey", members, heard, next, crquota.ByCaller)
+	step := crquota.Decide("survey", members, heard, next, crquota.FromCaller)
 	g.Expect(step.To).NotTo(gomega.BeElementOf(owner, next))
 	g.Expect(step.Grant).To(gomega.BeTrue())
 	back := crquota.Decide("survey", members, heard, step.To, step.As)
--- a/core/crquota/way.go
+++ b/core/crquota/way.go
@@ -7,8 +7,8 @@
 
 // The askers.
 const (
-	// ByCaller: a request that entered at this daemon.
-	ByCaller Origin = iota + 1
+	// FromCaller: a request that entered at this daemon.
+	FromCaller Origin = iota + 1
 	// ByPeer: a peer that takes this daemon for the owner.
 	ByPeer
 	// ByRelay: a peer that does not hear the owner itself.
@@ -48,7 +48,7 @@
 
 func forward(owner crid.Daemon, origin Origin) Step {
 	switch origin {
-	case ByCaller:
+	case FromCaller:
 		return Step{To: owner, As: ByPeer}
 	case ByOther:
 		return Step{}
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -99,7 +99,7 @@
 
 // Take implements cringress.Quota.
 func (q *quota) Take(ctx context.Context, a *crplan.Account) (ok bool, wait time.Duration) {
-	step := q.owner.decide(a.Name, crquota.ByCaller)
+	step := q.owner.decide(a.Name, crquota.FromCaller)
 	ok, wait, err := q.do(ctx, a.Name, step)
 	if err == nil {
 		return ok, wait
