--- a/core/crquota/way.go
+++ b/core/crquota/way.go
@@ -9,8 +9,8 @@
 const (
 	// FromCaller: a request that entered at this daemon.
 	FromCaller Origin = iota + 1
-	// ByPeer: a peer that takes this daemon for the owner.
-	ByPeer
+	// FromPeer: a peer that takes this daemon for the owner.
+	FromPeer
 	// ByRelay: a peer that does not hear the owner itself.
 	ByRelay
 	// ByOther: a peer for another one. The question ends here.
@@ -49,7 +49,7 @@
 func forward(owner crid.Daemon, origin Origin) Step {
 	switch origin {
 	case FromCaller:
-		return Step{To: owner, As: ByPeer}
+		return Step{To: owner, As: FromPeer}
 	case ByOther:
 		return Step{}
 	}
--- a/io/crbeat/crbeat_test.go
+++ b/io/crbeat/crbeat_test.go
@@ -61,7 +61,7 @@
 		return true, 0, true
 	})
 	third.PassOn(func(ctx context.Context, a crid.Account, _ crquota.Origin) (bool, time.Duration, error) {
-		return third.Ask(ctx, "127.0.40.3", a, crquota.ByPeer)
+		return third.Ask(ctx, "127.0.40.3", a, crquota.FromPeer)
 	})
 	run(t, entry, third, owner)
 	ok, _, err := entry.Ask(t.Context(), "127.0.40.2", "survey", crquota.ByRelay)
@@ -102,6 +102,6 @@
 		return false, 0, errors.New("again")
 	})
 	run(t, entry, one, other)
-	_, _, err := entry.Ask(t.Context(), "127.0.40.2", "survey", crquota.ByPeer)
+	_, _, err := entry.Ask(t.Context(), "127.0.40.2", "survey", crquota.FromPeer)
 	g.Expect(err).To(gomega.MatchError(crbeat.ErrSilent))
 }
