--- a/core/crquota/way.go
+++ b/core/crquota/way.go
@@ -11,8 +11,8 @@
 	FromCaller Origin = iota + 1
 	// FromPeer: a peer that takes this daemon for the owner.
 	FromPeer
-	// ByRelay: a peer that does not hear the owner itself.
-	ByRelay
+	// ToRelay: a peer that does not hear the owner itself.
+	ToRelay
 	// ByOther: a peer for another one. The question ends here.
 	ByOther
 )
@@ -40,10 +40,10 @@
 		return forward(owner, origin)
 	}
 	first := Owner(a, members)
-	if first == self || first == "" || origin == ByRelay || origin == ByOther {
+	if first == self || first == "" || origin == ToRelay || origin == ByOther {
 		return Step{Grant: true}
 	}
-	return Step{To: Relay(a, reachable, first, self), As: ByRelay, Grant: true}
+	return Step{To: Relay(a, reachable, first, self), As: ToRelay, Grant: true}
 }
 
 func forward(owner crid.Daemon, origin Origin) Step {
--- a/io/crbeat/crbeat.go
+++ b/io/crbeat/crbeat.go
@@ -194,7 +194,7 @@
 // Ask asks a daemon for a token of an account. The answer to a relayed question takes
 // longer, as that daemon asks another one.
 func (c *Channel) Ask(ctx context.Context, to crid.Daemon, a crid.Account, as crquota.Origin) (ok bool, wait time.Duration, err error) {
-	if as == crquota.ByRelay {
+	if as == crquota.ToRelay {
 		return c.question(ctx, to, ask{Account: a, As: as}, 1, relayTimeout)
 	}
 	return c.question(ctx, to, ask{Account: a, As: as}, askTries, askTimeout)
--- a/io/crbeat/crbeat_test.go
+++ b/io/crbeat/crbeat_test.go
@@ -64,7 +64,7 @@
 		return third.Ask(ctx, "127.0.40.3", a, crquota.FromPeer)
 	})
 	run(t, entry, third, owner)
-	ok, _, err := entry.Ask(t.Context(), "127.0.40.2", "survey", crquota.ByRelay)
+	ok, _, err := entry.Ask(t.Context(), "127.0.40.2", "survey", crquota.ToRelay)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(asked).To(gomega.Receive(gomega.Equal(crid.Account("survey"))))
@@ -81,7 +81,7 @@
 		return false, 0, errors.New("silent")
 	})
 	run(t, entry, third)
-	ok, _, err := entry.Ask(t.Context(), "127.0.40.2", "survey", crquota.ByRelay)
+	ok, _, err := entry.Ask(t.Context(), "127.0.40.2", "survey", crquota.ToRelay)
 	g.Expect(err).To(gomega.MatchError(crbeat.ErrSilent))
 	g.Expect(ok).To(gomega.BeFalse())
 }
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -113,7 +113,7 @@
 		if d == "" {
 			break
 		}
-		if ok, wait, err := q.ask(ctx, way{to: d, as: crquota.ByRelay}, a.Name); err == nil {
+		if ok, wait, err := q.ask(ctx, way{to: d, as: crquota.ToRelay}, a.Name); err == nil {
 			return ok, wait
 		}
 		without = append(without, d)
@@ -167,8 +167,8 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.silent[w] = crclock.Now().Add(ownerRest)
-	if w.as != crquota.ByRelay {
+	if w.as != crquota.ToRelay {
 		q.loop.emit(crmesh.Unanswered{Now: crclock.Now(), By: w.to})
 	}
-	q.log.Event(crlog.OwnerSilent, crlog.Fields{"peer": string(w.to), "account": string(a), "through": strconv.FormatBool(w.as == crquota.ByRelay)})
+	q.log.Event(crlog.OwnerSilent, crlog.Fields{"peer": string(w.to), "account": string(a), "through": strconv.FormatBool(w.as == crquota.ToRelay)})
 }
