--- a/core/crquota/way.go
+++ b/core/crquota/way.go
@@ -13,8 +13,8 @@
 	FromPeer
 	// ToRelay: a peer that does not hear the owner itself.
 	ToRelay
-	// ByOther: a peer for another one. The question ends here.
-	ByOther
+	// FromRelay: a peer for another one. The question ends here.
+	FromRelay
 )
 
 // Step is what a daemon does about a token that is wanted: it asks another one, or
@@ -40,7 +40,7 @@
 		return forward(owner, origin)
 	}
 	first := Owner(a, members)
-	if first == self || first == "" || origin == ToRelay || origin == ByOther {
+	if first == self || first == "" || origin == ToRelay || origin == FromRelay {
 		return Step{Grant: true}
 	}
 	return Step{To: Relay(a, reachable, first, self), As: ToRelay, Grant: true}
@@ -50,8 +50,8 @@
 	switch origin {
 	case FromCaller:
 		return Step{To: owner, As: FromPeer}
-	case ByOther:
+	case FromRelay:
 		return Step{}
 	}
-	return Step{To: owner, As: ByOther}
+	return Step{To: owner, As: FromRelay}
 }
--- a/io/crbeat/crbeat.go
+++ b/io/crbeat/crbeat.go
@@ -158,7 +158,7 @@
 // would get its rate twice.
 func (c *Channel) asked(ctx context.Context, from netip.AddrPort, q ask) {
 	ok, wait, mine := c.opts.Grant(q.Account, q.As)
-	if !mine && q.As != crquota.ByOther {
+	if !mine && q.As != crquota.FromRelay {
 		c.passOn(ctx, from, q)
 		return
 	}
--- a/io/crbeat/crbeat_test.go
+++ b/io/crbeat/crbeat_test.go
@@ -95,7 +95,7 @@
 	one := listen(t, "127.0.40.2", port, others)
 	other := listen(t, "127.0.40.3", port, others)
 	one.PassOn(func(ctx context.Context, a crid.Account, _ crquota.Origin) (bool, time.Duration, error) {
-		return one.Ask(ctx, "127.0.40.3", a, crquota.ByOther)
+		return one.Ask(ctx, "127.0.40.3", a, crquota.FromRelay)
 	})
 	other.PassOn(func(context.Context, crid.Account, crquota.Origin) (bool, time.Duration, error) {
 		t.Error("it was passed on again")
