--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -169,7 +169,7 @@
 }
 
 // TokenStep is what a daemon with this view does about a token of an account.
-func (v *View) TokenStep(a crid.Account, self crid.Daemon, by crquota.Origin) crquota.Step {
+func (v *View) TokenStep(a crid.Account, self crid.Daemon, by crquota.Origin) crquota.Action {
 	return crquota.Decide(a, v.Members, v.Owners, self, by)
 }
 
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -333,9 +333,9 @@
 		a := crid.Account("account-" + strconv.Itoa(n))
 		step := v[len(v)-1].TokenStep(a, fresh, crquota.FromCaller)
 		if owner := crquota.Owner(a, f.names); owner != fresh {
-			g.Expect(step).To(gomega.Equal(crquota.Step{To: owner, As: crquota.FromPeer}))
+			g.Expect(step).To(gomega.Equal(crquota.Action{To: owner, As: crquota.FromPeer}))
 		} else {
-			g.Expect(step).To(gomega.Equal(crquota.Step{Grant: true}))
+			g.Expect(step).To(gomega.Equal(crquota.Action{Grant: true}))
 		}
 	}
 	g.Expect(v[len(v)-1].Owners).To(gomega.Equal(f.view[f.names[0]].Owners))
--- a/core/crquota/cut_test.go
+++ b/core/crquota/cut_test.go
@@ -192,6 +192,6 @@
 	g.Expect(step.To).NotTo(gomega.BeElementOf(owner, next))
 	g.Expect(step.Grant).To(gomega.BeTrue())
 	back := crquota.Decide("survey", members, heard, step.To, step.As)
-	g.Expect(back).To(gomega.Equal(crquota.Step{To: next, As: crquota.FromRelay}))
-	g.Expect(crquota.Decide("survey", members, heard, next, back.As)).To(gomega.Equal(crquota.Step{Grant: true}))
+	g.Expect(back).To(gomega.Equal(crquota.Action{To: next, As: crquota.FromRelay}))
+	g.Expect(crquota.Decide("survey", members, heard, next, back.As)).To(gomega.Equal(crquota.Action{Grant: true}))
 }
--- a/core/crquota/way.go
+++ b/core/crquota/way.go
@@ -17,9 +17,9 @@
 	FromRelay
 )
 
-// Step is what a daemon does about a token that is wanted: it asks another one, or
+// Action is what a daemon does about a token that is wanted: it asks another one, or
 // grants it from its own bucket. With neither it leaves the question unanswered.
-type Step struct {
+type Action struct {
 	To    crid.Daemon // to ask; none: nobody
 	As    Origin      // what the question is there
 	Grant bool        // at once, or when To does not answer
@@ -34,24 +34,24 @@
 // daemons that heard it: the account got half as much again as its limit. So one
 // that would own an account only because it does not hear another asks a third
 // daemon first, which may hear that one, and is the owner only if that fails.
-func Decide(a crid.Account, members, reachable []crid.Daemon, self crid.Daemon, origin Origin) Step {
+func Decide(a crid.Account, members, reachable []crid.Daemon, self crid.Daemon, origin Origin) Action {
 	owner := Owner(a, reachable)
 	if owner != self && owner != "" {
 		return forward(owner, origin)
 	}
 	first := Owner(a, members)
 	if first == self || first == "" || origin == ToRelay || origin == FromRelay {
-		return Step{Grant: true}
+		return Action{Grant: true}
 	}
-	return Step{To: Relay(a, reachable, first, self), As: ToRelay, Grant: true}
+	return Action{To: Relay(a, reachable, first, self), As: ToRelay, Grant: true}
 }
 
-func forward(owner crid.Daemon, origin Origin) Step {
+func forward(owner crid.Daemon, origin Origin) Action {
 	switch origin {
 	case FromCaller:
-		return Step{To: owner, As: FromPeer}
+		return Action{To: owner, As: FromPeer}
 	case FromRelay:
-		return Step{}
+		return Action{}
 	}
-	return Step{To: owner, As: FromRelay}
+	return Action{To: owner, As: FromRelay}
 }
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -37,7 +37,7 @@
 }
 
 // decide returns what this daemon does about a token of an account.
-func (m *ownerMeter) decide(name crid.Account, by crquota.Origin) crquota.Step {
+func (m *ownerMeter) decide(name crid.Account, by crquota.Origin) crquota.Action {
 	return m.loop.view.Load().TokenStep(name, m.self, by)
 }
 
@@ -130,7 +130,7 @@
 var errNobody = errors.New("no daemon to ask")
 
 // do takes a step: it asks, or grants what nobody else answers for.
-func (q *quota) do(ctx context.Context, a crid.Account, step crquota.Step) (ok bool, wait time.Duration, err error) {
+func (q *quota) do(ctx context.Context, a crid.Account, step crquota.Action) (ok bool, wait time.Duration, err error) {
 	err = errNobody
 	if step.To != "" {
 		ok, wait, err = q.ask(ctx, way{to: step.To, as: step.As}, a)
