--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -333,7 +333,7 @@
 		a := crid.Account("account-" + strconv.Itoa(n))
 		step := v[len(v)-1].TokenStep(a, fresh, crquota.FromCaller)
 		if owner := crquota.Owner(a, f.names); owner != fresh {
-			g.Expect(step).To(gomega.Equal(crquota.Action{To: owner, As: crquota.FromPeer}))
+			g.Expect(step).To(gomega.Equal(crquota.Action{To: owner, Origin: crquota.FromPeer}))
 		} else {
 			g.Expect(step).To(gomega.Equal(crquota.Action{Grant: true}))
 		}
--- a/core/crquota/cut_test.go
+++ b/core/crquota/cut_test.go
@@ -130,7 +130,7 @@
 func (f *cutFleet) take(now crid.Instant, self crid.Daemon, by crquota.Origin, rate, burst float64) (ok, answered bool) {
 	step := crquota.Decide("large", f.daemons, f.heard(self), self, by)
 	if step.To != "" {
-		if ok, answered := f.take(now, step.To, step.As, rate, burst); answered {
+		if ok, answered := f.take(now, step.To, step.Origin, rate, burst); answered {
 			return ok, true
 		}
 	}
@@ -191,7 +191,7 @@
 	step := crquota.Decide("survey", members, heard, next, crquota.FromCaller)
 	g.Expect(step.To).NotTo(gomega.BeElementOf(owner, next))
 	g.Expect(step.Grant).To(gomega.BeTrue())
-	back := crquota.Decide("survey", members, heard, step.To, step.As)
-	g.Expect(back).To(gomega.Equal(crquota.Action{To: next, As: crquota.FromRelay}))
-	g.Expect(crquota.Decide("survey", members, heard, next, back.As)).To(gomega.Equal(crquota.Action{Grant: true}))
+	back := crquota.Decide("survey", members, heard, step.To, step.Origin)
+	g.Expect(back).To(gomega.Equal(crquota.Action{To: next, Origin: crquota.FromRelay}))
+	g.Expect(crquota.Decide("survey", members, heard, next, back.Origin)).To(gomega.Equal(crquota.Action{Grant: true}))
 }
--- a/core/crquota/way.go
+++ b/core/crquota/way.go
@@ -20,9 +20,9 @@
 // Action is what a daemon does about a token that is wanted: it asks another one, or
 // grants it from its own bucket. With neither it leaves the question unanswered.
 type Action struct {
-	To    crid.Daemon // to ask; none: nobody
-	As    Origin      // what the question is there
-	Grant bool        // at once, or when To does not answer
+	To     crid.Daemon // to ask; none: nobody
+	Origin Origin      // what the question is there
+	Grant  bool        // at once, or when To does not answer
 }
 
 // Decide returns what a daemon does about a token of an account. Members are the
@@ -43,15 +43,15 @@
 	if first == self || first == "" || origin == ToRelay || origin == FromRelay {
 		return Action{Grant: true}
 	}
-	return Action{To: Relay(a, reachable, first, self), As: ToRelay, Grant: true}
+	return Action{To: Relay(a, reachable, first, self), Origin: ToRelay, Grant: true}
 }
 
 func forward(owner crid.Daemon, origin Origin) Action {
 	switch origin {
 	case FromCaller:
-		return Action{To: owner, As: FromPeer}
+		return Action{To: owner, Origin: FromPeer}
 	case FromRelay:
 		return Action{}
 	}
-	return Action{To: owner, As: FromRelay}
+	return Action{To: owner, Origin: FromRelay}
 }
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -133,7 +133,7 @@
 func (q *quota) do(ctx context.Context, a crid.Account, step crquota.Action) (ok bool, wait time.Duration, err error) {
 	err = errNobody
 	if step.To != "" {
-		ok, wait, err = q.ask(ctx, way{to: step.To, as: step.As}, a)
+		ok, wait, err = q.ask(ctx, way{to: step.To, as: step.Origin}, a)
 	}
 	if err != nil && step.Grant {
 		ok, wait = q.owner.grant(a)
