--- a/core/crquota/crquota.go
+++ b/core/crquota/crquota.go
@@ -1,19 +1,21 @@
-// Package crquota holds accounts to their rate over the whole fleet.
+// Package crquota enforces the rates of client accounts across the fleet of a mesh. It is used by
+// core/crmesh and io/crmesh. Package craccount enforces them for core/crdaemon, where several
+// owners share an account's limit and entry daemons hold tokens ahead of demand.
 //
-// Each account has one owner among the daemons alive, by rendezvous hashing, and
-// the owner keeps the account's bucket. The daemon that a request enters asks the
-// owner for a token. When the owner is silent the daemon uses a part of its own:
+// Each account has one owner among the live daemons, selected by rendezvous hashing. The owner
+// keeps the account's token bucket, and an entry daemon requests a token from it for every
+// request. When the owner does not answer, the entry daemon uses a fallback bucket of its own:
 // the account's rate divided by the number of daemons.
 //
-// Where daemons do not hear each other, several take themselves for the owner.
-// Each then hands out only the share of the rate that the daemons which it hears
-// are of the fleet, so that the sum stays near the rate.
+// In a network partition several daemons may own the same account. Each then grants only the
+// fraction of the rate that its reachable daemons are of the fleet, so that the sum stays near
+// the rate.
 //
 // # Usage
 //
 //	owner := crquota.Owner(account, daemons)
-//	ok, wait := meter.Take(now, account, rate*crquota.Share(heard, size), burst)
-//	ok, wait = parts.Take(now, account, rate, burst, size)
+//	ok, wait := ownerLimiter.Take(now, account, rate*crquota.RateFraction(reachable, size), burst)
+//	ok, wait = fallbackLimiter.Take(now, account, rate, burst, size)
 package crquota
 
 import (
@@ -26,17 +28,17 @@
 	"camphorroad/core/crid"
 )
 
-// startFraction is the part of the burst that a bucket holds at first. A new owner
-// does not know what was taken from the former one: a full bucket would hand the
-// burst out twice, an empty one would refuse callers that are inside their rate.
+// startFraction is the fraction of the burst that a new bucket holds. A new owner does not know
+// how many tokens its predecessor granted: a full bucket would grant the burst twice, and an
+// empty one would refuse callers within their rate.
 const startFraction = 0.5
 
-// ownerIdleTime is the time without requests after which a bucket is dropped. It
-// is then full as a rule, and a fresh one holds half.
+// ownerIdleTime is the time without requests after which a bucket is dropped. It is usually full
+// by then, while a new one holds half.
 const ownerIdleTime = time.Minute
 
-// Owner returns the daemon that keeps the account's bucket: the one with the
-// greatest hash of both names. When a daemon goes, only its own accounts move.
+// Owner returns the daemon that keeps the account's bucket: the one with the greatest hash of
+// both names. When a daemon leaves, only its own accounts move.
 func Owner(a crid.Account, daemons []crid.Daemon) crid.Daemon {
 	var best crid.Daemon
 	var bestHash uint64
@@ -49,9 +51,9 @@
 	return best
 }
 
-// Relay returns the daemon to ask through for an account's tokens where others do
-// not answer: the owner that the account would have without them. None, if there
-// are no more.
+// Relay returns the daemon to request an account's tokens through when the daemons in without
+// do not answer: the owner that the account would have without them. It returns an empty name
+// when there are no others.
 func Relay(a crid.Account, daemons []crid.Daemon, without ...crid.Daemon) crid.Daemon {
 	others := make([]crid.Daemon, 0, len(daemons))
 	for _, d := range daemons {
@@ -62,29 +64,28 @@
 	return Owner(a, others)
 }
 
-// partitionSlack is how much more than the rate the sides of a cut fleet hand out
-// together: a tenth of the daemons may be dead without an account losing any of
-// its rate. The users allow a quarter more; the rest is for buckets that start
-// anew.
+// partitionSlack is how far the sides of a partition may exceed the rate together. With it a
+// tenth of the daemons may be dead without an account losing any of its rate. Accounts may
+// exceed their rate by a quarter; the rest is for buckets that start again.
 const partitionSlack = 1.1
 
-// RateFraction is the part of an account's rate that its owner hands out which hears so
-// many daemons, itself included, of a fleet of that size. Without it each half of a
-// fleet that is cut in two would hand out the whole rate.
-func RateFraction(heard, size int) float64 {
+// RateFraction returns the fraction of an account's rate that its owner grants, given the number
+// of daemons that the owner can reach, itself included, and the size of the fleet. Without it
+// each half of a partitioned fleet would grant the whole rate.
+func RateFraction(reachable, size int) float64 {
 	if size <= 0 {
 		return 1
 	}
-	return min(1, partitionSlack*float64(heard)/float64(size))
+	return min(1, partitionSlack*float64(reachable)/float64(size))
 }
 
-// bucket holds an account's tokens.
+// bucket is the token bucket of an account.
 type bucket struct {
 	tokens float64
 	usedAt crid.Instant // of the last request
 }
 
-// take takes a token, or tells how long it is until there is one.
+// take takes a token, or returns the time until there is one.
 func (b *bucket) take(now crid.Instant, rate, burst float64) (ok bool, wait time.Duration) {
 	b.tokens = min(b.tokens+max(now.Sub(b.usedAt).Seconds(), 0)*rate, burst)
 	b.usedAt = max(b.usedAt, now)
@@ -95,7 +96,7 @@
 	return false, time.Duration((1 - b.tokens) / rate * float64(time.Second))
 }
 
-// buckets are accounts' buckets, dropped after a time without requests.
+// buckets are the token buckets of accounts. They are dropped after a time without requests.
 type buckets struct {
 	byAccount map[crid.Account]*bucket
 	idleTime  time.Duration
@@ -106,7 +107,7 @@
 	return buckets{byAccount: make(map[crid.Account]*bucket), idleTime: idleTime}
 }
 
-// bucket returns an account's bucket, or a fresh one if none is kept.
+// bucket returns an account's bucket. It creates a missing one with the tokens that start returns.
 func (s *buckets) bucket(now crid.Instant, a crid.Account, start func() float64) *bucket {
 	s.sweep(now)
 	b := s.byAccount[a]
@@ -129,20 +130,21 @@
 	}
 }
 
-// OwnerLimiter keeps the buckets of accounts. It is safe for concurrent use.
+// OwnerLimiter keeps the buckets of the accounts that this daemon owns. It is safe for
+// concurrent use.
 type OwnerLimiter struct {
 	mu      sync.Mutex
 	buckets buckets
 }
 
-// NewOwnerLimiter returns a meter without buckets.
+// NewOwnerLimiter returns a limiter without buckets.
 func NewOwnerLimiter() *OwnerLimiter { return &OwnerLimiter{buckets: newBuckets(ownerIdleTime)} }
 
-// Take takes a token of the account, or tells how long it is until there is one.
-func (m *OwnerLimiter) Take(now crid.Instant, a crid.Account, rate, burst float64) (ok bool, wait time.Duration) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// Take takes a token of the account, or returns the time until there is one.
+func (l *OwnerLimiter) Take(now crid.Instant, a crid.Account, rate, burst float64) (ok bool, wait time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	size := max(burst, 1)
-	b := m.buckets.bucket(now, a, func() float64 { return max(size*startFraction, 1) })
+	b := l.buckets.bucket(now, a, func() float64 { return max(size*startFraction, 1) })
 	return b.take(now, rate, size)
 }
--- a/core/crquota/crquota_test.go
+++ b/core/crquota/crquota_test.go
@@ -13,35 +13,35 @@
 
 const start = crid.Instant(time.Hour)
 
-// One account sends four times its rate through all daemons at once. Counted
-// over the fleet it must get its rate and no more.
-func TestAnAccountGetsItsRateAndNoMore(t *testing.T) {
+// An account sends four times its rate through all daemons at once. Counted over the fleet it
+// must get its rate and no more.
+func TestAccountGetsItsRateAndNoMore(t *testing.T) {
 	g := gomega.NewWithT(t)
-	m := crquota.NewOwnerLimiter()
+	l := crquota.NewOwnerLimiter()
 	taken := 0
 	for at := time.Duration(0); at < 20*time.Second; at += 10 * time.Millisecond {
-		if ok, _ := m.Take(start.Add(at), "survey", 25, 25); ok {
+		if ok, _ := l.Take(start.Add(at), "survey", 25, 25); ok {
 			taken++
 		}
 	}
 	g.Expect(taken).To(gomega.BeNumerically("~", 20*25+12, 3))
 }
 
-func TestARefusalTellsWhenThereIsAToken(t *testing.T) {
+func TestRefusalReturnsWaitForNextToken(t *testing.T) {
 	g := gomega.NewWithT(t)
-	m := crquota.NewOwnerLimiter()
+	l := crquota.NewOwnerLimiter()
 	var wait time.Duration
 	for ok := true; ok; {
-		ok, wait = m.Take(start, "survey", 10, 4)
+		ok, wait = l.Take(start, "survey", 10, 4)
 	}
 	g.Expect(wait).To(gomega.BeNumerically("~", 100*time.Millisecond, time.Millisecond))
-	ok, _ := m.Take(start.Add(wait), "survey", 10, 4)
+	ok, _ := l.Take(start.Add(wait), "survey", 10, 4)
 	g.Expect(ok).To(gomega.BeTrue())
 }
 
-// A machine goes. Were all accounts dealt anew, every bucket of the fleet would
-// start afresh and hand out its burst once more.
-func TestOnlyTheAccountsOfALostDaemonMove(t *testing.T) {
+// A daemon leaves. If all accounts were assigned again, every bucket of the fleet would start
+// again and grant its burst once more.
+func TestOnlyAccountsOfLostDaemonMove(t *testing.T) {
 	g := gomega.NewWithT(t)
 	daemons := []crid.Daemon{"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"}
 	owners := map[crid.Daemon]int{}
--- a/io/crbeat/crbeat.go
+++ b/io/crbeat/crbeat.go
@@ -7,7 +7,7 @@
 //	c, err := crbeat.Listen(crbeat.Options{Address: "10.0.0.1:7660", Heard: heard, Grant: grant})
 //	go c.Run(ctx)
 //	c.Beat(peers, beat)
-//	ok, wait, err := c.Ask(ctx, owner, account, crquota.ByPeer)
+//	ok, wait, err := c.Ask(ctx, owner, account, crquota.FromPeer)
 package crbeat
 
 import (
