--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -247,7 +247,7 @@
 
 // requestFromOwners spreads a request over the available owners. A small one goes to a
 // single owner.
-func (s *State) requestFromOwners(a *account, available []int, need int, keep bool) {
+func (s *State) requestFromOwners(a *account, available []int, need int, waitForRest bool) {
 	count := min(len(available), (need+tokensPerOwner-1)/tokensPerOwner)
 	part, rest := need/count, need%count
 	order := s.fullestFirst(a, available)
@@ -257,16 +257,16 @@
 		if k < rest {
 			want++
 		}
-		s.requestFromShare(a, share, want, keep)
+		s.requestFromShare(a, share, want, waitForRest)
 	}
 	a.nextSource += count
 }
 
-func (s *State) requestFromShare(a *account, share, want int, keep bool) {
+func (s *State) requestFromShare(a *account, share, want int, waitForRest bool) {
 	src := &a.sources[share]
 	src.requested, src.requestedAt = want, s.now
 	req := s.out.requestTo(src.owner)
-	req.Items = append(req.Items, TokenRequestItem{Account: a.name, Share: share, Want: want, WaitForRest: keep})
+	req.Items = append(req.Items, TokenRequestItem{Account: a.name, Share: share, Want: want, WaitForRest: waitForRest})
 }
 
 // fullestFirst orders the available owners by their estimated balance, highest first. Plain
--- a/core/craccount/grant.go
+++ b/core/craccount/grant.go
@@ -53,13 +53,13 @@
 	if _, dup := s.entry.grants[key]; dup && !s.params.mutations.noDedup {
 		return
 	}
-	l := &heldGrant{account: item.Account, share: item.Share, tokens: item.Tokens, expiresAt: voidAt}
-	s.entry.grants[key] = l
+	held := &heldGrant{account: item.Account, share: item.Share, tokens: item.Tokens, expiresAt: voidAt}
+	s.entry.grants[key] = held
 	s.entry.grantOrder = append(s.entry.grantOrder, key)
 	a, ok := s.entry.accounts[item.Account]
 	if !ok {
-		l.returned = l.tokens
-		s.addUsage(key, l)
+		held.returned = held.tokens
+		s.addUsage(key, held)
 		return
 	}
 	a.held += item.Tokens
--- a/core/craccount/heldgrant.go
+++ b/core/craccount/heldgrant.go
@@ -24,23 +24,23 @@
 }
 
 func (s *State) handleGrantUsage(u UsageDelta) {
-	l, ok := s.entry.grants[u.Key]
+	g, ok := s.entry.grants[u.Key]
 	if !ok {
 		return
 	}
-	l.taken += u.Taken
+	g.taken += u.Taken
 	if u.Taken > 0 {
-		l.spends = append(l.spends, spend{u.Taken, u.LastSpentAt})
+		g.spends = append(g.spends, spend{u.Taken, u.LastSpentAt})
 	}
-	l.returned += u.Returned
-	if a, ok := s.entry.accounts[l.account]; ok {
+	g.returned += u.Returned
+	if a, ok := s.entry.accounts[g.account]; ok {
 		a.held -= u.Taken + u.Returned
 	}
-	if u.Returned == 0 && s.canDeferReport(l.account) {
-		s.deferReport(u.Key, l)
+	if u.Returned == 0 && s.canDeferReport(g.account) {
+		s.deferReport(u.Key, g)
 		return
 	}
-	s.addUsage(u.Key, l)
+	s.addUsage(u.Key, g)
 }
 
 // canDeferReport reports whether an account's burst is large enough to report spent tokens
@@ -50,9 +50,9 @@
 	return limit.Burst >= deferBurstFactor*limit.Rate*s.params.ReportInterval.Seconds()
 }
 
-func (s *State) deferReport(key GrantKey, l *heldGrant) {
-	if !l.deferred {
-		l.deferred = true
+func (s *State) deferReport(key GrantKey, g *heldGrant) {
+	if !g.deferred {
+		g.deferred = true
 		s.entry.deferred = append(s.entry.deferred, key)
 	}
 }
@@ -62,7 +62,7 @@
 func (s *State) reportDeferred(owner crid.Daemon) {
 	deferred := s.entry.deferred[:0]
 	for _, key := range s.entry.deferred {
-		l, ok := s.entry.grants[key]
+		g, ok := s.entry.grants[key]
 		if !ok {
 			continue
 		}
@@ -70,15 +70,15 @@
 			deferred = append(deferred, key)
 			continue
 		}
-		l.deferred = false
-		s.addUsage(key, l)
+		g.deferred = false
+		s.addUsage(key, g)
 	}
 	s.entry.deferred = deferred
 }
 
-func (s *State) addUsage(key GrantKey, l *heldGrant) {
+func (s *State) addUsage(key GrantKey, g *heldGrant) {
 	req := s.out.requestTo(key.Owner)
-	usage := GrantUsage{Account: l.account, Share: l.share, Inc: key.Inc, Grant: key.ID, Taken: l.taken, Returned: l.returned, Spent: s.spentAges(l)}
+	usage := GrantUsage{Account: g.account, Share: g.share, Inc: key.Inc, Grant: key.ID, Taken: g.taken, Returned: g.returned, Spent: s.spentAges(g)}
 	for i := range req.Usage {
 		if req.Usage[i].Grant == usage.Grant && req.Usage[i].Inc == usage.Inc {
 			usage.Spent = append(req.Usage[i].Spent, usage.Spent...)
@@ -101,7 +101,7 @@
 	}
 	for len(s.entry.grantOrder) > 0 {
 		key := s.entry.grantOrder[0]
-		if l, ok := s.entry.grants[key]; ok && s.now.Before(l.expiresAt.Add(grantRetention)) {
+		if g, ok := s.entry.grants[key]; ok && s.now.Before(g.expiresAt.Add(grantRetention)) {
 			break
 		}
 		delete(s.entry.grants, key)
--- a/core/craccount/net_test.go
+++ b/core/craccount/net_test.go
@@ -140,10 +140,10 @@
 func (w *testNet) run(d time.Duration) {
 	end := w.now + d
 	for len(w.queue) > 0 && w.queue[0].at <= end {
-		j := w.queue[0]
+		call := w.queue[0]
 		w.queue = w.queue[1:]
-		w.now = j.at
-		j.do()
+		w.now = call.at
+		call.do()
 	}
 	w.now = end
 }
--- a/core/craccount/outbox.go
+++ b/core/craccount/outbox.go
@@ -61,7 +61,7 @@
 			s.reportDeferred(owner)
 		}
 		requests, owners := s.out.requests, s.out.owners
-		grants, toWhom := s.out.grants, s.out.destinations
+		grants, destinations := s.out.grants, s.out.destinations
 		s.out.requests, s.out.owners = nil, nil
 		s.out.grants, s.out.destinations = nil, nil
 		for i, req := range requests {
@@ -69,7 +69,7 @@
 		}
 		for i, grant := range grants {
 			grant.Inc = s.inc
-			s.deliver(toWhom[i].to, grant)
+			s.deliver(destinations[i].to, grant)
 		}
 	}
 	effects := s.out.effects
--- a/core/craccount/overflow.go
+++ b/core/craccount/overflow.go
@@ -57,19 +57,19 @@
 func (o *overflows) reclaim(after, limit time.Duration, keep bool) time.Duration {
 	var got time.Duration
 	var rest []overflow
-	for _, sp := range o.all {
-		begin := max(sp.from, after)
-		part := max(0, min(sp.to-begin, limit-got))
+	for _, ov := range o.all {
+		begin := max(ov.from, after)
+		part := max(0, min(ov.to-begin, limit-got))
 		got += part
 		if part == 0 || keep {
-			rest = append(rest, sp)
+			rest = append(rest, ov)
 			continue
 		}
-		if sp.from < begin {
-			rest = append(rest, overflow{sp.from, begin})
+		if ov.from < begin {
+			rest = append(rest, overflow{ov.from, begin})
 		}
-		if begin+part < sp.to {
-			rest = append(rest, overflow{begin + part, sp.to})
+		if begin+part < ov.to {
+			rest = append(rest, overflow{begin + part, ov.to})
 		}
 	}
 	o.all = rest
@@ -92,15 +92,15 @@
 
 // spentAges returns the ages of a grant's tokens that were spent since its last report, and
 // clears them.
-func (s *State) spentAges(l *heldGrant) []SpentTokens {
+func (s *State) spentAges(g *heldGrant) []SpentTokens {
 	var all []SpentTokens
-	for _, sp := range l.spends {
+	for _, sp := range g.spends {
 		age := s.now.Sub(sp.at.Add(maxClockAge))
 		if age >= minSpentAge {
 			all = append(all, SpentTokens{Count: sp.count, Age: int(age.Milliseconds())})
 		}
 	}
-	l.spends = nil
+	g.spends = nil
 	return all
 }
 
--- a/core/craccount/overflow_test.go
+++ b/core/craccount/overflow_test.go
@@ -66,7 +66,7 @@
 	g.Expect(usage[0].LastSpentAt).To(Equal(ms(60)))
 	e := newTestState("e", mutations{})
 	e.now = ms(160)
-	l := &heldGrant{spends: []spend{{3, ms(60)}, {1, ms(140)}}}
-	g.Expect(e.spentAges(l)).To(Equal([]SpentTokens{{Count: 3, Age: int((100*time.Millisecond - maxClockAge).Milliseconds())}}))
-	g.Expect(l.spends).To(BeEmpty())
+	held := &heldGrant{spends: []spend{{3, ms(60)}, {1, ms(140)}}}
+	g.Expect(e.spentAges(held)).To(Equal([]SpentTokens{{Count: 3, Age: int((100*time.Millisecond - maxClockAge).Milliseconds())}}))
+	g.Expect(held.spends).To(BeEmpty())
 }
--- a/core/craccount/pooldump.go
+++ b/core/craccount/pooldump.go
@@ -31,9 +31,9 @@
 	ap.mu.Lock()
 	defer ap.mu.Unlock()
 	d := PoolDump{Account: ap.name, Exhausted: now.Before(ap.exhaustedUntil)}
-	for _, l := range ap.grants {
-		if l.remaining > 0 && now.Before(l.expiresAt) {
-			d.Tokens += l.remaining
+	for _, g := range ap.grants {
+		if g.remaining > 0 && now.Before(g.expiresAt) {
+			d.Tokens += g.remaining
 			d.Grants++
 		}
 	}
--- a/core/craccount/tokenpool.go
+++ b/core/craccount/tokenpool.go
@@ -174,11 +174,11 @@
 func (ap *accountPool) spend(now crid.Instant) bool {
 	best := -1
 	for i := range ap.grants {
-		l := &ap.grants[i]
-		if l.remaining == 0 || !now.Before(l.expiresAt) {
+		g := &ap.grants[i]
+		if g.remaining == 0 || !now.Before(g.expiresAt) {
 			continue
 		}
-		if best < 0 || l.expiresAt < ap.grants[best].expiresAt {
+		if best < 0 || g.expiresAt < ap.grants[best].expiresAt {
 			best = i
 		}
 	}
@@ -226,8 +226,8 @@
 }
 
 func (ap *accountPool) hasToken(now crid.Instant) bool {
-	return slices.ContainsFunc(ap.grants, func(l pooledGrant) bool {
-		return l.remaining > 0 && now.Before(l.expiresAt)
+	return slices.ContainsFunc(ap.grants, func(g pooledGrant) bool {
+		return g.remaining > 0 && now.Before(g.expiresAt)
 	})
 }
 
@@ -303,11 +303,11 @@
 	ap.mu.Lock()
 	keep := d.Keep
 	for i := range ap.grants {
-		l := &ap.grants[i]
-		kept := min(keep, l.remaining)
+		g := &ap.grants[i]
+		kept := min(keep, g.remaining)
 		keep -= kept
-		l.returned += l.remaining - kept
-		l.remaining = kept
+		g.returned += g.remaining - kept
+		g.remaining = kept
 	}
 	ap.mu.Unlock()
 	p.signalDrain()
