--- a/core/craccount/tokenpool.go
+++ b/core/craccount/tokenpool.go
@@ -356,17 +356,17 @@
 		ap.refused, ap.cold, ap.takenAfterWait = 0, 0, 0
 	}
 	kept := ap.grants[:0]
-	for _, l := range ap.grants {
-		if !now.Before(l.expiresAt) {
-			l.returned += l.remaining
-			l.remaining = 0
+	for _, g := range ap.grants {
+		if !now.Before(g.expiresAt) {
+			g.returned += g.remaining
+			g.remaining = 0
 		}
-		if l.taken+l.returned > 0 {
-			usage = append(usage, UsageDelta{Account: ap.name, Key: l.key, Taken: l.taken, LastSpentAt: l.lastSpentAt, Returned: l.returned})
-			l.taken, l.returned = 0, 0
+		if g.taken+g.returned > 0 {
+			usage = append(usage, UsageDelta{Account: ap.name, Key: g.key, Taken: g.taken, LastSpentAt: g.lastSpentAt, Returned: g.returned})
+			g.taken, g.returned = 0, 0
 		}
-		if l.remaining > 0 {
-			kept = append(kept, l)
+		if g.remaining > 0 {
+			kept = append(kept, g)
 		}
 	}
 	ap.grants = kept
--- a/core/crbudget/crbudget.go
+++ b/core/crbudget/crbudget.go
@@ -1,15 +1,17 @@
-// Package crbudget bounds how many requests are sent to a further target.
+// Package crbudget implements a retry budget: it limits the attempts that send a request to a
+// further target. It is used by io/cringress, where requests enter. Package craccount and package crquota limit the
+// callers' requests themselves.
 //
-// The bound holds for the whole fleet: a share of a service's requests plus a
-// slack in any window. Each daemon keeps its own part of it, with no message: the
-// share of the requests that entered here, and its part of the slack. So the sum
-// over all daemons keeps the bound whatever the others do.
+// The limit holds for the whole fleet: in any window, a fraction of a service's requests plus a
+// slack. Each daemon enforces its own part without messages: the fraction of the requests that
+// entered at this daemon, and an equal part of the slack. The sum over all daemons therefore stays
+// within the limit whatever the other daemons do.
 //
 // # Usage
 //
 //	b := crbudget.New(crbudget.Params{Ratio: 0.2, Slack: 56, Window: 10 * time.Second})
 //	b.Request(now, service)
-//	if b.Spend(now, service, peers, 1) { ... }
+//	if b.Spend(now, service, daemons, 1) { ... }
 package crbudget
 
 import (
@@ -19,51 +21,50 @@
 	"camphorroad/core/crid"
 )
 
-// safety is the part of the fleet's bound that is used. The rest is for calls of
-// repeats: they are charged where they enter, as a share that is estimated, and
-// where they alone pass a daemon's part, the others do not know.
-const safety = 0.6
+// safetyFactor is the fraction of the fleet's limit that is used. The rest covers the calls that
+// retried requests make: they are charged where they enter, by an estimated fraction, and when they
+// alone exceed a daemon's part, the other daemons do not know.
+const safetyFactor = 0.6
 
-// Params are the fleet's bound.
+// Params are the limit of the fleet.
 type Params struct {
-	Ratio  float64 // further sends a request
-	Slack  float64 // further sends in a window besides, by the whole fleet
+	Ratio  float64 // further attempts per request
+	Slack  float64 // further attempts in a window in addition, by the whole fleet
 	Window time.Duration
 }
 
-// Budget is one daemon's part. It is safe for concurrent use.
+// Budget is one daemon's part of the limit. It is safe for concurrent use.
 type Budget struct {
 	params  Params
 	mu      sync.Mutex
 	windows map[crid.Service]*window
 }
 
-// New returns a budget.
+// New returns a budget from which nothing is spent.
 func New(p Params) *Budget {
 	return &Budget{params: p, windows: make(map[crid.Service]*window)}
 }
 
-// Request counts a request of a caller for a service.
+// Request counts a caller's request for a service.
 func (b *Budget) Request(now crid.Instant, s crid.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.window(s).add(now, b.params.Window, 1, 0)
 }
 
-// Affords reports whether one more send at a price could be paid for now.
-func (b *Budget) Affords(now crid.Instant, s crid.Service, daemons int, price float64) bool {
+// Affords reports whether the budget covers one more attempt of the given cost.
+func (b *Budget) Affords(now crid.Instant, s crid.Service, daemons int, cost float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.affords(now, s, daemons, price)
+	return b.affords(now, s, daemons, cost)
 }
 
-func (b *Budget) affords(now crid.Instant, s crid.Service, daemons int, price float64) bool {
+func (b *Budget) affords(now crid.Instant, s crid.Service, daemons int, cost float64) bool {
 	spent, allowed := b.balance(now, s, daemons)
-	return spent+price <= allowed
+	return spent+cost <= allowed
 }
 
-// Balance returns what was spent of this daemon's part in the window that ends now,
-// and the part.
+// Balance returns what was spent of this daemon's part in the window that ends now, and the part.
 func (b *Budget) Balance(now crid.Instant, s crid.Service, daemons int) (spent, allowed float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,33 +74,33 @@
 func (b *Budget) balance(now crid.Instant, s crid.Service, daemons int) (spent, allowed float64) {
 	w := b.window(s)
 	w.add(now, b.params.Window, 0, 0)
-	part := b.params.Slack / float64(max(daemons, 1))
-	return w.spent(), safety * (b.params.Ratio*w.requests() + part)
+	slack := b.params.Slack / float64(max(daemons, 1))
+	return w.spent(), safetyFactor * (b.params.Ratio*w.requests() + slack)
 }
 
-// Spend takes the price of one more send, or reports that there is nothing left.
-// The price is the number of arrivals that it may lead to.
-func (b *Budget) Spend(now crid.Instant, s crid.Service, daemons int, price float64) bool {
+// Spend takes the cost of one more attempt, or returns false when the budget does not cover it.
+// The cost is the number of requests that may arrive because of the attempt.
+func (b *Budget) Spend(now crid.Instant, s crid.Service, daemons int, cost float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.affords(now, s, daemons, price) {
+	if !b.affords(now, s, daemons, cost) {
 		return false
 	}
-	b.window(s).add(now, b.params.Window, 0, price)
+	b.window(s).add(now, b.params.Window, 0, cost)
 	return true
 }
 
-// Charge counts arrivals that repeats elsewhere lead to: a request that runs
-// again makes its calls again, and those are repeats for the service called.
-func (b *Budget) Charge(now crid.Instant, s crid.Service, price float64) {
+// Charge counts requests that arrive because of retries elsewhere: a request that runs again makes
+// its calls again, and those are retries for the service called.
+func (b *Budget) Charge(now crid.Instant, s crid.Service, cost float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.window(s).add(now, b.params.Window, 0, price)
+	b.window(s).add(now, b.params.Window, 0, cost)
 }
 
-// Refund gives a price back: the send did not arrive anywhere.
-func (b *Budget) Refund(now crid.Instant, s crid.Service, price float64) {
-	b.Charge(now, s, -price)
+// Refund returns the cost of an attempt that did not reach a target.
+func (b *Budget) Refund(now crid.Instant, s crid.Service, cost float64) {
+	b.Charge(now, s, -cost)
 }
 
 func (b *Budget) window(s crid.Service) *window {
@@ -111,38 +112,38 @@
 	return w
 }
 
-// cells is the number of parts of a window: it slides in tenths.
-const cells = 10
+// intervals is the number of parts of a window, which slides by one part at a time.
+const intervals = 10
 
-type cell struct {
-	index         int64
-	asked, resent float64
+type interval struct {
+	index          int64
+	requests, cost float64
 }
 
-// window counts the last [cells] parts of a window.
+// window sums the last [intervals] parts of a sliding window.
 type window struct {
-	now   int64
-	parts [cells]cell
+	current int64
+	ring    [intervals]interval
 }
 
-func (w *window) add(now crid.Instant, length time.Duration, asked, resent float64) {
-	w.now = int64(now) / max(int64(length)/cells, 1)
-	c := &w.parts[w.now%cells]
-	if c.index != w.now {
-		*c = cell{index: w.now}
+func (w *window) add(now crid.Instant, length time.Duration, requests, cost float64) {
+	w.current = int64(now) / max(int64(length)/intervals, 1)
+	iv := &w.ring[w.current%intervals]
+	if iv.index != w.current {
+		*iv = interval{index: w.current}
 	}
-	c.asked += asked
-	c.resent += resent
+	iv.requests += requests
+	iv.cost += cost
 }
 
-func (w *window) requests() float64 { return w.sum(func(c cell) float64 { return c.asked }) }
-func (w *window) spent() float64    { return w.sum(func(c cell) float64 { return c.resent }) }
+func (w *window) requests() float64 { return w.sum(func(iv interval) float64 { return iv.requests }) }
+func (w *window) spent() float64    { return w.sum(func(iv interval) float64 { return iv.cost }) }
 
-func (w *window) sum(of func(cell) float64) float64 {
+func (w *window) sum(of func(interval) float64) float64 {
 	total := 0.0
-	for _, c := range w.parts {
-		if w.now-c.index < cells {
-			total += of(c)
+	for _, iv := range w.ring {
+		if w.current-iv.index < intervals {
+			total += of(iv)
 		}
 	}
 	return total
--- a/core/crbudget/crbudget_test.go
+++ b/core/crbudget/crbudget_test.go
@@ -14,12 +14,12 @@
 
 var params = crbudget.Params{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 
-// All targets of a service fail everything. If each daemon sent on what it likes,
-// the targets would get twice the load just when they can bear it least.
-func TestRepeatsOfAllDaemonsStayWithinTheFleetsBound(t *testing.T) {
+// All targets of a service fail every request. If each daemon retried without a limit, the targets
+// would get twice the load when they are least able to serve it.
+func TestFleetStaysWithinBudget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const daemons, perSecond, seconds = 22, 5, 60
-	repeats := make([]int, seconds)
+	retries := make([]int, seconds)
 	for range daemons {
 		b := crbudget.New(params)
 		for s := range seconds {
@@ -27,14 +27,14 @@
 				now := start.Add(time.Duration(s)*time.Second + time.Duration(i)*time.Second/perSecond)
 				b.Request(now, "booking")
 				if b.Spend(now, "booking", daemons, 1) {
-					repeats[s]++
+					retries[s]++
 				}
 			}
 		}
 	}
 	for s := 10; s < seconds; s++ {
 		sum := 0
-		for _, n := range repeats[s-10 : s] {
+		for _, n := range retries[s-10 : s] {
 			sum += n
 		}
 		g.Expect(float64(sum)).To(gomega.BeNumerically("<=", params.Ratio*daemons*perSecond*10+params.Slack))
@@ -42,9 +42,9 @@
 	}
 }
 
-// A request that runs again makes its calls again. These count at the service
-// called, and leave less for its own repeats.
-func TestCallsOfRepeatsTakeFromTheServiceCalled(t *testing.T) {
+// A request that runs again makes its calls again. These count at the service called, and leave
+// less for its own retries.
+func TestCallsOfRetriedRequestsAreCharged(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crbudget.New(params)
 	for range 100 {
@@ -56,7 +56,7 @@
 	g.Expect(b.Spend(start, "ledger", 100, 1)).To(gomega.BeTrue())
 }
 
-func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
+func TestServicesHaveSeparateBudgets(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crbudget.New(crbudget.Params{Ratio: 0.2, Slack: 2, Window: time.Second})
 	g.Expect(b.Spend(start, "a", 1, 1)).To(gomega.BeTrue())
@@ -65,8 +65,8 @@
 	g.Expect(b.Spend(start.Add(1100*time.Millisecond), "a", 1, 1)).To(gomega.BeTrue())
 }
 
-// Looking whether a repeat could be paid for must not pay for it.
-func TestLookingCostsNothing(t *testing.T) {
+// Affords must not spend from the budget.
+func TestAffordsSpendsNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crbudget.New(crbudget.Params{Ratio: 0, Slack: 10, Window: 10 * time.Second})
 	now := crid.Instant(time.Hour)
@@ -81,9 +81,8 @@
 	g.Expect(b.Affords(now, "s", 1, 1)).To(gomega.BeFalse())
 }
 
-// A request was not sent again. The log has to tell whether the budget was used up,
-// and by how much.
-func TestABudgetTellsItsBalance(t *testing.T) {
+// When a request is not sent again, the log says whether the budget was used up, and by how much.
+func TestBalanceReturnsSpentAndAllowed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crbudget.New(params)
 	for range 100 {
