--- a/core/crbudget/crbudget.go
+++ b/core/crbudget/crbudget.go
@@ -10,7 +10,7 @@
 // # Usage
 //
 //	b := crbudget.New(crbudget.Params{Ratio: 0.2, Slack: 56, Window: 10 * time.Second})
-//	b.Request(now, service)
+//	b.RecordRequest(now, service)
 //	if b.Spend(now, service, daemons, 1) { ... }
 package crbudget
 
@@ -45,8 +45,8 @@
 	return &Budget{params: p, windows: make(map[crid.Service]*window)}
 }
 
-// Request counts a caller's request for a service.
-func (b *Budget) Request(now crid.Instant, s crid.Service) {
+// RecordRequest counts a caller's request for a service.
+func (b *Budget) RecordRequest(now crid.Instant, s crid.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.window(s).add(now, b.params.Window, 1, 0)
--- a/core/crbudget/crbudget_test.go
+++ b/core/crbudget/crbudget_test.go
@@ -25,7 +25,7 @@
 		for s := range seconds {
 			for i := range perSecond {
 				now := start.Add(time.Duration(s)*time.Second + time.Duration(i)*time.Second/perSecond)
-				b.Request(now, "booking")
+				b.RecordRequest(now, "booking")
 				if b.Spend(now, "booking", daemons, 1) {
 					retries[s]++
 				}
@@ -48,7 +48,7 @@
 	g := gomega.NewWithT(t)
 	b := crbudget.New(params)
 	for range 100 {
-		b.Request(start, "ledger")
+		b.RecordRequest(start, "ledger")
 	}
 	b.Charge(start, "ledger", 17)
 	g.Expect(b.Spend(start, "ledger", 100, 1)).To(gomega.BeFalse())
@@ -86,7 +86,7 @@
 	g := gomega.NewWithT(t)
 	b := crbudget.New(params)
 	for range 100 {
-		b.Request(start, "booking")
+		b.RecordRequest(start, "booking")
 	}
 	before, allowed := b.Balance(start, "booking", 1)
 	g.Expect(before).To(gomega.BeZero())
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -162,7 +162,7 @@
 	if answer, ok := q.takeToken(); !ok {
 		return answer
 	}
-	q.opts.Budget.Request(q.started, q.service)
+	q.opts.Budget.RecordRequest(q.started, q.service)
 	if q.isCall() {
 		q.opts.Budget.Charge(q.started, q.service, q.opts.Local.RepeatShare())
 	}
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -45,7 +45,7 @@
 func (e *entry) start(k *Kind, deadline crid.Instant, call bool, done func(bool)) {
 	r := &request{entry: e, kind: k, call: call, started: e.world.now, deadline: deadline, done: done}
 	e.world.result.Kinds[k.Name].Asked++
-	e.budget.Request(e.world.now, k.Service)
+	e.budget.RecordRequest(e.world.now, k.Service)
 	r.next()
 }
 
