--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -85,9 +85,9 @@
 	return nil, 0
 }
 
-func poolWith(tokens int, voidAt crid.Instant) *TokenPool {
+func poolWith(tokens int, expiresAt crid.Instant) *TokenPool {
 	p := NewTokenPool()
-	p.Deposit(Deposit{Account: acct, Key: GrantKey{ID: 1}, Tokens: tokens, ExpiresAt: voidAt})
+	p.Deposit(Deposit{Account: acct, Key: GrantKey{ID: 1}, Tokens: tokens, ExpiresAt: expiresAt})
 	return p
 }
 
--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -110,7 +110,7 @@
 	return time.Duration(float64(p.Lifetime)*(1+p.Drift)) + p.Margin
 }
 
-// State is the reducer of an account's tokens, for the roles of owner and entry daemon. It is
+// State is the reducer of account tokens, for the roles of owner and entry daemon. It is
 // not safe for concurrent use.
 type State struct {
 	params     Params
--- a/core/craccount/grant.go
+++ b/core/craccount/grant.go
@@ -17,14 +17,14 @@
 func (s *State) handleGrant(from crid.Daemon, g Grant) {
 	sent, known := s.entry.sent[g.Seq]
 	valid := g.ToInc == s.inc && known && sent.to == from
-	voidAt := sent.at.Add(s.params.Lifetime)
+	expiresAt := sent.at.Add(s.params.Lifetime)
 	if s.params.mutations.expireFromArrival {
-		valid, voidAt = g.ToInc == s.inc, s.now.Add(s.params.Lifetime)
+		valid, expiresAt = g.ToInc == s.inc, s.now.Add(s.params.Lifetime)
 	}
 	if s.params.mutations.neverExpire {
-		voidAt = neverExpires - crid.Instant(2*grantRetention)
+		expiresAt = neverExpires - crid.Instant(2*grantRetention)
 	}
-	valid = valid && s.now.Before(voidAt)
+	valid = valid && s.now.Before(expiresAt)
 	for _, item := range g.Items {
 		if item.Recall {
 			s.handleRecall(item)
@@ -35,7 +35,7 @@
 			continue
 		}
 		if item.Tokens > 0 {
-			s.addGrant(GrantKey{Owner: from, Inc: g.Inc, ID: item.ID}, item, voidAt)
+			s.addGrant(GrantKey{Owner: from, Inc: g.Inc, ID: item.ID}, item, expiresAt)
 		}
 		s.noteAnswer(from, item)
 	}
@@ -49,11 +49,11 @@
 
 // addGrant adds a grant once. Duplicates arrive within the lifetime of the request, and the
 // grant is remembered for longer than that.
-func (s *State) addGrant(key GrantKey, item GrantItem, voidAt crid.Instant) {
+func (s *State) addGrant(key GrantKey, item GrantItem, expiresAt crid.Instant) {
 	if _, dup := s.entry.grants[key]; dup && !s.params.mutations.noDedup {
 		return
 	}
-	held := &heldGrant{account: item.Account, share: item.Share, tokens: item.Tokens, expiresAt: voidAt}
+	held := &heldGrant{account: item.Account, share: item.Share, tokens: item.Tokens, expiresAt: expiresAt}
 	s.entry.grants[key] = held
 	s.entry.grantOrder = append(s.entry.grantOrder, key)
 	a, ok := s.entry.accounts[item.Account]
@@ -70,7 +70,7 @@
 		Key:       key,
 		Tokens:    item.Tokens,
 		Short:     item.Short,
-		ExpiresAt: voidAt,
+		ExpiresAt: expiresAt,
 	})
 }
 
@@ -100,7 +100,7 @@
 
 // shortBackoff is how long an owner that ran short is not asked again. It is ShortBackoff
 // when the owner sends the rest as it is refilled. Otherwise it ends with the refill of the
-// owner's next token, so that the next request can have that token.
+// owner's next token, but not before minShortBackoff, so that the next request can have that token.
 func (s *State) shortBackoff(a *account, item GrantItem) time.Duration {
 	if s.targetTokens(a) > 0 {
 		return s.params.ShortBackoff
--- a/core/craccount/measure_test.go
+++ b/core/craccount/measure_test.go
@@ -43,17 +43,17 @@
 	admitted int
 }
 
-func (c *idealBucket) offer(at time.Duration) {
-	c.level = min(c.limit.Burst, c.level+c.limit.Rate*(at-c.at).Seconds())
-	c.at = at
-	c.offered++
-	if c.level >= 1 {
-		c.level--
-		c.ideal++
+func (b *idealBucket) offer(at time.Duration) {
+	b.level = min(b.limit.Burst, b.level+b.limit.Rate*(at-b.at).Seconds())
+	b.at = at
+	b.offered++
+	if b.level >= 1 {
+		b.level--
+		b.ideal++
 	}
 }
 
-func (c *idealBucket) wrongful() int { return max(0, c.ideal-c.admitted) }
+func (b *idealBucket) wrongful() int { return max(0, b.ideal-b.admitted) }
 
 type results struct {
 	offered, wrongful int
@@ -62,7 +62,7 @@
 	messages, bytes   float64 // per second, whole fleet
 	waited            float64 // fraction of requests
 	wait              time.Duration
-	over              float64
+	maxExcess         float64
 }
 
 type scenario struct {
@@ -120,14 +120,14 @@
 	w.at(5*time.Second, func() {
 		if sc.leaveOne {
 			w.stopPlanned(victim)
-			w.at(time.Second, func() { w.killOwner(victim) })
+			w.at(time.Second, func() { w.failDaemon(victim) })
 		}
 		if sc.loseOne {
-			w.killOwner(victim)
+			w.failDaemon(victim)
 		}
 	})
 	w.run(measuredTime)
-	return w.results(buckets)
+	return w.collect(buckets)
 }
 
 func ownerOf(a crpolicy.Account, members []crid.Daemon, params Params) crid.Daemon {
@@ -147,8 +147,8 @@
 	w.at(5*time.Millisecond, w.sendPeers)
 }
 
-// killOwner kills a daemon. The list without it becomes active two seconds later.
-func (w *testNet) killOwner(name crid.Daemon) {
+// failDaemon kills a daemon. The list without it becomes active two seconds later.
+func (w *testNet) failDaemon(name crid.Daemon) {
 	var rest []crid.Daemon
 	for _, nd := range w.nodes {
 		if nd.name == name {
@@ -186,16 +186,16 @@
 	return time.Duration(-math.Log(1-w.rng.Float64()) / rate * float64(time.Second))
 }
 
-func (w *testNet) results(tallies map[crid.Account]*idealBucket) results {
+func (w *testNet) collect(buckets map[crid.Account]*idealBucket) results {
 	f := results{worst: 1}
-	for name, c := range tallies {
-		f.offered += c.offered
-		f.wrongful += c.wrongful()
+	for name, b := range buckets {
+		f.offered += b.offered
+		f.wrongful += b.wrongful()
 		if name != surgingAccount {
-			f.others += c.wrongful()
+			f.others += b.wrongful()
 		}
-		f.worst = min(f.worst, float64(c.admitted)/float64(c.ideal))
-		f.over = max(f.over, w.oracles[name].maxExcess)
+		f.worst = min(f.worst, float64(b.admitted)/float64(b.ideal))
+		f.maxExcess = max(f.maxExcess, w.oracles[name].maxExcess)
 	}
 	f.messages = float64(w.messages) / measuredTime.Seconds()
 	f.bytes = float64(w.bytes) / measuredTime.Seconds()
@@ -220,7 +220,7 @@
 		sum.bytes += f.bytes / seeds
 		sum.waited += f.waited / seeds
 		sum.wait += f.wait / seeds
-		sum.over = max(sum.over, f.over)
+		sum.maxExcess = max(sum.maxExcess, f.maxExcess)
 	}
 	return sum
 }
@@ -260,5 +260,5 @@
 	b.ReportMetric(f.bytes, "B/s")
 	b.ReportMetric(100*f.waited, "%waited")
 	b.ReportMetric(float64(f.wait.Microseconds()), "us-wait")
-	b.ReportMetric(f.over, "over")
+	b.ReportMetric(f.maxExcess, "over")
 }
--- a/core/craccount/overflow_test.go
+++ b/core/craccount/overflow_test.go
@@ -34,20 +34,20 @@
 				o.giveLease(1, 4060, 60000, "o")
 			}
 			report := func(at crid.Instant, item GrantItem) float64 {
-				use := spentUsage(item, 10)
-				use.Spent = []SpentTokens{{Count: 10, Age: c.age}}
+				usage := spentUsage(item, 10)
+				usage.Spent = []SpentTokens{{Count: 10, Age: c.age}}
 				for range 2 {
 					o.advance(at)
-					o.applyUsage("e", []GrantUsage{use})
+					o.applyUsage("e", []GrantUsage{usage})
 				}
 				return o.owner.shares[shareKey{acct, 0}].balance
 			}
 			g.Expect(report(ms(4100), one)).To(BeNumerically("~", c.first, 0.01))
 			g.Expect(report(ms(4100), two)).To(BeNumerically("~", c.both, 0.01))
-			use := spentUsage(o.request(ms(4100), 1), 1)
-			use.Spent = []SpentTokens{{Count: 5, Age: 1000}}
+			usage := spentUsage(o.request(ms(4100), 1), 1)
+			usage.Spent = []SpentTokens{{Count: 5, Age: 1000}}
 			before := o.owner.shares[shareKey{acct, 0}].balance
-			o.applyUsage("e", []GrantUsage{use})
+			o.applyUsage("e", []GrantUsage{usage})
 			g.Expect(o.owner.shares[shareKey{acct, 0}].balance).To(Equal(before), "more ages than tokens")
 		})
 	}
--- a/core/craccount/refillsall_test.go
+++ b/core/craccount/refillsall_test.go
@@ -18,10 +18,10 @@
 	r.giveLease(1, 10, 4000, "a")
 	for at := 100; at < 3000; at += 50 {
 		r.Step(crevent.Tick{Now: ms(at)})
-		before := r.RefillsAllShares()
+		ready := r.RefillsAllShares()
 		refilled := r.request(ms(at), 1).Tokens > 0
-		g.Expect(refilled && !before).To(BeFalse(), "refilled at %d ms but was not ready", at)
-		if before {
+		g.Expect(refilled && !ready).To(BeFalse(), "refilled at %d ms but was not ready", at)
+		if ready {
 			r.Step(crevent.Tick{Now: ms(at + 40)})
 			g.Expect(refilled || r.request(ms(at+40), 1).Tokens > 0).To(BeTrue(), "ready at %d ms but did not refill", at)
 		}
--- a/core/craccount/share.go
+++ b/core/craccount/share.go
@@ -78,10 +78,10 @@
 }
 
 // grant subtracts n tokens from the balance and records them as outstanding.
-func (sh *share) grant(id uint64, to crid.Daemon, n int, voidAt crid.Instant) {
+func (sh *share) grant(id uint64, to crid.Daemon, n int, expiresAt crid.Instant) {
 	sh.balance -= float64(n)
 	sh.outstanding += n
-	sh.grants = append(sh.grants, outstandingGrant{id: id, to: to, tokens: n, expiresAt: voidAt})
+	sh.grants = append(sh.grants, outstandingGrant{id: id, to: to, tokens: n, expiresAt: expiresAt})
 }
 
 // applyUsage applies a usage report of a grant. Reports are cumulative: a duplicate or a
