--- a/core/craccount/chaos_test.go
+++ b/core/craccount/chaos_test.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// greed sends bursts of requests everywhere, with pauses in which entries
-// gather tokens: the worst that callers can do to the bound.
-func (w *testNet) greed(burst int) {
+// sendBurst sends requests to random nodes. With pauses in which entry daemons gather tokens,
+// this is the load most likely to exceed the bound.
+func (w *testNet) sendBurst(burst int) {
 	for range burst {
 		nd := w.nodes[w.rng.IntN(len(w.nodes))]
 		for _, a := range chaosAccounts() {
@@ -32,55 +32,55 @@
 	}
 }
 
-// hoard has callers ask and give up at once, so that the entry is left with
-// tokens that nobody spends for now.
-func (w *testNet) hoard(nd *node, callers int) {
+// takeAndGiveUp sends requests whose callers give up at once, so that the entry daemon is left
+// with tokens that nobody spends.
+func (w *testNet) takeAndGiveUp(nd *node, callers int) {
 	if nd.dead || w.now < nd.paused {
 		return
 	}
 	for range callers {
 		for _, a := range chaosAccounts() {
-			if nd.wallet.Take(a.Name, w.clock(nd)).Outcome == Admitted {
+			if nd.pool.Take(a.Name, w.clock(nd)).Outcome == Admitted {
 				w.oracles[a.Name].admit(w.now)
 			}
 		}
 	}
 	now := w.clock(nd)
-	w.step(nd, Used{Now: now, Usage: nd.wallet.Drain(now)})
+	w.step(nd, UsageDrained{Now: now, Usage: nd.pool.Drain(now)})
 }
 
-// steady keeps the entries' demand up, so that they hold tokens ahead.
-func (w *testNet) steady(d time.Duration) {
+// runWithLoad keeps up the demand at the entry daemons, so that they prefetch tokens.
+func (w *testNet) runWithLoad(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.run(20 * time.Millisecond)
-		w.greed(1)
+		w.sendBurst(1)
 	}
 }
 
 func (w *testNet) pause(nd *node, d time.Duration) { nd.paused = max(nd.paused, w.now+d) }
 
-// relist has a list with one or two daemons missing become active.
-func (w *testNet) relist(skip int) {
+// changeList activates a list without the node with index skip, if there is one.
+func (w *testNet) changeList(skip int) {
 	var list []crid.Daemon
 	for i, nd := range w.nodes {
 		if i != skip {
 			list = append(list, nd.name)
 		}
 	}
-	takes := []time.Duration{0, 0, time.Second, 6 * time.Second}
-	w.relistTo(list, takes[w.rng.IntN(len(takes))])
+	durations := []time.Duration{0, 0, time.Second, 6 * time.Second}
+	w.beginHandover(list, durations[w.rng.IntN(len(durations))])
 }
 
-func (w *testNet) worst() float64 {
+func (w *testNet) maxExcess() float64 {
 	worst := 0.0
 	for _, o := range w.oracles {
-		worst = max(worst, o.worst)
+		worst = max(worst, o.maxExcess)
 	}
 	return worst
 }
 
-// disturb does one random mischief.
-func (w *testNet) disturb() {
+// injectFault applies one random fault or burst of load.
+func (w *testNet) injectFault() {
 	nd := w.nodes[w.rng.IntN(len(w.nodes))]
 	switch w.rng.IntN(8) {
 	case 0:
@@ -88,80 +88,79 @@
 	case 1:
 		w.start(nd)
 	case 2:
-		w.at(time.Duration(w.rng.Int64N(int64(2*time.Second))), func() { w.relist(w.rng.IntN(len(w.nodes) + 1)) })
-		w.relist(w.rng.IntN(len(w.nodes) + 1))
+		w.at(time.Duration(w.rng.Int64N(int64(2*time.Second))), func() { w.changeList(w.rng.IntN(len(w.nodes) + 1)) })
+		w.changeList(w.rng.IntN(len(w.nodes) + 1))
 	case 3:
-		w.loss, w.dup, w.late = w.rng.Float64()*0.2, w.rng.Float64()*0.5, w.rng.Float64()*0.3
+		w.lossRate, w.dupRate, w.lateRate = w.rng.Float64()*0.2, w.rng.Float64()*0.5, w.rng.Float64()*0.3
 	case 4:
-		w.loss, w.dup, w.late = 0, 0, 0
+		w.lossRate, w.dupRate, w.lateRate = 0, 0, 0
 	case 5:
-		w.hoard(nd, 80)
+		w.takeAndGiveUp(nd, 80)
 	default:
-		w.greed(200)
+		w.sendBurst(200)
 	}
 }
 
-// chaos returns by how many tokens the bound was broken in one seeded run.
-func chaos(seed uint64, flaws flaws) float64 {
+// runChaos returns the most tokens by which the bound was exceeded in one seeded run.
+func runChaos(seed uint64, mutations mutations) float64 {
 	const steps = 60
 	params := DefaultParams()
-	params.flaws = flaws
+	params.mutations = mutations
 	w := newNet(seed, 5, params, chaosAccounts()...)
-	for step := 0; step < steps && w.worst() < 0.5; step++ {
+	for step := 0; step < steps && w.maxExcess() < 0.5; step++ {
 		d := time.Duration(w.rng.Int64N(int64(1500 * time.Millisecond)))
 		if w.rng.IntN(4) == 0 {
-			w.steady(d)
+			w.runWithLoad(d)
 		}
 		w.run(d)
-		w.disturb()
+		w.injectFault()
 	}
-	return w.worst()
+	return w.maxExcess()
 }
 
-// Daemons pause, restart and are listed away while messages are lost, repeated
-// and late, and callers take all they can get everywhere. If any guard were
-// missing, an account would get more than its rate and burst for a moment, and
-// another tenant's requests would be crowded out.
+// Daemons pause, restart and leave the list while messages are lost, repeated and delayed, and
+// callers take all they can get. Without any one safeguard, an account would exceed its rate
+// and burst and crowd out the requests of other accounts.
 func TestBoundHoldsUnderChaos(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			NewWithT(t).Expect(chaos(seed, flaws{})).To(BeZero())
+			NewWithT(t).Expect(runChaos(seed, mutations{})).To(BeZero())
 		})
 	}
 }
 
-// The check above must be able to fail: with each guard switched off in turn,
-// the same runs admit more than burst + rate*w.
-func TestEachGuardMatters(t *testing.T) {
-	for name, broken := range map[string]struct {
-		flaws flaws
-		seed  uint64 // the first that is known to show it
+// The test above must be able to fail: with each safeguard disabled in turn, the same runs admit
+// more than burst + rate*w.
+func TestEachSafeguardIsNeeded(t *testing.T) {
+	for name, c := range map[string]struct {
+		mutations mutations
+		seed      uint64 // the first seed that shows it
 	}{
-		"tokens never void":             {flaws{neverVoid: true}, 1},
-		"void counted from arrival":     {flaws{voidFromArrival: true}, 5},
-		"grants not deduplicated":       {flaws{noDedup: true}, 17},
-		"successor mints at once":       {flaws{noPhantom: true}, 5},
-		"time without tenure is minted": {flaws{mintAsleep: true}, 9},
-		"room is made before minting":   {flaws{settleFirst: true}, 2},
-		"room is made before the spend": {flaws{creditEarly: true}, 0},
+		"tokens never expire":         {mutations{neverExpire: true}, 1},
+		"expiry counted from arrival": {mutations{expireFromArrival: true}, 5},
+		"grants not deduplicated":     {mutations{noDedup: true}, 17},
+		"new owner refills at once":   {mutations{noTakeoverDelay: true}, 5},
+		"refill without a lease":      {mutations{refillWithoutLease: true}, 9},
+		"usage applied before refill": {mutations{applyUsageFirst: true}, 2},
+		"credit for a whole lifetime": {mutations{creditWholeLifetime: true}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			worst := 0.0
-			seed := broken.seed
-			for ; seed < 60 && worst < 0.5; seed++ {
-				worst = chaos(seed, broken.flaws)
+			excess := 0.0
+			seed := c.seed
+			for ; seed < 60 && excess < 0.5; seed++ {
+				excess = runChaos(seed, c.mutations)
 			}
-			t.Logf("seed %d: over the bound by %.1f tokens", seed-1, worst)
-			g.Expect(worst).To(BeNumerically(">=", 0.5))
+			t.Logf("seed %d: bound exceeded by %.1f tokens", seed-1, excess)
+			g.Expect(excess).To(BeNumerically(">=", 0.5))
 		})
 	}
 }
 
-// Any order of pauses, restarts, list changes, faults of the network and bursts
-// of callers must keep every window of every account within its bound.
+// Every window of every account stays within its bound under any order of pauses, restarts,
+// list changes, network faults and bursts.
 func TestBoundStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newNet(rapid.Uint64().Draw(t, "seed"), 4, DefaultParams(), chaosAccounts()...)
@@ -170,30 +169,30 @@
 			return time.Duration(rapid.IntRange(1, most).Draw(t, "ms")) * time.Millisecond
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"run":     func(t *rapid.T) { w.steady(millis(t, 1500)) },
+			"run":     func(t *rapid.T) { w.runWithLoad(millis(t, 1500)) },
 			"idle":    func(t *rapid.T) { w.run(millis(t, 3000)) },
-			"hoard":   func(t *rapid.T) { w.hoard(pick(t), 80) },
-			"burst":   func(*rapid.T) { w.greed(150) },
+			"giveup":  func(t *rapid.T) { w.takeAndGiveUp(pick(t), 80) },
+			"burst":   func(*rapid.T) { w.sendBurst(150) },
 			"pause":   func(t *rapid.T) { w.pause(pick(t), millis(t, 5000)) },
 			"restart": func(t *rapid.T) { w.start(pick(t)) },
-			"relist":  func(t *rapid.T) { w.relist(rapid.IntRange(0, len(w.nodes)).Draw(t, "without")) },
+			"relist":  func(t *rapid.T) { w.changeList(rapid.IntRange(0, len(w.nodes)).Draw(t, "without")) },
 			"faults": func(t *rapid.T) {
-				w.loss = rapid.Float64Range(0, 0.4).Draw(t, "loss")
-				w.dup = rapid.Float64Range(0, 0.6).Draw(t, "dup")
-				w.late = rapid.Float64Range(0, 0.4).Draw(t, "late")
+				w.lossRate = rapid.Float64Range(0, 0.4).Draw(t, "loss")
+				w.dupRate = rapid.Float64Range(0, 0.6).Draw(t, "dup")
+				w.lateRate = rapid.Float64Range(0, 0.4).Draw(t, "late")
 			},
 			"": func(t *rapid.T) {
-				if w.worst() > 0 {
-					t.Fatalf("bound broken by %.2f tokens", w.worst())
+				if w.maxExcess() > 0 {
+					t.Fatalf("bound exceeded by %.2f tokens", w.maxExcess())
 				}
 			},
 		})
 	})
 }
 
-// Operators change a limit to and fro, and daemons learn of it at different
-// times. Callers must not get more than the larger limit in any window, or,
-// where the number of shares changes too, than both limits together.
+// An operator changes a limit back and forth, and daemons apply each change at different times.
+// Callers must not get more than the larger limit in any window or, where the number of shares
+// changes too, than both limits together.
 func TestBoundHoldsWhileConfigurationsDiffer(t *testing.T) {
 	for name, limits := range map[string][2]crpolicy.Account{
 		"same shares":  {{Name: "ample", Rate: 100, Burst: 80}, {Name: "ample", Rate: 50, Burst: 40}},
@@ -218,12 +217,12 @@
 					})
 				}
 				for range 6 {
-					w.hoard(w.nodes[w.rng.IntN(5)], 40)
+					w.takeAndGiveUp(w.nodes[w.rng.IntN(5)], 40)
 					w.run(time.Duration(w.rng.Int64N(int64(1500 * time.Millisecond))))
-					w.greed(150)
+					w.sendBurst(150)
 				}
 			}
-			g.Expect(bound.worst).To(BeZero())
+			g.Expect(bound.maxExcess).To(BeZero())
 		})
 	}
 }
--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -12,144 +12,145 @@
 )
 
 const (
-	dryGap      = 50 * time.Millisecond  // between two notes that an account is exhausted
-	recallKeep  = 100 * time.Millisecond // demand kept when an owner recalls
-	floatFor    = 10 * time.Second       // one spare token is held this long after a request
-	aheadPart   = 0.25                   // of the burst, that all entries together hold ahead of demand
-	askChunk    = 8                      // tokens asked of one owner before the next is asked, too
-	refill      = 0.6                    // ask again when below this part of the target
-	scarceAhead = 50 * time.Millisecond  // demand that tokens are held for while the owners are short
-	scarceFor   = 500 * time.Millisecond // after an owner was short
-	maxRetry    = time.Minute
-	voidNever   = crid.Instant(math.MaxInt64)
-	warnDryGap  = 10 * time.Second // between two reports that an account is exhausted
-	minPlanning = 0.5              // tokens of demand ahead below which none are held
+	exhaustedInterval       = 50 * time.Millisecond  // between two notices to the pool that an account is exhausted
+	recallKeepTime          = 100 * time.Millisecond // on a recall, tokens for the demand of this time are kept
+	spareTokenTime          = 10 * time.Second       // one spare token is held for this time after a request
+	maxPrefetchFraction     = 0.25                   // of the burst, prefetched by all entry daemons together at most
+	tokensPerOwner          = 8                      // tokens requested from one owner before another is asked as well
+	lowWatermark            = 0.6                    // fraction of the target below which tokens are requested
+	contendedPrefetch       = 50 * time.Millisecond  // replaces PrefetchTime while an account's owners are short
+	contendedTime           = 500 * time.Millisecond // how long contendedPrefetch applies after an owner ran short
+	maxRetryAfter           = time.Minute
+	neverExpires            = crid.Instant(math.MaxInt64)
+	exhaustedReportInterval = 10 * time.Second // between two events that report an account as exhausted
+	minPrefetch             = 0.5              // tokens; below this none are prefetched
 )
 
-// source is what an entry knows of one share's owner.
+// source is an entry daemon's view of the owner of one share.
 type source struct {
-	owner      crid.Daemon
-	askedAt    crid.Instant
-	left       int // tokens that the owner had left when it answered
-	leftAt     crid.Instant
-	want       int // asked for and not answered; zero: none
-	shortUntil crid.Instant
+	owner       crid.Daemon
+	requestedAt crid.Instant
+	remaining   int // the owner's balance after its last answer
+	remainingAt crid.Instant
+	requested   int // tokens requested and not yet answered; zero: none
+	shortUntil  crid.Instant
 }
 
-// account is an account in use at this daemon.
+// account is the state of an account in use at this entry daemon.
 type account struct {
-	name      crid.Account
-	demand    float64 // requests a second
-	recent    int     // requests since the last estimate
-	cold      int     // requests that wait for a first token
-	held      int     // tokens in the wallet
-	rotate    int
-	ratedAt   crid.Instant
-	usedAt    crid.Instant
-	dryAt     crid.Instant
-	warnedAt  crid.Instant
-	scarce    crid.Instant // an owner was short; little is held ahead until then
-	recalled  crid.Instant // asks for no float until then
-	sources   []source
-	sourcesOK bool
+	name           crid.Account
+	demand         float64 // requests per second
+	recentRequests int     // since demand was last updated
+	coldRequests   int     // that wait for a first token
+	held           int     // tokens in the pool
+	nextSource     int
+	demandAt       crid.Instant
+	usedAt         crid.Instant
+	exhaustedAt    crid.Instant
+	reportedAt     crid.Instant
+	contendedUntil crid.Instant // few tokens are prefetched until then, since an owner ran short
+	noSpareUntil   crid.Instant // no spare token is requested until then
+	sources        []source
+	sourcesValid   bool
 }
 
-// pending is the number of tokens asked for and not answered.
+// pending is the number of tokens requested and not yet answered.
 func (a *account) pending() int {
 	n := 0
 	for i := range a.sources {
-		n += a.sources[i].want
+		n += a.sources[i].requested
 	}
 	return n
 }
 
-type sentAsk struct {
+type sentRequest struct {
 	to crid.Daemon
 	at crid.Instant
 }
 
-// entry is the asking role of a daemon.
-type entry struct {
-	accounts map[crid.Account]*account
-	order    []crid.Account
-	lots     map[GrantKey]*lot
-	lotOrder []GrantKey
-	unsaid   []GrantKey
-	saidAt   crid.Instant
-	nextSeq  uint64
-	oldSeq   uint64
-	sent     map[uint64]sentAsk
+// entryRole is the state of the entry daemon, which requests tokens.
+type entryRole struct {
+	accounts        map[crid.Account]*account
+	accountOrder    []crid.Account
+	grants          map[GrantKey]*heldGrant
+	grantOrder      []GrantKey
+	deferred        []GrantKey
+	usageReportedAt crid.Instant
+	nextSeq         uint64
+	oldestSeq       uint64
+	sent            map[uint64]sentRequest
 }
 
-func newEntry() entry {
-	return entry{
-		accounts: map[crid.Account]*account{},
-		lots:     map[GrantKey]*lot{},
-		sent:     map[uint64]sentAsk{},
-		nextSeq:  1,
-		oldSeq:   1,
+func newEntryRole() entryRole {
+	return entryRole{
+		accounts:  map[crid.Account]*account{},
+		grants:    map[GrantKey]*heldGrant{},
+		sent:      map[uint64]sentRequest{},
+		nextSeq:   1,
+		oldestSeq: 1,
 	}
 }
 
-func (e *entry) names() []crid.Account { return slices.Clone(e.order) }
+func (e *entryRole) accountNames() []crid.Account { return slices.Clone(e.accountOrder) }
 
-// reroute has the owners of all accounts found anew.
-func (e *entry) reroute() {
+// invalidateSources makes the next use of each account look up its owners again.
+func (e *entryRole) invalidateSources() {
 	for _, a := range e.accounts {
-		a.sourcesOK = false
+		a.sourcesValid = false
 	}
 }
 
-func (e *entry) sendSeq(to crid.Daemon, now crid.Instant) uint64 {
+func (e *entryRole) recordRequest(to crid.Daemon, now crid.Instant) uint64 {
 	seq := e.nextSeq
 	e.nextSeq++
-	e.sent[seq] = sentAsk{to: to, at: now}
+	e.sent[seq] = sentRequest{to: to, at: now}
 	return seq
 }
 
-// open returns an account's state, made when there is room for it.
-func (s *State) open(name crid.Account) *account {
+// openAccount returns an account's state. It creates a missing one, and drops the least
+// recently used account when there are MaxActive of them.
+func (s *State) openAccount(name crid.Account) *account {
 	if a, ok := s.entry.accounts[name]; ok {
 		return a
 	}
-	if len(s.entry.order) >= s.params.MaxActive {
-		s.forgetOldest()
+	if len(s.entry.accountOrder) >= s.params.MaxActive {
+		s.forgetLeastRecent()
 	}
-	a := &account{name: name, ratedAt: s.now, usedAt: s.now, rotate: s.firstShare(name)}
+	a := &account{name: name, demandAt: s.now, usedAt: s.now, nextSource: s.firstShare(name)}
 	s.entry.accounts[name] = a
-	s.entry.order = append(s.entry.order, name)
+	s.entry.accountOrder = append(s.entry.accountOrder, name)
 	return a
 }
 
-// firstShare spreads the daemons' first Asks over an account's shares.
+// firstShare spreads the first token requests of the daemons over an account's shares.
 func (s *State) firstShare(name crid.Account) int {
-	return int(xxhash.Sum64String(string(s.self)+string(name)) % uint64(max(1, s.params.Shares)))
+	return int(xxhash.Sum64String(string(s.self)+string(name)) % uint64(max(1, s.params.MaxShares)))
 }
 
-func (s *State) forgetOldest() {
-	oldest := s.entry.order[0]
-	for _, name := range s.entry.order {
+func (s *State) forgetLeastRecent() {
+	oldest := s.entry.accountOrder[0]
+	for _, name := range s.entry.accountOrder {
 		if s.entry.accounts[name].usedAt.Before(s.entry.accounts[oldest].usedAt) {
 			oldest = name
 		}
 	}
-	s.reportSeldom(EventTooMany, "account", string(oldest))
-	s.forget(oldest)
+	s.reportLimited(EventTooManyAccounts, "account", string(oldest))
+	s.forgetAccount(oldest)
 }
 
-func (s *State) forget(name crid.Account) {
+func (s *State) forgetAccount(name crid.Account) {
 	delete(s.entry.accounts, name)
-	i := slices.Index(s.entry.order, name)
-	s.entry.order = slices.Delete(s.entry.order, i, i+1)
+	i := slices.Index(s.entry.accountOrder, name)
+	s.entry.accountOrder = slices.Delete(s.entry.accountOrder, i, i+1)
 	s.emit(Forget{Account: name})
 }
 
-// route finds the owners of an account's shares under the list last known.
-func (s *State) route(a *account) {
-	if a.sourcesOK {
+// resolveSources finds the owners of an account's shares under the last known list.
+func (s *State) resolveSources(a *account) {
+	if a.sourcesValid {
 		return
 	}
-	a.sourcesOK = true
+	a.sourcesValid = true
 	limit := s.limits(a.name)
 	count := s.params.shareCount(len(s.members.names), limit)
 	if len(s.members.names) == 0 || limit.Burst < 1 {
@@ -167,144 +168,144 @@
 	a.sources = sources
 }
 
-// takeUsage counts what requests did and asks for more where that is needed.
-func (s *State) takeUsage(usage []Usage) {
+// handleUsage counts tokens and requests, and requests more tokens where needed.
+func (s *State) handleUsage(usage []UsageDelta) {
 	var touched []*account
 	for _, u := range usage {
 		if u.Key != (GrantKey{}) {
-			s.takeLotUsage(u)
+			s.handleGrantUsage(u)
 		}
-		asked := u.Taken + u.Refused + u.Cold - u.Again
-		if asked == 0 {
+		requests := u.Taken + u.Refused + u.Cold - u.TakenAfterWait
+		if requests == 0 {
 			continue
 		}
-		a := s.open(u.Account)
-		a.recent += asked
-		a.cold += u.Cold
+		a := s.openAccount(u.Account)
+		a.recentRequests += requests
+		a.coldRequests += u.Cold
 		a.usedAt = s.now
 		touched = append(touched, a)
 	}
 	for _, a := range touched {
-		s.plan(a)
+		s.requestMissing(a)
 	}
 }
 
-// ahead is the demand that an account holds tokens for. While the owners are
-// short, what one entry holds ahead another lacks for a request of this moment.
-func (s *State) ahead(a *account) time.Duration {
-	if s.now.Before(a.scarce) {
-		return min(scarceAhead, s.params.Ahead)
+// prefetchTime is the time for whose demand tokens are held. While the owners are short it is
+// reduced, since tokens prefetched at one entry daemon are missing for present requests at another.
+func (s *State) prefetchTime(a *account) time.Duration {
+	if s.now.Before(a.contendedUntil) {
+		return min(contendedPrefetch, s.params.PrefetchTime)
 	}
-	return s.params.Ahead
+	return s.params.PrefetchTime
 }
 
-// target is how many tokens an account should have at hand here.
-func (s *State) target(a *account) int {
+// targetTokens is the number of tokens that an account should hold at this entry daemon.
+func (s *State) targetTokens(a *account) int {
 	if s.stopping {
 		return 0
 	}
 	limit := s.limits(a.name)
-	ahead := a.demand * s.ahead(a).Seconds()
+	prefetch := a.demand * s.prefetchTime(a).Seconds()
 	if limit.Rate > 0 {
-		ahead = min(ahead, a.demand*limit.Burst/limit.Rate*aheadPart)
+		prefetch = min(prefetch, a.demand*limit.Burst/limit.Rate*maxPrefetchFraction)
 	}
-	if ahead >= minPlanning {
-		return int(math.Min(math.Ceil(ahead), limit.Burst))
+	if prefetch >= minPrefetch {
+		return int(math.Min(math.Ceil(prefetch), limit.Burst))
 	}
-	ample := limit.Burst >= 2*float64(len(s.members.names))
-	recent := s.now.Sub(a.usedAt) < floatFor
-	if ample && recent && !s.now.Before(a.recalled) {
+	largeBurst := limit.Burst >= 2*float64(len(s.members.names))
+	recent := s.now.Sub(a.usedAt) < spareTokenTime
+	if largeBurst && recent && !s.now.Before(a.noSpareUntil) {
 		return 1
 	}
 	return 0
 }
 
-// plan asks the owners for what is missing. An owner that was short is left
-// out for a while: it remembers the Ask and sends tokens as it mints them.
-func (s *State) plan(a *account) {
-	s.route(a)
+// requestMissing requests the tokens that are missing. An owner that ran short is skipped
+// for a while: it keeps the request in a queue and sends tokens as they are refilled.
+func (s *State) requestMissing(a *account) {
+	s.resolveSources(a)
 	pending := a.pending()
-	var free []int
+	var available []int
 	for i := range a.sources {
 		src := &a.sources[i]
-		if src.want == 0 && !s.now.Before(src.shortUntil) && s.askable(src.owner) {
-			free = append(free, i)
+		if src.requested == 0 && !s.now.Before(src.shortUntil) && s.canRequestFrom(src.owner) {
+			available = append(available, i)
 		}
 	}
-	target := s.target(a)
-	at := a.held + pending
-	need := target + a.cold - at
-	if need <= 0 || (a.cold == 0 && float64(at) >= refill*float64(target)) {
+	target := s.targetTokens(a)
+	expected := a.held + pending
+	need := target + a.coldRequests - expected
+	if need <= 0 || (a.coldRequests == 0 && float64(expected) >= lowWatermark*float64(target)) {
 		return
 	}
-	if len(free) == 0 {
-		s.noteDry(a, pending)
+	if len(available) == 0 {
+		s.noteExhausted(a, pending)
 		return
 	}
-	s.askOwners(a, free, need, target > 0)
+	s.requestFromOwners(a, available, need, target > 0)
 }
 
-// askOwners spreads an Ask over the free owners; a small one goes to a single
-// owner, in turn.
-func (s *State) askOwners(a *account, free []int, need int, keep bool) {
-	asked := min(len(free), (need+askChunk-1)/askChunk)
-	part, rest := need/asked, need%asked
-	order := s.fullestFirst(a, free)
-	for k := range asked {
+// requestFromOwners spreads a request over the available owners. A small one goes to a
+// single owner.
+func (s *State) requestFromOwners(a *account, available []int, need int, waitForRest bool) {
+	count := min(len(available), (need+tokensPerOwner-1)/tokensPerOwner)
+	part, rest := need/count, need%count
+	order := s.fullestFirst(a, available)
+	for k := range count {
 		share := order[k]
 		want := part
 		if k < rest {
 			want++
 		}
-		s.askShare(a, share, want, keep)
+		s.requestFromShare(a, share, want, waitForRest)
 	}
-	a.rotate += asked
+	a.nextSource += count
 }
 
-func (s *State) askShare(a *account, share, want int, keep bool) {
+func (s *State) requestFromShare(a *account, share, want int, waitForRest bool) {
 	src := &a.sources[share]
-	src.want, src.askedAt = want, s.now
-	ask := s.out.askFor(src.owner)
-	ask.Items = append(ask.Items, AskItem{Account: a.name, Share: share, Want: want, Keep: keep})
+	src.requested, src.requestedAt = want, s.now
+	req := s.out.requestTo(src.owner)
+	req.Items = append(req.Items, TokenRequestItem{Account: a.name, Share: share, Want: want, WaitForRest: waitForRest})
 }
 
-// fullestFirst orders the free owners by the tokens that they may have now. In
-// turn, one share would be drained while another is full and mints in vain, and
-// what is left would be the less when an owner is lost.
-func (s *State) fullestFirst(a *account, free []int) []int {
+// fullestFirst orders the available owners by their estimated balance, highest first. Plain
+// round robin would drain one share while the refill of another overflows, and less would be
+// left when an owner is lost.
+func (s *State) fullestFirst(a *account, available []int) []int {
 	rate := s.limits(a.name).Rate / float64(len(a.sources))
-	order := make([]int, 0, len(free))
-	for k := range free {
-		order = append(order, free[(a.rotate+k)%len(free)])
+	order := make([]int, 0, len(available))
+	for k := range available {
+		order = append(order, available[(a.nextSource+k)%len(available)])
 	}
 	slices.SortStableFunc(order, func(x, y int) int {
-		return cmp.Compare(a.sources[y].level(s.now, rate), a.sources[x].level(s.now, rate))
+		return cmp.Compare(a.sources[y].estimatedTokens(s.now, rate), a.sources[x].estimatedTokens(s.now, rate))
 	})
 	return order
 }
 
-// level is how many tokens an owner may have, by its last answer.
-func (src *source) level(now crid.Instant, rate float64) float64 {
-	return float64(src.left) + rate*now.Sub(src.leftAt).Seconds()
+// estimatedTokens extrapolates an owner's balance from its last answer.
+func (src *source) estimatedTokens(now crid.Instant, rate float64) float64 {
+	return float64(src.remaining) + rate*now.Sub(src.remainingAt).Seconds()
 }
 
-// noteDry lets requests be refused at once, since no owner has a token.
-func (s *State) noteDry(a *account, pending int) {
-	if a.held > 0 || pending > 0 || (a.cold == 0 && s.now.Sub(a.dryAt) < dryGap) {
+// noteExhausted makes the pool refuse requests at once, since no owner has a token.
+func (s *State) noteExhausted(a *account, pending int) {
+	if a.held > 0 || pending > 0 || (a.coldRequests == 0 && s.now.Sub(a.exhaustedAt) < exhaustedInterval) {
 		return
 	}
-	a.dryAt = s.now
-	a.cold = 0
-	s.emit(Deposit{Account: a.name, DryUntil: s.dryUntil(a), RetryAfter: s.retryAfter(a)})
-	if a.warnedAt == 0 || s.now.Sub(a.warnedAt) >= warnDryGap {
-		a.warnedAt = s.now
+	a.exhaustedAt = s.now
+	a.coldRequests = 0
+	s.emit(Deposit{Account: a.name, ExhaustedUntil: s.exhaustedUntil(a), RetryAfter: s.retryAfter(a)})
+	if a.reportedAt == 0 || s.now.Sub(a.reportedAt) >= exhaustedReportInterval {
+		a.reportedAt = s.now
 		s.report(EventExhausted, "account", string(a.name))
 	}
 }
 
-// dryUntil is when the first owner may have a token again.
-func (s *State) dryUntil(a *account) crid.Instant {
-	until := s.now.Add(s.params.ShortFor)
+// exhaustedUntil is when the first owner may have a token again.
+func (s *State) exhaustedUntil(a *account) crid.Instant {
+	until := s.now.Add(s.params.ShortBackoff)
 	for i := range a.sources {
 		if a.sources[i].shortUntil > s.now {
 			until = min(until, a.sources[i].shortUntil)
@@ -313,58 +314,58 @@
 	return until
 }
 
-// retryAfter is the time in which the account's rate serves one second of the
-// demand seen here, and one request more.
+// retryAfter is the time in which the account's rate covers one second of the demand at this
+// daemon, and one more request.
 func (s *State) retryAfter(a *account) time.Duration {
 	limit := s.limits(a.name)
 	if limit.Rate <= 0 {
-		return maxRetry
+		return maxRetryAfter
 	}
 	seconds := (1 + a.demand) / limit.Rate
-	return min(maxRetry, time.Duration(seconds*float64(time.Second)))
+	return min(maxRetryAfter, time.Duration(seconds*float64(time.Second)))
 }
 
 func (s *State) tickEntry() {
-	for _, name := range s.entry.names() {
+	for _, name := range s.entry.accountNames() {
 		a := s.entry.accounts[name]
-		s.rate(a)
-		s.timeOut(a)
+		s.updateDemand(a)
+		s.expireRequests(a)
 		if s.now.Sub(a.usedAt) > s.params.IdleAfter && a.held == 0 {
-			s.forget(name)
+			s.forgetAccount(name)
 			continue
 		}
-		s.plan(a)
+		s.requestMissing(a)
 		if a.pending() == 0 {
-			a.cold = 0
+			a.coldRequests = 0
 		}
 	}
-	if s.now.Sub(s.entry.saidAt) >= s.params.ReportGap {
-		s.entry.saidAt = s.now
-		s.say("")
+	if s.now.Sub(s.entry.usageReportedAt) >= s.params.ReportInterval {
+		s.entry.usageReportedAt = s.now
+		s.reportDeferred("")
 	}
-	s.dropOld()
+	s.dropExpired()
 }
 
-// rate moves the demand estimate towards the rate seen since the last one.
-func (s *State) rate(a *account) {
-	dt := s.now.Sub(a.ratedAt)
+// updateDemand moves the demand estimate towards the rate since the last update.
+func (s *State) updateDemand(a *account) {
+	dt := s.now.Sub(a.demandAt)
 	if dt <= 0 {
 		return
 	}
-	weight := 1 - math.Exp(-dt.Seconds()/s.params.Smooth.Seconds())
-	a.demand += weight * (float64(a.recent)/dt.Seconds() - a.demand)
-	a.recent, a.ratedAt = 0, s.now
+	weight := 1 - math.Exp(-dt.Seconds()/s.params.DemandTimeConstant.Seconds())
+	a.demand += weight * (float64(a.recentRequests)/dt.Seconds() - a.demand)
+	a.recentRequests, a.demandAt = 0, s.now
 }
 
-// timeOut gives up Asks without an answer: the message or the owner is lost,
-// and the other owners are asked in its place.
-func (s *State) timeOut(a *account) {
+// expireRequests abandons token requests without an answer. The message or the owner is lost,
+// and the other owners are asked instead.
+func (s *State) expireRequests(a *account) {
 	for i := range a.sources {
 		src := &a.sources[i]
-		if src.want > 0 && s.now.Sub(src.askedAt) >= s.params.AskTimeout {
-			src.want = 0
-			a.cold = 0
-			src.shortUntil = s.now.Add(s.params.ShortFor)
+		if src.requested > 0 && s.now.Sub(src.requestedAt) >= s.params.RequestTimeout {
+			src.requested = 0
+			a.coldRequests = 0
+			src.shortUntil = s.now.Add(s.params.ShortBackoff)
 		}
 	}
 }
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	waitFor    = 400 * time.Millisecond // an Ask that could not be met is remembered
-	recallGap  = 200 * time.Millisecond // between two recalls for one share
-	sweepGap   = 10 * time.Second       // between two searches for idle shares
-	maxHistory = 8                      // lists remembered for shares not yet asked for
+	maxQueueTime   = 400 * time.Millisecond // an unmet request waits at most this long for tokens
+	recallInterval = 200 * time.Millisecond // between two recalls for one share
+	sweepInterval  = 10 * time.Second       // between two removals of idle shares
+	maxEpochs      = 8                      // epochs remembered, for shares that are not in use yet
 )
 
 type shareKey struct {
@@ -21,151 +21,149 @@
 	share   int
 }
 
-// epoch is a time, on the minting clock, from which a list was active here, or
-// from which it might have been active elsewhere.
+// epoch is the period in which one list was active. It begins at a reading of the refill clock
+// at which the list became active here, or might have become active elsewhere.
 type epoch struct {
-	rev     crid.Revision
-	members roster
-	start   time.Duration
-	bridged bool // never active here so far
+	rev      crid.Revision
+	members  memberSet
+	start    time.Duration
+	handover bool // known from a handover, and not active here yet
 }
 
-// owner is the minting role of a daemon.
-type owner struct {
-	clock   time.Duration // minting clock: time spent with tenure, nothing else
-	last    crid.Instant
-	heldTo  crid.Instant // the last instant with tenure
-	gapAt   crid.Instant // the last instant known to be without
-	lapsed  bool
-	active  crid.Revision
-	epochs  []epoch // with gaps in tenure of at most a lifetime, oldest first
-	shares  map[shareKey]*share
-	busy    []shareKey // shares with grants or waiters
-	isBusy  map[shareKey]bool
-	since   map[crid.Account]time.Duration // when a limit last changed
-	nextID  uint64
-	sweptAt crid.Instant
+// ownerRole is the state of the owner, which refills shares.
+type ownerRole struct {
+	refillClock    time.Duration // the time spent with a lease
+	advancedTo     crid.Instant
+	leaseHeldUntil crid.Instant // the last known instant with a lease
+	lastGapAt      crid.Instant // the last known instant without a lease
+	leaseLost      bool
+	active         crid.Revision
+	epochs         []epoch // oldest first; gaps between their leases last a lifetime at most
+	shares         map[shareKey]*share
+	busy           []shareKey // shares with grants or waiters
+	isBusy         map[shareKey]bool
+	limitChangedAt map[crid.Account]time.Duration // on the refill clock
+	nextID         uint64
+	sweptAt        crid.Instant
 }
 
-func newOwner() owner {
-	return owner{
-		lapsed: true,
-		shares: map[shareKey]*share{},
-		isBusy: map[shareKey]bool{},
-		since:  map[crid.Account]time.Duration{},
+func newOwnerRole() ownerRole {
+	return ownerRole{
+		leaseLost:      true,
+		shares:         map[shareKey]*share{},
+		isBusy:         map[shareKey]bool{},
+		limitChangedAt: map[crid.Account]time.Duration{},
 	}
 }
 
-// advance moves the minting clock over the time up to now for which there was
-// tenure. A process that was paused wakes with a tenure long run out; were the
-// pause minted, its tokens would come on top of those that the daemon which
-// took over has minted for the same time.
+// advance moves the refill clock over the time up to now that a lease covers. The lease of a
+// process that was paused has expired when it resumes. If the pause counted, its tokens
+// would add to those of the daemon that took over the shares.
 func (s *State) advance(now crid.Instant) {
-	end := min(now, s.tenure.Until)
-	if s.params.flaws.mintAsleep && s.owner.active != 0 {
+	end := min(now, s.lease.Until)
+	if s.params.mutations.refillWithoutLease && s.owner.active != 0 {
 		end = now
 	}
-	if d := end.Sub(s.owner.last); d > 0 {
-		s.owner.clock += d
-		s.owner.heldTo = end
+	if d := end.Sub(s.owner.advancedTo); d > 0 {
+		s.owner.refillClock += d
+		s.owner.leaseHeldUntil = end
 	}
 	if end.Before(now) {
-		s.owner.gapAt = max(s.owner.gapAt, now)
+		s.owner.lastGapAt = max(s.owner.lastGapAt, now)
 	}
-	s.owner.last = max(s.owner.last, now)
+	s.owner.advancedTo = max(s.owner.advancedTo, now)
 	s.now = max(s.now, now)
 }
 
-func (s *State) hasTenure() bool {
-	if s.params.flaws.mintAsleep {
+func (s *State) hasLease() bool {
+	if s.params.mutations.refillWithoutLease {
 		return s.owner.active != 0
 	}
-	return s.now.Before(s.tenure.Until)
+	return s.now.Before(s.lease.Until)
 }
 
-// takeTenure begins a new epoch when the active list has changed, or when this
-// daemon was without tenure for so long that another may have minted.
-func (s *State) takeTenure(ev crmember.Tenure) {
+// handleLease begins a new epoch when the active list has changed, or when this daemon was
+// without a lease for so long that another may have refilled its shares.
+func (s *State) handleLease(ev crmember.Tenure) {
 	if len(ev.Members) > 0 && !slices.Equal(ev.Members, s.members.names) {
-		s.members = newRoster(ev.Members)
-		s.entry.reroute()
-	}
-	kept := s.now.Sub(s.owner.heldTo) <= s.params.Lifetime
-	acts := ev.Active != 0 && s.now.Before(ev.Until)
-	s.tenure = ev
-	s.tenure.Members = nil
-	s.tenure.Over = nil
-	if !acts {
-		s.takeBridge(ev, kept)
+		s.members = newMemberSet(ev.Members)
+		s.entry.invalidateSources()
+	}
+	leaseKept := s.now.Sub(s.owner.leaseHeldUntil) <= s.params.Lifetime
+	leaseActive := ev.Active != 0 && s.now.Before(ev.Until)
+	s.lease = ev
+	s.lease.Members = nil
+	s.lease.Over = nil
+	if !leaseActive {
+		s.handleHandover(ev, leaseKept)
 		return
 	}
-	s.noteTenure()
-	s.owner.heldTo = s.now
-	if ev.Active != s.owner.active || !kept {
-		s.beginEpoch(ev, kept)
+	s.reportLeaseGained()
+	s.owner.leaseHeldUntil = s.now
+	if ev.Active != s.owner.active || !leaseKept {
+		s.beginEpoch(ev, leaseKept)
 	}
 }
 
-// beginEpoch drops the shares that another daemon may have minted since. A new
-// owner mints nothing for one lifetime of tenure, so after a gap no longer than
-// that nobody can have taken over; after a longer one this daemon is new, too.
-func (s *State) beginEpoch(ev crmember.Tenure, kept bool) {
-	if !kept {
+// beginEpoch drops the shares that another daemon may have refilled. A new owner refills
+// nothing for one lifetime under a lease, so no daemon can have taken over in a gap that is
+// not longer. After a longer gap, this daemon counts as a new owner as well.
+func (s *State) beginEpoch(ev crmember.Tenure, leaseKept bool) {
+	if !leaseKept {
 		s.owner.epochs = nil
 	}
 	s.owner.active = ev.Active
-	s.addEpoch(epoch{rev: ev.Active, members: s.members, start: s.owner.clock})
-	s.dropLost()
+	s.addEpoch(epoch{rev: ev.Active, members: s.members, start: s.owner.refillClock})
+	s.dropUnowned()
 }
 
 func (s *State) addEpoch(e epoch) {
 	s.owner.epochs = append(s.owner.epochs, e)
-	if len(s.owner.epochs) > maxHistory {
+	if len(s.owner.epochs) > maxEpochs {
 		s.owner.epochs = slices.Delete(s.owner.epochs, 0, 1)
 	}
 }
 
-func (s *State) dropLost() {
+func (s *State) dropUnowned() {
 	for key := range s.owner.shares {
 		since, ok := s.ownedSince(key)
-		if !ok || since == s.owner.clock {
+		if !ok || since == s.owner.refillClock {
 			delete(s.owner.shares, key)
 		}
 	}
 }
 
-// Settled reports whether this daemon mints all shares that it owns.
+// RefillsAllShares reports whether this daemon refills all shares that it owns.
 //
-// In a rolling replacement each new process waits out a lifetime before it
-// mints. Were the next daemon stopped within it, an account could lose most of
-// its shares at once, and its callers would be refused inside their rate; so a
-// daemon is not to be called ready before.
-func (s *State) Settled() bool {
-	if !s.hasTenure() || len(s.owner.epochs) == 0 {
+// During a rolling replacement, each new process waits a lifetime before it refills. If the
+// next daemon were stopped within this time, an account could lose most of its shares at once
+// and its callers would be refused within their rate. A daemon must therefore not be reported
+// ready earlier.
+func (s *State) RefillsAllShares() bool {
+	if !s.hasLease() || len(s.owner.epochs) == 0 {
 		return false
 	}
-	return s.owner.clock-s.owner.epochs[0].start >= s.params.ownerLifetime()
+	return s.owner.refillClock-s.owner.epochs[0].start >= s.params.ownerLifetime()
 }
 
-// minters is the list under which this daemon mints; members may be newer.
-func (s *State) minters() roster {
+// activeMembers returns the list under which this daemon refills. State.members may be newer.
+func (s *State) activeMembers() memberSet {
 	if len(s.owner.epochs) == 0 {
-		return roster{}
+		return memberSet{}
 	}
 	return s.owner.epochs[len(s.owner.epochs)-1].members
 }
 
-// ownedSince returns the reading of the minting clock since which this daemon
-// has been the share's only owner; false when it does not own it.
+// ownedSince returns the reading of the refill clock since which this daemon has been the only
+// owner of a share, or false when it does not own the share.
 //
-// The first epoch that counts must have lasted a lifetime, or be the present
-// one. In a shorter one this daemon had not begun to mint, and the owner before
-// it might have come back within a lifetime and kept its tokens: two daemons
-// that swap a share quickly would both take it for theirs. Nor does a time count
-// in which the list was handed over, for the owner before went on in it.
+// The first epoch that counts must have lasted a lifetime, or be the current one. In a shorter
+// epoch this daemon had not begun to refill, and the previous owner could have returned within
+// a lifetime and kept its tokens: two daemons that swap a share quickly would both refill it.
+// The time of a handover does not count either, since the previous owner refills during it.
 func (s *State) ownedSince(key shareKey) (time.Duration, bool) {
 	limit := s.limits(key.account)
-	count := s.params.shareCount(len(s.minters().names), limit)
+	count := s.params.shareCount(len(s.activeMembers().names), limit)
 	last := len(s.owner.epochs) - 1
 	first := last + 1
 	for first > 0 {
@@ -179,10 +177,10 @@
 	if first > last {
 		return 0, false
 	}
-	for !s.params.flaws.shortEpochs && first < last && s.owner.epochs[first+1].start-s.owner.epochs[first].start < s.params.ownerLifetime() {
+	for !s.params.mutations.countShortEpochs && first < last && s.owner.epochs[first+1].start-s.owner.epochs[first].start < s.params.ownerLifetime() {
 		first++
 	}
-	for !s.params.flaws.bridgeAll && first <= last && s.owner.epochs[first].bridged {
+	for !s.params.mutations.countHandovers && first <= last && s.owner.epochs[first].handover {
 		first++
 	}
 	if first > last {
@@ -191,7 +189,7 @@
 	return s.owner.epochs[first].start, true
 }
 
-func (s *State) owns(key shareKey, members roster, limit crpolicy.Account) bool {
+func (s *State) owns(key shareKey, members memberSet, limit crpolicy.Account) bool {
 	count := s.params.shareCount(len(members.names), limit)
 	if key.share < 0 || key.share >= count {
 		return false
@@ -200,12 +198,12 @@
 	return owners[key.share] == s.self
 }
 
-// share returns an owned share, minted up to now; nil when not owned here. A
-// share that nobody asked for since this daemon came to own it has grown from
-// empty all that time, so that creating it late makes no difference.
+// share returns an owned share, refilled up to now, or nil when this daemon does not own it.
+// A share without requests since this daemon became its owner would have filled from empty for
+// all that time, so that creating it late makes no difference.
 func (s *State) share(key shareKey) *share {
 	if sh, ok := s.owner.shares[key]; ok {
-		sh.mint(s.owner.clock)
+		sh.refill(s.owner.refillClock)
 		return sh
 	}
 	limit := s.limits(key.account)
@@ -213,103 +211,104 @@
 	if !ok || limit.Burst < 1 {
 		return nil
 	}
-	count := s.params.shareCount(len(s.minters().names), limit)
+	count := s.params.shareCount(len(s.activeMembers().names), limit)
 	sh := &share{
-		rate:   limit.Rate / float64(count),
-		burst:  shareBurst(limit.Burst, key.share, count),
-		minted: s.mintsFrom(key.account, since),
-		usedAt: s.now,
+		rate:       limit.Rate / float64(count),
+		burst:      shareBurst(limit.Burst, key.share, count),
+		refilledTo: s.refillsFrom(key.account, since),
+		usedAt:     s.now,
 	}
 	s.owner.shares[key] = sh
-	sh.mint(s.owner.clock)
+	sh.refill(s.owner.refillClock)
 	return sh
 }
 
-// mintsFrom is when a share that came to this daemon at since begins to fill.
-// The grants of whoever owned it before can be spent for one lifetime more, up
-// to the whole burst; minting at once would put new tokens beside them.
-func (s *State) mintsFrom(account crid.Account, since time.Duration) time.Duration {
+// refillsFrom is when a share that this daemon owns since the given reading begins to refill.
+// The previous owner's grants, up to the whole burst, can be spent for one more lifetime.
+// Tokens refilled in that time would add to them.
+func (s *State) refillsFrom(account crid.Account, since time.Duration) time.Duration {
 	from := since
-	if !s.params.flaws.noPhantom {
+	if !s.params.mutations.noTakeoverDelay {
 		from += s.params.ownerLifetime()
 	}
-	return max(from, s.owner.since[account])
+	return max(from, s.owner.limitChangedAt[account])
 }
 
-// takeAsk settles the reports of an Ask and serves it as far as there are tokens.
-func (s *State) takeAsk(from crid.Daemon, ask Ask) {
-	s.settle(from, ask.Uses)
-	for _, item := range ask.Items {
+// handleTokenRequest applies the usage that a request reports, and grants what tokens there are.
+func (s *State) handleTokenRequest(from crid.Daemon, req TokenRequest) {
+	s.applyUsage(from, req.Usage)
+	for _, item := range req.Items {
 		key := shareKey{item.Account, item.Share}
-		sh := s.mayGrant(key)
+		sh := s.grantableShare(key)
 		if sh == nil || item.Want <= 0 {
-			s.out.grant(from, ask.Inc, ask.Seq, GrantItem{Account: item.Account, Share: item.Share, Short: true})
+			s.out.grant(from, req.Inc, req.Seq, GrantItem{Account: item.Account, Share: item.Share, Short: true})
 			continue
 		}
-		sh.wait(waiter{from: from, inc: ask.Inc, seq: ask.Seq, want: item.Want, keep: item.Keep, until: s.now.Add(waitFor)})
+		sh.enqueue(waiter{from: from, inc: req.Inc, seq: req.Seq, want: item.Want, waitForRest: item.WaitForRest, until: s.now.Add(maxQueueTime)})
 		sh.usedAt = s.now
 		s.markBusy(key)
 		s.serve(key, sh)
 	}
 }
 
-func (s *State) takeReturn(from crid.Daemon, ret Return) { s.settle(from, ret.Uses) }
+func (s *State) handleUsageReport(from crid.Daemon, report UsageReport) {
+	s.applyUsage(from, report.Usage)
+}
 
-// mayGrant returns the share when this daemon may grant from it now. Without
-// tenure it may not: its successor counts the last grant from the end of that.
-func (s *State) mayGrant(key shareKey) *share {
-	if !s.hasTenure() {
+// grantableShare returns a share that this daemon may grant from now, or nil. It requires a
+// lease, since a successor counts the lifetime of the last grant from the end of the lease.
+func (s *State) grantableShare(key shareKey) *share {
+	if !s.hasLease() {
 		return nil
 	}
 	sh := s.share(key)
 	if sh == nil {
-		s.reportSeldom(EventNotOwner, "account", string(key.account))
+		s.reportLimited(EventNotOwner, "account", string(key.account))
 	}
 	return sh
 }
 
-func (s *State) settle(from crid.Daemon, uses []Use) {
-	for _, use := range uses {
+func (s *State) applyUsage(from crid.Daemon, usage []GrantUsage) {
+	for _, use := range usage {
 		key := shareKey{use.Account, use.Share}
 		sh, ok := s.owner.shares[key]
 		if !ok || use.Inc != s.inc {
 			continue
 		}
-		if !s.params.flaws.settleFirst {
-			sh.mint(s.owner.clock)
+		if !s.params.mutations.applyUsageFirst {
+			sh.refill(s.owner.refillClock)
 		}
 		sh.expire(s.now)
-		sh.settle(from, use, func(spent []Spent, reported int) {
-			sh.credit(spent, reported, s.reading, s.params.flaws.creditTwice)
+		sh.applyUsage(from, use, func(spent []SpentTokens, reported int) {
+			sh.credit(spent, reported, s.refillClockAt, s.params.mutations.creditTwice)
 		})
 	}
 }
 
-// serve divides what there is among those who wait, and recalls unused tokens
-// when that is not enough.
+// serve divides the balance among the waiters. It recalls unused tokens when that is not enough.
 func (s *State) serve(key shareKey, sh *share) {
 	sh.expire(s.now)
 	sh.prune(s.now)
 	unmet := false
-	for i, n := range sh.allot() {
+	for i, n := range sh.allocate() {
 		w := &sh.waiters[i]
 		w.want -= n
 		short := w.want > 0
 		unmet = unmet || short
-		if n == 0 && w.silent {
+		if n == 0 && w.notified {
 			continue
 		}
-		w.silent = true
+		w.notified = true
 		item := GrantItem{Account: key.account, Share: key.share, Tokens: n, Short: short}
 		if short {
-			item.After = int(sh.nextToken().Milliseconds())
-			item.Rivals = len(sh.waiters) > 1
+			item.NextTokenMillis = int(sh.nextToken().Milliseconds())
+			item.Contended = len(sh.waiters) > 1
 		}
 		if n > 0 {
 			s.owner.nextID++
 			item.ID = s.owner.nextID
 			sh.grant(item.ID, w.from, n, s.now.Add(s.params.ownerLifetime()))
-			item.Left = int(sh.balance)
+			item.Remaining = int(sh.balance)
 		}
 		s.out.grant(w.from, w.inc, w.seq, item)
 	}
@@ -319,22 +318,22 @@
 	sh.prune(s.now)
 }
 
-// recall asks those that hold tokens of the share, and want none, to give back
-// what they do not need at once.
+// recall asks the daemons that hold tokens of the share, and request none, to return what
+// they do not need at once.
 func (s *State) recall(key shareKey, sh *share) {
-	if sh.recalledAt != 0 && s.now.Sub(sh.recalledAt) < recallGap {
+	if sh.recalledAt != 0 && s.now.Sub(sh.recalledAt) < recallInterval {
 		return
 	}
-	asked := map[crid.Daemon]bool{}
+	skip := map[crid.Daemon]bool{}
 	for _, w := range sh.waiters {
-		asked[w.from] = w.want > 0
+		skip[w.from] = w.want > 0
 	}
 	for i := range sh.grants {
 		g := &sh.grants[i]
-		if g.open() == 0 || asked[g.to] {
+		if g.unspent() == 0 || skip[g.to] {
 			continue
 		}
-		asked[g.to] = true
+		skip[g.to] = true
 		sh.recalledAt = s.now
 		s.out.grant(g.to, 0, 0, GrantItem{Account: key.account, Share: key.share, Recall: true})
 	}
@@ -348,8 +347,8 @@
 }
 
 func (s *State) tickOwner() {
-	if !s.hasTenure() {
-		s.noteLapse()
+	if !s.hasLease() {
+		s.reportLeaseLost()
 	}
 	kept := s.owner.busy[:0]
 	for _, key := range s.owner.busy {
@@ -358,9 +357,9 @@
 			delete(s.owner.isBusy, key)
 			continue
 		}
-		sh.mint(s.owner.clock)
+		sh.refill(s.owner.refillClock)
 		sh.expire(s.now)
-		if s.hasTenure() {
+		if s.hasLease() {
 			s.serve(key, sh)
 		}
 		if len(sh.grants)+len(sh.waiters) == 0 {
@@ -373,22 +372,22 @@
 	s.sweep()
 }
 
-// sweep drops shares that hold no more than a new one would.
+// sweep drops shares that hold no more than a newly created one would.
 func (s *State) sweep() {
-	if s.now.Sub(s.owner.sweptAt) < sweepGap {
+	if s.now.Sub(s.owner.sweptAt) < sweepInterval {
 		return
 	}
 	s.owner.sweptAt = s.now
 	for key, sh := range s.owner.shares {
-		sh.mint(s.owner.clock)
+		sh.refill(s.owner.refillClock)
 		if sh.idle() && s.now.Sub(sh.usedAt) > s.params.IdleAfter {
 			delete(s.owner.shares, key)
 		}
 	}
-	for account, since := range s.owner.since {
+	for account, since := range s.owner.limitChangedAt {
 		limit := s.limits(account)
-		if (s.owner.clock-since).Seconds()*limit.Rate >= limit.Burst {
-			delete(s.owner.since, account)
+		if (s.owner.refillClock-since).Seconds()*limit.Rate >= limit.Burst {
+			delete(s.owner.limitChangedAt, account)
 		}
 	}
 }
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -331,11 +331,11 @@
 	v := views(s.Step(crmesh.Heard{Now: start, From: f.names[0], Beat: crmesh.Beat{Incarnation: 1, Revision: 5}}))
 	for n := range 20 {
 		a := crid.Account("account-" + strconv.Itoa(n))
-		step := v[len(v)-1].TokenStep(a, fresh, crquota.ByCaller)
+		step := v[len(v)-1].TokenStep(a, fresh, crquota.FromCaller)
 		if owner := crquota.Owner(a, f.names); owner != fresh {
-			g.Expect(step).To(gomega.Equal(crquota.Step{To: owner, As: crquota.ByPeer}))
+			g.Expect(step).To(gomega.Equal(crquota.Action{To: owner, Origin: crquota.FromPeer}))
 		} else {
-			g.Expect(step).To(gomega.Equal(crquota.Step{Grant: true}))
+			g.Expect(step).To(gomega.Equal(crquota.Action{Grant: true}))
 		}
 	}
 	g.Expect(v[len(v)-1].Owners).To(gomega.Equal(f.view[f.names[0]].Owners))
--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -148,7 +148,7 @@
 		loads: crview.NewLoads(),
 	}
 	s.in = crview.Input{Self: s.self, Domain: crid.Domain(cfg.Domain), Loads: s.loads}
-	s.wallet = craccount.NewWallet()
+	s.wallet = craccount.NewTokenPool()
 	s.split = newSplit(cfg.Policy, s)
 	s.recorder = rec
 	s.steers = make(map[crid.Service]crhealth.Steer)
@@ -156,7 +156,7 @@
 	params.Config.FleetSize = cfg.Platform.Fleet
 	params.Health = healthParams(cfg.Policy)
 	opts := crcontrol.Options{
-		Clock: crclock.Now, Do: s.do, Before: s.before, Wake: s.wallet.Wanted(), Stepped: m.stepped,
+		Clock: crclock.Now, Do: s.do, Before: s.before, Wake: s.wallet.DrainNeeded(), Stepped: m.stepped,
 	}
 	parse, load := crconfig.Parser(crpolicyfile.ParseManifest), crconfig.Loader(crpolicyfile.NewLoader().Load)
 	if cfg.Trace.File != "" {
--- a/io/crlog/catalogue_account.go
+++ b/io/crlog/catalogue_account.go
@@ -5,12 +5,12 @@
 func accountEntries() []Entry {
 	return []Entry{
 		{
-			craccount.EventTenure, LevelInfo, "minting",
+			craccount.EventRefillStarted, LevelInfo, "minting",
 			"this daemon has tenure under the named list",
 			none, none,
 		},
 		{
-			craccount.EventLapsed, LevelWarn, "minting stopped",
+			craccount.EventRefillStopped, LevelWarn, "minting stopped",
 			"tenure has run out: cut off, paused, or between two lists",
 			"accounts with a share here have less than their rate", "nothing if 300 follows; else look at the membership events of this daemon",
 		},
@@ -25,7 +25,7 @@
 			"cold requests of the account may be refused", "nothing for some seconds; if it lasts, compare the lists and revisions in the dumps",
 		},
 		{
-			craccount.EventTooMany, LevelWarn, "too many accounts in use",
+			craccount.EventTooManyAccounts, LevelWarn, "too many accounts in use",
 			"more accounts than MaxActive send through this daemon; told once in 10 s",
 			"the first request of a forgotten account waits one round trip", "spread callers over more daemons",
 		},
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -29,21 +29,21 @@
 type ownerMeter struct {
 	self  crid.Daemon
 	loop  *loop
-	meter *crquota.Meter
+	meter *crquota.OwnerLimiter
 }
 
 func newOwnerMeter(opts Options, loop *loop) *ownerMeter {
-	return &ownerMeter{self: crid.Daemon(opts.Settings.Address), loop: loop, meter: crquota.NewMeter()}
+	return &ownerMeter{self: crid.Daemon(opts.Settings.Address), loop: loop, meter: crquota.NewOwnerLimiter()}
 }
 
 // decide returns what this daemon does about a token of an account.
-func (m *ownerMeter) decide(name crid.Account, by crquota.Asked) crquota.Step {
+func (m *ownerMeter) decide(name crid.Account, by crquota.Origin) crquota.Action {
 	return m.loop.view.Load().TokenStep(name, m.self, by)
 }
 
 // answer gives a token of an account to a peer, unless another daemon has to be
 // asked.
-func (m *ownerMeter) answer(name crid.Account, by crquota.Asked) (ok bool, wait time.Duration, mine bool) {
+func (m *ownerMeter) answer(name crid.Account, by crquota.Origin) (ok bool, wait time.Duration, mine bool) {
 	if step := m.decide(name, by); step.To != "" || !step.Grant {
 		return false, 0, false
 	}
@@ -72,7 +72,7 @@
 	self    crid.Daemon
 	loop    *loop
 	owner   *ownerMeter
-	parts   *crquota.Parts
+	parts   *crquota.FallbackLimiter
 	channel *crbeat.Channel
 	log     *crlog.Logger
 	mu      sync.Mutex
@@ -83,7 +83,7 @@
 
 func newQuota(opts Options, loop *loop, m *ownerMeter, ch *crbeat.Channel, l *crlog.Logger) *quota {
 	q := &quota{
-		self: crid.Daemon(opts.Settings.Address), loop: loop, owner: m, parts: crquota.NewParts(rand.Float64), channel: ch, log: l,
+		self: crid.Daemon(opts.Settings.Address), loop: loop, owner: m, parts: crquota.NewFallbackLimiter(rand.Float64), channel: ch, log: l,
 		silent: make(map[way]crid.Instant),
 	}
 	ch.PassOn(q.passOn)
@@ -94,12 +94,12 @@
 // answer as the other.
 type way struct {
 	to crid.Daemon
-	as crquota.Asked
+	as crquota.Origin
 }
 
 // Take implements cringress.Quota.
 func (q *quota) Take(ctx context.Context, a *crplan.Account) (ok bool, wait time.Duration) {
-	step := q.owner.decide(a.Name, crquota.ByCaller)
+	step := q.owner.decide(a.Name, crquota.FromCaller)
 	ok, wait, err := q.do(ctx, a.Name, step)
 	if err == nil {
 		return ok, wait
@@ -109,11 +109,11 @@
 	v := q.loop.view.Load()
 	without := []crid.Daemon{step.To, q.self}
 	for range throughMost {
-		d := crquota.Through(a.Name, v.Daemons, without...)
+		d := crquota.Relay(a.Name, v.Daemons, without...)
 		if d == "" {
 			break
 		}
-		if ok, wait, err := q.ask(ctx, way{to: d, as: crquota.ByRelay}, a.Name); err == nil {
+		if ok, wait, err := q.ask(ctx, way{to: d, as: crquota.ToRelay}, a.Name); err == nil {
 			return ok, wait
 		}
 		without = append(without, d)
@@ -122,7 +122,7 @@
 }
 
 // passOn asks for a peer.
-func (q *quota) passOn(ctx context.Context, a crid.Account, by crquota.Asked) (ok bool, wait time.Duration, err error) {
+func (q *quota) passOn(ctx context.Context, a crid.Account, by crquota.Origin) (ok bool, wait time.Duration, err error) {
 	return q.do(ctx, a, q.owner.decide(a, by))
 }
 
@@ -130,10 +130,10 @@
 var errNobody = errors.New("no daemon to ask")
 
 // do takes a step: it asks, or grants what nobody else answers for.
-func (q *quota) do(ctx context.Context, a crid.Account, step crquota.Step) (ok bool, wait time.Duration, err error) {
+func (q *quota) do(ctx context.Context, a crid.Account, step crquota.Action) (ok bool, wait time.Duration, err error) {
 	err = errNobody
 	if step.To != "" {
-		ok, wait, err = q.ask(ctx, way{to: step.To, as: step.As}, a)
+		ok, wait, err = q.ask(ctx, way{to: step.To, as: step.Origin}, a)
 	}
 	if err != nil && step.Grant {
 		ok, wait = q.owner.grant(a)
@@ -167,8 +167,8 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.silent[w] = crclock.Now().Add(ownerRest)
-	if w.as != crquota.ByRelay {
+	if w.as != crquota.ToRelay {
 		q.loop.emit(crmesh.Unanswered{Now: crclock.Now(), By: w.to})
 	}
-	q.log.Event(crlog.OwnerSilent, crlog.Fields{"peer": string(w.to), "account": string(a), "through": strconv.FormatBool(w.as == crquota.ByRelay)})
+	q.log.Event(crlog.OwnerSilent, crlog.Fields{"peer": string(w.to), "account": string(a), "through": strconv.FormatBool(w.as == crquota.ToRelay)})
 }
