--- a/core/crhealth/arbiter.go
+++ b/core/crhealth/arbiter.go
@@ -9,118 +9,118 @@
 )
 
 // senderKept is how long a silent sender is remembered.
-const senderKept = 10 * time.Second
+const senderTTL = 10 * time.Second
 
 // sender is an entry that sends digests to this arbiter.
 type sender struct {
-	life crid.Incarnation
-	seq  uint64
-	at   crid.Instant
-	last bool // it has no traffic, and sends no digests for that reason
+	incarnation crid.Incarnation
+	seq         uint64
+	lastSeen    crid.Instant
+	idle        bool // it has no traffic, and sends no digests for that reason
 	// waits are those of its newest digest.
-	waits map[crid.Target][]Wait
+	pending map[crid.Target][]PendingCount
 }
 
 // record is what the arbiter knows of one target.
-type record struct {
-	window     window
-	fresh      bool // evidence has come since the last judgement
-	finding    Finding
-	suspicion  int
-	ejected    bool
-	kept       bool // sick, but kept for the floor
-	holdUntil  crid.Instant
-	strikes    int
-	returned   bool
-	returnedAt crid.Instant
-	sent       bool
-	sentAt     crid.Instant // of the last verdict that named it ejected
+type targetRecord struct {
+	window       window
+	updated      bool // evidence has come since the last judgement
+	finding      Finding
+	suspicion    int
+	ejected      bool
+	keptForFloor bool // sick, but kept for the floor
+	ejectedUntil crid.Instant
+	ejections    int
+	unejected    bool
+	unejectedAt  crid.Instant
+	announced    bool
+	announcedAt  crid.Instant // of the last verdict that named it ejected
 }
 
 // docket is the arbiter's state of one service.
-type docket struct {
+type detector struct {
 	judgedAt crid.Instant
 	heardAt  crid.Instant
-	acting   bool
-	records  map[crid.Target]*record
+	deciding bool
+	records  map[crid.Target]*targetRecord
 	senders  map[crid.Daemon]*sender
 }
 
-func (d *docket) record(target crid.Target) *record {
+func (d *detector) record(target crid.Target) *targetRecord {
 	r := d.records[target]
 	if r == nil {
-		r = &record{}
+		r = &targetRecord{}
 		d.records[target] = r
 	}
 	return r
 }
 
 // takeDigest adds an entry's evidence and answers with a verdict.
-func (s *State) takeDigest(from crid.Daemon, msg Digest) {
+func (s *State) handleDigest(from crid.Daemon, msg Digest) {
 	if s.arbiter(msg.Service) != s.self {
 		return
 	}
-	d := s.dockets[msg.Service]
+	d := s.detectors[msg.Service]
 	if d == nil {
-		d = &docket{records: make(map[crid.Target]*record), senders: make(map[crid.Daemon]*sender)}
-		s.dockets[msg.Service] = d
+		d = &detector{records: make(map[crid.Target]*targetRecord), senders: make(map[crid.Daemon]*sender)}
+		s.detectors[msg.Service] = d
 	}
 	known := d.senders[from]
-	if known == nil || known.life != msg.Life {
-		known = &sender{life: msg.Life}
+	if known == nil || known.incarnation != msg.Incarnation {
+		known = &sender{incarnation: msg.Incarnation}
 		d.senders[from] = known
 	}
 	if msg.Seq <= known.seq {
 		return
 	}
 	known.seq = msg.Seq
-	known.at = s.now
-	known.last = msg.Last
+	known.lastSeen = s.now
+	known.idle = msg.Last
 	d.heardAt = s.now
-	known.waits = make(map[crid.Target][]Wait)
+	known.pending = make(map[crid.Target][]PendingCount)
 	for _, sample := range msg.Samples {
-		if p := s.places[sample.Target]; p != nil && p.service == msg.Service {
+		if p := s.placements[sample.Target]; p != nil && p.service == msg.Service {
 			r := d.record(sample.Target)
 			r.window.add(s.now, from, sample)
-			r.fresh = true
-			if len(sample.Waits) > 0 {
-				known.waits[sample.Target] = sample.Waits
+			r.updated = true
+			if len(sample.Pending) > 0 {
+				known.pending[sample.Target] = sample.Pending
 			}
 		}
 	}
-	s.answer(msg.Service, d, from)
+	s.sendVerdict(msg.Service, d, from)
 }
 
 // answer sends the present verdict to an entry, on its newest digest.
-func (s *State) answer(service crid.Service, d *docket, to crid.Daemon) {
+func (s *State) sendVerdict(service crid.Service, d *detector, to crid.Daemon) {
 	if !s.deciding(service) {
 		return
 	}
 	known := d.senders[to]
 	s.number++
-	v := Verdict{Service: service, Life: known.life, Seq: known.seq, Arbiter: s.life, Number: s.number}
+	v := Verdict{Service: service, Incarnation: known.incarnation, Seq: known.seq, ArbiterIncarnation: s.incarnation, Number: s.number}
 	for _, target := range d.ejected() {
 		r := d.records[target]
-		r.sent = true
-		r.sentAt = s.now
+		r.announced = true
+		r.announcedAt = s.now
 		v.Ejected = append(v.Ejected, target)
 	}
 	v.Weights = s.weights(service, d)
 	if to == s.self {
-		s.takeVerdict(s.self, v)
+		s.handleVerdict(s.self, v)
 		return
 	}
 	s.emit(crevent.Send{To: to, Msg: v})
 }
 
-func (s *State) weights(service crid.Service, d *docket) []Weight {
+func (s *State) weights(service crid.Service, d *detector) []Weight {
 	var weights []Weight
 	for _, target := range s.targets[service] {
 		r := d.records[target]
-		if r == nil || !r.returned || r.ejected {
+		if r == nil || !r.unejected || r.ejected {
 			continue
 		}
-		if w := ramp(s.now.Sub(r.returnedAt), s.params.SlowStart); w < FullWeight {
+		if w := ramp(s.now.Sub(r.unejectedAt), s.params.SlowStart); w < FullWeight {
 			weights = append(weights, Weight{Target: target, Weight: w})
 		}
 	}
@@ -128,18 +128,18 @@
 }
 
 // ejected returns the ejected targets, worst first.
-func (d *docket) ejected() []crid.Target {
+func (d *detector) ejected() []crid.Target {
 	var targets []crid.Target
 	for _, target := range d.targets() {
 		if d.records[target].ejected {
 			targets = append(targets, target)
 		}
 	}
-	slices.SortStableFunc(targets, d.worse)
+	slices.SortStableFunc(targets, d.byScore)
 	return targets
 }
 
-func (d *docket) targets() []crid.Target {
+func (d *detector) targets() []crid.Target {
 	targets := make([]crid.Target, 0, len(d.records))
 	for target := range d.records {
 		targets = append(targets, target)
@@ -148,7 +148,7 @@
 	return targets
 }
 
-func (d *docket) worse(a, b crid.Target) int {
+func (d *detector) byScore(a, b crid.Target) int {
 	scoreA, scoreB := d.records[a].finding.Score, d.records[b].finding.Score
 	switch {
 	case scoreA > scoreB:
@@ -160,14 +160,14 @@
 }
 
 func (s *State) judgeAll() {
-	for _, service := range sortedServices(s.dockets) {
-		d := s.dockets[service]
-		if s.arbiter(service) != s.self || s.now.Sub(d.heardAt) > s.params.HoldMost {
-			delete(s.dockets, service)
-			s.tellActing(service, d, false)
+	for _, service := range sortedServices(s.detectors) {
+		d := s.detectors[service]
+		if s.arbiter(service) != s.self || s.now.Sub(d.heardAt) > s.params.MaxEjectionTime {
+			delete(s.detectors, service)
+			s.reportDeciding(service, d, false)
 			continue
 		}
-		s.tellActing(service, d, s.deciding(service))
+		s.reportDeciding(service, d, s.deciding(service))
 		if s.now.Sub(d.judgedAt) >= s.params.JudgeEvery {
 			d.judgedAt = s.now
 			s.judge(service, d)
@@ -175,28 +175,28 @@
 	}
 }
 
-func (s *State) tellActing(service crid.Service, d *docket, acting bool) {
-	if acting == d.acting {
+func (s *State) reportDeciding(service crid.Service, d *detector, deciding bool) {
+	if deciding == d.deciding {
 		return
 	}
-	d.acting = acting
+	d.deciding = deciding
 	number := EventArbiterStopped
-	if acting {
+	if deciding {
 		number = EventArbiterStarted
 	}
 	s.report(number, service, "", "")
 }
 
 // judge looks at all targets of a service once.
-func (s *State) judge(service crid.Service, d *docket) {
+func (s *State) judge(service crid.Service, d *detector) {
 	s.prune(service, d)
-	sick := s.suspects(d)
-	changed := s.endHolds(service, d)
+	unhealthy := s.unhealthyTargets(d)
+	changed := s.endEjections(service, d)
 	if !s.deciding(service) {
 		return
 	}
-	changed = s.restoreFloor(service, d) || changed
-	changed = s.ejectWorst(service, d, sick) || changed
+	changed = s.unejectForFloor(service, d) || changed
+	changed = s.ejectUnhealthy(service, d, unhealthy) || changed
 	if changed {
 		s.pushVerdicts(service, d)
 	}
@@ -204,59 +204,59 @@
 
 // prune forgets targets that are gone and entries that are silent. A target
 // whose ejection may still be in force somewhere is kept.
-func (s *State) prune(service crid.Service, d *docket) {
+func (s *State) prune(service crid.Service, d *detector) {
 	for target, r := range d.records {
-		if p := s.places[target]; (p == nil || p.service != service) && !s.lingers(r) {
+		if p := s.placements[target]; (p == nil || p.service != service) && !s.maybeEjected(r) {
 			delete(d.records, target)
 		}
 	}
 	for name, known := range d.senders {
-		if s.now.Sub(known.at) > senderKept {
+		if s.now.Sub(known.lastSeen) > senderTTL {
 			delete(d.senders, name)
 		}
 	}
 }
 
 // lingers reports whether some entry may still hold the target ejected.
-func (s *State) lingers(r *record) bool {
-	return r.sent && s.now.Sub(r.sentAt) < s.params.Silence()
+func (s *State) maybeEjected(r *targetRecord) bool {
+	return r.announced && s.now.Sub(r.announcedAt) < s.params.ExpiryWait()
 }
 
 // probesKept is how far back probes speak against a return.
-const probesKept = 3 * time.Second
+const probeWindow = 3 * time.Second
 
 // endHolds takes back targets whose hold-off has passed.
-func (s *State) endHolds(service crid.Service, d *docket) bool {
+func (s *State) endEjections(service crid.Service, d *detector) bool {
 	changed := false
 	for _, target := range d.targets() {
 		r := d.records[target]
-		if !r.ejected || s.now.Before(r.holdUntil) {
+		if !r.ejected || s.now.Before(r.ejectedUntil) {
 			continue
 		}
-		if probes := r.window.sum(s.now, probesKept).groups[0]; probes.n > 0 && probes.badRate() >= 0.5 {
-			r.holdUntil = s.now.Add(s.params.HoldBase)
+		if probes := r.window.sum(s.now, probeWindow).groups[0]; probes.n > 0 && probes.badRate() >= 0.5 {
+			r.ejectedUntil = s.now.Add(s.params.BaseEjectionTime)
 			s.report(EventHoldExtended, service, target, "")
 			continue
 		}
-		s.takeBack(service, target, r, "hold-off over")
+		s.uneject(service, target, r, "hold-off over")
 		changed = true
 	}
 	return changed
 }
 
-func (s *State) takeBack(service crid.Service, target crid.Target, r *record, why string) {
+func (s *State) uneject(service crid.Service, target crid.Target, r *targetRecord, reason string) {
 	r.ejected = false
-	r.returned = true
-	r.returnedAt = s.now
+	r.unejected = true
+	r.unejectedAt = s.now
 	r.suspicion = 0
 	r.finding = Finding{}
 	r.window = window{}
-	s.report(EventReturned, service, target, why)
+	s.report(EventReturned, service, target, reason)
 }
 
 // restoreFloor takes back the least sick when capacity has left.
-func (s *State) restoreFloor(service crid.Service, d *docket) bool {
-	if !s.params.has(guardFloor) {
+func (s *State) unejectForFloor(service crid.Service, d *detector) bool {
+	if !s.params.hasGuard(guardFloor) {
 		return false
 	}
 	room := s.allowance(service)
@@ -266,7 +266,7 @@
 			continue
 		}
 		if room == 0 {
-			s.takeBack(service, target, d.records[target], "floor")
+			s.uneject(service, target, d.records[target], "floor")
 			changed = true
 			continue
 		}
@@ -277,11 +277,11 @@
 
 // burden counts the capacity that is ejected, or may still be ejected at some
 // entry that has not heard of its return.
-func (s *State) burden(d *docket) int {
+func (s *State) ejectedCapacity(d *detector) int {
 	n := 0
 	for target, r := range d.records {
-		lingers := s.params.has(guardLinger) && s.lingers(r)
-		if (r.ejected || lingers) && s.isCapacity(target) {
+		maybe := s.params.hasGuard(guardMaybeEjected) && s.maybeEjected(r)
+		if (r.ejected || maybe) && s.isCapacity(target) {
 			n++
 		}
 	}
@@ -289,18 +289,18 @@
 }
 
 // ejectWorst ejects the sick as far as the floor allows.
-func (s *State) ejectWorst(service crid.Service, d *docket, sick []crid.Target) bool {
+func (s *State) ejectUnhealthy(service crid.Service, d *detector, unhealthy []crid.Target) bool {
 	room := s.allowance(service)
 	changed := false
-	for _, target := range sick {
+	for _, target := range unhealthy {
 		r := d.records[target]
-		counted := s.params.has(guardLinger) && s.lingers(r)
+		counted := s.params.hasGuard(guardMaybeEjected) && s.maybeEjected(r)
 		free := !s.isCapacity(target) || counted
-		if s.params.has(guardFloor) && !free && s.burden(d) >= room {
-			if !r.kept {
+		if s.params.hasGuard(guardFloor) && !free && s.ejectedCapacity(d) >= room {
+			if !r.keptForFloor {
 				s.report(EventFloorHolds, service, target, r.finding.Cause.String())
 			}
-			r.kept = true
+			r.keptForFloor = true
 			continue
 		}
 		s.eject(service, target, r)
@@ -309,25 +309,25 @@
 	return changed
 }
 
-func (s *State) eject(service crid.Service, target crid.Target, r *record) {
-	if r.returned {
-		well := s.now.Sub(r.returnedAt)
-		r.strikes = max(r.strikes-int(well/s.params.Forgive), 0)
+func (s *State) eject(service crid.Service, target crid.Target, r *targetRecord) {
+	if r.unejected {
+		healthyFor := s.now.Sub(r.unejectedAt)
+		r.ejections = max(r.ejections-int(healthyFor/s.params.EjectionDecay), 0)
 	}
-	hold := holdFor(s.params.HoldBase, s.params.HoldMost, r.strikes)
-	r.strikes++
+	duration := ejectionTime(s.params.BaseEjectionTime, s.params.MaxEjectionTime, r.ejections)
+	r.ejections++
 	r.ejected = true
-	r.kept = false
-	r.holdUntil = s.now.Add(hold)
-	s.report(EventEjected, service, target, r.finding.Cause.String()+" for "+hold.String())
+	r.keptForFloor = false
+	r.ejectedUntil = s.now.Add(duration)
+	s.report(EventEjected, service, target, r.finding.Cause.String()+" for "+duration.String())
 }
 
 // pushVerdicts tells all entries heard of late, without waiting for their next
 // digest.
-func (s *State) pushVerdicts(service crid.Service, d *docket) {
+func (s *State) pushVerdicts(service crid.Service, d *detector) {
 	for _, name := range sortedDaemons(d.senders) {
-		if s.now.Sub(d.senders[name].at) < s.params.ValidFor {
-			s.answer(service, d, name)
+		if s.now.Sub(d.senders[name].lastSeen) < s.params.ValidFor {
+			s.sendVerdict(service, d, name)
 		}
 	}
 }
--- a/core/crhealth/baseline.go
+++ b/core/crhealth/baseline.go
@@ -4,18 +4,18 @@
 
 // The thresholds of FixedAlone.
 const (
-	fixedRate   = 0.2
-	fixedMedian = 60 * time.Millisecond
-	fixedLeast  = 5
+	fixedRate        = 0.2
+	fixedMedian      = 60 * time.Millisecond
+	fixedMinAttempts = 5
 )
 
 // FixedAlone returns params under which each daemon ejects on its own evidence
 // by fixed thresholds, for comparison.
 func FixedAlone(params Params) Params {
-	params.Judge = FixedJudge{Rate: fixedRate, Median: fixedMedian, Least: fixedLeast}
-	params.Alone = true
+	params.Judge = FixedJudge{Rate: fixedRate, Median: fixedMedian, MinAttempts: fixedMinAttempts}
+	params.LocalOnly = true
 	params.Stalls = false
-	params.without |= guardAccounts
+	params.disabledGuards |= guardCorroboration
 	return params
 }
 
--- a/core/crhealth/bench_test.go
+++ b/core/crhealth/bench_test.go
@@ -36,9 +36,9 @@
 		}
 		wire = float64(len(data)) / targets
 		before = heapInUse()
-		records := make(map[crid.Target]*record, targets)
+		records := make(map[crid.Target]*targetRecord, targets)
 		for _, sample := range samples {
-			rec := &record{}
+			rec := &targetRecord{}
 			for second := range 10 {
 				rec.window.add(crid.Instant(second+1)*crid.Instant(time.Second), "entry", sample)
 			}
--- a/core/crhealth/chaos_test.go
+++ b/core/crhealth/chaos_test.go
@@ -15,9 +15,9 @@
 // chaosParams shorten the holds, so that targets come and go often.
 func chaosParams() Params {
 	p := DefaultParams()
-	p.HoldBase = 500 * time.Millisecond
-	p.HoldMost = time.Minute
-	p.Forgive = time.Second
+	p.BaseEjectionTime = 500 * time.Millisecond
+	p.MaxEjectionTime = time.Minute
+	p.EjectionDecay = time.Second
 	return p
 }
 
@@ -28,14 +28,14 @@
 }
 
 // disturb does one thing that may happen to a fleet.
-func disturb(w *world, pick func(n int) int) {
+func injectFault(w *world, pick func(n int) int) {
 	n := w.nodes[w.names[pick(len(w.names))]]
 	other := w.names[pick(len(w.names))]
 	switch pick(9) {
 	case 0, 1:
-		w.acts[w.targets[pick(len(w.targets))]] = endsWith(ResultWrong, 1)
+		w.behaviours[w.targets[pick(len(w.targets))]] = endsWith(ResultWrong, 1)
 	case 2:
-		clear(w.acts)
+		clear(w.behaviours)
 	case 3:
 		n.paused = !n.paused
 	case 4:
@@ -43,7 +43,7 @@
 	case 5:
 		w.cut[[2]crid.Daemon{n.name, other}] = !w.cut[[2]crid.Daemon{n.name, other}]
 	case 6:
-		w.change(slices.DeleteFunc(slices.Clone(w.names), func(d crid.Daemon) bool { return d == other }))
+		w.changeMembers(slices.DeleteFunc(slices.Clone(w.names), func(d crid.Daemon) bool { return d == other }))
 	case 7:
 		w.loss = []float64{0, 0.1, 0.4}[pick(3)]
 		w.delay = []time.Duration{2 * time.Millisecond, 300 * time.Millisecond, 2 * time.Second}[pick(3)]
@@ -54,10 +54,10 @@
 
 // settle runs until the next disturbance, and reports whether the floor was
 // breached at any instant.
-func settle(w *world, steps int) bool {
+func runSteps(w *world, steps int) bool {
 	for range steps {
 		w.advance()
-		if w.breach() {
+		if w.floorBreached() {
 			return true
 		}
 	}
@@ -67,32 +67,32 @@
 // Targets get sick by turns while daemons freeze, restart, lose messages in one
 // direction, hold old lists, and the arbiter moves. If two arbiters' ejections
 // added up, a service would run below its floor and callers would be refused.
-func TestFloorHoldsThroughAnything(t *testing.T) {
+func TestFloorHoldsUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
 		w := chaosWorld(chaosParams(), uint64(rapid.IntRange(1, 1<<20).Draw(rt, "seed")))
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(rt, "pick") }
-		if settle(w, 60) {
+		if runSteps(w, 60) {
 			rt.Fatal("breach in calm")
 		}
 		for range 15 {
-			disturb(w, pick)
-			if settle(w, 1+pick(40)) {
-				rt.Fatalf("ejected at once: %v", w.inForce())
+			injectFault(w, pick)
+			if runSteps(w, 1+pick(40)) {
+				rt.Fatalf("ejected at once: %v", w.ejectedSomewhere())
 			}
 		}
 	})
 }
 
 // breaks searches for a run in which the floor is breached.
-func breaks(p Params, runs uint64) (seed uint64, ejections int) {
+func findBreach(p Params, runs uint64) (seed uint64, ejections int) {
 	for seed := range runs {
 		w := chaosWorld(p, seed)
 		rng := rand.New(rand.NewPCG(seed, 2))
-		settle(w, 40)
+		runSteps(w, 40)
 		for range 25 {
-			disturb(w, rng.IntN)
-			if settle(w, 1+rng.IntN(40)) {
+			injectFault(w, rng.IntN)
+			if runSteps(w, 1+rng.IntN(40)) {
 				return seed + 1, 0
 			}
 		}
@@ -103,20 +103,20 @@
 
 // Each guard is switched off in turn; then a run must be found that breaches
 // the floor, else the guard, or this test, would be of no use.
-func TestEachGuardOfTheFloorMatters(t *testing.T) {
+func TestEachFloorGuardIsNecessary(t *testing.T) {
 	for name, g := range map[string]guard{
-		"floor": guardFloor, "tenure": guardTenure, "silence": guardSilence, "linger": guardLinger, "sent": guardSent,
+		"floor": guardFloor, "tenure": guardLease, "silence": guardExpiryWait, "linger": guardMaybeEjected, "sent": guardSentTime,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := chaosParams()
-			p.without = g
-			seed, _ := breaks(p, 400)
+			p.disabledGuards = g
+			seed, _ := findBreach(p, 400)
 			t.Logf("breached in run %d", seed)
 			gomega.NewWithT(t).Expect(seed).NotTo(gomega.BeZero())
 		})
 	}
-	seed, ejections := breaks(chaosParams(), 25)
+	seed, ejections := findBreach(chaosParams(), 25)
 	gomega.NewWithT(t).Expect(seed).To(gomega.BeZero())
 	gomega.NewWithT(t).Expect(ejections).To(gomega.BeNumerically(">", 100), "the runs must eject")
 }
--- a/core/crhealth/crhealth.go
+++ b/core/crhealth/crhealth.go
@@ -36,7 +36,7 @@
 )
 
 // place is where a target stands, by the newest list.
-type place struct {
+type placement struct {
 	daemon    crid.Daemon
 	service   crid.Service
 	leaving   bool
@@ -48,25 +48,25 @@
 type State struct {
 	params Params
 
-	now      crid.Instant
-	self     crid.Daemon
-	life     crid.Incarnation
-	stopping bool
-	snapshot *crpolicy.Snapshot
-	listed   bool
-	places   map[crid.Target]*place
-	targets  map[crid.Service][]crid.Target // sorted
-	peers    map[crid.Daemon]crmember.Peer
-	standing standing
-
-	entries map[crid.Service]*entry
-	hot     map[crid.Service]bool // services whose Steer changes with time
-	dockets map[crid.Service]*docket
-	seq     uint64
-	number  uint64
-	credit  float64 // bytes that digests may take now
-	paidAt  crid.Instant
-	late    bool
+	now         crid.Instant
+	self        crid.Daemon
+	incarnation crid.Incarnation
+	stopping    bool
+	snapshot    *crpolicy.Snapshot
+	listed      bool
+	placements  map[crid.Target]*placement
+	targets     map[crid.Service][]crid.Target // sorted
+	peers       map[crid.Daemon]crmember.Peer
+	lease       leaseState
+
+	entries      map[crid.Service]*entry
+	timeVarying  map[crid.Service]bool // services whose Steer changes with time
+	detectors    map[crid.Service]*detector
+	seq          uint64
+	number       uint64
+	digestTokens float64 // bytes that digests may take now
+	refilledAt   crid.Instant
+	digestsLate  bool
 
 	out []crevent.Effect
 }
@@ -77,14 +77,14 @@
 		p.Judge = PeerJudge{}
 	}
 	return &State{
-		params:   p,
-		places:   make(map[crid.Target]*place),
-		targets:  make(map[crid.Service][]crid.Target),
-		peers:    make(map[crid.Daemon]crmember.Peer),
-		entries:  make(map[crid.Service]*entry),
-		hot:      make(map[crid.Service]bool),
-		dockets:  make(map[crid.Service]*docket),
-		standing: newStanding(),
+		params:      p,
+		placements:  make(map[crid.Target]*placement),
+		targets:     make(map[crid.Service][]crid.Target),
+		peers:       make(map[crid.Daemon]crmember.Peer),
+		entries:     make(map[crid.Service]*entry),
+		timeVarying: make(map[crid.Service]bool),
+		detectors:   make(map[crid.Service]*detector),
+		lease:       newLeaseState(),
 	}
 }
 
@@ -95,17 +95,17 @@
 	switch ev := ev.(type) {
 	case crevent.Started:
 		s.self = ev.Self
-		s.life = ev.Incarnation
+		s.incarnation = ev.Incarnation
 	case crevent.Stopping:
 		s.stopping = true
 	case crinstance.Listed:
-		s.takeList(ev.List)
+		s.applyList(ev.List)
 	case crconfig.InForce:
 		s.snapshot = ev.Snapshot
 	case crmember.Peers:
-		s.takePeers(ev.Peers)
+		s.applyPeers(ev.Peers)
 	case crmember.Tenure:
-		s.takeTenure(ev)
+		s.applyLease(ev)
 	case Observed:
 		s.observe(ev.Samples)
 	case crevent.Received:
@@ -113,7 +113,7 @@
 	case crevent.Tick:
 		s.tick()
 	}
-	s.steerAfter(ev)
+	s.updateRoutingAfter(ev)
 	return s.out
 }
 
@@ -132,17 +132,17 @@
 
 // takeList indexes a list. A target that was not in the list before is cold;
 // all those of the first list are taken as warm, since their age is unknown.
-func (s *State) takeList(list crinstance.List) {
-	former := s.places
-	s.places = make(map[crid.Target]*place, len(former))
+func (s *State) applyList(list crinstance.List) {
+	previous := s.placements
+	s.placements = make(map[crid.Target]*placement, len(previous))
 	s.targets = make(map[crid.Service][]crid.Target)
 	for _, in := range list.Instances() {
 		for _, t := range in.Targets {
-			p := &place{daemon: in.Daemon, service: t.Service, leaving: in.Leaving(), cold: s.listed, coldSince: s.now}
-			if old, ok := former[t.Name]; ok {
+			p := &placement{daemon: in.Daemon, service: t.Service, leaving: in.Leaving(), cold: s.listed, coldSince: s.now}
+			if old, ok := previous[t.Name]; ok {
 				p.cold, p.coldSince = old.cold, old.coldSince
 			}
-			s.places[t.Name] = p
+			s.placements[t.Name] = p
 			s.targets[t.Service] = append(s.targets[t.Service], t.Name)
 		}
 	}
@@ -153,19 +153,19 @@
 	for service := range s.entries {
 		if len(s.targets[service]) == 0 {
 			delete(s.entries, service)
-			delete(s.hot, service)
+			delete(s.timeVarying, service)
 		}
 	}
 }
 
 // takePeers notes who is reachable. A daemon with a new incarnation has been
 // replaced with its instance, so its targets are cold.
-func (s *State) takePeers(peers []crmember.Peer) {
-	former := s.peers
+func (s *State) applyPeers(peers []crmember.Peer) {
+	previous := s.peers
 	s.peers = make(map[crid.Daemon]crmember.Peer, len(peers))
 	restarted := make(map[crid.Daemon]bool)
 	for _, p := range peers {
-		old := former[p.Daemon]
+		old := previous[p.Daemon]
 		if old.Incarnation != 0 && p.Incarnation != 0 && old.Incarnation != p.Incarnation {
 			restarted[p.Daemon] = true
 		}
@@ -174,25 +174,25 @@
 	if len(restarted) == 0 {
 		return
 	}
-	for _, p := range s.places {
+	for _, p := range s.placements {
 		if restarted[p.daemon] {
 			p.cold = true
 			p.coldSince = s.now
-			s.hot[p.service] = true
+			s.timeVarying[p.service] = true
 		}
 	}
 }
 
 // coldNow reports whether a target is in its first seconds.
-func (s *State) coldNow(p *place) bool {
+func (s *State) isCold(p *placement) bool {
 	return p.cold && s.now.Sub(p.coldSince) < s.params.ColdStart
 }
 
 // isCapacity reports whether a target counts as capacity: listed, not leaving,
 // reachable and warm. A daemon that is not among the peers does not count.
 func (s *State) isCapacity(target crid.Target) bool {
-	p := s.places[target]
-	if p == nil || p.leaving || s.coldNow(p) {
+	p := s.placements[target]
+	if p == nil || p.leaving || s.isCold(p) {
 		return false
 	}
 	if p.daemon == s.self {
@@ -223,9 +223,9 @@
 func (s *State) receive(from crid.Daemon, msg crevent.Message) {
 	switch msg := msg.(type) {
 	case Digest:
-		s.takeDigest(from, msg)
+		s.handleDigest(from, msg)
 	case Verdict:
-		s.takeVerdict(from, msg)
+		s.handleVerdict(from, msg)
 	}
 }
 
--- a/core/crhealth/dump.go
+++ b/core/crhealth/dump.go
@@ -9,13 +9,13 @@
 
 // TargetDump is the arbiter's view of a target that is not in plain health.
 type TargetDump struct {
-	Target    crid.Target `json:"target"`
-	Cause     string      `json:"cause"`
-	Ejected   bool        `json:"ejected"`
-	ForFloor  bool        `json:"keptForFloor"`
-	Suspicion int         `json:"suspicion"`
-	Strikes   int         `json:"strikes"`
-	HoldLeft  string      `json:"holdLeft,omitempty"`
+	Target       crid.Target `json:"target"`
+	Cause        string      `json:"cause"`
+	Ejected      bool        `json:"ejected"`
+	KeptForFloor bool        `json:"keptForFloor"`
+	Suspicion    int         `json:"suspicion"`
+	Ejections    int         `json:"strikes"`
+	EjectionLeft string      `json:"holdLeft,omitempty"`
 }
 
 // ServiceDump is the state of one service.
@@ -30,19 +30,19 @@
 
 // Dump is the state for the state dump.
 type Dump struct {
-	Standing bool          `json:"standing"`
-	Services []ServiceDump `json:"services"` // sorted
+	HoldsLease bool          `json:"standing"`
+	Services   []ServiceDump `json:"services"` // sorted
 }
 
 // Dump returns the state at the last event.
 func (s *State) Dump() any {
-	dump := Dump{Standing: s.mayAct()}
+	dump := Dump{HoldsLease: s.holdsLease()}
 	for _, service := range sortedServices(s.targets) {
 		sd := ServiceDump{Service: service, Arbiter: s.arbiter(service), Allowance: s.allowance(service)}
 		if e := s.entries[service]; e != nil {
-			sd.Steered = slices.Clone(e.steered.Targets)
+			sd.Steered = slices.Clone(e.routing.Targets)
 		}
-		if d := s.dockets[service]; d != nil {
+		if d := s.detectors[service]; d != nil {
 			sd.Senders = len(d.senders)
 			sd.Targets = s.dumpTargets(d)
 		}
@@ -51,19 +51,19 @@
 	return dump
 }
 
-func (s *State) dumpTargets(d *docket) []TargetDump {
+func (s *State) dumpTargets(d *detector) []TargetDump {
 	var targets []TargetDump
 	for _, target := range d.targets() {
 		r := d.records[target]
-		if !r.ejected && r.suspicion == 0 && r.strikes == 0 {
+		if !r.ejected && r.suspicion == 0 && r.ejections == 0 {
 			continue
 		}
 		td := TargetDump{
 			Target: target, Cause: r.finding.Cause.String(), Ejected: r.ejected,
-			ForFloor: r.kept, Suspicion: r.suspicion, Strikes: r.strikes,
+			KeptForFloor: r.keptForFloor, Suspicion: r.suspicion, Ejections: r.ejections,
 		}
 		if r.ejected {
-			td.HoldLeft = r.holdUntil.Sub(s.now).String()
+			td.EjectionLeft = r.ejectedUntil.Sub(s.now).String()
 		}
 		targets = append(targets, td)
 	}
--- a/core/crhealth/entry.go
+++ b/core/crhealth/entry.go
@@ -17,7 +17,7 @@
 const (
 	// sentKept is the number of digests whose sending is remembered, far more
 	// than are sent within ValidFor.
-	sentKept = 16
+	sentDigestSlots = 16
 	// weightSteps bounds how often a rising weight makes a new Steer.
 	weightSteps = 10
 	// The estimated size of a digest on the wire, in bytes.
@@ -35,22 +35,22 @@
 
 // entry is this daemon's part, as an entry, in one service.
 type entry struct {
-	pending   map[crid.Target]*counts // since the last digest
-	waits     map[crid.Target][]Wait  // at present
+	unsent    map[crid.Target]*counts        // since the last digest
+	pending   map[crid.Target][]PendingCount // at present
 	trafficAt crid.Instant
 	sentAt    crid.Instant
-	sent      [sentKept]sentDigest
+	sent      [sentDigestSlots]sentDigest
 
 	verdict Verdict
 	from    crid.Daemon
 	until   crid.Instant
-	steered Steer
+	routing Steer
 }
 
 func (s *State) entry(service crid.Service) *entry {
 	e := s.entries[service]
 	if e == nil {
-		e = &entry{pending: make(map[crid.Target]*counts), waits: make(map[crid.Target][]Wait)}
+		e = &entry{unsent: make(map[crid.Target]*counts), pending: make(map[crid.Target][]PendingCount)}
 		s.entries[service] = e
 	}
 	return e
@@ -58,37 +58,37 @@
 
 func (s *State) observe(samples []Sample) {
 	for _, sample := range samples {
-		p := s.places[sample.Target]
+		p := s.placements[sample.Target]
 		if p == nil {
 			continue
 		}
 		e := s.entry(p.service)
 		e.trafficAt = s.now
-		c := e.pending[sample.Target]
+		c := e.unsent[sample.Target]
 		if c == nil {
 			c = &counts{}
-			e.pending[sample.Target] = c
+			e.unsent[sample.Target] = c
 		}
 		c.addSample(s.self, sample)
-		e.setWaits(sample)
+		e.setPending(sample)
 	}
 }
 
-func (e *entry) setWaits(s Sample) {
-	if len(s.Waits) == 0 {
-		delete(e.waits, s.Target)
+func (e *entry) setPending(s Sample) {
+	if len(s.Pending) == 0 {
+		delete(e.pending, s.Target)
 		return
 	}
-	e.waits[s.Target] = s.Waits
+	e.pending[s.Target] = s.Pending
 }
 
 // sendDigests sends what is due, the longest waiting service first, as far as
 // the budget goes.
 func (s *State) sendDigests() {
-	s.earnCredit()
+	s.refillTokens()
 	var due []crid.Service
 	for service, e := range s.entries {
-		if s.now.Sub(e.trafficAt) < s.params.Quiet && s.now.Sub(e.sentAt) >= s.params.DigestEvery {
+		if s.now.Sub(e.trafficAt) < s.params.IdleAfter && s.now.Sub(e.sentAt) >= s.params.DigestEvery {
 			due = append(due, service)
 		}
 	}
@@ -99,24 +99,24 @@
 		return cmp.Compare(a, b)
 	})
 	for i, service := range due {
-		if s.credit < 0 {
-			s.tellLate(len(due) - i)
+		if s.digestTokens < 0 {
+			s.reportLate(len(due) - i)
 			return
 		}
 		s.sendDigest(service)
 	}
-	s.late = false
+	s.digestsLate = false
 }
 
-func (s *State) earnCredit() {
+func (s *State) refillTokens() {
 	rate := float64(s.params.Budget)
-	s.credit = min(s.credit+s.now.Sub(s.paidAt).Seconds()*rate, rate*burstTime.Seconds())
-	s.paidAt = s.now
+	s.digestTokens = min(s.digestTokens+s.now.Sub(s.refilledAt).Seconds()*rate, rate*burstTime.Seconds())
+	s.refilledAt = s.now
 }
 
-func (s *State) tellLate(n int) {
-	if !s.late {
-		s.late = true
+func (s *State) reportLate(n int) {
+	if !s.digestsLate {
+		s.digestsLate = true
 		s.emit(crevent.Report{Number: EventDigestsLate, Fields: map[string]string{"services": fmt.Sprint(n)}})
 	}
 }
@@ -128,33 +128,33 @@
 	}
 	e := s.entries[service]
 	s.seq++
-	d := Digest{Service: service, Life: s.life, Seq: s.seq, Samples: e.samples()}
-	d.Last = s.now.Add(2*s.params.DigestEvery).Sub(e.trafficAt) >= s.params.Quiet // a tick may come late
-	clear(e.pending)
+	d := Digest{Service: service, Incarnation: s.incarnation, Seq: s.seq, Samples: e.samples()}
+	d.Last = s.now.Add(2*s.params.DigestEvery).Sub(e.trafficAt) >= s.params.IdleAfter // a tick may come late
+	clear(e.unsent)
 	e.sentAt = s.now
-	e.sent[s.seq%sentKept] = sentDigest{seq: s.seq, at: s.now, to: to}
+	e.sent[s.seq%sentDigestSlots] = sentDigest{seq: s.seq, at: s.now, to: to}
 	if to == s.self {
-		s.takeDigest(s.self, d)
+		s.handleDigest(s.self, d)
 		return
 	}
-	s.credit -= float64(digestBytes + sampleBytes*len(d.Samples))
+	s.digestTokens -= float64(digestBytes + sampleBytes*len(d.Samples))
 	s.emit(crevent.Send{To: to, Msg: d})
 }
 
 // samples are those since the last digest. A drain tells of a target with waits
 // each time, so that its sample is among them.
 func (e *entry) samples() []Sample {
-	samples := make([]Sample, 0, len(e.pending))
-	for _, target := range slices.Sorted(maps.Keys(e.pending)) {
-		sample := e.pending[target].sample(target)
-		sample.Waits = e.waits[target]
+	samples := make([]Sample, 0, len(e.unsent))
+	for _, target := range slices.Sorted(maps.Keys(e.unsent)) {
+		sample := e.unsent[target].sample(target)
+		sample.Pending = e.pending[target]
 		samples = append(samples, sample)
 	}
 	return samples
 }
 
 func (c *counts) sample(target crid.Target) Sample {
-	out := Sample{Target: target, Hint: c.hint}
+	out := Sample{Target: target, ReportedUnhealthy: c.reportedUnhealthy}
 	for i, t := range c.groups {
 		if t.n > 0 {
 			out.Groups = append(out.Groups, Group{Index: uint8(i), N: t.n, Bad: t.bad, Wrong: t.wrong})
@@ -174,17 +174,17 @@
 // Counting from its arrival instead, a verdict that lay in a queue or a paused
 // process would hold long after its arbiter was replaced, and its ejections
 // would add to the new arbiter's, below the floor.
-func (s *State) takeVerdict(from crid.Daemon, v Verdict) {
+func (s *State) handleVerdict(from crid.Daemon, v Verdict) {
 	e := s.entries[v.Service]
-	if e == nil || v.Life != s.life {
+	if e == nil || v.Incarnation != s.incarnation {
 		return
 	}
-	sent := e.sent[v.Seq%sentKept]
-	if sent.seq != v.Seq || sent.to != from || e.supersedes(from, v) {
+	sent := e.sent[v.Seq%sentDigestSlots]
+	if sent.seq != v.Seq || sent.to != from || e.hasNewer(from, v) {
 		return
 	}
 	base := sent.at
-	if !s.params.has(guardSent) {
+	if !s.params.hasGuard(guardSentTime) {
 		base = s.now
 	}
 	until := base.Add(s.params.ValidFor)
@@ -194,16 +194,16 @@
 	e.verdict = v
 	e.from = from
 	e.until = until
-	s.hot[v.Service] = true
+	s.timeVarying[v.Service] = true
 }
 
 // supersedes reports whether the verdict in hand is newer than v. Messages may
 // overtake one another.
-func (e *entry) supersedes(from crid.Daemon, v Verdict) bool {
+func (e *entry) hasNewer(from crid.Daemon, v Verdict) bool {
 	if e.until == 0 {
 		return false
 	}
-	if e.from == from && e.verdict.Arbiter == v.Arbiter {
+	if e.from == from && e.verdict.ArbiterIncarnation == v.ArbiterIncarnation {
 		return v.Number <= e.verdict.Number
 	}
 	return v.Seq < e.verdict.Seq
@@ -213,24 +213,24 @@
 // verdicts end with time, and who is reachable bounds a verdict, so each tick and
 // each word on peers looks at the services that have any; the others, nearly all
 // in a large fleet, cost nothing then.
-func (s *State) steerAfter(ev crevent.Event) {
+func (s *State) updateRoutingAfter(ev crevent.Event) {
 	switch ev := ev.(type) {
 	case crevent.Tick, crmember.Peers:
-		for _, service := range sortedServices(s.hot) {
-			s.steer(service)
+		for _, service := range sortedServices(s.timeVarying) {
+			s.updateRouting(service)
 		}
 	case crevent.Received:
 		if v, ok := ev.Msg.(Verdict); ok && s.entries[v.Service] != nil {
-			s.steer(v.Service)
+			s.updateRouting(v.Service)
 		}
 	case crinstance.Listed, crconfig.InForce, crevent.Stopping:
 		for _, service := range sortedServices(s.targets) {
-			s.steer(service)
+			s.updateRouting(service)
 		}
 	}
 }
 
-func (s *State) steer(service crid.Service) {
+func (s *State) updateRouting(service crid.Service) {
 	e := s.entries[service]
 	if e == nil {
 		e = &entry{}
@@ -242,24 +242,24 @@
 		e.verdict = Verdict{}
 		e.until = 0
 	}
-	next := Steer{Service: service, Targets: s.states(service, e)}
+	next := Steer{Service: service, Targets: s.targetStates(service, e)}
 	if slices.ContainsFunc(next.Targets, func(t TargetState) bool { return t.Ejected }) {
 		next.Until = e.until
 	}
-	delete(s.hot, service)
+	delete(s.timeVarying, service)
 	if len(next.Targets) > 0 || e.until != 0 {
-		s.hot[service] = true
+		s.timeVarying[service] = true
 	}
-	if next.Until == e.steered.Until && slices.Equal(next.Targets, e.steered.Targets) {
+	if next.Until == e.routing.Until && slices.Equal(next.Targets, e.routing.Targets) {
 		return
 	}
-	s.entry(service).steered = next
+	s.entry(service).routing = next
 	s.emit(next)
 }
 
 // states are the targets that are ejected or below full weight.
-func (s *State) states(service crid.Service, e *entry) []TargetState {
-	ejected := s.enforced(service, e)
+func (s *State) targetStates(service crid.Service, e *entry) []TargetState {
+	ejected := s.enforcedEjections(service, e)
 	weights := make(map[crid.Target]int, len(e.verdict.Weights))
 	for _, w := range e.verdict.Weights {
 		weights[w.Target] = w.Weight
@@ -270,7 +270,7 @@
 		if w, ok := weights[target]; ok {
 			weight = min(max(w, 1), FullWeight)
 		}
-		if p := s.places[target]; s.coldNow(p) {
+		if p := s.placements[target]; s.isCold(p) {
 			weight = min(weight, ramp(s.now.Sub(p.coldSince), s.params.ColdStart))
 		}
 		if ejected[target] || weight < FullWeight {
@@ -282,14 +282,14 @@
 
 // enforced is the part of the verdict that this daemon's own view of the floor
 // allows, worst first. The arbiter may not yet know that a target is leaving.
-func (s *State) enforced(service crid.Service, e *entry) map[crid.Target]bool {
+func (s *State) enforcedEjections(service crid.Service, e *entry) map[crid.Target]bool {
 	if len(e.verdict.Ejected) == 0 {
 		return nil
 	}
 	room := s.allowance(service)
 	ejected := make(map[crid.Target]bool, len(e.verdict.Ejected))
 	for _, target := range e.verdict.Ejected {
-		if s.isCapacity(target) && s.params.has(guardFloor) {
+		if s.isCapacity(target) && s.params.hasGuard(guardFloor) {
 			if room == 0 {
 				continue
 			}
--- a/core/crhealth/evidence.go
+++ b/core/crhealth/evidence.go
@@ -6,32 +6,32 @@
 )
 
 // The spans judged, from short to long: thin traffic needs a longer look.
-var spans = [...]time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 9 * time.Second}
+var judgedSpans = [...]time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 9 * time.Second}
 
 // enough is the number of attempts at which a longer span is not looked at.
-const enough = 12
+const minAttempts = 12
 
 // The bounds of corroboration.
 const (
-	otherLeast = 5 // attempts of the others that can contradict one account
-	loneBad    = 2 // bad attempts of a contradicted account that still count
-	loneWrong  = 1 // wrong ones
+	minOtherAttempts       = 5 // attempts of the others that can contradict one account
+	maxUncorroboratedBad   = 2 // bad attempts of a contradicted account that still count
+	maxUncorroboratedWrong = 1 // wrong ones
 )
 
 // evidenceOf sums up a target's window over the shortest span that is enough.
-func evidenceOf(c *counts, cold, guarded bool) Evidence {
+func newEvidence(c *counts, cold, corroborate bool) Evidence {
 	total := c.total()
 	n, median := c.median()
 	e := Evidence{
-		N: total.n, Bad: total.bad, Wrong: total.wrong, Answers: n, Median: median,
-		Hint: c.hint, Cold: cold, latency: c.latency,
+		N: total.n, Bad: total.bad, Wrong: total.wrong, Responses: n, Median: median,
+		ReportedUnhealthy: c.reportedUnhealthy, Cold: cold, latency: c.latency,
 	}
-	if !guarded {
+	if !corroborate {
 		return e
 	}
-	bad, wrong := borneOut(c, total)
-	if !seenByMost(c, total) {
-		bad = min(bad, loneBad)
+	bad, wrong := corroborated(c, total)
+	if !seenByMajority(c, total) {
+		bad = min(bad, maxUncorroboratedBad)
 		wrong = 0
 	}
 	e.Bad = bad
@@ -45,11 +45,11 @@
 // A caller may send requests that fail or stall on any target. If they counted
 // fully, the targets they happened to reach would be ejected one after another,
 // for a fault of the caller. Nobody else would see these targets fail so often.
-func borneOut(c *counts, total tally) (bad, wrong uint32) {
+func corroborated(c *counts, total tally) (bad, wrong uint32) {
 	for i, own := range c.groups {
-		if others := total.without(own); i != 0 && others.n >= otherLeast {
-			own.bad = min(own.bad, loneBad+likely(own.n, others.badRate()))
-			own.wrong = min(own.wrong, loneWrong+likely(own.n, others.wrongRate()))
+		if others := total.without(own); i != 0 && others.n >= minOtherAttempts {
+			own.bad = min(own.bad, maxUncorroboratedBad+expectedCount(own.n, others.badRate()))
+			own.wrong = min(own.wrong, maxUncorroboratedWrong+expectedCount(own.n, others.wrongRate()))
 		}
 		bad += own.bad
 		wrong += own.wrong
@@ -58,7 +58,7 @@
 }
 
 // likely is how many of n attempts fail at a rate.
-func likely(n uint32, rate float64) uint32 { return uint32(float64(n) * rate) }
+func expectedCount(n uint32, rate float64) uint32 { return uint32(float64(n) * rate) }
 
 // seenByMost reports whether the daemons with traffic on the target see it fail
 // about alike: of those that would, were the failures spread evenly over all
@@ -66,11 +66,11 @@
 //
 // In a one-way cut some daemons get no answers from a target that serves all
 // others well. They avoid it by themselves; ejecting it would take it from all.
-func seenByMost(c *counts, total tally) bool {
-	well := 1 - total.badRate()
+func seenByMajority(c *counts, total tally) bool {
+	successRate := 1 - total.badRate()
 	expected, seen := 0.0, 0.0
 	for _, t := range c.senders {
-		expected += 1 - math.Pow(well, float64(t.n))
+		expected += 1 - math.Pow(successRate, float64(t.n))
 		if t.bad > 0 {
 			seen++
 		}
@@ -79,12 +79,12 @@
 }
 
 // evidence returns the evidence of one span.
-func (r *record) evidence(s *State, span time.Duration, cold bool) Evidence {
-	return evidenceOf(r.window.sum(s.now, span), cold, s.params.has(guardAccounts))
+func (r *targetRecord) evidence(s *State, span time.Duration, cold bool) Evidence {
+	return newEvidence(r.window.sum(s.now, span), cold, s.params.hasGuard(guardCorroboration))
 }
 
 // holdFor is the hold-off of the given ejection in a row.
-func holdFor(base, most time.Duration, strikes int) time.Duration {
-	hold := float64(base) * math.Pow(2, float64(min(strikes, 30)))
-	return time.Duration(min(hold, float64(most)))
+func ejectionTime(base, limit time.Duration, ejections int) time.Duration {
+	d := float64(base) * math.Pow(2, float64(min(ejections, 30)))
+	return time.Duration(min(d, float64(limit)))
 }
--- a/core/crhealth/fault_test.go
+++ b/core/crhealth/fault_test.go
@@ -12,17 +12,17 @@
 	"camphorroad/core/crmember"
 )
 
-const sick = crid.Target("t03")
+const unhealthy = crid.Target("t03")
 
 // beacon is a service of today's size: 15 targets, one daemon beside each.
-func beacon(p Params) *world { return newWorld(p, 7, 15, 15, 10) }
+func defaultWorld(p Params) *world { return newWorld(p, 7, 15, 15, 10) }
 
 // detect runs until all daemons hold the target ejected; zero: not in 15 s.
 func detect(w *world, target crid.Target) time.Duration {
 	start := w.now
 	for w.now < start+15*time.Second {
 		w.advance()
-		if w.everywhere(target) {
+		if w.ejectedEverywhere(target) {
 			return w.now - start
 		}
 	}
@@ -41,7 +41,7 @@
 // One target grows slow, answers wrongly, fails or stalls while its health
 // endpoint goes on saying that all is well. Callers see slow or wrong answers
 // for as long as it gets work.
-func TestSickTargetIsEjectedEverywhere(t *testing.T) {
+func TestUnhealthyTargetIsEjectedEverywhere(t *testing.T) {
 	for name, act := range map[string]behaviour{
 		"slow":     slowBy(5),
 		"wrong":    endsWith(ResultWrong, 0.3),
@@ -50,10 +50,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			w := beacon(DefaultParams())
+			w := defaultWorld(DefaultParams())
 			w.run(5 * time.Second)
-			w.acts[sick] = act
-			took := detect(w, sick)
+			w.behaviours[unhealthy] = act
+			took := detect(w, unhealthy)
 			g.Expect(took).To(gomega.BeNumerically(">", 0))
 			g.Expect(took).To(gomega.BeNumerically("<=", 3*time.Second))
 			w.run(3 * time.Second)
@@ -64,35 +64,35 @@
 
 // A target gets sick, is ejected, looks well, comes back and gets sick again.
 // With a fixed hold-off callers would hit it every few seconds for hours.
-func TestFlappingTargetIsHeldOffLongerEachTime(t *testing.T) {
+func TestFlappingTargetIsEjectedLongerEachTime(t *testing.T) {
 	t.Parallel()
 	g := gomega.NewWithT(t)
 	w := newWorld(DefaultParams(), 7, 5, 6, 4)
 	w.perStep = 4
 	w.run(5 * time.Second)
-	w.acts[sick] = flapping(7*time.Second, endsWith(ResultFailed, 0.8))
+	w.behaviours[unhealthy] = flapping(7*time.Second, endsWith(ResultFailed, 0.8))
 	w.run(3 * time.Minute)
-	g.Expect(w.ejected[sick]).To(gomega.BeNumerically(">=", 3))
-	g.Expect(w.ejected[sick]).To(gomega.BeNumerically("<=", 7), "holds double: 5, 10, 20, 40, 80 s")
-	clear(w.acts)
+	g.Expect(w.ejected[unhealthy]).To(gomega.BeNumerically(">=", 3))
+	g.Expect(w.ejected[unhealthy]).To(gomega.BeNumerically("<=", 7), "holds double: 5, 10, 20, 40, 80 s")
+	clear(w.behaviours)
 	w.run(5 * time.Minute)
-	g.Expect(w.inForce()).To(gomega.BeEmpty(), "a target that is well again comes back")
+	g.Expect(w.ejectedSomewhere()).To(gomega.BeEmpty(), "a target that is well again comes back")
 }
 
 // The health endpoint of a good target says that it is ill, and that of a sick
 // one that it is well. Believing either would take good capacity away or leave
 // callers with the sick one.
-func TestLyingHealthReports(t *testing.T) {
+func TestMisleadingHealthReportsAreNotTrusted(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := beacon(DefaultParams())
+	w := defaultWorld(DefaultParams())
 	for _, n := range w.nodes {
 		n.recorder.Hint("t05", true)
-		n.recorder.Hint(sick, false)
+		n.recorder.Hint(unhealthy, false)
 	}
 	w.run(10 * time.Second)
 	g.Expect(w.ejected).To(gomega.BeEmpty())
-	w.acts[sick] = slowBy(5)
-	g.Expect(detect(w, sick)).To(gomega.BeNumerically(">", 0))
+	w.behaviours[unhealthy] = slowBy(5)
+	g.Expect(detect(w, unhealthy)).To(gomega.BeNumerically(">", 0))
 	g.Expect(w.ejected).To(gomega.HaveLen(1))
 }
 
@@ -100,10 +100,10 @@
 // would put more work on the others, until none is left.
 func TestNothingIsEjectedWhenAllAreSlow(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := beacon(DefaultParams())
+	w := defaultWorld(DefaultParams())
 	w.run(5 * time.Second)
 	for _, target := range w.targets {
-		w.acts[target] = slowBy(20)
+		w.behaviours[target] = slowBy(20)
 	}
 	w.run(30 * time.Second)
 	g.Expect(w.ejected).To(gomega.BeEmpty())
@@ -111,17 +111,17 @@
 
 // One account sends requests that fail wherever they run. Targets are not at
 // fault; ejecting those it happened to hit would punish all other accounts.
-func TestOneAccountsPoisonEjectsNothing(t *testing.T) {
+func TestFailuresOfOneAccountEjectNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := beacon(DefaultParams())
-	w.poison = "a3"
+	w := defaultWorld(DefaultParams())
+	w.failingAccount = "a3"
 	w.run(30 * time.Second)
 	g.Expect(w.ejected).To(gomega.BeEmpty())
 }
 
 // An account's poison reaches one target only, as when its requests are bound
 // to it. All other accounts are served well there and would lose it.
-func TestPoisonOnOneTargetDoesNotEjectIt(t *testing.T) {
+func TestFailuresOfOneAccountDoNotEjectItsTarget(t *testing.T) {
 	t.Parallel()
 	poisoned := func(now time.Duration, account crid.Account, rng *rand.Rand) (Result, time.Duration) {
 		if account == "a3" {
@@ -132,10 +132,10 @@
 	for _, guarded := range []bool{true, false} {
 		p := DefaultParams()
 		if !guarded {
-			p.without = guardAccounts
+			p.disabledGuards = guardCorroboration
 		}
-		w := beacon(p)
-		w.acts[sick] = poisoned
+		w := defaultWorld(p)
+		w.behaviours[unhealthy] = poisoned
 		w.perStep = 40
 		w.run(20 * time.Second)
 		gomega.NewWithT(t).Expect(len(w.ejected) == 0).To(gomega.Equal(guarded), "guard %v: %v", guarded, w.ejected)
@@ -143,15 +143,15 @@
 }
 
 // A few failures of other accounts, as on a busy machine, bear out all those of one.
-func TestPoisonBesideAFewOtherFailuresEjectsNothing(t *testing.T) {
+func TestFailuresOfOneAccountBesideFewOthersEjectNothing(t *testing.T) {
 	t.Parallel()
 	for _, result := range []Result{ResultWrong, ResultFailed} {
-		w := beacon(DefaultParams())
+		w := defaultWorld(DefaultParams())
 		w.perStep = 1
 		for _, target := range w.targets {
-			w.acts[target] = endsWith(ResultFailed, 0.05)
+			w.behaviours[target] = endsWith(ResultFailed, 0.05)
 		}
-		w.acts[sick] = func(now time.Duration, account crid.Account, rng *rand.Rand) (Result, time.Duration) {
+		w.behaviours[unhealthy] = func(now time.Duration, account crid.Account, rng *rand.Rand) (Result, time.Duration) {
 			if account == "a3" {
 				return result, 0
 			}
@@ -164,11 +164,11 @@
 
 // A one-way cut keeps three of fifteen entries from a target's answers. They
 // avoid it by themselves; the twelve others still have good use of it.
-func TestOneWayCutOfAFewEntriesEjectsNothing(t *testing.T) {
+func TestAsymmetricPartitionOfFewEntriesEjectsNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := beacon(DefaultParams())
+	w := defaultWorld(DefaultParams())
 	for _, name := range w.names[:3] {
-		w.blind[name] = sick
+		w.noResponse[name] = unhealthy
 	}
 	w.run(20 * time.Second)
 	g.Expect(w.ejected).To(gomega.BeEmpty())
@@ -177,19 +177,19 @@
 // Two targets get sick at once where the floor leaves room for one, and then
 // for none. The worse one goes; the other keeps its work, and operators read
 // why in event 402.
-func TestFloorKeepsTheLessSick(t *testing.T) {
+func TestFloorKeepsTheLessUnhealthyTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(DefaultParams(), 7, 6, 6, 5)
 	w.run(5 * time.Second)
-	w.acts["t01"] = endsWith(ResultWrong, 0.6)
-	w.acts["t04"] = slowBy(5)
+	w.behaviours["t01"] = endsWith(ResultWrong, 0.6)
+	w.behaviours["t04"] = slowBy(5)
 	g.Expect(detect(w, "t01")).To(gomega.BeNumerically(">", 0))
 	w.run(3 * time.Second)
-	g.Expect(w.inForce()).To(gomega.HaveLen(1))
+	g.Expect(w.ejectedSomewhere()).To(gomega.HaveLen(1))
 	g.Expect(w.reports[EventFloorHolds]).To(gomega.BeNumerically(">=", 1))
 
 	tight := newWorld(DefaultParams(), 7, 6, 6, 6)
-	tight.acts["t01"] = endsWith(ResultWrong, 1)
+	tight.behaviours["t01"] = endsWith(ResultWrong, 1)
 	tight.run(10 * time.Second)
 	g.Expect(tight.ejected).To(gomega.BeEmpty())
 }
@@ -197,65 +197,65 @@
 // While a target is ejected, others leave with a rack. Entries hear it at once
 // and the arbiter may be slow; the ejected one must take work again, or the
 // service would stay below its floor by the ejection.
-func TestCapacityThatLeavesBringsTheEjectedBack(t *testing.T) {
+func TestLossOfCapacityEndsEjections(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(DefaultParams(), 7, 6, 6, 5)
 	w.run(5 * time.Second)
-	w.acts["t01"] = endsWith(ResultWrong, 1)
+	w.behaviours["t01"] = endsWith(ResultWrong, 1)
 	g.Expect(detect(w, "t01")).To(gomega.BeNumerically(">", 0))
 	entry := w.nodes["d00"]
 	if entry == w.arbiter() {
 		entry = w.nodes["d02"]
 	}
 	w.step(entry, crinstance.Listed{Now: entry.clock(w.now), List: w.list(2, "t05")})
-	g.Expect(entry.steer[booking].Targets).To(gomega.BeEmpty(), "by its own view, at once")
+	g.Expect(entry.routing[booking].Targets).To(gomega.BeEmpty(), "by its own view, at once")
 	for _, n := range w.nodes {
 		w.step(n, crinstance.Listed{Now: n.clock(w.now), List: w.list(2, "t05")})
 	}
 	w.run(time.Second)
-	g.Expect(w.inForce()).To(gomega.BeEmpty())
+	g.Expect(w.ejectedSomewhere()).To(gomega.BeEmpty())
 }
 
 // The arbiter dies. Its ejections end within ValidFor at every entry, and the
 // next arbiter finds the sick target by itself.
 func TestDeadArbiterIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := beacon(DefaultParams())
+	w := defaultWorld(DefaultParams())
 	w.run(5 * time.Second)
-	w.acts[sick] = endsWith(ResultFailed, 1)
-	g.Expect(detect(w, sick)).To(gomega.BeNumerically(">", 0))
+	w.behaviours[unhealthy] = endsWith(ResultFailed, 1)
+	g.Expect(detect(w, unhealthy)).To(gomega.BeNumerically(">", 0))
 	dead := w.arbiter()
 	dead.paused = true
 	w.run(2 * time.Second)
-	g.Expect(w.inForce()).To(gomega.BeEmpty())
+	g.Expect(w.ejectedSomewhere()).To(gomega.BeEmpty())
 	var rest []crid.Daemon
 	for _, name := range w.names {
 		if name != dead.name {
 			rest = append(rest, name)
 		}
 	}
-	w.change(rest)
+	w.changeMembers(rest)
 	w.run(6 * time.Second)
-	g.Expect(w.inForce()).To(gomega.HaveKey(sick))
+	g.Expect(w.ejectedSomewhere()).To(gomega.HaveKey(unhealthy))
 
 	// It wakes up with a full inbox, still taking itself for the arbiter.
-	before := w.ejected[sick]
+	before := w.ejected[unhealthy]
 	dead.paused = false
 	dead.isolated = true
 	w.run(3 * time.Second)
-	g.Expect(w.ejected[sick]).To(gomega.Equal(before))
-	g.Expect(w.breach()).To(gomega.BeFalse())
+	g.Expect(w.ejected[unhealthy]).To(gomega.Equal(before))
+	g.Expect(w.floorBreached()).To(gomega.BeFalse())
 }
 
 // Another instance is replaced while a target is ejected. The arbiter is the
 // same under the former list and the new one; did its verdicts end with the
 // handover, callers would meet the sick target at every change of the list.
-func TestEjectionGoesOnThroughAHandover(t *testing.T) {
+func TestEjectionPersistsThroughHandover(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := beacon(DefaultParams())
+	w := defaultWorld(DefaultParams())
 	w.run(5 * time.Second)
-	w.acts[sick] = endsWith(ResultFailed, 1)
-	g.Expect(detect(w, sick)).To(gomega.BeNumerically(">", 0))
+	w.behaviours[unhealthy] = endsWith(ResultFailed, 1)
+	g.Expect(detect(w, unhealthy)).To(gomega.BeNumerically(">", 0))
 	arbiter := w.arbiter()
 	var rest []crid.Daemon
 	for _, name := range w.names {
@@ -263,74 +263,74 @@
 			rest = append(rest, name)
 		}
 	}
-	w.change(rest)
+	w.changeMembers(rest)
 	for range 40 {
 		w.run(100 * time.Millisecond)
-		g.Expect(w.inForce()).To(gomega.HaveKey(sick))
+		g.Expect(w.ejectedSomewhere()).To(gomega.HaveKey(unhealthy))
 	}
 	g.Expect(w.arbiter().name).To(gomega.Equal(arbiter.name))
-	g.Expect(w.breach()).To(gomega.BeFalse())
+	g.Expect(w.floorBreached()).To(gomega.BeFalse())
 }
 
 // Half of all digests and verdicts are lost. Entries then differ for a while,
 // but the sick target is found and most hold it ejected.
-func TestLostMessagesOnlyDelay(t *testing.T) {
+func TestMessageLossOnlyDelaysEjection(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := beacon(DefaultParams())
+	w := defaultWorld(DefaultParams())
 	w.loss = 0.3
 	w.run(5 * time.Second)
-	w.acts[sick] = endsWith(ResultFailed, 1)
-	g.Expect(detect(w, sick)).To(gomega.BeNumerically(">", 0))
+	w.behaviours[unhealthy] = endsWith(ResultFailed, 1)
+	g.Expect(detect(w, unhealthy)).To(gomega.BeNumerically(">", 0))
 }
 
 // A target has just started, or has come back after an ejection. Full work at
 // once would make it fail again.
-func TestColdTargetsStartSlowly(t *testing.T) {
+func TestColdTargetsGetSlowStart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(DefaultParams(), 7, 6, 6, 3)
 	n := w.nodes["d00"]
 	w.step(n, crinstance.Listed{Now: n.clock(w.now), List: w.list(2, "t05")})
 	w.step(n, crinstance.Listed{Now: n.clock(w.now), List: w.list(3)})
-	g.Expect(n.steer[booking].Targets).To(gomega.Equal([]TargetState{{Target: "t05", Weight: 100}}))
+	g.Expect(n.routing[booking].Targets).To(gomega.Equal([]TargetState{{Target: "t05", Weight: 100}}))
 	w.run(6 * time.Second)
-	g.Expect(n.steer[booking].Targets[0].Weight).To(gomega.BeNumerically("~", 550, 100))
+	g.Expect(n.routing[booking].Targets[0].Weight).To(gomega.BeNumerically("~", 550, 100))
 	w.run(5 * time.Second)
-	g.Expect(n.steer[booking].Targets).To(gomega.BeEmpty())
+	g.Expect(n.routing[booking].Targets).To(gomega.BeEmpty())
 
 	w.step(n, crmember.Peers{Now: n.clock(w.now), Peers: []crmember.Peer{{Daemon: "d01", Reachable: true, Incarnation: 1}}})
 	w.step(n, crmember.Peers{Now: n.clock(w.now), Peers: []crmember.Peer{{Daemon: "d01", Reachable: true, Incarnation: 2}}})
-	g.Expect(n.steer[booking].Targets).To(gomega.Equal([]TargetState{{Target: "t01", Weight: 100}}))
+	g.Expect(n.routing[booking].Targets).To(gomega.Equal([]TargetState{{Target: "t01", Weight: 100}}))
 }
 
 // A known-answer probe still fails when the hold-off of a target ends. Callers
 // would be sent there for nothing.
-func TestFailedProbesExtendTheHold(t *testing.T) {
+func TestFailedProbesExtendTheEjection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(DefaultParams(), 7, 6, 6, 3)
 	w.run(5 * time.Second)
-	w.acts[sick] = endsWith(ResultWrong, 1)
-	g.Expect(detect(w, sick)).To(gomega.BeNumerically(">", 0))
+	w.behaviours[unhealthy] = endsWith(ResultWrong, 1)
+	g.Expect(detect(w, unhealthy)).To(gomega.BeNumerically(">", 0))
 	for range 200 {
-		w.nodes["d03"].recorder.Record(sick, ResultWrong, 0, ProbeAccount)
+		w.nodes["d03"].recorder.Record(unhealthy, ResultWrong, 0, ProbeAccount)
 		w.advance()
 	}
 	g.Expect(w.reports[EventHoldExtended]).To(gomega.BeNumerically(">=", 1))
-	g.Expect(w.ejected[sick]).To(gomega.Equal(1))
+	g.Expect(w.ejected[unhealthy]).To(gomega.Equal(1))
 }
 
 // A burst of shed answers says that a target is full, not that it is sick.
-func TestShedAnswersAreNoSickness(t *testing.T) {
-	w := beacon(DefaultParams())
-	w.acts[sick] = endsWith(ResultShed, 0.9)
+func TestShedResponsesAreNotFailures(t *testing.T) {
+	w := defaultWorld(DefaultParams())
+	w.behaviours[unhealthy] = endsWith(ResultShed, 0.9)
 	w.run(10 * time.Second)
 	gomega.NewWithT(t).Expect(w.ejected).To(gomega.BeEmpty())
 }
 
-func TestDumpNamesTheArbiterAndTheSick(t *testing.T) {
+func TestDumpListsArbiterAndUnhealthyTargets(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := beacon(DefaultParams())
-	w.acts[sick] = endsWith(ResultFailed, 1)
-	g.Expect(detect(w, sick)).To(gomega.BeNumerically(">", 0))
+	w := defaultWorld(DefaultParams())
+	w.behaviours[unhealthy] = endsWith(ResultFailed, 1)
+	g.Expect(detect(w, unhealthy)).To(gomega.BeNumerically(">", 0))
 	dump := w.arbiter().state.Dump().(Dump)
 	g.Expect(dump.Services[0].Arbiter).To(gomega.Equal(w.arbiter().name))
 	g.Expect(dump.Services[0].Targets).To(gomega.HaveLen(1))
--- a/core/crhealth/judge.go
+++ b/core/crhealth/judge.go
@@ -8,31 +8,31 @@
 
 // Evidence is what is known of one target over the span judged.
 type Evidence struct {
-	N       uint32        // attempts
-	Bad     uint32        // failed, stalled or wrong attempts that other accounts and senders bear out
-	Wrong   uint32        // wrong ones among them
-	Answers uint32        // attempts with a latency
-	Median  time.Duration // of the answers
-	Hint    bool          // the target's own report looks bad
-	Cold    bool          // in slow start: its latency says nothing
+	N                 uint32        // attempts
+	Bad               uint32        // failed, stalled or wrong attempts that other accounts and senders bear out
+	Wrong             uint32        // wrong ones among them
+	Responses         uint32        // attempts with a latency
+	Median            time.Duration // of the answers
+	ReportedUnhealthy bool          // the target's own report looks bad
+	Cold              bool          // in slow start: its latency says nothing
 
 	latency [bucketCount]uint32
 }
 
 // Above is the share of answers that took clearly longer than d.
-func (e Evidence) Above(d time.Duration) float64 {
-	if e.Answers == 0 {
+func (e Evidence) ShareAbove(d time.Duration) float64 {
+	if e.Responses == 0 {
 		return 0
 	}
 	var n uint32
 	for i := bucketOf(d) + 1; i < bucketCount; i++ {
 		n += e.latency[i]
 	}
-	return float64(n) / float64(e.Answers)
+	return float64(n) / float64(e.Responses)
 }
 
 // Rate is the share of bad attempts.
-func (e Evidence) Rate() float64 {
+func (e Evidence) BadRate() float64 {
 	if e.N == 0 {
 		return 0
 	}
@@ -80,16 +80,16 @@
 
 // The bounds of PeerJudge.
 const (
-	minBad      = 4 // bad attempts before a target can be failing
-	minWrong    = 2 // wrong answers before a target can be wrong
-	minAnswers  = 8 // answers before a median is believed
-	rateMargin  = 0.05
-	slowRatio   = 1.5 // of the peers' median, with endless answers
-	slowNoise   = 6.0 // added to the ratio, divided by the root of the answers
-	slowLeast   = 5 * time.Millisecond
-	slowShare   = 0.3 // of the answers, above the peers' share, that must be slow
-	madFactor   = 4
-	wrongFactor = 5
+	minBad          = 4 // bad attempts before a target can be failing
+	minWrong        = 2 // wrong answers before a target can be wrong
+	minResponses    = 8 // answers before a median is believed
+	rateMargin      = 0.05
+	slowRatio       = 1.5 // of the peers' median, with endless answers
+	slowNoise       = 6.0 // added to the ratio, divided by the root of the answers
+	minSlowExcess   = 5 * time.Millisecond
+	slowShareMargin = 0.3 // of the answers, above the peers' share, that must be slow
+	madFactor       = 4
+	wrongFactor     = 5
 )
 
 // PeerJudge finds a target sick when it stands out among its peers. When all
@@ -121,91 +121,91 @@
 		return Finding{}
 	}
 	rate := float64(target.Wrong) / float64(target.N)
-	if rate <= wrongFactor*middle(rates) {
+	if rate <= wrongFactor*median(rates) {
 		return Finding{}
 	}
 	return Finding{Cause: CauseWrong, Score: 1000 * (1 + rate)}
 }
 
 func judgeFailing(target Evidence, peers []Evidence) Finding {
-	usual, ok := usualRate(peers)
-	if !ok || target.Bad < minBad || !failsMore(target, usual) {
+	typical, ok := medianBadRate(peers)
+	if !ok || target.Bad < minBad || !failsMoreThan(target, typical) {
 		return Finding{}
 	}
-	return Finding{Cause: CauseFailing, Score: 100 * (1 + target.Rate() - usual)}
+	return Finding{Cause: CauseFailing, Score: 100 * (1 + target.BadRate() - typical)}
 }
 
 // usualRate is the middle share of bad attempts; it reports false without any.
-func usualRate(peers []Evidence) (float64, bool) {
+func medianBadRate(peers []Evidence) (float64, bool) {
 	var rates []float64
 	for _, p := range peers {
 		if p.N > 0 {
-			rates = append(rates, p.Rate())
+			rates = append(rates, p.BadRate())
 		}
 	}
-	return middle(rates), len(rates) > 0
+	return median(rates), len(rates) > 0
 }
 
-func failsMore(target Evidence, usual float64) bool {
-	noise := max(1/math.Sqrt(float64(target.N)), chance(usual, target.N))
-	return target.Rate()-usual >= rateMargin+noise
+func failsMoreThan(target Evidence, typical float64) bool {
+	noise := max(1/math.Sqrt(float64(target.N)), noiseMargin(typical, target.N))
+	return target.BadRate()-typical >= rateMargin+noise
 }
 
 // chance is by how much a share of n attempts may stand out by chance where it is
 // usual among the peers: four standard deviations. Where many attempts fail or
 // take long everywhere, some target has more than its share of them at any moment.
-func chance(usual float64, n uint32) float64 {
-	return 4 * math.Sqrt(usual*(1-usual)/float64(n))
+func noiseMargin(typical float64, n uint32) float64 {
+	return 4 * math.Sqrt(typical*(1-typical)/float64(n))
 }
 
 func judgeSlow(target Evidence, peers []Evidence) Finding {
-	if target.Answers < minAnswers || target.Cold {
+	if target.Responses < minResponses || target.Cold {
 		return Finding{}
 	}
 	var medians []float64
 	for _, p := range peers {
-		if p.Answers >= minAnswers && !p.Cold {
+		if p.Responses >= minResponses && !p.Cold {
 			medians = append(medians, float64(p.Median))
 		}
 	}
 	if len(medians) == 0 || 2*len(medians) < len(peers) {
 		return Finding{}
 	}
-	usual := middle(medians)
-	limit := usual * (slowRatio + slowNoise/math.Sqrt(float64(target.Answers)))
-	limit = max(limit, usual+float64(slowLeast), usual+madFactor*spreadOf(medians, usual))
+	typical := median(medians)
+	limit := typical * (slowRatio + slowNoise/math.Sqrt(float64(target.Responses)))
+	limit = max(limit, typical+float64(minSlowExcess), typical+madFactor*medianAbsDeviation(medians, typical))
 	own := float64(target.Median)
-	if own < limit || !slowerShare(target, peers, time.Duration(limit)) {
+	if own < limit || !hasMoreSlowResponses(target, peers, time.Duration(limit)) {
 		return Finding{}
 	}
-	return Finding{Cause: CauseSlow, Score: own / usual}
+	return Finding{Cause: CauseSlow, Score: own / typical}
 }
 
 // slowerShare reports whether the target's share of slow answers is clearly above
 // that of its peers. In the moment when all grow slow, half of each target's answers
 // are old and fast; the medians then jump one after another, the shares do not.
-func slowerShare(target Evidence, peers []Evidence, limit time.Duration) bool {
+func hasMoreSlowResponses(target Evidence, peers []Evidence, limit time.Duration) bool {
 	var shares []float64
 	for _, p := range peers {
-		if p.Answers >= minAnswers && !p.Cold {
-			shares = append(shares, p.Above(limit))
+		if p.Responses >= minResponses && !p.Cold {
+			shares = append(shares, p.ShareAbove(limit))
 		}
 	}
-	usual := middle(shares)
-	return target.Above(limit)-usual >= max(slowShare, chance(usual, target.Answers))
+	typical := median(shares)
+	return target.ShareAbove(limit)-typical >= max(slowShareMargin, noiseMargin(typical, target.Responses))
 }
 
 // spreadOf is the median absolute deviation.
-func spreadOf(values []float64, center float64) float64 {
+func medianAbsDeviation(values []float64, center float64) float64 {
 	apart := make([]float64, 0, len(values))
 	for _, v := range values {
 		apart = append(apart, math.Abs(v-center))
 	}
-	return middle(apart)
+	return median(apart)
 }
 
 // middle is the median; it sorts its argument.
-func middle(values []float64) float64 {
+func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
@@ -217,9 +217,9 @@
 // FixedJudge finds a target sick by fixed thresholds, without regard to its
 // peers. It is a baseline in measurements.
 type FixedJudge struct {
-	Rate   float64       // share of bad attempts
-	Median time.Duration // median latency
-	Least  uint32        // attempts before judging
+	Rate        float64       // share of bad attempts
+	Median      time.Duration // median latency
+	MinAttempts uint32        // attempts before judging
 }
 
 var _ Judge = FixedJudge{}
@@ -227,10 +227,10 @@
 // Judge implements Judge.
 func (j FixedJudge) Judge(target Evidence, _ []Evidence) Finding {
 	switch {
-	case target.N < j.Least:
+	case target.N < j.MinAttempts:
 		return Finding{}
-	case target.Rate() >= j.Rate:
-		return Finding{Cause: CauseFailing, Score: target.Rate()}
+	case target.BadRate() >= j.Rate:
+		return Finding{Cause: CauseFailing, Score: target.BadRate()}
 	case target.Median >= j.Median:
 		return Finding{Cause: CauseSlow, Score: 1}
 	}
--- a/core/crhealth/measure_test.go
+++ b/core/crhealth/measure_test.go
@@ -18,26 +18,26 @@
 const measureLength = 15 * time.Second
 
 type measureCase struct {
-	name   string
-	sick   []crid.Target
-	act    behaviour
-	poison crid.Account
-	all    bool
-	avoid  bool // entries choose by load and avoid by themselves, as in service
+	name           string
+	unhealthy      []crid.Target
+	act            behaviour
+	failingAccount crid.Account
+	allTargets     bool
+	localAvoidance bool // entries choose by load and avoid by themselves, as in service
 }
 
 var measureCases = []measureCase{
 	{name: "calm"},
-	{name: "slow x5", sick: []crid.Target{sick}, act: slowBy(5)},
-	{name: "slow x3", sick: []crid.Target{sick}, act: slowBy(3)},
-	{name: "wrong 5%", sick: []crid.Target{sick}, act: endsWith(ResultWrong, 0.05)},
-	{name: "failing 30%", sick: []crid.Target{sick}, act: endsWith(ResultFailed, 0.3)},
-	{name: "flapping 3 s", sick: []crid.Target{sick}, act: flapping(3*time.Second, endsWith(ResultFailed, 0.8))},
-	{name: "two slow", sick: []crid.Target{sick, "t01"}, act: slowBy(5)},
-	{name: "all slow x20", all: true, act: slowBy(20)},
-	{name: "poison", poison: "a3"},
-	{name: "stalling", sick: []crid.Target{sick}, act: endsWith(ResultStalled, 1), avoid: true},
-	{name: "all stall", all: true, act: flapping(3*time.Second, endsWith(ResultStalled, 1)), avoid: true},
+	{name: "slow x5", unhealthy: []crid.Target{unhealthy}, act: slowBy(5)},
+	{name: "slow x3", unhealthy: []crid.Target{unhealthy}, act: slowBy(3)},
+	{name: "wrong 5%", unhealthy: []crid.Target{unhealthy}, act: endsWith(ResultWrong, 0.05)},
+	{name: "failing 30%", unhealthy: []crid.Target{unhealthy}, act: endsWith(ResultFailed, 0.3)},
+	{name: "flapping 3 s", unhealthy: []crid.Target{unhealthy}, act: flapping(3*time.Second, endsWith(ResultFailed, 0.8))},
+	{name: "two slow", unhealthy: []crid.Target{unhealthy, "t01"}, act: slowBy(5)},
+	{name: "all slow x20", allTargets: true, act: slowBy(20)},
+	{name: "poison", failingAccount: "a3"},
+	{name: "stalling", unhealthy: []crid.Target{unhealthy}, act: endsWith(ResultStalled, 1), localAvoidance: true},
+	{name: "all stall", allTargets: true, act: flapping(3*time.Second, endsWith(ResultStalled, 1)), localAvoidance: true},
 }
 
 // shape is a service of today: a daemon beside each target, all entries.
@@ -51,54 +51,54 @@
 var shapes = []shape{{"booking", 15, 10, 4}, {"booking, thin", 15, 10, 1}, {"ledger", 5, 3, 1}}
 
 func policies() map[string]Params {
-	chosen := DefaultParams()
-	return map[string]Params{"chosen": chosen, "fixed": FixedAlone(chosen), "none": NoEjection(chosen)}
+	params := DefaultParams()
+	return map[string]Params{"chosen": params, "fixed": FixedAlone(params), "none": NoEjection(params)}
 }
 
 type measured struct {
-	detect  []time.Duration // of runs in which all daemons ejected all sick targets
-	runs    int
-	wrongly int // ejections of targets that were not sick
+	detect         []time.Duration // of runs in which all daemons ejected all sick targets
+	runs           int
+	falseEjections int // ejections of targets that were not sick
 }
 
 func (m *measured) String() string {
 	if len(m.detect) == 0 {
-		return fmt.Sprintf("0/%d\t-\t-\t%d", m.runs, m.wrongly)
+		return fmt.Sprintf("0/%d\t-\t-\t%d", m.runs, m.falseEjections)
 	}
 	slices.Sort(m.detect)
 	n := len(m.detect)
-	return fmt.Sprintf("%d/%d\t%v\t%v\t%d", n, m.runs, m.detect[n/2], m.detect[n-1], m.wrongly)
+	return fmt.Sprintf("%d/%d\t%v\t%v\t%d", n, m.runs, m.detect[n/2], m.detect[n-1], m.falseEjections)
 }
 
 func (m *measured) run(p Params, s shape, c measureCase, seed uint64) {
 	w := newWorld(p, seed, s.targets, s.targets, s.floor)
 	w.perStep = s.perStep
-	if c.avoid {
-		w.avoidLocally(time.Second)
+	if c.localAvoidance {
+		w.enableLocalAvoidance(time.Second)
 	}
 	w.run(6 * time.Second)
-	w.poison = c.poison
-	if c.all {
+	w.failingAccount = c.failingAccount
+	if c.allTargets {
 		for _, target := range w.targets {
-			w.acts[target] = c.act
+			w.behaviours[target] = c.act
 		}
 	}
-	for _, target := range c.sick {
-		w.acts[target] = c.act
+	for _, target := range c.unhealthy {
+		w.behaviours[target] = c.act
 	}
 	start := w.now
 	var found time.Duration
 	for w.now < start+measureLength {
 		w.advance()
-		if found == 0 && len(c.sick) > 0 && !slices.ContainsFunc(c.sick, func(t crid.Target) bool { return !w.everywhere(t) }) {
+		if found == 0 && len(c.unhealthy) > 0 && !slices.ContainsFunc(c.unhealthy, func(t crid.Target) bool { return !w.ejectedEverywhere(t) }) {
 			found = w.now - start
 			m.detect = append(m.detect, found)
 		}
 	}
 	m.runs++
 	for target, n := range w.ejected {
-		if !slices.Contains(c.sick, target) {
-			m.wrongly += n
+		if !slices.Contains(c.unhealthy, target) {
+			m.falseEjections += n
 		}
 	}
 }
@@ -121,7 +121,7 @@
 				}
 				fmt.Printf("%s\t%s\t%s\t%s\n", s.name, c.name, name, m.String())
 				if name == "chosen" {
-					g.Expect(m.wrongly).To(gomega.BeZero(), c.name)
+					g.Expect(m.falseEjections).To(gomega.BeZero(), c.name)
 				}
 			}
 		}
@@ -157,9 +157,9 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		n.state.now = now.Add(DefaultParams().JudgeEvery)
-		for _, r := range n.state.dockets[booking].records {
-			r.fresh = true
+		for _, r := range n.state.detectors[booking].records {
+			r.updated = true
 		}
-		n.state.judge(booking, n.state.dockets[booking])
+		n.state.judge(booking, n.state.detectors[booking])
 	}
 }
--- a/core/crhealth/recorder.go
+++ b/core/crhealth/recorder.go
@@ -32,7 +32,7 @@
 
 // idleDrains is the number of drains without a record after which a target's
 // counters are dropped.
-const idleDrains = 1200
+const maxIdleDrains = 1200
 
 // Recorder counts the results of attempts. It is safe for concurrent use by
 // traffic goroutines; nothing in Record waits for the control goroutine.
@@ -43,11 +43,11 @@
 
 // cell holds one target's counters since the last drain.
 type cell struct {
-	groups  [groupCount]groupCell
-	latency [bucketCount]atomic.Uint32
-	hint    atomic.Bool
-	waiting waitList
-	idle    int // drains without a record; owned by Drain
+	groups            [groupCount]groupCell
+	latency           [bucketCount]atomic.Uint32
+	reportedUnhealthy atomic.Bool
+	pending           pendingList
+	idle              int // drains without a record; owned by Drain
 }
 
 // groupCell packs the three counts of a group into one word, so that a drain
@@ -68,7 +68,7 @@
 
 func (g *groupCell) add(one uint64) { g.packed.Add(one) }
 
-func (g *groupCell) take() tally {
+func (g *groupCell) swap() tally {
 	if g.packed.Load() == 0 {
 		return tally{}
 	}
@@ -88,7 +88,7 @@
 		return
 	}
 	group := groupOf(account)
-	r.on(target, func(c *cell) { c.count(group, result, latency) })
+	r.withCell(target, func(c *cell) { c.count(group, result, latency) })
 }
 
 func (c *cell) count(group int, result Result, latency time.Duration) {
@@ -108,21 +108,21 @@
 // lag and mislead: a bad one hastens an ejection that the results call for, and
 // neither kind does anything else.
 func (r *Recorder) Hint(target crid.Target, bad bool) {
-	r.on(target, func(c *cell) { c.hint.Store(bad) })
+	r.withCell(target, func(c *cell) { c.reportedUnhealthy.Store(bad) })
 }
 
 // Begin notes an attempt that has been sent and has no answer yet; the caller
 // ends it with the first word on its outcome.
-func (r *Recorder) Begin(target crid.Target, account crid.Account, now crid.Instant) *Waiting {
+func (r *Recorder) Begin(target crid.Target, account crid.Account, now crid.Instant) *PendingAttempt {
 	group := uint8(groupOf(account))
-	var w *Waiting
-	r.on(target, func(c *cell) { w = c.waiting.begin(group, now) })
+	var w *PendingAttempt
+	r.withCell(target, func(c *cell) { w = c.pending.begin(group, now) })
 	return w
 }
 
 // on does something to a target's cell before any drain can drop the cell: what
 // is noted in a cell after that is told to nobody.
-func (r *Recorder) on(target crid.Target, do func(c *cell)) {
+func (r *Recorder) withCell(target crid.Target, do func(c *cell)) {
 	r.mu.RLock()
 	if c := r.cells[target]; c != nil {
 		do(c)
@@ -147,17 +147,17 @@
 	var samples []Sample
 	var idle []crid.Target
 	for target, c := range r.snapshot() {
-		s, told := c.drain(target, now)
-		if told {
+		s, reported := c.drain(target, now)
+		if reported {
 			samples = append(samples, s)
 			c.idle = 0
 			continue
 		}
-		if c.idle++; c.idle > idleDrains {
+		if c.idle++; c.idle > maxIdleDrains {
 			idle = append(idle, target)
 		}
 	}
-	samples = append(samples, r.drop(idle, now)...)
+	samples = append(samples, r.dropIdle(idle, now)...)
 	slices.SortFunc(samples, func(a, b Sample) int { return strings.Compare(string(a.Target), string(b.Target)) })
 	return samples
 }
@@ -172,7 +172,7 @@
 // drop forgets targets without a record for long. One that got a record since its
 // drain stays, and so does one on whose answer an attempt waits: else that
 // attempt would be missing from the evidence.
-func (r *Recorder) drop(idle []crid.Target, now crid.Instant) []Sample {
+func (r *Recorder) dropIdle(idle []crid.Target, now crid.Instant) []Sample {
 	if len(idle) == 0 {
 		return nil
 	}
@@ -181,12 +181,12 @@
 	var late []Sample
 	for _, target := range idle {
 		c := r.cells[target]
-		if s, told := c.drain(target, now); told {
+		if s, reported := c.drain(target, now); reported {
 			late = append(late, s)
 			c.idle = 0
 			continue
 		}
-		if !c.waiting.any() {
+		if !c.pending.hasAny() {
 			delete(r.cells, target)
 		}
 	}
@@ -195,11 +195,11 @@
 
 // drain also reports whether the sample tells anything.
 func (c *cell) drain(target crid.Target, now crid.Instant) (Sample, bool) {
-	s := Sample{Target: target, Hint: c.hint.Load()}
-	var told bool
-	s.Waits, told = c.waiting.waits(now)
+	s := Sample{Target: target, ReportedUnhealthy: c.reportedUnhealthy.Load()}
+	var reported bool
+	s.Pending, reported = c.pending.counts(now)
 	for i := range c.groups {
-		if t := c.groups[i].take(); t.n > 0 {
+		if t := c.groups[i].swap(); t.n > 0 {
 			s.Groups = append(s.Groups, Group{Index: uint8(i), N: t.n, Bad: t.bad, Wrong: t.wrong})
 		}
 	}
@@ -209,7 +209,7 @@
 		}
 		s.Latency = append(s.Latency, Bucket{Index: uint8(i), N: c.latency[i].Swap(0)})
 	}
-	return s, told || len(s.Groups) > 0
+	return s, reported || len(s.Groups) > 0
 }
 
 // groupOf maps an account to its group; group 0 is for probes alone. All
--- a/core/crhealth/recorder_test.go
+++ b/core/crhealth/recorder_test.go
@@ -13,7 +13,7 @@
 
 // Traffic goroutines record while the control goroutine drains. An attempt that
 // is lost or counted twice would shift the evidence.
-func TestRecorderLosesNothing(t *testing.T) {
+func TestConcurrentAttemptsAreCountedOnce(t *testing.T) {
 	r := NewRecorder()
 	var wg sync.WaitGroup
 	for i := range 4 {
@@ -54,22 +54,22 @@
 	g.Expect(broken).To(gomega.BeFalse(), "a drain saw a bad attempt without its attempt")
 	r.Record("t1", ResultOK, 0, "a") // a cell without a record for long is dropped
 	g.Expect(r.cells).To(gomega.HaveLen(1))
-	g.Expect(r.cells["t1"].waiting.open).To(gomega.BeEmpty())
+	g.Expect(r.cells["t1"].pending.open).To(gomega.BeEmpty())
 }
 
 // A target gets no requests for a minute, and its counters are dropped just as
 // the next one is sent to it. If that one stalls, nobody is told.
-func TestAnIdleTargetsFirstAttemptIsNotLost(t *testing.T) {
+func TestPendingAttemptKeepsIdleTargetsCounters(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewRecorder()
 	r.Record("t1", ResultOK, 0, "a")
 	w := r.Begin("t1", "a", 0)
-	for range idleDrains + 2 {
+	for range maxIdleDrains + 2 {
 		r.Drain(0)
 	}
 	g.Expect(r.Drain(crid.Instant(time.Second))).To(gomega.HaveLen(1))
 	w.End()
-	for range idleDrains + 2 {
+	for range maxIdleDrains + 2 {
 		r.Drain(0)
 	}
 	g.Expect(r.cells).To(gomega.BeEmpty())
@@ -83,7 +83,7 @@
 	for range 100 {
 		w.traffic(n)
 	}
-	d := Digest{Service: booking, Life: 1 << 60, Seq: 1 << 20}
+	d := Digest{Service: booking, Incarnation: 1 << 60, Seq: 1 << 20}
 	var encoded []byte
 	for b.Loop() {
 		d.Samples = append([]Sample{{Target: "booking-07"}}, n.recorder.Drain(0)...)
--- a/core/crhealth/sample.go
+++ b/core/crhealth/sample.go
@@ -37,11 +37,11 @@
 
 // Sample is what was recorded of one target over some time.
 type Sample struct {
-	Target  crid.Target `cbor:"t"`
-	Groups  []Group     `cbor:"g"`
-	Latency []Bucket    `cbor:"l"`
-	Hint    bool        `cbor:"h,omitempty"` // the target's own health or load report looks bad
-	Waits   []Wait      `cbor:"w,omitempty"` // without an answer now; replaces those of the sample before
+	Target            crid.Target    `cbor:"t"`
+	Groups            []Group        `cbor:"g"`
+	Latency           []Bucket       `cbor:"l"`
+	ReportedUnhealthy bool           `cbor:"h,omitempty"` // the target's own health or load report looks bad
+	Pending           []PendingCount `cbor:"w,omitempty"` // without an answer now; replaces those of the sample before
 }
 
 func bucketOf(d time.Duration) int {
@@ -53,12 +53,12 @@
 }
 
 // bucketTop is the upper end of a bucket.
-func bucketTop(i int) time.Duration {
+func bucketUpper(i int) time.Duration {
 	return time.Duration(float64(bucketBase) * math.Pow(2, float64(i)/2))
 }
 
 // bucketValue is the geometric middle of a bucket.
-func bucketValue(i int) time.Duration {
+func bucketMidpoint(i int) time.Duration {
 	return time.Duration(float64(bucketBase) * math.Pow(2, (float64(i)-0.5)/2))
 }
 
@@ -90,10 +90,10 @@
 
 // counts is the merged evidence on one target over some time.
 type counts struct {
-	groups  [groupCount]tally
-	latency [bucketCount]uint32
-	senders map[crid.Daemon]tally
-	hint    bool
+	groups            [groupCount]tally
+	latency           [bucketCount]uint32
+	senders           map[crid.Daemon]tally
+	reportedUnhealthy bool
 }
 
 func (c *counts) addSample(from crid.Daemon, s Sample) {
@@ -111,7 +111,7 @@
 			c.latency[b.Index] += b.N
 		}
 	}
-	c.hint = c.hint || s.Hint
+	c.reportedUnhealthy = c.reportedUnhealthy || s.ReportedUnhealthy
 	c.addSender(from, sum)
 }
 
@@ -134,7 +134,7 @@
 	for from, t := range o.senders {
 		c.addSender(from, t)
 	}
-	c.hint = c.hint || o.hint
+	c.reportedUnhealthy = c.reportedUnhealthy || o.reportedUnhealthy
 }
 
 func (c *counts) total() tally {
@@ -158,10 +158,10 @@
 	for i, k := range c.latency {
 		seen += k
 		if 2*seen >= n {
-			return n, bucketValue(i)
+			return n, bucketMidpoint(i)
 		}
 	}
-	return n, bucketValue(bucketCount - 1)
+	return n, bucketMidpoint(bucketCount - 1)
 }
 
 // The time that evidence is kept for, in slices.
@@ -189,16 +189,16 @@
 // sum merges the slices of the last span.
 func (w *window) sum(now crid.Instant, span time.Duration) *counts {
 	merged := &counts{}
-	for c := range w.last(now, span) {
+	for c := range w.recent(now, span) {
 		merged.merge(c)
 	}
 	return merged
 }
 
 // answers counts the answers of the last span.
-func (w *window) answers(now crid.Instant, span time.Duration) uint32 {
+func (w *window) responses(now crid.Instant, span time.Duration) uint32 {
 	var n uint32
-	for c := range w.last(now, span) {
+	for c := range w.recent(now, span) {
 		for _, k := range c.latency {
 			n += k
 		}
@@ -207,7 +207,7 @@
 }
 
 // last ranges over the slices of the last span.
-func (w *window) last(now crid.Instant, span time.Duration) iter.Seq[*counts] {
+func (w *window) recent(now crid.Instant, span time.Duration) iter.Seq[*counts] {
 	newest := int64(now) / int64(sliceLength)
 	oldest := newest - int64(span/sliceLength)
 	return func(yield func(*counts) bool) {
--- a/core/crhealth/stall.go
+++ b/core/crhealth/stall.go
@@ -15,10 +15,10 @@
 	// service an attempt must wait.
 	overdueFactor = 4
 	// usualShare of the answers of the service came within the usual time.
-	usualShare = 0.99
+	typicalQuantile = 0.99
 	// exitSilent is for how long a daemon that sends digests may send none
 	// before a stall counts as its own, not as its target's.
-	exitSilent = 500 * time.Millisecond
+	maxExitSilence = 500 * time.Millisecond
 )
 
 // judgeStall finds a target stalled that answers nothing at all while its peers
@@ -29,44 +29,44 @@
 // attempts run into their timeouts; after that every daemon avoids it by itself.
 // The few failures would be outweighed by the good answers of the seconds
 // before, and callers would go on meeting it for as long.
-func (v *survey) judgeStall(target crid.Target) Finding {
-	if v.exitIsSilent(target) || v.answersOf(target, stallSpan) > 0 {
+func (v *evaluation) judgeStall(target crid.Target) Finding {
+	if v.exitIsSilent(target) || v.responses(target, stallSpan) > 0 {
 		return Finding{}
 	}
-	span := v.silence(target)
+	span := v.unresponsiveSpan(target)
 	own := v.unanswered(target, span)
 	if own < minBad {
 		return Finding{}
 	}
-	var answers, others []float64
+	var responses, unanswered []float64
 	for _, peer := range v.targets {
 		if peer != target {
-			answers = append(answers, float64(v.answersOf(peer, stallSpan)))
-			others = append(others, float64(v.unanswered(peer, span)))
+			responses = append(responses, float64(v.responses(peer, stallSpan)))
+			unanswered = append(unanswered, float64(v.unanswered(peer, span)))
 		}
 	}
-	excess := float64(own) - middle(others)
-	if middle(answers) == 0 || excess < minBad {
+	excess := float64(own) - median(unanswered)
+	if median(responses) == 0 || excess < minBad {
 		return Finding{}
 	}
 	return Finding{Cause: CauseStalled, Score: 200 * (1 + excess)}
 }
 
 // silence is the longest span judged in which the target has not answered.
-func (v *survey) silence(target crid.Target) time.Duration {
-	silent := stallSpan
-	for _, span := range spans {
-		if v.answersOf(target, span) > 0 {
+func (v *evaluation) unresponsiveSpan(target crid.Target) time.Duration {
+	longest := stallSpan
+	for _, span := range judgedSpans {
+		if v.responses(target, span) > 0 {
 			break
 		}
-		silent = span
+		longest = span
 	}
-	return silent
+	return longest
 }
 
 // answersOf counts the answers in a span.
-func (v *survey) answersOf(target crid.Target, span time.Duration) uint32 {
-	return v.docket.records[target].window.answers(v.state.now, span)
+func (v *evaluation) responses(target crid.Target, span time.Duration) uint32 {
+	return v.detector.records[target].window.responses(v.state.now, span)
 }
 
 // unanswered counts the attempts that are overdue now and those that ended badly
@@ -75,58 +75,58 @@
 // A caller may send a few requests that take far longer than all others. They
 // would look like a stall of the target that they happen to meet, and nobody
 // else would wait there.
-func (v *survey) unanswered(target crid.Target, span time.Duration) uint32 {
+func (v *evaluation) unanswered(target crid.Target, span time.Duration) uint32 {
 	limit := v.overdueLimit()
-	groups := v.docket.records[target].window.sum(v.state.now, span).groups
-	for _, w := range v.waits(target) {
-		if int(w.Group) < groupCount && w.Age < bucketCount && bucketFloor(int(w.Age)) >= limit {
+	groups := v.detector.records[target].window.sum(v.state.now, span).groups
+	for _, w := range v.pending(target) {
+		if int(w.Group) < groupCount && w.Age < bucketCount && bucketLower(int(w.Age)) >= limit {
 			groups[w.Group].bad += w.N
 		}
 	}
 	var sum uint32
 	for _, t := range groups {
-		sum += min(t.bad, loneBad)
+		sum += min(t.bad, maxUncorroboratedBad)
 	}
 	return sum
 }
 
 // waits are those that all entries told of in their newest digests.
-func (v *survey) waits(target crid.Target) []Wait {
-	var waits []Wait
-	for _, known := range v.docket.senders {
-		if v.state.now.Sub(known.at) > stallSpan {
+func (v *evaluation) pending(target crid.Target) []PendingCount {
+	var pending []PendingCount
+	for _, known := range v.detector.senders {
+		if v.state.now.Sub(known.lastSeen) > stallSpan {
 			continue
 		}
-		for _, w := range known.waits[target] {
-			waits = addWait(waits, w)
+		for _, w := range known.pending[target] {
+			pending = addPending(pending, w)
 		}
 	}
-	return waits
+	return pending
 }
 
 // overdueLimit is far above the time that nearly all answers of the service took
 // in the longest span: where some requests rightly take seconds, a wait of
 // seconds says nothing.
-func (v *survey) overdueLimit() time.Duration {
+func (v *evaluation) overdueLimit() time.Duration {
 	if v.limit == 0 {
-		v.limit = max(overdueFactor*v.usualTime(), waitLeast)
+		v.limit = max(overdueFactor*v.typicalLatency(), minPendingAge)
 	}
 	return v.limit
 }
 
-func (v *survey) usualTime() time.Duration {
+func (v *evaluation) typicalLatency() time.Duration {
 	var latency [bucketCount]uint32
 	var total uint32
-	for _, e := range v.over(len(spans) - 1) {
+	for _, e := range v.evidenceOver(len(judgedSpans) - 1) {
 		for i, n := range e.latency {
 			latency[i] += n
 		}
-		total += e.Answers
+		total += e.Responses
 	}
 	var seen uint32
 	for i, n := range latency {
-		if seen += n; float64(seen) >= usualShare*float64(total) {
-			return bucketTop(i)
+		if seen += n; float64(seen) >= typicalQuantile*float64(total) {
+			return bucketUpper(i)
 		}
 	}
 	return 0
@@ -137,7 +137,7 @@
 //
 // When that daemon is frozen, nothing passes it and its target looks stalled.
 // The members find this by themselves, and the target is well when it goes on.
-func (v *survey) exitIsSilent(target crid.Target) bool {
-	known := v.docket.senders[v.state.places[target].daemon]
-	return known != nil && !known.last && v.state.now.Sub(known.at) > exitSilent
+func (v *evaluation) exitIsSilent(target crid.Target) bool {
+	known := v.detector.senders[v.state.placements[target].daemon]
+	return known != nil && !known.idle && v.state.now.Sub(known.lastSeen) > maxExitSilence
 }
--- a/core/crhealth/stall_test.go
+++ b/core/crhealth/stall_test.go
@@ -20,12 +20,12 @@
 	ends    time.Duration
 	took    time.Duration
 	result  Result
-	waiting *Waiting
+	waiting *PendingAttempt
 }
 
 // locals is what a daemon's traffic decides by itself, with the real choice of
 // targets: by load, with strikes and avoidance.
-type locals struct {
+type localBalancer struct {
 	timeout time.Duration // of one attempt
 	loads   map[crid.Target]*crroute.Load
 	running []attempt
@@ -33,19 +33,19 @@
 
 // avoidLocally lets all entries choose as in service; an attempt takes so long at
 // most.
-func (w *world) avoidLocally(timeout time.Duration) {
+func (w *world) enableLocalAvoidance(timeout time.Duration) {
 	for _, n := range w.nodes {
-		n.locals = &locals{timeout: timeout, loads: make(map[crid.Target]*crroute.Load)}
+		n.balancer = &localBalancer{timeout: timeout, loads: make(map[crid.Target]*crroute.Load)}
 		for _, t := range w.targets {
-			n.locals.loads[t] = &crroute.Load{}
+			n.balancer.loads[t] = &crroute.Load{}
 		}
 	}
 }
 
 // choose lets a daemon's requests of one step choose their targets, evenly
 // spread over it, and ends those whose time has come.
-func (w *world) choose(n *node, states map[crid.Target]TargetState) {
-	pool := n.locals.pool(w.targets, states)
+func (w *world) sendRequests(n *node, states map[crid.Target]TargetState) {
+	pool := n.balancer.pool(w.targets, states)
 	for i := range w.perStep {
 		now := w.now - step + step*time.Duration(i+1)/time.Duration(w.perStep)
 		w.endAttempts(n, now)
@@ -59,7 +59,7 @@
 	}
 }
 
-func (l *locals) pool(targets []crid.Target, states map[crid.Target]TargetState) *crroute.Pool[*crroute.Target] {
+func (l *localBalancer) pool(targets []crid.Target, states map[crid.Target]TargetState) *crroute.Pool[*crroute.Target] {
 	candidates := make([]*crroute.Target, 0, len(targets))
 	for _, t := range targets {
 		status, weight := crroute.StatusReady, FullWeight
@@ -76,22 +76,22 @@
 
 func (w *world) begin(n *node, target crid.Target, now time.Duration) {
 	a := attempt{target: target, account: crid.Account(fmt.Sprintf("a%d", w.rng.IntN(8)))}
-	act := w.acts[target]
+	act := w.behaviours[target]
 	if act == nil {
 		act = healthy
 	}
 	a.result, a.took = act(w.now, a.account, w.rng)
 	switch {
-	case a.result == ResultStalled && w.stuck[target] >= targetSlots:
-		a.result, a.took = ResultShed, n.locals.timeout
-	case a.result == ResultStalled || a.took > n.locals.timeout:
-		a.result, a.took = ResultStalled, n.locals.timeout
-		w.stuck[target]++
+	case a.result == ResultStalled && w.stalledAttempts[target] >= targetSlots:
+		a.result, a.took = ResultShed, n.balancer.timeout
+	case a.result == ResultStalled || a.took > n.balancer.timeout:
+		a.result, a.took = ResultStalled, n.balancer.timeout
+		w.stalledAttempts[target]++
 	}
 	a.waiting = n.recorder.Begin(target, a.account, n.clock(now))
 	a.ends = now + a.took
-	n.locals.loads[target].Begin()
-	n.locals.running = append(n.locals.running, a)
+	n.balancer.loads[target].Begin()
+	n.balancer.running = append(n.balancer.running, a)
 }
 
 // targetSlots is how many attempts a target holds at one time. Others wait in its
@@ -99,18 +99,18 @@
 const targetSlots = 5
 
 func (w *world) endAttempts(n *node, now time.Duration) {
-	n.locals.running = slices.DeleteFunc(n.locals.running, func(a attempt) bool {
+	n.balancer.running = slices.DeleteFunc(n.balancer.running, func(a attempt) bool {
 		if a.ends > now {
 			return false
 		}
-		load := n.locals.loads[a.target]
+		load := n.balancer.loads[a.target]
 		load.End()
 		switch a.result {
 		case ResultOK:
 			load.Answered()
 		case ResultStalled:
 			load.Unreachable(n.clock(now))
-			w.stuck[a.target]--
+			w.stalledAttempts[a.target]--
 		}
 		a.waiting.End()
 		n.recorder.Record(a.target, a.result, a.took, a.account)
@@ -128,7 +128,7 @@
 func (s stallShape) world(seed uint64) *world {
 	w := newWorld(DefaultParams(), seed, s.targets, s.targets, s.floor)
 	w.perStep = s.perStep
-	w.avoidLocally(s.timeout)
+	w.enableLocalAvoidance(s.timeout)
 	w.run(10 * time.Second)
 	return w
 }
@@ -147,7 +147,7 @@
 // one request of its own has run into the timeout, so that little reaches it,
 // and that little was outweighed by the good answers of the seconds before:
 // callers of every daemon went on meeting it for ten seconds.
-func TestStallIsFoundThoughEachDaemonAvoidsIt(t *testing.T) {
+func TestStallIsDetectedDespiteLocalAvoidance(t *testing.T) {
 	t.Parallel()
 	for _, s := range stallShapes {
 		t.Run(s.name, func(t *testing.T) {
@@ -157,8 +157,8 @@
 				w := s.world(seed)
 				w.nodes["d03"].idle = s.idle
 				w.run(3 * time.Second)
-				w.acts[sick] = endsWith(ResultStalled, 1)
-				took := detect(w, sick)
+				w.behaviours[unhealthy] = endsWith(ResultStalled, 1)
+				took := detect(w, unhealthy)
 				g.Expect(took).To(gomega.And(gomega.BeNumerically(">", 0), gomega.BeNumerically("<=", 3*time.Second)))
 				g.Expect(w.ejected).To(gomega.HaveLen(1))
 			}
@@ -167,7 +167,7 @@
 }
 
 // longFor lets requests of some accounts take very long, a share of them.
-func longFor(share float64, took time.Duration, accounts ...crid.Account) behaviour {
+func longRequests(share float64, took time.Duration, accounts ...crid.Account) behaviour {
 	return func(now time.Duration, account crid.Account, rng *rand.Rand) (Result, time.Duration) {
 		if slices.Contains(accounts, account) && rng.Float64() < share {
 			return ResultOK, took
@@ -180,26 +180,26 @@
 // take seconds, some stall wherever they run, all targets hang on one database,
 // or one daemon is frozen before a target that is well. Taking targets out for
 // it would leave less capacity for the same work.
-func TestLongWaitsAreNotAlwaysAStall(t *testing.T) {
+func TestLongRequestsAreNotTakenForAStall(t *testing.T) {
 	t.Parallel()
 	everywhere := func(w *world, act behaviour) {
 		for _, target := range w.targets {
-			w.acts[target] = act
+			w.behaviours[target] = act
 		}
 	}
 	for name, begin := range map[string]func(w *world, s stallShape){
 		"few long": func(w *world, s stallShape) {
-			everywhere(w, longFor(0.02, s.timeout*6/10, "a1", "a2", "a3", "a4", "a5"))
+			everywhere(w, longRequests(0.02, s.timeout*6/10, "a1", "a2", "a3", "a4", "a5"))
 		},
 		"many long": func(w *world, s stallShape) {
-			everywhere(w, longFor(0.5, s.timeout*6/10, "a1", "a2", "a3", "a4"))
+			everywhere(w, longRequests(0.5, s.timeout*6/10, "a1", "a2", "a3", "a4"))
 		},
-		"one account's stall": func(w *world, _ stallShape) { everywhere(w, longFor(1, time.Hour, "a1")) },
+		"one account's stall": func(w *world, _ stallShape) { everywhere(w, longRequests(1, time.Hour, "a1")) },
 		"all stall":           func(w *world, _ stallShape) { everywhere(w, flapping(4*time.Second, endsWith(ResultStalled, 1))) },
 		"daemon frozen": func(w *world, _ stallShape) {
 			w.nodes["d03"].paused = true
 			woken := w.now + 1500*time.Millisecond
-			w.acts[sick] = func(now time.Duration, account crid.Account, rng *rand.Rand) (Result, time.Duration) {
+			w.behaviours[unhealthy] = func(now time.Duration, account crid.Account, rng *rand.Rand) (Result, time.Duration) {
 				result, took := healthy(now, account, rng)
 				return result, took + max(woken-now, 0)
 			}
--- a/core/crhealth/waiting.go
+++ b/core/crhealth/waiting.go
@@ -10,11 +10,11 @@
 
 // waitLeast is the age at which an attempt without an answer is told of. Younger
 // ones are no evidence, whatever the service, and would only cost bytes.
-const waitLeast = 500 * time.Millisecond
+const minPendingAge = 500 * time.Millisecond
 
 // Wait is the count of attempts of one group of accounts that are without an
 // answer at the moment of the sample, by age.
-type Wait struct {
+type PendingCount struct {
 	_     struct{} `cbor:",toarray"`
 	Group uint8
 	Age   uint8 // a latency bucket
@@ -23,8 +23,8 @@
 
 // Waiting is an attempt whose answer has not begun. It is for one goroutine at a
 // time.
-type Waiting struct {
-	list  *waitList
+type PendingAttempt struct {
+	list  *pendingList
 	id    uint64
 	group uint8
 	began crid.Instant
@@ -32,34 +32,34 @@
 
 // End takes the attempt off: its answer has begun, or it is given up. A second
 // call does nothing.
-func (w *Waiting) End() {
+func (w *PendingAttempt) End() {
 	w.list.mu.Lock()
 	defer w.list.mu.Unlock()
 	delete(w.list.open, w.id)
 }
 
 // waitList holds the attempts on one target that are without an answer.
-type waitList struct {
-	mu   sync.Mutex
-	next uint64
-	open map[uint64]*Waiting
-	told bool // the last drain told of some
+type pendingList struct {
+	mu       sync.Mutex
+	nextID   uint64
+	open     map[uint64]*PendingAttempt
+	reported bool // the last drain told of some
 }
 
-func (l *waitList) begin(group uint8, now crid.Instant) *Waiting {
+func (l *pendingList) begin(group uint8, now crid.Instant) *PendingAttempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open == nil {
-		l.open = make(map[uint64]*Waiting)
+		l.open = make(map[uint64]*PendingAttempt)
 	}
-	l.next++
-	w := &Waiting{list: l, id: l.next, group: group, began: now}
+	l.nextID++
+	w := &PendingAttempt{list: l, id: l.nextID, group: group, began: now}
 	l.open[w.id] = w
 	return w
 }
 
 // any reports whether an attempt is without an answer.
-func (l *waitList) any() bool {
+func (l *pendingList) hasAny() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.open) > 0
@@ -67,39 +67,39 @@
 
 // waits counts those of waitLeast and more, sorted. It also reports whether there
 // is something to tell: some, or none after some.
-func (l *waitList) waits(now crid.Instant) ([]Wait, bool) {
+func (l *pendingList) counts(now crid.Instant) ([]PendingCount, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var waits []Wait
+	var counts []PendingCount
 	for _, w := range l.open {
-		if age := now.Sub(w.began); age >= waitLeast {
-			waits = addWait(waits, Wait{Group: w.group, Age: uint8(bucketOf(age)), N: 1})
+		if age := now.Sub(w.began); age >= minPendingAge {
+			counts = addPending(counts, PendingCount{Group: w.group, Age: uint8(bucketOf(age)), N: 1})
 		}
 	}
-	slices.SortFunc(waits, func(a, b Wait) int {
+	slices.SortFunc(counts, func(a, b PendingCount) int {
 		if a.Group != b.Group {
 			return int(a.Group) - int(b.Group)
 		}
 		return int(a.Age) - int(b.Age)
 	})
-	tell := len(waits) > 0 || l.told
-	l.told = len(waits) > 0
-	return waits, tell
+	report := len(counts) > 0 || l.reported
+	l.reported = len(counts) > 0
+	return counts, report
 }
 
-func addWait(waits []Wait, w Wait) []Wait {
-	i := slices.IndexFunc(waits, func(o Wait) bool { return o.Group == w.Group && o.Age == w.Age })
+func addPending(pending []PendingCount, w PendingCount) []PendingCount {
+	i := slices.IndexFunc(pending, func(o PendingCount) bool { return o.Group == w.Group && o.Age == w.Age })
 	if i < 0 {
-		return append(waits, w)
+		return append(pending, w)
 	}
-	waits[i].N += w.N
-	return waits
+	pending[i].N += w.N
+	return pending
 }
 
 // bucketFloor is the lower end of a bucket.
-func bucketFloor(i int) time.Duration {
+func bucketLower(i int) time.Duration {
 	if i == 0 {
 		return 0
 	}
-	return bucketTop(i - 1)
+	return bucketUpper(i - 1)
 }
--- a/core/crhealth/world_test.go
+++ b/core/crhealth/world_test.go
@@ -23,22 +23,22 @@
 
 // node is one daemon with the real reducer and recorder, on its own clock.
 type node struct {
-	name     crid.Daemon
-	state    *State
-	recorder *Recorder
-	offset   time.Duration
-	rate     float64
-	life     uint64
-	paused   bool
-	isolated bool // hears nothing of standing
-	held     crid.Revision
-	inbox    []letter
-	steer    map[crid.Service]Steer
-	idle     bool    // has no callers; with locals only
-	locals   *locals // nil: targets are drawn evenly, and answers come at once
+	name         crid.Daemon
+	state        *State
+	recorder     *Recorder
+	offset       time.Duration
+	rate         float64
+	incarnation  uint64
+	paused       bool
+	isolated     bool // hears nothing of standing
+	heldRevision crid.Revision
+	inbox        []delivery
+	routing      map[crid.Service]Steer
+	idle         bool           // has no callers; with locals only
+	balancer     *localBalancer // nil: targets are drawn evenly, and answers come at once
 }
 
-type letter struct {
+type delivery struct {
 	due  time.Duration
 	from crid.Daemon
 	msg  crevent.Message
@@ -70,37 +70,37 @@
 // world runs several daemons in virtual time. Standing is granted as crmember
 // promises it: never under two lists at one time.
 type world struct {
-	params  Params
-	rng     *rand.Rand
-	now     time.Duration
-	nodes   map[crid.Daemon]*node
-	names   []crid.Daemon
-	targets []crid.Target
-	floor   int
-	acts    map[crid.Target]behaviour
-	poison  crid.Account
-	perStep int // requests of each daemon in each step
-	loss    float64
-	delay   time.Duration
-	cut     map[[2]crid.Daemon]bool
-	blind   map[crid.Daemon]crid.Target // one-way cut between an entry and a target
+	params         Params
+	rng            *rand.Rand
+	now            time.Duration
+	nodes          map[crid.Daemon]*node
+	names          []crid.Daemon
+	targets        []crid.Target
+	floor          int
+	behaviours     map[crid.Target]behaviour
+	failingAccount crid.Account
+	perStep        int // requests of each daemon in each step
+	loss           float64
+	delay          time.Duration
+	cut            map[[2]crid.Daemon]bool
+	noResponse     map[crid.Daemon]crid.Target // one-way cut between an entry and a target
 
-	causes   map[string]int      // of the ejections
-	stuck    map[crid.Target]int // attempts without an answer, in its slots
-	rev      crid.Revision
-	members  []crid.Daemon
-	next     []crid.Daemon
-	switchAt time.Duration
-	reports  map[int]int
-	ejected  map[crid.Target]int // ejections decided, by all daemons
+	causes          map[string]int      // of the ejections
+	stalledAttempts map[crid.Target]int // attempts without an answer, in its slots
+	rev             crid.Revision
+	members         []crid.Daemon
+	nextMembers     []crid.Daemon
+	switchAt        time.Duration
+	reports         map[int]int
+	ejected         map[crid.Target]int // ejections decided, by all daemons
 }
 
 func newWorld(p Params, seed uint64, daemons, targets, floor int) *world {
 	w := &world{
 		params: p, rng: rand.New(rand.NewPCG(seed, 1)), floor: floor, perStep: 10, delay: 2 * time.Millisecond,
-		nodes: make(map[crid.Daemon]*node), acts: make(map[crid.Target]behaviour),
-		cut: make(map[[2]crid.Daemon]bool), blind: make(map[crid.Daemon]crid.Target),
-		rev: 1, reports: make(map[int]int), ejected: make(map[crid.Target]int), causes: make(map[string]int), stuck: make(map[crid.Target]int),
+		nodes: make(map[crid.Daemon]*node), behaviours: make(map[crid.Target]behaviour),
+		cut: make(map[[2]crid.Daemon]bool), noResponse: make(map[crid.Daemon]crid.Target),
+		rev: 1, reports: make(map[int]int), ejected: make(map[crid.Target]int), causes: make(map[string]int), stalledAttempts: make(map[crid.Target]int),
 	}
 	for i := range targets {
 		w.targets = append(w.targets, crid.Target(fmt.Sprintf("t%02d", i)))
@@ -139,12 +139,12 @@
 }
 
 func (w *world) start(n *node) {
-	n.life++
+	n.incarnation++
 	n.state = New(w.params)
 	n.recorder = NewRecorder()
 	n.inbox = nil
-	n.held = 0
-	n.steer = make(map[crid.Service]Steer)
+	n.heldRevision = 0
+	n.routing = make(map[crid.Service]Steer)
 	now := n.clock(w.now)
 	policy := crpolicy.Service{Name: booking, Floor: w.floor}
 	var peers []crmember.Peer
@@ -153,7 +153,7 @@
 			peers = append(peers, crmember.Peer{Daemon: d, Reachable: true})
 		}
 	}
-	w.step(n, crevent.Started{Now: now, Self: n.name, Incarnation: crid.Incarnation(n.life)})
+	w.step(n, crevent.Started{Now: now, Self: n.name, Incarnation: crid.Incarnation(n.incarnation)})
 	w.step(n, crinstance.Listed{Now: now, List: w.list(1)})
 	w.step(n, crmember.Peers{Now: now, Peers: peers})
 	w.step(n, crconfig.InForce{Now: now, Snapshot: crpolicy.NewSnapshot(1, []crpolicy.Service{policy}, nil)})
@@ -165,7 +165,7 @@
 		case crevent.Send:
 			w.send(n.name, effect)
 		case Steer:
-			n.steer[effect.Service] = effect
+			n.routing[effect.Service] = effect
 		case crevent.Report:
 			w.reports[effect.Number]++
 			if effect.Number == EventEjected {
@@ -188,14 +188,14 @@
 	}
 	for range copies {
 		due := w.now + time.Duration(w.rng.Int64N(int64(w.delay)+1))
-		to.inbox = append(to.inbox, letter{due: due, from: from, msg: s.Msg})
+		to.inbox = append(to.inbox, delivery{due: due, from: from, msg: s.Msg})
 	}
 }
 
 // advance runs one step of virtual time on all daemons.
 func (w *world) advance() {
 	w.now += step
-	w.grant()
+	w.renewLeases()
 	for _, name := range w.names {
 		n := w.nodes[name]
 		if n.paused {
@@ -215,7 +215,7 @@
 }
 
 func (w *world) deliver(n *node) {
-	var later []letter
+	var later []delivery
 	ready := n.inbox
 	n.inbox = nil
 	for _, l := range ready {
@@ -230,10 +230,10 @@
 
 // grant renews standing, and moves it to the next list once nobody holds any
 // under the former.
-func (w *world) grant() {
-	if w.next != nil && w.now >= w.switchAt {
-		w.members = w.next
-		w.next = nil
+func (w *world) renewLeases() {
+	if w.nextMembers != nil && w.now >= w.switchAt {
+		w.members = w.nextMembers
+		w.nextMembers = nil
 		w.rev++
 	}
 	for _, name := range w.names {
@@ -241,52 +241,52 @@
 		if n.paused || n.isolated || !slices.Contains(w.members, name) {
 			continue
 		}
-		if w.next != nil {
-			w.bridge(n)
+		if w.nextMembers != nil {
+			w.announceHandover(n)
 			continue
 		}
 		now := n.clock(w.now)
-		n.held = w.rev
+		n.heldRevision = w.rev
 		w.step(n, crmember.Tenure{Now: now, Active: w.rev, Members: w.members, Until: now.Add(horizon)})
 	}
 }
 
 // change begins to move standing to other members. Daemons that hear of it give
 // it up at once; the horizon is waited out for the others.
-func (w *world) change(members []crid.Daemon) {
-	if w.next != nil {
+func (w *world) changeMembers(members []crid.Daemon) {
+	if w.nextMembers != nil {
 		return
 	}
-	w.next = members
+	w.nextMembers = members
 	w.switchAt = w.now + horizon*102/100
 	for _, name := range w.names {
 		if n := w.nodes[name]; !n.paused && !n.isolated {
-			w.bridge(n)
+			w.announceHandover(n)
 		}
 	}
 }
 
 // bridge tells a node of the handover, as crmember does: what both lists give
 // it, it may go on with.
-func (w *world) bridge(n *node) {
+func (w *world) announceHandover(n *node) {
 	now := n.clock(w.now)
 	ev := crmember.Tenure{Now: now}
-	if slices.Contains(w.members, n.name) && slices.Contains(w.next, n.name) {
+	if slices.Contains(w.members, n.name) && slices.Contains(w.nextMembers, n.name) {
 		ev.Bridge = now.Add(horizon)
-		ev.Over = []crmember.Membership{{Rev: w.rev, Members: w.members}, {Rev: w.rev + 1, Members: w.next}}
+		ev.Over = []crmember.Membership{{Rev: w.rev, Members: w.members}, {Rev: w.rev + 1, Members: w.nextMembers}}
 	}
 	w.step(n, ev)
 }
 
 func (w *world) traffic(n *node) {
 	states := make(map[crid.Target]TargetState)
-	if st := n.steer[booking]; n.clock(w.now).Before(st.Until) || st.Until == 0 {
+	if st := n.routing[booking]; n.clock(w.now).Before(st.Until) || st.Until == 0 {
 		for _, t := range st.Targets {
 			states[t.Target] = t
 		}
 	}
-	if n.locals != nil {
-		w.choose(n, states)
+	if n.balancer != nil {
+		w.sendRequests(n, states)
 		return
 	}
 	for range w.perStep {
@@ -295,15 +295,15 @@
 			continue
 		}
 		account := crid.Account(fmt.Sprintf("a%d", w.rng.IntN(8)))
-		act := w.acts[t]
+		act := w.behaviours[t]
 		if act == nil {
 			act = healthy
 		}
 		result, took := act(w.now, account, w.rng)
-		if account == w.poison {
+		if account == w.failingAccount {
 			result = ResultFailed
 		}
-		if w.blind[n.name] == t {
+		if w.noResponse[n.name] == t {
 			result = ResultStalled
 		}
 		n.recorder.Record(t, result, took, account)
@@ -311,10 +311,10 @@
 }
 
 // inForce is the set of targets that traffic anywhere holds ejected now.
-func (w *world) inForce() map[crid.Target]bool {
+func (w *world) ejectedSomewhere() map[crid.Target]bool {
 	union := make(map[crid.Target]bool)
 	for _, n := range w.nodes {
-		st := n.steer[booking]
+		st := n.routing[booking]
 		if n.paused || !n.clock(w.now).Before(st.Until) {
 			continue
 		}
@@ -327,19 +327,19 @@
 	return union
 }
 
-func (w *world) breach() bool { return len(w.inForce()) > len(w.targets)-w.floor }
+func (w *world) floorBreached() bool { return len(w.ejectedSomewhere()) > len(w.targets)-w.floor }
 
 func (w *world) arbiter() *node {
 	return w.nodes[w.nodes[w.members[0]].state.arbiter(booking)]
 }
 
 // everywhere reports whether all daemons with callers hold the target ejected.
-func (w *world) everywhere(t crid.Target) bool {
+func (w *world) ejectedEverywhere(t crid.Target) bool {
 	for _, n := range w.nodes {
 		if n.idle {
 			continue
 		}
-		st := n.steer[booking]
+		st := n.routing[booking]
 		i := slices.IndexFunc(st.Targets, func(s TargetState) bool { return s.Target == t })
 		if i < 0 || !st.Targets[i].Ejected || !n.clock(w.now).Before(st.Until) {
 			return false
