--- a/core/crhealth/entry.go
+++ b/core/crhealth/entry.go
@@ -44,7 +44,7 @@
 	verdict Verdict
 	from    crid.Daemon
 	until   crid.Instant
-	routing Steer
+	routing RoutingUpdate
 }
 
 func (s *State) entry(service crid.Service) *entry {
@@ -242,7 +242,7 @@
 		e.verdict = Verdict{}
 		e.until = 0
 	}
-	next := Steer{Service: service, Targets: s.targetStates(service, e)}
+	next := RoutingUpdate{Service: service, Targets: s.targetStates(service, e)}
 	if slices.ContainsFunc(next.Targets, func(t TargetState) bool { return t.Ejected }) {
 		next.Until = e.until
 	}
--- a/core/crhealth/event.go
+++ b/core/crhealth/event.go
@@ -36,20 +36,20 @@
 	Weight  int // 1 to FullWeight
 }
 
-// Steer tells the traffic side which targets of a service are ejected or in
-// slow start; it replaces the former Steer of that service. Targets not named
-// take work at full weight. Ejections end at Until, also when no further Steer
+// RoutingUpdate tells the traffic side which targets of a service are ejected or in
+// slow start; it replaces the former RoutingUpdate of that service. Targets not named
+// take work at full weight. Ejections end at Until, also when no further RoutingUpdate
 // comes: a stalled control goroutine must not prolong them.
-type Steer struct {
+type RoutingUpdate struct {
 	Service crid.Service
 	Until   crid.Instant
 	Targets []TargetState // sorted
 }
 
 // EffectName implements crevent.Effect.
-func (Steer) EffectName() string { return "steer" }
+func (RoutingUpdate) EffectName() string { return "steer" }
 
 var (
 	_ crevent.Event  = Observed{}
-	_ crevent.Effect = Steer{}
+	_ crevent.Effect = RoutingUpdate{}
 )
--- a/core/crhealth/world_test.go
+++ b/core/crhealth/world_test.go
@@ -33,7 +33,7 @@
 	isolated     bool // hears nothing of standing
 	heldRevision crid.Revision
 	inbox        []delivery
-	routing      map[crid.Service]Steer
+	routing      map[crid.Service]RoutingUpdate
 	idle         bool           // has no callers; with locals only
 	balancer     *localBalancer // nil: targets are drawn evenly, and answers come at once
 }
@@ -144,7 +144,7 @@
 	n.recorder = NewRecorder()
 	n.inbox = nil
 	n.heldRevision = 0
-	n.routing = make(map[crid.Service]Steer)
+	n.routing = make(map[crid.Service]RoutingUpdate)
 	now := n.clock(w.now)
 	policy := crpolicy.Service{Name: booking, Floor: w.floor}
 	var peers []crmember.Peer
@@ -164,7 +164,7 @@
 		switch effect := effect.(type) {
 		case crevent.Send:
 			w.send(n.name, effect)
-		case Steer:
+		case RoutingUpdate:
 			n.routing[effect.Service] = effect
 		case crevent.Report:
 			w.reports[effect.Number]++
--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -151,7 +151,7 @@
 	s.wallet = craccount.NewWallet()
 	s.split = newSplit(cfg.Policy, s)
 	s.recorder = rec
-	s.steers = make(map[crid.Service]crhealth.Steer)
+	s.steers = make(map[crid.Service]crhealth.RoutingUpdate)
 	params := crdaemon.DefaultParams()
 	params.Config.Fleet = cfg.Platform.Fleet
 	params.Health = healthParams(cfg.Policy)
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -51,7 +51,7 @@
 	// The rest is the control goroutine's.
 	config  *crconfig.State
 	account *craccount.State
-	steers  map[crid.Service]crhealth.Steer
+	steers  map[crid.Service]crhealth.RoutingUpdate
 	in      crview.Input
 	contact crid.Instant // up to which the fleet is known to be in contact
 	dirty   bool
@@ -89,7 +89,7 @@
 		s.inForce(eff)
 	case crconfig.WatchPlatform, crconfig.ReadPlatform, crconfig.ReadList:
 		go s.reader.perform(eff)
-	case crhealth.Steer:
+	case crhealth.RoutingUpdate:
 		s.steer(eff)
 	case craccount.Deposit:
 		s.wallet.Deposit(eff)
--- a/io/crdaemon/steer.go
+++ b/io/crdaemon/steer.go
@@ -12,7 +12,7 @@
 )
 
 // steer takes the health side's word on one service's targets.
-func (s *shell) steer(eff crhealth.Steer) {
+func (s *shell) steer(eff crhealth.RoutingUpdate) {
 	s.steers[eff.Service] = eff
 	s.dirty = true
 }
--- a/io/crtrace/floor.go
+++ b/io/crtrace/floor.go
@@ -18,7 +18,7 @@
 	snapshot *crpolicy.Snapshot
 	list     crinstance.List
 	peers    map[crid.Daemon]crmember.Peer
-	steers   map[crid.Service]crhealth.Steer // of the event under way
+	steers   map[crid.Service]crhealth.RoutingUpdate // of the event under way
 }
 
 func (f *floor) takePeers(peers []crmember.Peer) {
@@ -28,9 +28,9 @@
 	}
 }
 
-func (f *floor) takeSteer(s crhealth.Steer) {
+func (f *floor) takeSteer(s crhealth.RoutingUpdate) {
 	if f.steers == nil {
-		f.steers = make(map[crid.Service]crhealth.Steer)
+		f.steers = make(map[crid.Service]crhealth.RoutingUpdate)
 	}
 	f.steers[s.Service] = s
 }
@@ -50,7 +50,7 @@
 // checkService: ejecting never pushes capacity below the floor. A target that is
 // ejected and cold is not capacity; one that is cold only is taken for capacity,
 // since it can not be told from one that has just returned.
-func (f *floor) checkService(service crid.Service, steer crhealth.Steer) error {
+func (f *floor) checkService(service crid.Service, steer crhealth.RoutingUpdate) error {
 	if f.snapshot == nil {
 		return nil
 	}
--- a/io/crtrace/invariant.go
+++ b/io/crtrace/invariant.go
@@ -52,7 +52,7 @@
 		}
 	case crmember.Peers:
 		inv.floor.takePeers(eff.Peers)
-	case crhealth.Steer:
+	case crhealth.RoutingUpdate:
 		inv.floor.takeSteer(eff)
 	case crmember.Tenure:
 		return inv.hold(eff)
--- a/io/crtrace/trace_test.go
+++ b/io/crtrace/trace_test.go
@@ -224,7 +224,7 @@
 	}
 	lost := crmember.Peers{Peers: []crmember.Peer{{Daemon: "b", Reachable: true}, {Daemon: "c"}}}
 	steer := func(weight int, ejected ...crid.Target) crevent.Effect {
-		s := crhealth.Steer{Service: "booking"}
+		s := crhealth.RoutingUpdate{Service: "booking"}
 		for _, target := range ejected {
 			s.Targets = append(s.Targets, crhealth.TargetState{Target: target, Ejected: true, Weight: weight})
 		}
