--- a/core/crhealth/arbiter.go
+++ b/core/crhealth/arbiter.go
@@ -251,7 +251,7 @@
 	r.suspicion = 0
 	r.finding = Finding{}
 	r.window = window{}
-	s.report(EventReturned, service, target, reason)
+	s.report(EventUnejected, service, target, reason)
 }
 
 // restoreFloor takes back the least sick when capacity has left.
--- a/core/crhealth/event.go
+++ b/core/crhealth/event.go
@@ -8,7 +8,7 @@
 // The numbered events of this package; docs/events.md describes each.
 const (
 	EventEjected        = 400 // a target was found sick and gets no new work
-	EventReturned       = 401 // an ejected target gets work again
+	EventUnejected       = 401 // an ejected target gets work again
 	EventFloorHolds     = 402 // a sick target keeps its work, for the floor
 	EventArbiterStarted = 403 // this daemon has begun to decide for a service
 	EventArbiterStopped = 404 // this daemon has ceased to decide for a service
--- a/io/crlog/catalogue_health.go
+++ b/io/crlog/catalogue_health.go
@@ -10,7 +10,7 @@
 			"no new work goes to the target", "nothing at once; look at the target",
 		},
 		{
-			crhealth.EventReturned, LevelInfo, "target returned",
+			crhealth.EventUnejected, LevelInfo, "target returned",
 			"the hold-off is over, or the floor needs the target",
 			"work comes back, a tenth at first", none,
 		},
