--- a/core/crhealth/arbiter.go
+++ b/core/crhealth/arbiter.go
@@ -298,7 +298,7 @@
 		free := !s.isCapacity(target) || counted
 		if s.params.hasGuard(guardFloor) && !free && s.ejectedCapacity(d) >= room {
 			if !r.keptForFloor {
-				s.report(EventFloorHolds, service, target, r.finding.Cause.String())
+				s.report(EventKeptForFloor, service, target, r.finding.Cause.String())
 			}
 			r.keptForFloor = true
 			continue
--- a/core/crhealth/event.go
+++ b/core/crhealth/event.go
@@ -9,7 +9,7 @@
 const (
 	EventEjected        = 400 // a target was found sick and gets no new work
 	EventUnejected       = 401 // an ejected target gets work again
-	EventFloorHolds     = 402 // a sick target keeps its work, for the floor
+	EventKeptForFloor     = 402 // a sick target keeps its work, for the floor
 	EventArbiterStarted = 403 // this daemon has begun to decide for a service
 	EventArbiterStopped = 404 // this daemon has ceased to decide for a service
 	EventVerdictExpired = 405 // the arbiter is silent; its ejections have ended here
--- a/core/crhealth/fault_test.go
+++ b/core/crhealth/fault_test.go
@@ -186,7 +186,7 @@
 	g.Expect(detect(w, "t01")).To(gomega.BeNumerically(">", 0))
 	w.run(3 * time.Second)
 	g.Expect(w.ejectedSomewhere()).To(gomega.HaveLen(1))
-	g.Expect(w.reports[EventFloorHolds]).To(gomega.BeNumerically(">=", 1))
+	g.Expect(w.reports[EventKeptForFloor]).To(gomega.BeNumerically(">=", 1))
 
 	tight := newWorld(DefaultParams(), 7, 6, 6, 6)
 	tight.behaviours["t01"] = endsWith(ResultWrong, 1)
--- a/io/crlog/catalogue_health.go
+++ b/io/crlog/catalogue_health.go
@@ -15,7 +15,7 @@
 			"work comes back, a tenth at first", none,
 		},
 		{
-			crhealth.EventFloorHolds, LevelError, "floor holds",
+			crhealth.EventKeptForFloor, LevelError, "floor holds",
 			"a target is sick, but ejecting it would break the floor",
 			"callers still meet the sick target", "repair it, add targets, or publish a lower floor",
 		},
