--- a/core/crhealth/arbiter.go
+++ b/core/crhealth/arbiter.go
@@ -235,7 +235,7 @@
 		}
 		if probes := r.window.sum(s.now, probeWindow).groups[0]; probes.n > 0 && probes.badRate() >= 0.5 {
 			r.ejectedUntil = s.now.Add(s.params.BaseEjectionTime)
-			s.report(EventHoldExtended, service, target, "")
+			s.report(EventEjectionExtended, service, target, "")
 			continue
 		}
 		s.uneject(service, target, r, "hold-off over")
--- a/core/crhealth/event.go
+++ b/core/crhealth/event.go
@@ -13,7 +13,7 @@
 	EventArbiterStarted = 403 // this daemon has begun to decide for a service
 	EventArbiterStopped = 404 // this daemon has ceased to decide for a service
 	EventVerdictExpired = 405 // the arbiter is silent; its ejections have ended here
-	EventHoldExtended   = 406 // an ejected target still fails its probes
+	EventEjectionExtended   = 406 // an ejected target still fails its probes
 	EventDigestsLate    = 407 // the budget does not allow all digests in time
 )
 
--- a/core/crhealth/fault_test.go
+++ b/core/crhealth/fault_test.go
@@ -314,7 +314,7 @@
 		w.nodes["d03"].recorder.Record(unhealthy, ResultWrong, 0, ProbeAccount)
 		w.advance()
 	}
-	g.Expect(w.reports[EventHoldExtended]).To(gomega.BeNumerically(">=", 1))
+	g.Expect(w.reports[EventEjectionExtended]).To(gomega.BeNumerically(">=", 1))
 	g.Expect(w.ejected[unhealthy]).To(gomega.Equal(1))
 }
 
--- a/io/crlog/catalogue_health.go
+++ b/io/crlog/catalogue_health.go
@@ -35,7 +35,7 @@
 			"ejected targets get work from this entry again", "look for a daemon that is down but still listed",
 		},
 		{
-			crhealth.EventHoldExtended, LevelWarn, "hold extended",
+			crhealth.EventEjectionExtended, LevelWarn, "hold extended",
 			"probes of an ejected target still fail",
 			"it stays out", "repair the target",
 		},
