--- a/core/crhealth/baseline.go
+++ b/core/crhealth/baseline.go
@@ -9,9 +9,9 @@
 	fixedMinAttempts = 5
 )
 
-// FixedAlone returns params under which each daemon ejects on its own evidence
+// FixedLocal returns params under which each daemon ejects on its own evidence
 // by fixed thresholds, for comparison.
-func FixedAlone(params Params) Params {
+func FixedLocal(params Params) Params {
 	params.Judge = FixedJudge{Rate: fixedRate, Median: fixedMedian, MinAttempts: fixedMinAttempts}
 	params.LocalOnly = true
 	params.Stalls = false
--- a/core/crhealth/measure_test.go
+++ b/core/crhealth/measure_test.go
@@ -52,7 +52,7 @@
 
 func policies() map[string]Params {
 	params := DefaultParams()
-	return map[string]Params{"chosen": params, "fixed": FixedAlone(params), "none": NoEjection(params)}
+	return map[string]Params{"chosen": params, "fixed": FixedLocal(params), "none": NoEjection(params)}
 }
 
 type measured struct {
--- a/io/crdaemon/policy.go
+++ b/io/crdaemon/policy.go
@@ -14,7 +14,7 @@
 	params := crhealth.DefaultParams()
 	switch p.Eject {
 	case crsettings.EjectFixed:
-		return crhealth.FixedAlone(params)
+		return crhealth.FixedLocal(params)
 	case crsettings.EjectNone:
 		return crhealth.NoEjection(params)
 	}
