--- a/core/crhealth/dump.go
+++ b/core/crhealth/dump.go
@@ -23,7 +23,7 @@
 	Service   crid.Service  `json:"service"`
 	Arbiter   crid.Daemon   `json:"arbiter"`
 	Allowance int           `json:"allowance"` // targets that may be ejected at one time
-	Steered   []TargetState `json:"steered"`   // what traffic here was told
+	Routing   []TargetState `json:"steered"`   // what traffic here was told
 	Senders   int           `json:"senders"`   // entries heard, as arbiter
 	Targets   []TargetDump  `json:"targets"`   // as arbiter
 }
@@ -40,7 +40,7 @@
 	for _, service := range sortedServices(s.targets) {
 		sd := ServiceDump{Service: service, Arbiter: s.arbiter(service), Allowance: s.allowance(service)}
 		if e := s.entries[service]; e != nil {
-			sd.Steered = slices.Clone(e.routing.Targets)
+			sd.Routing = slices.Clone(e.routing.Targets)
 		}
 		if d := s.detectors[service]; d != nil {
 			sd.Senders = len(d.senders)
--- a/lab/crfleet/call.go
+++ b/lab/crfleet/call.go
@@ -129,7 +129,7 @@
 func (s State) Ejected() []string {
 	var names []string
 	for _, service := range s.Health.Services {
-		for _, t := range service.Steered {
+		for _, t := range service.Routing {
 			if t.Ejected {
 				names = append(names, string(t.Target))
 			}
