--- a/core/crhealth/fault_test.go
+++ b/core/crhealth/fault_test.go
@@ -86,8 +86,8 @@
 	g := gomega.NewWithT(t)
 	w := defaultWorld(DefaultParams())
 	for _, n := range w.nodes {
-		n.recorder.Hint("t05", true)
-		n.recorder.Hint(unhealthy, false)
+		n.recorder.SetReportedUnhealthy("t05", true)
+		n.recorder.SetReportedUnhealthy(unhealthy, false)
 	}
 	w.run(10 * time.Second)
 	g.Expect(w.ejected).To(gomega.BeEmpty())
--- a/core/crhealth/recorder.go
+++ b/core/crhealth/recorder.go
@@ -104,10 +104,10 @@
 	}
 }
 
-// Hint notes whether the target's own health or load report looks bad. Reports
+// SetReportedUnhealthy notes whether the target's own health or load report looks bad. Reports
 // lag and mislead: a bad one hastens an ejection that the results call for, and
 // neither kind does anything else.
-func (r *Recorder) Hint(target crid.Target, bad bool) {
+func (r *Recorder) SetReportedUnhealthy(target crid.Target, bad bool) {
 	r.withCell(target, func(c *cell) { c.reportedUnhealthy.Store(bad) })
 }
 
--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -128,7 +128,7 @@
 	}
 	return crexit.New(crexit.Options{
 		Targets: specs, Pulse: pulse, Clock: crclock.Now, Observe: m.ran, Idle: cfg.Limits.BodyIdle.Duration,
-		Hint: rec.Hint,
+		Hint: rec.SetReportedUnhealthy,
 		Probe: func(target crid.Target, ok bool, took time.Duration) {
 			rec.Record(target, probeResult(ok), took, crhealth.ProbeAccount)
 		},
