--- a/core/crhealth/arbiter.go
+++ b/core/crhealth/arbiter.go
@@ -8,7 +8,7 @@
 	"camphorroad/core/crid"
 )
 
-// senderKept is how long a silent sender is remembered.
+// senderTTL is the time after its last digest at which a sender is removed.
 const senderTTL = 10 * time.Second
 
 // sender is an entry that sends digests to this arbiter.
@@ -16,34 +16,34 @@
 	incarnation crid.Incarnation
 	seq         uint64
 	lastSeen    crid.Instant
-	idle        bool // it has no traffic, and sends no digests for that reason
-	// waits are those of its newest digest.
+	idle        bool // it has no traffic and therefore sends no digests
+	// pending holds the pending attempts of the sender's newest digest.
 	pending map[crid.Target][]PendingCount
 }
 
-// record is what the arbiter knows of one target.
+// targetRecord is the arbiter's state of one target.
 type targetRecord struct {
 	window       window
-	updated      bool // evidence has come since the last judgement
+	updated      bool // evidence has arrived since the last judgement
 	finding      Finding
 	suspicion    int
 	ejected      bool
-	keptForFloor bool // sick, but kept for the floor
+	keptForFloor bool // unhealthy, but not ejected because of the floor
 	ejectedUntil crid.Instant
 	ejections    int
 	unejected    bool
 	unejectedAt  crid.Instant
 	announced    bool
-	announcedAt  crid.Instant // of the last verdict that named it ejected
+	announcedAt  crid.Instant // when the last verdict that lists it as ejected was sent
 }
 
-// docket is the arbiter's state of one service.
+// detector is the arbiter's outlier detection state for one service.
 type detector struct {
-	judgedAt crid.Instant
-	heardAt  crid.Instant
-	deciding bool
-	records  map[crid.Target]*targetRecord
-	senders  map[crid.Daemon]*sender
+	judgedAt     crid.Instant
+	lastDigestAt crid.Instant
+	deciding     bool
+	records      map[crid.Target]*targetRecord
+	senders      map[crid.Daemon]*sender
 }
 
 func (d *detector) record(target crid.Target) *targetRecord {
@@ -55,7 +55,7 @@
 	return r
 }
 
-// takeDigest adds an entry's evidence and answers with a verdict.
+// handleDigest adds an entry's evidence and replies with a verdict.
 func (s *State) handleDigest(from crid.Daemon, msg Digest) {
 	if s.arbiter(msg.Service) != s.self {
 		return
@@ -65,40 +65,40 @@
 		d = &detector{records: make(map[crid.Target]*targetRecord), senders: make(map[crid.Daemon]*sender)}
 		s.detectors[msg.Service] = d
 	}
-	known := d.senders[from]
-	if known == nil || known.incarnation != msg.Incarnation {
-		known = &sender{incarnation: msg.Incarnation}
-		d.senders[from] = known
+	src := d.senders[from]
+	if src == nil || src.incarnation != msg.Incarnation {
+		src = &sender{incarnation: msg.Incarnation}
+		d.senders[from] = src
 	}
-	if msg.Seq <= known.seq {
+	if msg.Seq <= src.seq {
 		return
 	}
-	known.seq = msg.Seq
-	known.lastSeen = s.now
-	known.idle = msg.Last
-	d.heardAt = s.now
-	known.pending = make(map[crid.Target][]PendingCount)
+	src.seq = msg.Seq
+	src.lastSeen = s.now
+	src.idle = msg.Last
+	d.lastDigestAt = s.now
+	src.pending = make(map[crid.Target][]PendingCount)
 	for _, sample := range msg.Samples {
 		if p := s.placements[sample.Target]; p != nil && p.service == msg.Service {
 			r := d.record(sample.Target)
 			r.window.add(s.now, from, sample)
 			r.updated = true
 			if len(sample.Pending) > 0 {
-				known.pending[sample.Target] = sample.Pending
+				src.pending[sample.Target] = sample.Pending
 			}
 		}
 	}
 	s.sendVerdict(msg.Service, d, from)
 }
 
-// answer sends the present verdict to an entry, on its newest digest.
+// sendVerdict sends the current verdict to an entry, in reply to its newest digest.
 func (s *State) sendVerdict(service crid.Service, d *detector, to crid.Daemon) {
 	if !s.deciding(service) {
 		return
 	}
-	known := d.senders[to]
+	src := d.senders[to]
 	s.number++
-	v := Verdict{Service: service, Incarnation: known.incarnation, Seq: known.seq, ArbiterIncarnation: s.incarnation, Number: s.number}
+	v := Verdict{Service: service, Incarnation: src.incarnation, Seq: src.seq, ArbiterIncarnation: s.incarnation, Number: s.number}
 	for _, target := range d.ejected() {
 		r := d.records[target]
 		r.announced = true
@@ -127,7 +127,7 @@
 	return weights
 }
 
-// ejected returns the ejected targets, worst first.
+// ejected returns the ejected targets in descending order of score.
 func (d *detector) ejected() []crid.Target {
 	var targets []crid.Target
 	for _, target := range d.targets() {
@@ -162,7 +162,7 @@
 func (s *State) judgeAll() {
 	for _, service := range sortedServices(s.detectors) {
 		d := s.detectors[service]
-		if s.arbiter(service) != s.self || s.now.Sub(d.heardAt) > s.params.MaxEjectionTime {
+		if s.arbiter(service) != s.self || s.now.Sub(d.lastDigestAt) > s.params.MaxEjectionTime {
 			delete(s.detectors, service)
 			s.reportDeciding(service, d, false)
 			continue
@@ -187,7 +187,7 @@
 	s.report(number, service, "", "")
 }
 
-// judge looks at all targets of a service once.
+// judge evaluates all targets of a service once.
 func (s *State) judge(service crid.Service, d *detector) {
 	s.prune(service, d)
 	unhealthy := s.unhealthyTargets(d)
@@ -202,30 +202,31 @@
 	}
 }
 
-// prune forgets targets that are gone and entries that are silent. A target
-// whose ejection may still be in force somewhere is kept.
+// prune removes targets that are no longer listed and senders that are silent. It
+// keeps a target whose ejection may still be in force at some entry.
 func (s *State) prune(service crid.Service, d *detector) {
 	for target, r := range d.records {
 		if p := s.placements[target]; (p == nil || p.service != service) && !s.maybeEjected(r) {
 			delete(d.records, target)
 		}
 	}
-	for name, known := range d.senders {
-		if s.now.Sub(known.lastSeen) > senderTTL {
+	for name, src := range d.senders {
+		if s.now.Sub(src.lastSeen) > senderTTL {
 			delete(d.senders, name)
 		}
 	}
 }
 
-// lingers reports whether some entry may still hold the target ejected.
+// maybeEjected reports whether some entry may still treat the target as ejected.
 func (s *State) maybeEjected(r *targetRecord) bool {
 	return r.announced && s.now.Sub(r.announcedAt) < s.params.ExpiryWait()
 }
 
-// probesKept is how far back probes speak against a return.
+// probeWindow is the span in which failed probes prevent the end of an ejection.
 const probeWindow = 3 * time.Second
 
-// endHolds takes back targets whose hold-off has passed.
+// endEjections ends the ejections whose time is over, and extends those of targets
+// that still fail their probes.
 func (s *State) endEjections(service crid.Service, d *detector) bool {
 	changed := false
 	for _, target := range d.targets() {
@@ -254,29 +255,30 @@
 	s.report(EventUnejected, service, target, reason)
 }
 
-// restoreFloor takes back the least sick when capacity has left.
+// unejectForFloor ends the ejections with the lowest scores when the capacity has
+// dropped too far for all of them.
 func (s *State) unejectForFloor(service crid.Service, d *detector) bool {
 	if !s.params.hasGuard(guardFloor) {
 		return false
 	}
-	room := s.allowance(service)
+	remaining := s.allowance(service)
 	changed := false
 	for _, target := range d.ejected() {
 		if !s.isCapacity(target) {
 			continue
 		}
-		if room == 0 {
+		if remaining == 0 {
 			s.uneject(service, target, d.records[target], "floor")
 			changed = true
 			continue
 		}
-		room--
+		remaining--
 	}
 	return changed
 }
 
-// burden counts the capacity that is ejected, or may still be ejected at some
-// entry that has not heard of its return.
+// ejectedCapacity counts the capacity that is ejected, or that some entry may still
+// treat as ejected because it has not received the newer verdict.
 func (s *State) ejectedCapacity(d *detector) int {
 	n := 0
 	for target, r := range d.records {
@@ -288,15 +290,15 @@
 	return n
 }
 
-// ejectWorst ejects the sick as far as the floor allows.
+// ejectUnhealthy ejects unhealthy targets as far as the floor allows.
 func (s *State) ejectUnhealthy(service crid.Service, d *detector, unhealthy []crid.Target) bool {
-	room := s.allowance(service)
+	allowed := s.allowance(service)
 	changed := false
 	for _, target := range unhealthy {
 		r := d.records[target]
-		counted := s.params.hasGuard(guardMaybeEjected) && s.maybeEjected(r)
-		free := !s.isCapacity(target) || counted
-		if s.params.hasGuard(guardFloor) && !free && s.ejectedCapacity(d) >= room {
+		alreadyCounted := s.params.hasGuard(guardMaybeEjected) && s.maybeEjected(r)
+		free := !s.isCapacity(target) || alreadyCounted
+		if s.params.hasGuard(guardFloor) && !free && s.ejectedCapacity(d) >= allowed {
 			if !r.keptForFloor {
 				s.report(EventKeptForFloor, service, target, r.finding.Cause.String())
 			}
@@ -322,7 +324,7 @@
 	s.report(EventEjected, service, target, r.finding.Cause.String()+" for "+duration.String())
 }
 
-// pushVerdicts tells all entries heard of late, without waiting for their next
+// pushVerdicts sends the verdict to all recent senders without waiting for their next
 // digest.
 func (s *State) pushVerdicts(service crid.Service, d *detector) {
 	for _, name := range sortedDaemons(d.senders) {
--- a/core/crhealth/baseline.go
+++ b/core/crhealth/baseline.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// The thresholds of FixedAlone.
+// Thresholds of FixedLocal.
 const (
 	fixedRate        = 0.2
 	fixedMedian      = 60 * time.Millisecond
 	fixedMinAttempts = 5
 )
 
-// FixedLocal returns params under which each daemon ejects on its own evidence
-// by fixed thresholds, for comparison.
+// FixedLocal returns params with which each daemon ejects by fixed thresholds on its
+// own evidence. It is a baseline for comparison.
 func FixedLocal(params Params) Params {
 	params.Judge = FixedJudge{Rate: fixedRate, Median: fixedMedian, MinAttempts: fixedMinAttempts}
 	params.LocalOnly = true
@@ -19,7 +19,8 @@
 	return params
 }
 
-// NoEjection returns params under which no target is ejected, for comparison.
+// NoEjection returns params with which no target is ejected. It is a baseline for
+// comparison.
 func NoEjection(params Params) Params {
 	params.Judge = NoJudge{}
 	params.Stalls = false
--- a/core/crhealth/bench_test.go
+++ b/core/crhealth/bench_test.go
@@ -14,8 +14,9 @@
 	"camphorroad/core/crmember"
 )
 
-// BenchmarkBytesPerTarget measures what a target in use takes at an entry (its
-// recorder) and at its service's arbiter (its window), and its sample on the wire.
+// BenchmarkBytesPerTarget reports the memory of a target in use at an entry (in its
+// recorder) and at the arbiter of its service (in its window), and the encoded size of
+// its sample.
 func BenchmarkBytesPerTarget(b *testing.B) {
 	const targets = 5000
 	var recorder, arbiter, wire float64
@@ -60,8 +61,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkPeers tells what it costs a daemon of a large fleet to hear who is
-// reachable, which it does several times a second.
+// BenchmarkPeers reports the cost of a crmember.Peers event, which a daemon handles
+// several times a second, in a large fleet.
 func BenchmarkPeers(b *testing.B) {
 	const daemons, each, services = 5_500, 9, 1_800
 	s := New(DefaultParams())
--- a/core/crhealth/chaos_test.go
+++ b/core/crhealth/chaos_test.go
@@ -12,7 +12,8 @@
 	"camphorroad/core/crid"
 )
 
-// chaosParams shorten the holds, so that targets come and go often.
+// chaosParams returns params with short ejections, so that targets are ejected and
+// return often.
 func chaosParams() Params {
 	p := DefaultParams()
 	p.BaseEjectionTime = 500 * time.Millisecond
@@ -23,17 +24,17 @@
 
 func chaosWorld(p Params, seed uint64) *world {
 	w := newWorld(p, seed, 5, 6, 5)
-	w.perStep = 16
+	w.requestsPerStep = 16
 	return w
 }
 
-// disturb does one thing that may happen to a fleet.
+// injectFault applies one random fault or change.
 func injectFault(w *world, pick func(n int) int) {
 	n := w.nodes[w.names[pick(len(w.names))]]
 	other := w.names[pick(len(w.names))]
 	switch pick(9) {
 	case 0, 1:
-		w.behaviours[w.targets[pick(len(w.targets))]] = endsWith(ResultWrong, 1)
+		w.behaviours[w.targets[pick(len(w.targets))]] = endWith(ResultWrong, 1)
 	case 2:
 		clear(w.behaviours)
 	case 3:
@@ -41,7 +42,7 @@
 	case 4:
 		n.isolated = !n.isolated
 	case 5:
-		w.cut[[2]crid.Daemon{n.name, other}] = !w.cut[[2]crid.Daemon{n.name, other}]
+		w.partitioned[[2]crid.Daemon{n.name, other}] = !w.partitioned[[2]crid.Daemon{n.name, other}]
 	case 6:
 		w.changeMembers(slices.DeleteFunc(slices.Clone(w.names), func(d crid.Daemon) bool { return d == other }))
 	case 7:
@@ -52,8 +53,8 @@
 	}
 }
 
-// settle runs until the next disturbance, and reports whether the floor was
-// breached at any instant.
+// runSteps advances the world and reports whether the floor was breached after any
+// step.
 func runSteps(w *world, steps int) bool {
 	for range steps {
 		w.advance()
@@ -64,27 +65,27 @@
 	return false
 }
 
-// Targets get sick by turns while daemons freeze, restart, lose messages in one
-// direction, hold old lists, and the arbiter moves. If two arbiters' ejections
-// added up, a service would run below its floor and callers would be refused.
+// If the ejections of two arbiters added up, a service would fall below its floor.
+// Targets become unhealthy while daemons pause, restart, lose messages in one
+// direction, hold stale lists, and the arbiter changes.
 func TestFloorHoldsUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
 		w := chaosWorld(chaosParams(), uint64(rapid.IntRange(1, 1<<20).Draw(rt, "seed")))
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(rt, "pick") }
 		if runSteps(w, 60) {
-			rt.Fatal("breach in calm")
+			rt.Fatal("floor breached without faults")
 		}
 		for range 15 {
 			injectFault(w, pick)
 			if runSteps(w, 1+pick(40)) {
-				rt.Fatalf("ejected at once: %v", w.ejectedSomewhere())
+				rt.Fatalf("floor breached; ejected at the same time: %v", w.ejectedSomewhere())
 			}
 		}
 	})
 }
 
-// breaks searches for a run in which the floor is breached.
+// findBreach searches for a run in which the floor is breached.
 func findBreach(p Params, runs uint64) (seed uint64, ejections int) {
 	for seed := range runs {
 		w := chaosWorld(p, seed)
@@ -101,22 +102,22 @@
 	return 0, ejections
 }
 
-// Each guard is switched off in turn; then a run must be found that breaches
-// the floor, else the guard, or this test, would be of no use.
+// With one guard disabled, some run must breach the floor; otherwise the guard, or
+// this test, has no effect.
 func TestEachFloorGuardIsNecessary(t *testing.T) {
 	for name, g := range map[string]guard{
-		"floor": guardFloor, "tenure": guardLease, "silence": guardExpiryWait, "linger": guardMaybeEjected, "sent": guardSentTime,
+		"floor": guardFloor, "lease": guardLease, "expiry wait": guardExpiryWait, "maybe ejected": guardMaybeEjected, "sent time": guardSentTime,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := chaosParams()
 			p.disabledGuards = g
 			seed, _ := findBreach(p, 400)
-			t.Logf("breached in run %d", seed)
+			t.Logf("floor breached in run %d", seed)
 			gomega.NewWithT(t).Expect(seed).NotTo(gomega.BeZero())
 		})
 	}
 	seed, ejections := findBreach(chaosParams(), 25)
 	gomega.NewWithT(t).Expect(seed).To(gomega.BeZero())
-	gomega.NewWithT(t).Expect(ejections).To(gomega.BeNumerically(">", 100), "the runs must eject")
+	gomega.NewWithT(t).Expect(ejections).To(gomega.BeNumerically(">", 100), "the runs must contain ejections")
 }
--- a/core/crhealth/crhealth.go
+++ b/core/crhealth/crhealth.go
@@ -1,14 +1,18 @@
-// Package crhealth finds sick targets and ejects them, so that the healthy
-// capacity of a service never falls below its floor by ejecting.
+// Package crhealth ejects unhealthy targets by outlier detection over the whole
+// fleet. Ejections never take the healthy capacity of a service below its floor.
 //
 // Traffic goroutines of every daemon count their attempts in a [Recorder]. The
-// reducer [State] sends them as a [Digest] to the service's arbiter, which is
-// the daemon that ranks first for the service among the members of the active
-// list. The arbiter adds up the evidence of all entries, compares each target
-// with its peers ([PeerJudge]) and answers each digest with a [Verdict]. A
-// verdict holds for a bounded time, counted from the sending of the digest that
-// it answers; so an arbiter that is gone or cut off is obeyed no longer, and
-// the next one starts only then. docs/design/05-ejection.md gives the argument.
+// reducer [State], which core/crdaemon runs, sends the counts as a [Digest] to the
+// service's arbiter: the daemon with the highest rendezvous hash for the service
+// among the members of the active list. The arbiter adds up the evidence of all
+// entries, compares each target with its peers ([PeerJudge]) and replies to each digest
+// with a [Verdict]. A verdict is valid for a bounded time from the sending of the
+// digest that it answers. The verdicts of an arbiter that is down or partitioned
+// therefore expire, and the next arbiter sends its first verdict only then.
+// docs/design/05-ejection.md gives the argument.
+//
+// Package crjudge, in contrast, estimates the health of one target from the responses
+// that its own exit sees.
 //
 // # Usage
 //
@@ -18,7 +22,7 @@
 //	s := crhealth.New(crhealth.DefaultParams())
 //	s.Step(crhealth.Observed{Now: now, Samples: recorder.Drain(now)}) // each tick
 //	for _, effect := range s.Step(ev) {
-//		// crevent.Send, crevent.Report and Steer go to the shell.
+//		// The caller executes crevent.Send, crevent.Report and RoutingUpdate.
 //	}
 package crhealth
 
@@ -35,7 +39,7 @@
 	"camphorroad/core/crpolicy"
 )
 
-// place is where a target stands, by the newest list.
+// placement is the daemon and service of a target, according to the newest list.
 type placement struct {
 	daemon    crid.Daemon
 	service   crid.Service
@@ -60,18 +64,18 @@
 	lease       leaseState
 
 	entries      map[crid.Service]*entry
-	timeVarying  map[crid.Service]bool // services whose Steer changes with time
+	timeVarying  map[crid.Service]bool // services whose RoutingUpdate changes with time
 	detectors    map[crid.Service]*detector
 	seq          uint64
 	number       uint64
-	digestTokens float64 // bytes that digests may take now
+	digestTokens float64 // bytes that digests may use now
 	refilledAt   crid.Instant
 	digestsLate  bool
 
 	out []crevent.Effect
 }
 
-// New returns a reducer that knows nothing yet.
+// New returns a reducer without state.
 func New(p Params) *State {
 	if p.Judge == nil {
 		p.Judge = PeerJudge{}
@@ -88,7 +92,7 @@
 	}
 }
 
-// Step takes one event and returns what is to be done.
+// Step handles one event and returns its effects.
 func (s *State) Step(ev crevent.Event) []crevent.Effect {
 	s.now = max(s.now, ev.At())
 	s.out = nil
@@ -130,8 +134,8 @@
 	s.emit(crevent.Report{Number: number, Fields: fields})
 }
 
-// takeList indexes a list. A target that was not in the list before is cold;
-// all those of the first list are taken as warm, since their age is unknown.
+// applyList indexes a list. A target that was not in the previous list is cold. All
+// targets of the first list count as warm, since their age is unknown.
 func (s *State) applyList(list crinstance.List) {
 	previous := s.placements
 	s.placements = make(map[crid.Target]*placement, len(previous))
@@ -158,8 +162,8 @@
 	}
 }
 
-// takePeers notes who is reachable. A daemon with a new incarnation has been
-// replaced with its instance, so its targets are cold.
+// applyPeers records who is reachable. A new incarnation of a daemon means that its
+// whole instance was replaced, so its targets are cold.
 func (s *State) applyPeers(peers []crmember.Peer) {
 	previous := s.peers
 	s.peers = make(map[crid.Daemon]crmember.Peer, len(peers))
@@ -183,13 +187,13 @@
 	}
 }
 
-// coldNow reports whether a target is in its first seconds.
+// isCold reports whether a target started less than ColdStart ago.
 func (s *State) isCold(p *placement) bool {
 	return p.cold && s.now.Sub(p.coldSince) < s.params.ColdStart
 }
 
 // isCapacity reports whether a target counts as capacity: listed, not leaving,
-// reachable and warm. A daemon that is not among the peers does not count.
+// reachable and warm. A target whose daemon is not among the peers does not count.
 func (s *State) isCapacity(target crid.Target) bool {
 	p := s.placements[target]
 	if p == nil || p.leaving || s.isCold(p) {
@@ -202,7 +206,8 @@
 	return peer.Reachable && !peer.Leaving
 }
 
-// allowance is how many targets of a service may be ejected at one time.
+// allowance returns the number of targets of a service that may be ejected at one
+// time.
 func (s *State) allowance(service crid.Service) int {
 	if s.snapshot == nil {
 		return 0
--- a/core/crhealth/dump.go
+++ b/core/crhealth/dump.go
@@ -7,7 +7,8 @@
 	"camphorroad/core/crid"
 )
 
-// TargetDump is the arbiter's view of a target that is not in plain health.
+// TargetDump is the arbiter's state of a target that is ejected, suspected or was
+// ejected recently.
 type TargetDump struct {
 	Target       crid.Target `json:"target"`
 	Cause        string      `json:"cause"`
@@ -23,18 +24,18 @@
 	Service   crid.Service  `json:"service"`
 	Arbiter   crid.Daemon   `json:"arbiter"`
 	Allowance int           `json:"allowance"` // targets that may be ejected at one time
-	Routing   []TargetState `json:"steered"`   // what traffic here was told
-	Senders   int           `json:"senders"`   // entries heard, as arbiter
-	Targets   []TargetDump  `json:"targets"`   // as arbiter
+	Routing   []TargetState `json:"steered"`   // the last RoutingUpdate for local traffic
+	Senders   int           `json:"senders"`   // entries whose digests arrived; only at the arbiter
+	Targets   []TargetDump  `json:"targets"`   // only at the arbiter
 }
 
-// Dump is the state for the state dump.
+// Dump is this package's part of the state dump.
 type Dump struct {
 	HoldsLease bool          `json:"standing"`
 	Services   []ServiceDump `json:"services"` // sorted
 }
 
-// Dump returns the state at the last event.
+// Dump returns the state after the last event.
 func (s *State) Dump() any {
 	dump := Dump{HoldsLease: s.holdsLease()}
 	for _, service := range sortedServices(s.targets) {
--- a/core/crhealth/entry.go
+++ b/core/crhealth/entry.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	// sentKept is the number of digests whose sending is remembered, far more
-	// than are sent within ValidFor.
+	// sentDigestSlots is the number of sent digests that are remembered. Far fewer are
+	// sent within ValidFor.
 	sentDigestSlots = 16
-	// weightSteps bounds how often a rising weight makes a new Steer.
+	// weightSteps is the number of steps of a rising weight. It bounds the number of
+	// RoutingUpdates.
 	weightSteps = 10
-	// The estimated size of a digest on the wire, in bytes.
+	// Estimated size of a digest when encoded, in bytes.
 	digestBytes = 60
 	sampleBytes = 55
-	// burstTime is for how long of its budget an idle daemon may send at once.
+	// burstTime is the time for which an idle daemon accumulates digest tokens.
 	burstTime = 2 * time.Second
 )
 
@@ -33,18 +34,18 @@
 	to  crid.Daemon
 }
 
-// entry is this daemon's part, as an entry, in one service.
+// entry is this daemon's state as an entry of one service.
 type entry struct {
-	unsent    map[crid.Target]*counts        // since the last digest
-	pending   map[crid.Target][]PendingCount // at present
-	trafficAt crid.Instant
-	sentAt    crid.Instant
-	sent      [sentDigestSlots]sentDigest
+	unsent        map[crid.Target]*counts        // since the last digest
+	pending       map[crid.Target][]PendingCount // from the newest samples
+	lastTrafficAt crid.Instant
+	lastDigestAt  crid.Instant
+	sent          [sentDigestSlots]sentDigest
 
-	verdict Verdict
-	from    crid.Daemon
-	until   crid.Instant
-	routing RoutingUpdate
+	verdict      Verdict
+	verdictFrom  crid.Daemon
+	verdictUntil crid.Instant
+	routing      RoutingUpdate
 }
 
 func (s *State) entry(service crid.Service) *entry {
@@ -63,7 +64,7 @@
 			continue
 		}
 		e := s.entry(p.service)
-		e.trafficAt = s.now
+		e.lastTrafficAt = s.now
 		c := e.unsent[sample.Target]
 		if c == nil {
 			c = &counts{}
@@ -82,18 +83,18 @@
 	e.pending[s.Target] = s.Pending
 }
 
-// sendDigests sends what is due, the longest waiting service first, as far as
-// the budget goes.
+// sendDigests sends the digests that are due, oldest service first, as far as the
+// token bucket allows.
 func (s *State) sendDigests() {
 	s.refillTokens()
 	var due []crid.Service
 	for service, e := range s.entries {
-		if s.now.Sub(e.trafficAt) < s.params.IdleAfter && s.now.Sub(e.sentAt) >= s.params.DigestEvery {
+		if s.now.Sub(e.lastTrafficAt) < s.params.IdleAfter && s.now.Sub(e.lastDigestAt) >= s.params.DigestEvery {
 			due = append(due, service)
 		}
 	}
 	slices.SortFunc(due, func(a, b crid.Service) int {
-		if c := cmp.Compare(s.entries[a].sentAt, s.entries[b].sentAt); c != 0 {
+		if c := cmp.Compare(s.entries[a].lastDigestAt, s.entries[b].lastDigestAt); c != 0 {
 			return c
 		}
 		return cmp.Compare(a, b)
@@ -129,9 +130,9 @@
 	e := s.entries[service]
 	s.seq++
 	d := Digest{Service: service, Incarnation: s.incarnation, Seq: s.seq, Samples: e.samples()}
-	d.Last = s.now.Add(2*s.params.DigestEvery).Sub(e.trafficAt) >= s.params.IdleAfter // a tick may come late
+	d.Last = s.now.Add(2*s.params.DigestEvery).Sub(e.lastTrafficAt) >= s.params.IdleAfter // 2*DigestEvery, as a tick may come late
 	clear(e.unsent)
-	e.sentAt = s.now
+	e.lastDigestAt = s.now
 	e.sent[s.seq%sentDigestSlots] = sentDigest{seq: s.seq, at: s.now, to: to}
 	if to == s.self {
 		s.handleDigest(s.self, d)
@@ -141,8 +142,8 @@
 	s.emit(crevent.Send{To: to, Msg: d})
 }
 
-// samples are those since the last digest. A drain tells of a target with waits
-// each time, so that its sample is among them.
+// samples returns the samples since the last digest. Each drain reports a target with
+// pending attempts, so such a target is always among them.
 func (e *entry) samples() []Sample {
 	samples := make([]Sample, 0, len(e.unsent))
 	for _, target := range slices.Sorted(maps.Keys(e.unsent)) {
@@ -168,12 +169,12 @@
 	return out
 }
 
-// takeVerdict puts a verdict in force until ValidFor after the sending of the
-// digest that it answers.
+// handleVerdict puts a verdict in force until ValidFor after the digest that it
+// answers was sent.
 //
-// Counting from its arrival instead, a verdict that lay in a queue or a paused
-// process would hold long after its arbiter was replaced, and its ejections
-// would add to the new arbiter's, below the floor.
+// If the time counted from the arrival, a verdict delayed in a queue or by a paused
+// process would outlive its arbiter's term. Its ejections would add up with those of
+// the new arbiter, and the service would fall below its floor.
 func (s *State) handleVerdict(from crid.Daemon, v Verdict) {
 	e := s.entries[v.Service]
 	if e == nil || v.Incarnation != s.incarnation {
@@ -192,27 +193,27 @@
 		return
 	}
 	e.verdict = v
-	e.from = from
-	e.until = until
+	e.verdictFrom = from
+	e.verdictUntil = until
 	s.timeVarying[v.Service] = true
 }
 
-// supersedes reports whether the verdict in hand is newer than v. Messages may
-// overtake one another.
+// hasNewer reports whether the current verdict is newer than v. Messages may arrive
+// out of order.
 func (e *entry) hasNewer(from crid.Daemon, v Verdict) bool {
-	if e.until == 0 {
+	if e.verdictUntil == 0 {
 		return false
 	}
-	if e.from == from && e.verdict.ArbiterIncarnation == v.ArbiterIncarnation {
+	if e.verdictFrom == from && e.verdict.ArbiterIncarnation == v.ArbiterIncarnation {
 		return v.Number <= e.verdict.Number
 	}
 	return v.Seq < e.verdict.Seq
 }
 
-// steerAfter tells the traffic side what an event has changed. Weights rise and
-// verdicts end with time, and who is reachable bounds a verdict, so each tick and
-// each word on peers looks at the services that have any; the others, nearly all
-// in a large fleet, cost nothing then.
+// updateRoutingAfter emits the RoutingUpdates that an event causes. Weights and
+// verdicts change with time, and reachability limits what a verdict may eject. Each
+// tick and each Peers event therefore visits the services with weights or verdicts in
+// force. It skips the others, which are nearly all services of a large fleet.
 func (s *State) updateRoutingAfter(ev crevent.Event) {
 	switch ev := ev.(type) {
 	case crevent.Tick, crmember.Peers:
@@ -235,19 +236,19 @@
 	if e == nil {
 		e = &entry{}
 	}
-	if e.until != 0 && e.until <= s.now {
+	if e.verdictUntil != 0 && e.verdictUntil <= s.now {
 		if len(e.verdict.Ejected) > 0 {
 			s.report(EventVerdictExpired, service, "", "")
 		}
 		e.verdict = Verdict{}
-		e.until = 0
+		e.verdictUntil = 0
 	}
 	next := RoutingUpdate{Service: service, Targets: s.targetStates(service, e)}
 	if slices.ContainsFunc(next.Targets, func(t TargetState) bool { return t.Ejected }) {
-		next.Until = e.until
+		next.Until = e.verdictUntil
 	}
 	delete(s.timeVarying, service)
-	if len(next.Targets) > 0 || e.until != 0 {
+	if len(next.Targets) > 0 || e.verdictUntil != 0 {
 		s.timeVarying[service] = true
 	}
 	if next.Until == e.routing.Until && slices.Equal(next.Targets, e.routing.Targets) {
@@ -257,7 +258,7 @@
 	s.emit(next)
 }
 
-// states are the targets that are ejected or below full weight.
+// targetStates returns the targets that are ejected or below full weight.
 func (s *State) targetStates(service crid.Service, e *entry) []TargetState {
 	ejected := s.enforcedEjections(service, e)
 	weights := make(map[crid.Target]int, len(e.verdict.Weights))
@@ -280,27 +281,28 @@
 	return states
 }
 
-// enforced is the part of the verdict that this daemon's own view of the floor
-// allows, worst first. The arbiter may not yet know that a target is leaving.
+// enforcedEjections returns the ejections of the verdict that the floor allows in this
+// daemon's view, in descending order of score. The arbiter may not know yet that a
+// target is leaving.
 func (s *State) enforcedEjections(service crid.Service, e *entry) map[crid.Target]bool {
 	if len(e.verdict.Ejected) == 0 {
 		return nil
 	}
-	room := s.allowance(service)
+	remaining := s.allowance(service)
 	ejected := make(map[crid.Target]bool, len(e.verdict.Ejected))
 	for _, target := range e.verdict.Ejected {
 		if s.isCapacity(target) && s.params.hasGuard(guardFloor) {
-			if room == 0 {
+			if remaining == 0 {
 				continue
 			}
-			room--
+			remaining--
 		}
 		ejected[target] = true
 	}
 	return ejected
 }
 
-// ramp rises from a tenth of FullWeight to all of it, in steps.
+// ramp returns a weight that rises in steps from a tenth of FullWeight to FullWeight.
 func ramp(age, length time.Duration) int {
 	if age >= length {
 		return FullWeight
--- a/core/crhealth/event.go
+++ b/core/crhealth/event.go
@@ -5,22 +5,22 @@
 	"camphorroad/core/crid"
 )
 
-// The numbered events of this package; docs/events.md describes each.
+// Numbers of this package's events, which docs/events.md describes.
 const (
-	EventEjected        = 400 // a target was found sick and gets no new work
-	EventUnejected       = 401 // an ejected target gets work again
-	EventKeptForFloor     = 402 // a sick target keeps its work, for the floor
-	EventArbiterStarted = 403 // this daemon has begun to decide for a service
-	EventArbiterStopped = 404 // this daemon has ceased to decide for a service
-	EventVerdictExpired = 405 // the arbiter is silent; its ejections have ended here
-	EventEjectionExtended   = 406 // an ejected target still fails its probes
-	EventDigestsLate    = 407 // the budget does not allow all digests in time
+	EventEjected          = 400 // an unhealthy target was ejected
+	EventUnejected        = 401 // an ejection ended
+	EventKeptForFloor     = 402 // an unhealthy target was not ejected, because of the floor
+	EventArbiterStarted   = 403 // this daemon became the arbiter of a service
+	EventArbiterStopped   = 404 // this daemon is no longer the arbiter of a service
+	EventVerdictExpired   = 405 // no verdict came from the arbiter in time; its ejections ended here
+	EventEjectionExtended = 406 // an ejected target still fails its probes
+	EventDigestsLate      = 407 // the byte budget does not allow all digests in time
 )
 
 // FullWeight is the weight of a target that is not in slow start.
 const FullWeight = 1000
 
-// Observed hands the recorder's samples to the reducer, at each tick.
+// Observed carries the samples of one drain of the recorder, at each tick.
 type Observed struct {
 	Now     crid.Instant
 	Samples []Sample
@@ -29,17 +29,17 @@
 // At implements crevent.Event.
 func (e Observed) At() crid.Instant { return e.Now }
 
-// TargetState is what the traffic side must know of a target.
+// TargetState is the routing state of one target.
 type TargetState struct {
 	Target  crid.Target
 	Ejected bool
 	Weight  int // 1 to FullWeight
 }
 
-// RoutingUpdate tells the traffic side which targets of a service are ejected or in
-// slow start; it replaces the former RoutingUpdate of that service. Targets not named
-// take work at full weight. Ejections end at Until, also when no further RoutingUpdate
-// comes: a stalled control goroutine must not prolong them.
+// RoutingUpdate lists the targets of a service that are ejected or in slow start. It
+// replaces the previous RoutingUpdate of the service. Targets that are not listed are
+// routed to with full weight. Ejections end at Until even if no other RoutingUpdate
+// follows, so that a stalled control goroutine does not prolong them.
 type RoutingUpdate struct {
 	Service crid.Service
 	Until   crid.Instant
--- a/core/crhealth/evidence.go
+++ b/core/crhealth/evidence.go
@@ -5,20 +5,22 @@
 	"time"
 )
 
-// The spans judged, from short to long: thin traffic needs a longer look.
+// judgedSpans are the spans that evidence is judged over, shortest first. Services
+// with little traffic need the longer ones.
 var judgedSpans = [...]time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 9 * time.Second}
 
-// enough is the number of attempts at which a longer span is not looked at.
+// minAttempts is the number of attempts in a span that makes a longer span
+// unnecessary.
 const minAttempts = 12
 
-// The bounds of corroboration.
+// Bounds for failures that other accounts do not corroborate.
 const (
-	minOtherAttempts       = 5 // attempts of the others that can contradict one account
+	minOtherAttempts       = 5 // attempts of other accounts that can contradict one account
 	maxUncorroboratedBad   = 2 // bad attempts of a contradicted account that still count
-	maxUncorroboratedWrong = 1 // wrong ones
+	maxUncorroboratedWrong = 1 // wrong attempts of a contradicted account that still count
 )
 
-// evidenceOf sums up a target's window over the shortest span that is enough.
+// newEvidence summarizes the counts of one target.
 func newEvidence(c *counts, cold, corroborate bool) Evidence {
 	total := c.total()
 	n, median := c.median()
@@ -39,12 +41,13 @@
 	return e
 }
 
-// borneOut counts bad and wrong attempts, each group of accounts with hardly more than
-// it would have if it failed as often as all others there.
+// corroborated counts the bad and wrong attempts. The failures of each group of
+// accounts are capped at slightly more than its share would be at the failure rate of
+// all other groups.
 //
-// A caller may send requests that fail or stall on any target. If they counted
-// fully, the targets they happened to reach would be ejected one after another,
-// for a fault of the caller. Nobody else would see these targets fail so often.
+// A caller may send requests that fail or stall on any target. If all of them counted,
+// the targets that they reach would be ejected one after another for the caller's
+// fault. The other accounts do not see these targets fail at that rate.
 func corroborated(c *counts, total tally) (bad, wrong uint32) {
 	for i, own := range c.groups {
 		if others := total.without(own); i != 0 && others.n >= minOtherAttempts {
@@ -57,15 +60,16 @@
 	return bad, wrong
 }
 
-// likely is how many of n attempts fail at a rate.
+// expectedCount is the number of failures among n attempts at a failure rate.
 func expectedCount(n uint32, rate float64) uint32 { return uint32(float64(n) * rate) }
 
-// seenByMost reports whether the daemons with traffic on the target see it fail
-// about alike: of those that would, were the failures spread evenly over all
-// attempts, more than half do.
+// seenByMajority reports whether the daemons with traffic on the target see similar
+// failure rates. It compares the number of daemons that saw failures with the number
+// expected if all failures were spread evenly over the attempts; more than half must
+// have seen some.
 //
-// In a one-way cut some daemons get no answers from a target that serves all
-// others well. They avoid it by themselves; ejecting it would take it from all.
+// In an asymmetric partition, some daemons get no responses from a target that serves
+// all others. They avoid it locally. An ejection would take it from all daemons.
 func seenByMajority(c *counts, total tally) bool {
 	successRate := 1 - total.badRate()
 	expected, seen := 0.0, 0.0
@@ -83,7 +87,8 @@
 	return newEvidence(r.window.sum(s.now, span), cold, s.params.hasGuard(guardCorroboration))
 }
 
-// holdFor is the hold-off of the given ejection in a row.
+// ejectionTime returns the duration of an ejection after the given number of earlier
+// ones.
 func ejectionTime(base, limit time.Duration, ejections int) time.Duration {
 	d := float64(base) * math.Pow(2, float64(min(ejections, 30)))
 	return time.Duration(min(d, float64(limit)))
--- a/core/crhealth/fault_test.go
+++ b/core/crhealth/fault_test.go
@@ -14,10 +14,11 @@
 
 const unhealthy = crid.Target("t03")
 
-// beacon is a service of today's size: 15 targets, one daemon beside each.
+// defaultWorld returns a world with 15 targets and one daemon beside each.
 func defaultWorld(p Params) *world { return newWorld(p, 7, 15, 15, 10) }
 
-// detect runs until all daemons hold the target ejected; zero: not in 15 s.
+// detect runs until all daemons treat the target as ejected, and returns the time
+// taken, or zero after 15 s.
 func detect(w *world, target crid.Target) time.Duration {
 	start := w.now
 	for w.now < start+15*time.Second {
@@ -38,15 +39,14 @@
 	}
 }
 
-// One target grows slow, answers wrongly, fails or stalls while its health
-// endpoint goes on saying that all is well. Callers see slow or wrong answers
-// for as long as it gets work.
+// One target is slow, wrong, failing or stalled while its health endpoint reports no
+// fault. Callers get slow or wrong responses for as long as it receives requests.
 func TestUnhealthyTargetIsEjectedEverywhere(t *testing.T) {
 	for name, act := range map[string]behaviour{
 		"slow":     slowBy(5),
-		"wrong":    endsWith(ResultWrong, 0.3),
-		"failing":  endsWith(ResultFailed, 0.5),
-		"stalling": endsWith(ResultStalled, 1),
+		"wrong":    endWith(ResultWrong, 0.3),
+		"failing":  endWith(ResultFailed, 0.5),
+		"stalling": endWith(ResultStalled, 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -62,26 +62,26 @@
 	}
 }
 
-// A target gets sick, is ejected, looks well, comes back and gets sick again.
-// With a fixed hold-off callers would hit it every few seconds for hours.
+// A target fails again after each ejection. With a fixed ejection time, callers would
+// reach it every few seconds for hours.
 func TestFlappingTargetIsEjectedLongerEachTime(t *testing.T) {
 	t.Parallel()
 	g := gomega.NewWithT(t)
 	w := newWorld(DefaultParams(), 7, 5, 6, 4)
-	w.perStep = 4
+	w.requestsPerStep = 4
 	w.run(5 * time.Second)
-	w.behaviours[unhealthy] = flapping(7*time.Second, endsWith(ResultFailed, 0.8))
+	w.behaviours[unhealthy] = flapping(7*time.Second, endWith(ResultFailed, 0.8))
 	w.run(3 * time.Minute)
 	g.Expect(w.ejected[unhealthy]).To(gomega.BeNumerically(">=", 3))
-	g.Expect(w.ejected[unhealthy]).To(gomega.BeNumerically("<=", 7), "holds double: 5, 10, 20, 40, 80 s")
+	g.Expect(w.ejected[unhealthy]).To(gomega.BeNumerically("<=", 7), "ejection times double: 5, 10, 20, 40, 80 s")
 	clear(w.behaviours)
 	w.run(5 * time.Minute)
-	g.Expect(w.ejectedSomewhere()).To(gomega.BeEmpty(), "a target that is well again comes back")
+	g.Expect(w.ejectedSomewhere()).To(gomega.BeEmpty(), "the ejection of a healthy target must end")
 }
 
-// The health endpoint of a good target says that it is ill, and that of a sick
-// one that it is well. Believing either would take good capacity away or leave
-// callers with the sick one.
+// The health endpoint of a healthy target reports a fault, and that of an unhealthy
+// one reports none. If either were trusted, healthy capacity would be ejected or
+// callers would keep reaching the unhealthy target.
 func TestMisleadingHealthReportsAreNotTrusted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := defaultWorld(DefaultParams())
@@ -96,8 +96,8 @@
 	g.Expect(w.ejected).To(gomega.HaveLen(1))
 }
 
-// A shared database slows all targets down in a burst. Ejecting the slowest
-// would put more work on the others, until none is left.
+// A shared database slows down all targets. Ejecting the slowest would shift its load
+// to the others until none is left.
 func TestNothingIsEjectedWhenAllAreSlow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := defaultWorld(DefaultParams())
@@ -109,8 +109,8 @@
 	g.Expect(w.ejected).To(gomega.BeEmpty())
 }
 
-// One account sends requests that fail wherever they run. Targets are not at
-// fault; ejecting those it happened to hit would punish all other accounts.
+// The requests of one account fail on any target. Ejecting the targets that they reach
+// would affect all other accounts.
 func TestFailuresOfOneAccountEjectNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := defaultWorld(DefaultParams())
@@ -119,51 +119,52 @@
 	g.Expect(w.ejected).To(gomega.BeEmpty())
 }
 
-// An account's poison reaches one target only, as when its requests are bound
-// to it. All other accounts are served well there and would lose it.
+// The failing requests of one account reach one target only, for example because they
+// are bound to it. All other accounts are served well there.
 func TestFailuresOfOneAccountDoNotEjectItsTarget(t *testing.T) {
 	t.Parallel()
-	poisoned := func(now time.Duration, account crid.Account, rng *rand.Rand) (Result, time.Duration) {
+	failsOneAccount := func(now time.Duration, account crid.Account, rng *rand.Rand) (Result, time.Duration) {
 		if account == "a3" {
 			return ResultFailed, 0
 		}
 		return healthy(now, account, rng)
 	}
-	for _, guarded := range []bool{true, false} {
+	for _, corroborated := range []bool{true, false} {
 		p := DefaultParams()
-		if !guarded {
+		if !corroborated {
 			p.disabledGuards = guardCorroboration
 		}
 		w := defaultWorld(p)
-		w.behaviours[unhealthy] = poisoned
-		w.perStep = 40
+		w.behaviours[unhealthy] = failsOneAccount
+		w.requestsPerStep = 40
 		w.run(20 * time.Second)
-		gomega.NewWithT(t).Expect(len(w.ejected) == 0).To(gomega.Equal(guarded), "guard %v: %v", guarded, w.ejected)
+		gomega.NewWithT(t).Expect(len(w.ejected) == 0).To(gomega.Equal(corroborated), "guard %v: %v", corroborated, w.ejected)
 	}
 }
 
-// A few failures of other accounts, as on a busy machine, bear out all those of one.
+// The target also fails a few requests of other accounts, which must not corroborate
+// all failures of one account.
 func TestFailuresOfOneAccountBesideFewOthersEjectNothing(t *testing.T) {
 	t.Parallel()
 	for _, result := range []Result{ResultWrong, ResultFailed} {
 		w := defaultWorld(DefaultParams())
-		w.perStep = 1
+		w.requestsPerStep = 1
 		for _, target := range w.targets {
-			w.behaviours[target] = endsWith(ResultFailed, 0.05)
+			w.behaviours[target] = endWith(ResultFailed, 0.05)
 		}
 		w.behaviours[unhealthy] = func(now time.Duration, account crid.Account, rng *rand.Rand) (Result, time.Duration) {
 			if account == "a3" {
 				return result, 0
 			}
-			return endsWith(ResultFailed, 0.05)(now, account, rng)
+			return endWith(ResultFailed, 0.05)(now, account, rng)
 		}
 		w.run(2 * time.Minute)
 		gomega.NewWithT(t).Expect(w.ejected).To(gomega.BeEmpty(), "%v", result)
 	}
 }
 
-// A one-way cut keeps three of fifteen entries from a target's answers. They
-// avoid it by themselves; the twelve others still have good use of it.
+// An asymmetric partition keeps a target's responses from three of fifteen entries.
+// They avoid it locally; the other twelve can still use it.
 func TestAsymmetricPartitionOfFewEntriesEjectsNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := defaultWorld(DefaultParams())
@@ -174,14 +175,13 @@
 	g.Expect(w.ejected).To(gomega.BeEmpty())
 }
 
-// Two targets get sick at once where the floor leaves room for one, and then
-// for none. The worse one goes; the other keeps its work, and operators read
-// why in event 402.
+// Two targets become unhealthy, and the floor allows one ejection, then none. The one
+// with the higher score is ejected; event 402 tells operators why the other is not.
 func TestFloorKeepsTheLessUnhealthyTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(DefaultParams(), 7, 6, 6, 5)
 	w.run(5 * time.Second)
-	w.behaviours["t01"] = endsWith(ResultWrong, 0.6)
+	w.behaviours["t01"] = endWith(ResultWrong, 0.6)
 	w.behaviours["t04"] = slowBy(5)
 	g.Expect(detect(w, "t01")).To(gomega.BeNumerically(">", 0))
 	w.run(3 * time.Second)
@@ -189,26 +189,25 @@
 	g.Expect(w.reports[EventKeptForFloor]).To(gomega.BeNumerically(">=", 1))
 
 	tight := newWorld(DefaultParams(), 7, 6, 6, 6)
-	tight.behaviours["t01"] = endsWith(ResultWrong, 1)
+	tight.behaviours["t01"] = endWith(ResultWrong, 1)
 	tight.run(10 * time.Second)
 	g.Expect(tight.ejected).To(gomega.BeEmpty())
 }
 
-// While a target is ejected, others leave with a rack. Entries hear it at once
-// and the arbiter may be slow; the ejected one must take work again, or the
-// service would stay below its floor by the ejection.
+// Other targets leave while one is ejected, and the arbiter may hear of it later than
+// the entries. Unless the entries end the ejection, the service stays below its floor.
 func TestLossOfCapacityEndsEjections(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(DefaultParams(), 7, 6, 6, 5)
 	w.run(5 * time.Second)
-	w.behaviours["t01"] = endsWith(ResultWrong, 1)
+	w.behaviours["t01"] = endWith(ResultWrong, 1)
 	g.Expect(detect(w, "t01")).To(gomega.BeNumerically(">", 0))
 	entry := w.nodes["d00"]
 	if entry == w.arbiter() {
 		entry = w.nodes["d02"]
 	}
 	w.step(entry, crinstance.Listed{Now: entry.clock(w.now), List: w.list(2, "t05")})
-	g.Expect(entry.routing[booking].Targets).To(gomega.BeEmpty(), "by its own view, at once")
+	g.Expect(entry.routing[booking].Targets).To(gomega.BeEmpty(), "the entry itself ends the ejection at once")
 	for _, n := range w.nodes {
 		w.step(n, crinstance.Listed{Now: n.clock(w.now), List: w.list(2, "t05")})
 	}
@@ -216,13 +215,13 @@
 	g.Expect(w.ejectedSomewhere()).To(gomega.BeEmpty())
 }
 
-// The arbiter dies. Its ejections end within ValidFor at every entry, and the
-// next arbiter finds the sick target by itself.
+// The arbiter dies. Its ejections must end within ValidFor at every entry, and the
+// next arbiter must detect the unhealthy target itself.
 func TestDeadArbiterIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := defaultWorld(DefaultParams())
 	w.run(5 * time.Second)
-	w.behaviours[unhealthy] = endsWith(ResultFailed, 1)
+	w.behaviours[unhealthy] = endWith(ResultFailed, 1)
 	g.Expect(detect(w, unhealthy)).To(gomega.BeNumerically(">", 0))
 	dead := w.arbiter()
 	dead.paused = true
@@ -238,7 +237,8 @@
 	w.run(6 * time.Second)
 	g.Expect(w.ejectedSomewhere()).To(gomega.HaveKey(unhealthy))
 
-	// It wakes up with a full inbox, still taking itself for the arbiter.
+	// The former arbiter resumes with a full inbox and still takes itself for the
+	// arbiter.
 	before := w.ejected[unhealthy]
 	dead.paused = false
 	dead.isolated = true
@@ -247,14 +247,14 @@
 	g.Expect(w.floorBreached()).To(gomega.BeFalse())
 }
 
-// Another instance is replaced while a target is ejected. The arbiter is the
-// same under the former list and the new one; did its verdicts end with the
-// handover, callers would meet the sick target at every change of the list.
+// Another instance is replaced while a target is ejected; the arbiter is the same
+// under both lists. If its verdicts ended with the handover, callers would reach the
+// unhealthy target at every change of the list.
 func TestEjectionPersistsThroughHandover(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := defaultWorld(DefaultParams())
 	w.run(5 * time.Second)
-	w.behaviours[unhealthy] = endsWith(ResultFailed, 1)
+	w.behaviours[unhealthy] = endWith(ResultFailed, 1)
 	g.Expect(detect(w, unhealthy)).To(gomega.BeNumerically(">", 0))
 	arbiter := w.arbiter()
 	var rest []crid.Daemon
@@ -272,19 +272,19 @@
 	g.Expect(w.floorBreached()).To(gomega.BeFalse())
 }
 
-// Half of all digests and verdicts are lost. Entries then differ for a while,
-// but the sick target is found and most hold it ejected.
+// With 30 % of the digests and verdicts lost, entries differ for a while, but the
+// unhealthy target is still ejected everywhere.
 func TestMessageLossOnlyDelaysEjection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := defaultWorld(DefaultParams())
 	w.loss = 0.3
 	w.run(5 * time.Second)
-	w.behaviours[unhealthy] = endsWith(ResultFailed, 1)
+	w.behaviours[unhealthy] = endWith(ResultFailed, 1)
 	g.Expect(detect(w, unhealthy)).To(gomega.BeNumerically(">", 0))
 }
 
-// A target has just started, or has come back after an ejection. Full work at
-// once would make it fail again.
+// A target that has just started, or whose ejection has ended, would fail again under
+// full load.
 func TestColdTargetsGetSlowStart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(DefaultParams(), 7, 6, 6, 3)
@@ -302,13 +302,13 @@
 	g.Expect(n.routing[booking].Targets).To(gomega.Equal([]TargetState{{Target: "t01", Weight: 100}}))
 }
 
-// A known-answer probe still fails when the hold-off of a target ends. Callers
-// would be sent there for nothing.
+// A known-answer probe still fails when the ejection time ends. Callers sent to the
+// target would get wrong responses.
 func TestFailedProbesExtendTheEjection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(DefaultParams(), 7, 6, 6, 3)
 	w.run(5 * time.Second)
-	w.behaviours[unhealthy] = endsWith(ResultWrong, 1)
+	w.behaviours[unhealthy] = endWith(ResultWrong, 1)
 	g.Expect(detect(w, unhealthy)).To(gomega.BeNumerically(">", 0))
 	for range 200 {
 		w.nodes["d03"].recorder.Record(unhealthy, ResultWrong, 0, ProbeAccount)
@@ -318,10 +318,10 @@
 	g.Expect(w.ejected[unhealthy]).To(gomega.Equal(1))
 }
 
-// A burst of shed answers says that a target is full, not that it is sick.
+// Shed requests mean that a target is full, not that it is unhealthy.
 func TestShedResponsesAreNotFailures(t *testing.T) {
 	w := defaultWorld(DefaultParams())
-	w.behaviours[unhealthy] = endsWith(ResultShed, 0.9)
+	w.behaviours[unhealthy] = endWith(ResultShed, 0.9)
 	w.run(10 * time.Second)
 	gomega.NewWithT(t).Expect(w.ejected).To(gomega.BeEmpty())
 }
@@ -329,7 +329,7 @@
 func TestDumpListsArbiterAndUnhealthyTargets(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := defaultWorld(DefaultParams())
-	w.behaviours[unhealthy] = endsWith(ResultFailed, 1)
+	w.behaviours[unhealthy] = endWith(ResultFailed, 1)
 	g.Expect(detect(w, unhealthy)).To(gomega.BeNumerically(">", 0))
 	dump := w.arbiter().state.Dump().(Dump)
 	g.Expect(dump.Services[0].Arbiter).To(gomega.Equal(w.arbiter().name))
--- a/core/crhealth/judge.go
+++ b/core/crhealth/judge.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Evidence is what is known of one target over the span judged.
+// Evidence summarizes the attempts on one target over one span.
 type Evidence struct {
 	N                 uint32        // attempts
-	Bad               uint32        // failed, stalled or wrong attempts that other accounts and senders bear out
-	Wrong             uint32        // wrong ones among them
+	Bad               uint32        // failed, stalled or wrong attempts that other accounts and senders corroborate
+	Wrong             uint32        // wrong attempts among them
 	Responses         uint32        // attempts with a latency
-	Median            time.Duration // of the answers
-	ReportedUnhealthy bool          // the target's own report looks bad
-	Cold              bool          // in slow start: its latency says nothing
+	Median            time.Duration // of the responses
+	ReportedUnhealthy bool          // the target's own health or load report is bad
+	Cold              bool          // in slow start: its latency is not judged
 
 	latency [bucketCount]uint32
 }
 
-// Above is the share of answers that took clearly longer than d.
+// ShareAbove returns the share of responses whose latency bucket is above that of d.
 func (e Evidence) ShareAbove(d time.Duration) float64 {
 	if e.Responses == 0 {
 		return 0
@@ -31,7 +31,7 @@
 	return float64(n) / float64(e.Responses)
 }
 
-// Rate is the share of bad attempts.
+// BadRate returns the share of bad attempts.
 func (e Evidence) BadRate() float64 {
 	if e.N == 0 {
 		return 0
@@ -39,19 +39,19 @@
 	return float64(e.Bad) / float64(e.N)
 }
 
-// Cause is what a target was found sick by.
+// Cause is the reason for which a target was found unhealthy.
 type Cause uint8
 
-// The causes of sickness.
+// Causes.
 const (
 	CauseNone    Cause = iota
-	CauseWrong         // answers wrongly
-	CauseFailing       // fails or stalls more than its peers
-	CauseSlow          // answers more slowly than its peers
-	CauseStalled       // answers nothing while its peers do
+	CauseWrong         // gives wrong responses
+	CauseFailing       // fails or stalls more often than its peers
+	CauseSlow          // responds more slowly than its peers
+	CauseStalled       // gives no responses while its peers do
 )
 
-// String returns a short description for people.
+// String returns the name that events and dumps show.
 func (c Cause) String() string {
 	switch c {
 	case CauseWrong:
@@ -67,10 +67,10 @@
 	}
 }
 
-// Finding is a judgement on one target.
+// Finding is the result of judging one target.
 type Finding struct {
 	Cause Cause
-	Score float64 // how much worse than its peers; orders the ejection
+	Score float64 // how far it stands out from its peers; a higher score is ejected first
 }
 
 // Judge compares a target with its peers of the same service.
@@ -78,23 +78,23 @@
 	Judge(target Evidence, peers []Evidence) Finding
 }
 
-// The bounds of PeerJudge.
+// Bounds of PeerJudge.
 const (
-	minBad          = 4 // bad attempts before a target can be failing
-	minWrong        = 2 // wrong answers before a target can be wrong
-	minResponses    = 8 // answers before a median is believed
+	minBad          = 4 // bad attempts needed for CauseFailing
+	minWrong        = 2 // wrong responses needed for CauseWrong
+	minResponses    = 8 // responses needed for a median
 	rateMargin      = 0.05
-	slowRatio       = 1.5 // of the peers' median, with endless answers
-	slowNoise       = 6.0 // added to the ratio, divided by the root of the answers
+	slowRatio       = 1.5 // multiple of the peers' median, for a very large number of responses
+	slowNoise       = 6.0 // divided by the square root of the number of responses, and added to slowRatio
 	minSlowExcess   = 5 * time.Millisecond
-	slowShareMargin = 0.3 // of the answers, above the peers' share, that must be slow
+	slowShareMargin = 0.3 // by which the target's share of slow responses must exceed that of its peers
 	madFactor       = 4
 	wrongFactor     = 5
 )
 
-// PeerJudge finds a target sick when it stands out among its peers. When all
-// are slow or failing it finds none: that is load, or the network, and ejecting
-// would leave less capacity for the same work.
+// PeerJudge finds a target unhealthy if it is an outlier among its peers. If all
+// targets are slow or failing, it finds none: the cause is then load or the network,
+// and an ejection would leave less capacity for the same work.
 type PeerJudge struct{}
 
 var _ Judge = PeerJudge{}
@@ -135,7 +135,8 @@
 	return Finding{Cause: CauseFailing, Score: 100 * (1 + target.BadRate() - typical)}
 }
 
-// usualRate is the middle share of bad attempts; it reports false without any.
+// medianBadRate returns the peers' median share of bad attempts, and false if no peer
+// has attempts.
 func medianBadRate(peers []Evidence) (float64, bool) {
 	var rates []float64
 	for _, p := range peers {
@@ -151,9 +152,9 @@
 	return target.BadRate()-typical >= rateMargin+noise
 }
 
-// chance is by how much a share of n attempts may stand out by chance where it is
-// usual among the peers: four standard deviations. Where many attempts fail or
-// take long everywhere, some target has more than its share of them at any moment.
+// noiseMargin is four standard deviations of the share of n attempts that are bad or
+// slow, where the typical share is that of the peers. If many attempts are bad or slow
+// everywhere, some target exceeds the typical share at any moment by chance.
 func noiseMargin(typical float64, n uint32) float64 {
 	return 4 * math.Sqrt(typical*(1-typical)/float64(n))
 }
@@ -181,9 +182,10 @@
 	return Finding{Cause: CauseSlow, Score: own / typical}
 }
 
-// slowerShare reports whether the target's share of slow answers is clearly above
-// that of its peers. In the moment when all grow slow, half of each target's answers
-// are old and fast; the medians then jump one after another, the shares do not.
+// hasMoreSlowResponses reports whether the target's share of slow responses clearly
+// exceeds that of its peers. While all targets become slow, half of each target's
+// responses are older and fast: the medians then jump one after another, but the
+// shares rise together.
 func hasMoreSlowResponses(target Evidence, peers []Evidence, limit time.Duration) bool {
 	var shares []float64
 	for _, p := range peers {
@@ -195,16 +197,16 @@
 	return target.ShareAbove(limit)-typical >= max(slowShareMargin, noiseMargin(typical, target.Responses))
 }
 
-// spreadOf is the median absolute deviation.
+// medianAbsDeviation returns the median absolute deviation from center.
 func medianAbsDeviation(values []float64, center float64) float64 {
-	apart := make([]float64, 0, len(values))
+	deviations := make([]float64, 0, len(values))
 	for _, v := range values {
-		apart = append(apart, math.Abs(v-center))
+		deviations = append(deviations, math.Abs(v-center))
 	}
-	return median(apart)
+	return median(deviations)
 }
 
-// middle is the median; it sorts its argument.
+// median returns the median of values, and sorts them.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -214,12 +216,12 @@
 	return (values[(n-1)/2] + values[n/2]) / 2
 }
 
-// FixedJudge finds a target sick by fixed thresholds, without regard to its
-// peers. It is a baseline in measurements.
+// FixedJudge finds a target unhealthy by fixed thresholds, regardless of its peers. It
+// is a baseline for comparison.
 type FixedJudge struct {
 	Rate        float64       // share of bad attempts
 	Median      time.Duration // median latency
-	MinAttempts uint32        // attempts before judging
+	MinAttempts uint32        // below which nothing is judged
 }
 
 var _ Judge = FixedJudge{}
@@ -237,7 +239,7 @@
 	return Finding{}
 }
 
-// NoJudge never finds a target sick. It is a baseline in measurements.
+// NoJudge finds no target unhealthy. It is a baseline for comparison.
 type NoJudge struct{}
 
 var _ Judge = NoJudge{}
--- a/core/crhealth/measure_test.go
+++ b/core/crhealth/measure_test.go
@@ -14,38 +14,38 @@
 
 var seeds = flag.Uint64("seeds", 1, "number of seeds of TestMeasure; with more than one, baselines run as well")
 
-// measureLength is how long a fault lasts in one run.
+// measureLength is the duration of the fault in one run.
 const measureLength = 15 * time.Second
 
 type measureCase struct {
 	name           string
 	unhealthy      []crid.Target
-	act            behaviour
+	behaviour      behaviour
 	failingAccount crid.Account
 	allTargets     bool
-	localAvoidance bool // entries choose by load and avoid by themselves, as in service
+	localAvoidance bool // entries choose by load and avoid locally, as in production
 }
 
 var measureCases = []measureCase{
 	{name: "calm"},
-	{name: "slow x5", unhealthy: []crid.Target{unhealthy}, act: slowBy(5)},
-	{name: "slow x3", unhealthy: []crid.Target{unhealthy}, act: slowBy(3)},
-	{name: "wrong 5%", unhealthy: []crid.Target{unhealthy}, act: endsWith(ResultWrong, 0.05)},
-	{name: "failing 30%", unhealthy: []crid.Target{unhealthy}, act: endsWith(ResultFailed, 0.3)},
-	{name: "flapping 3 s", unhealthy: []crid.Target{unhealthy}, act: flapping(3*time.Second, endsWith(ResultFailed, 0.8))},
-	{name: "two slow", unhealthy: []crid.Target{unhealthy, "t01"}, act: slowBy(5)},
-	{name: "all slow x20", allTargets: true, act: slowBy(20)},
+	{name: "slow x5", unhealthy: []crid.Target{unhealthy}, behaviour: slowBy(5)},
+	{name: "slow x3", unhealthy: []crid.Target{unhealthy}, behaviour: slowBy(3)},
+	{name: "wrong 5%", unhealthy: []crid.Target{unhealthy}, behaviour: endWith(ResultWrong, 0.05)},
+	{name: "failing 30%", unhealthy: []crid.Target{unhealthy}, behaviour: endWith(ResultFailed, 0.3)},
+	{name: "flapping 3 s", unhealthy: []crid.Target{unhealthy}, behaviour: flapping(3*time.Second, endWith(ResultFailed, 0.8))},
+	{name: "two slow", unhealthy: []crid.Target{unhealthy, "t01"}, behaviour: slowBy(5)},
+	{name: "all slow x20", allTargets: true, behaviour: slowBy(20)},
 	{name: "poison", failingAccount: "a3"},
-	{name: "stalling", unhealthy: []crid.Target{unhealthy}, act: endsWith(ResultStalled, 1), localAvoidance: true},
-	{name: "all stall", allTargets: true, act: flapping(3*time.Second, endsWith(ResultStalled, 1)), localAvoidance: true},
+	{name: "stalling", unhealthy: []crid.Target{unhealthy}, behaviour: endWith(ResultStalled, 1), localAvoidance: true},
+	{name: "all stall", allTargets: true, behaviour: flapping(3*time.Second, endWith(ResultStalled, 1)), localAvoidance: true},
 }
 
-// shape is a service of today: a daemon beside each target, all entries.
+// shape is a service with one daemon beside each target; all daemons are entries.
 type shape struct {
-	name    string
-	targets int
-	floor   int
-	perStep int
+	name            string
+	targets         int
+	floor           int
+	requestsPerStep int
 }
 
 var shapes = []shape{{"booking", 15, 10, 4}, {"booking, thin", 15, 10, 1}, {"ledger", 5, 3, 1}}
@@ -56,9 +56,9 @@
 }
 
 type measured struct {
-	detect         []time.Duration // of runs in which all daemons ejected all sick targets
+	detect         []time.Duration // of the runs in which all daemons ejected all unhealthy targets
 	runs           int
-	falseEjections int // ejections of targets that were not sick
+	falseEjections int // ejections of targets that were not unhealthy
 }
 
 func (m *measured) String() string {
@@ -72,7 +72,7 @@
 
 func (m *measured) run(p Params, s shape, c measureCase, seed uint64) {
 	w := newWorld(p, seed, s.targets, s.targets, s.floor)
-	w.perStep = s.perStep
+	w.requestsPerStep = s.requestsPerStep
 	if c.localAvoidance {
 		w.enableLocalAvoidance(time.Second)
 	}
@@ -80,11 +80,11 @@
 	w.failingAccount = c.failingAccount
 	if c.allTargets {
 		for _, target := range w.targets {
-			w.behaviours[target] = c.act
+			w.behaviours[target] = c.behaviour
 		}
 	}
 	for _, target := range c.unhealthy {
-		w.behaviours[target] = c.act
+		w.behaviours[target] = c.behaviour
 	}
 	start := w.now
 	var found time.Duration
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestMeasure prints detection time (until no entry sends work to a sick target)
-// and false ejections, for the chosen way and the baselines in the same runs.
+// TestMeasure prints the detection time (until no entry sends requests to an unhealthy
+// target) and the false ejections, of the default parameters and of the baselines.
 func TestMeasure(t *testing.T) {
 	t.Parallel()
 	g := gomega.NewWithT(t)
@@ -148,7 +148,7 @@
 	})
 }
 
-// BenchmarkArbiterTick is a tick of the arbiter of 26 targets with 26 entries.
+// BenchmarkArbiterTick is one judgement of 26 targets by an arbiter with 26 entries.
 func BenchmarkArbiterTick(b *testing.B) {
 	w := newWorld(DefaultParams(), 1, 26, 26, 10)
 	w.run(12 * time.Second)
--- a/core/crhealth/message.go
+++ b/core/crhealth/message.go
@@ -5,14 +5,14 @@
 	"camphorroad/core/crid"
 )
 
-// Digest is an entry's evidence on the targets of one service since its last
-// digest, sent to the service's arbiter. It also asks for a verdict.
+// Digest is an entry's evidence on the targets of one service since its previous
+// digest. The service's arbiter replies with a verdict.
 type Digest struct {
 	Service     crid.Service     `cbor:"s"`
 	Incarnation crid.Incarnation `cbor:"i"` // of the sender
-	Seq         uint64           `cbor:"q"` // grows with each digest of this life
+	Seq         uint64           `cbor:"q"` // increases with each digest of this incarnation
 	Samples     []Sample         `cbor:"p"`
-	Last        bool             `cbor:"l,omitempty"` // for lack of traffic, until there is some
+	Last        bool             `cbor:"l,omitempty"` // the service is idle; no digest follows until there is traffic
 }
 
 // MessageKind implements crevent.Message.
@@ -25,15 +25,15 @@
 	Weight int
 }
 
-// Verdict is the arbiter's answer to one digest.
+// Verdict is the arbiter's reply to one digest.
 type Verdict struct {
 	Service            crid.Service     `cbor:"s"`
-	Incarnation        crid.Incarnation `cbor:"i"` // of the daemon that sent the digest
+	Incarnation        crid.Incarnation `cbor:"i"` // of the sender of the digest
 	Seq                uint64           `cbor:"q"` // of the digest that it answers
 	ArbiterIncarnation crid.Incarnation `cbor:"a"` // of the arbiter
-	Number             uint64           `cbor:"n"` // grows with each verdict of the arbiter's life
-	Ejected            []crid.Target    `cbor:"e"` // worst first
-	Weights            []Weight         `cbor:"w"` // those below FullWeight
+	Number             uint64           `cbor:"n"` // increases with each verdict of this arbiter incarnation
+	Ejected            []crid.Target    `cbor:"e"` // in descending order of score
+	Weights            []Weight         `cbor:"w"` // the weights below FullWeight
 }
 
 // MessageKind implements crevent.Message.
@@ -44,5 +44,5 @@
 	_ crevent.Message = Verdict{}
 )
 
-// Messages returns the zero values of all messages, for the codec's registry.
+// Messages returns the zero values of all messages, for the registry of the codec.
 func Messages() []crevent.Message { return []crevent.Message{Digest{}, Verdict{}} }
--- a/core/crhealth/params.go
+++ b/core/crhealth/params.go
@@ -2,49 +2,49 @@
 
 import "time"
 
-// Params are the constants of the reducer. ValidFor, Drift and Margin must be
-// the same in the whole fleet: an arbiter that waits less than its predecessor's
-// verdicts last would add its ejections to theirs.
+// Params are the settings of the reducer. ValidFor, Drift and Margin must be the same
+// in the whole fleet. If an arbiter waited for less time than the verdicts of its
+// predecessor are valid, its ejections would add up with theirs.
 type Params struct {
 	DigestEvery time.Duration // between two digests of a service with traffic
 	JudgeEvery  time.Duration // between two judgements of a service
-	IdleAfter   time.Duration `cbor:"Quiet" json:"Quiet"` // without traffic for so long, no digests are sent
-	Budget      int           // bytes a second for digests, over all services
+	IdleAfter   time.Duration `cbor:"Quiet" json:"Quiet"` // time without traffic after which no digests are sent
+	Budget      int           // bytes per second for the digests of all services
 
-	ValidFor time.Duration // a verdict holds so long from the sending of the digest it answers
+	ValidFor time.Duration // validity of a verdict, from the sending of the digest that it answers
 	Drift    float64       // bound on the relative error of each daemon's clock
-	Margin   time.Duration // added to each wait that relies on another clock
+	Margin   time.Duration // added to each wait that depends on another clock
 
-	Confirm          int           // judgements in a row before a slow or failing target is ejected
-	BaseEjectionTime time.Duration `cbor:"HoldBase" json:"HoldBase"` // first hold-off of an ejected target; doubles with each relapse
-	MaxEjectionTime  time.Duration `cbor:"HoldMost" json:"HoldMost"` // longest hold-off
-	EjectionDecay    time.Duration `cbor:"Forgive" json:"Forgive"`   // so long in good health takes one relapse off the count
-	SlowStart        time.Duration // from a return to the full weight
-	ColdStart        time.Duration // from a start to the full weight
+	Confirm          int           // consecutive judgements before a slow or failing target is ejected
+	BaseEjectionTime time.Duration `cbor:"HoldBase" json:"HoldBase"` // duration of the first ejection; doubles with each further one
+	MaxEjectionTime  time.Duration `cbor:"HoldMost" json:"HoldMost"` // longest ejection
+	EjectionDecay    time.Duration `cbor:"Forgive" json:"Forgive"`   // time in good health that takes one off the count of ejections
+	SlowStart        time.Duration // from the end of an ejection to full weight
+	ColdStart        time.Duration // from a start to full weight
 
-	Judge     Judge `cbor:"-"` // nil: PeerJudge, which is what runs in service
-	Stalls    bool  // find stalls by attempts without an answer, before their timeouts
-	LocalOnly bool  `cbor:"Alone" json:"Alone"` // baseline: each daemon decides for itself on its own evidence
+	Judge     Judge `cbor:"-"` // nil: PeerJudge, the default
+	Stalls    bool  // detect stalls by pending attempts, before they time out
+	LocalOnly bool  `cbor:"Alone" json:"Alone"` // baseline: each daemon ejects on its own evidence
 
-	disabledGuards guard // guards switched off; set by tests only
+	disabledGuards guard // set by tests only
 }
 
-// guard is a set of rules, each of which a test can switch off to show what
-// goes wrong without it.
+// guard is a set of safety rules. Tests disable each of them to show that it is
+// needed.
 type guard uint8
 
 const (
-	guardFloor         guard = 1 << iota // ejections leave the floor
-	guardLease                           // no verdict without standing
-	guardExpiryWait                      // a new arbiter waits for the former's verdicts to end
-	guardMaybeEjected                    // a target taken back counts until all have heard
-	guardSentTime                        // verdicts hold from the sending of the digest
-	guardCorroboration                   // one account's or sender's failures do not count alone
+	guardFloor         guard = 1 << iota // ejections respect the floor
+	guardLease                           // only a daemon that holds the lease sends verdicts
+	guardExpiryWait                      // a new arbiter waits for its predecessor's verdicts to expire
+	guardMaybeEjected                    // an ended ejection counts until all entries have received the newer verdict
+	guardSentTime                        // the validity of a verdict starts when the digest was sent
+	guardCorroboration                   // uncorroborated failures of one account or sender are capped
 )
 
 func (p Params) hasGuard(g guard) bool { return p.disabledGuards&g == 0 }
 
-// DefaultParams returns the parameters in service.
+// DefaultParams returns the parameters that are used in production.
 func DefaultParams() Params {
 	return Params{
 		DigestEvery:      250 * time.Millisecond,
@@ -65,8 +65,8 @@
 	}
 }
 
-// Silence is how long a daemon waits, on its own clock, for ValidFor on any
-// other clock to have passed.
+// ExpiryWait returns the time after which, on this daemon's clock, ValidFor has passed
+// on every other daemon's clock.
 func (p Params) ExpiryWait() time.Duration {
 	return time.Duration(float64(p.ValidFor)*(1+p.Drift)/(1-p.Drift)) + p.Margin
 }
--- a/core/crhealth/recorder.go
+++ b/core/crhealth/recorder.go
@@ -13,46 +13,46 @@
 	"camphorroad/core/crid"
 )
 
-// Result is how one attempt on a target ended.
+// Result is the outcome of one attempt on a target.
 type Result uint8
 
-// The results of an attempt.
+// Results of an attempt.
 const (
 	ResultOK          Result = iota + 1
-	ResultFailed             // 5xx answer, or the exit could not connect to the target
-	ResultWrong              // identity echo or known answer did not match
-	ResultStalled            // no answer within the timeout
-	ResultShed               // turned away by overload; never counts as sickness
-	ResultUnreachable        // this daemon could not reach the exit; for local avoidance, not sickness
+	ResultFailed             // 5xx response, or the exit could not connect to the target
+	ResultWrong              // the identity echo or the known answer did not match
+	ResultStalled            // no response within the timeout
+	ResultShed               // rejected because of overload; does not count against the target
+	ResultUnreachable        // this daemon could not reach the exit; counts for local avoidance only
 )
 
-// ProbeAccount is the account under which probes are recorded. Probes are the
-// daemon's own requests, so no caller can bring about their result.
+// ProbeAccount is the account that probes are recorded under. Probes are the daemon's
+// own requests, so that callers cannot influence their results.
 const ProbeAccount crid.Account = ""
 
-// idleDrains is the number of drains without a record after which a target's
-// counters are dropped.
+// maxIdleDrains is the number of drains without an attempt after which the counters of
+// a target are removed.
 const maxIdleDrains = 1200
 
-// Recorder counts the results of attempts. It is safe for concurrent use by
-// traffic goroutines; nothing in Record waits for the control goroutine.
+// Recorder counts the results of attempts. It is safe for concurrent use by traffic
+// goroutines. Record does not wait for the control goroutine.
 type Recorder struct {
 	mu    sync.RWMutex
 	cells map[crid.Target]*cell
 }
 
-// cell holds one target's counters since the last drain.
+// cell holds the counters of one target since the last drain.
 type cell struct {
 	groups            [groupCount]groupCell
 	latency           [bucketCount]atomic.Uint32
 	reportedUnhealthy atomic.Bool
 	pending           pendingList
-	idle              int // drains without a record; owned by Drain
+	idle              int // drains without an attempt; owned by Drain
 }
 
-// groupCell packs the three counts of a group into one word, so that a drain
-// never sees a bad attempt without its attempt. A drain comes every 50 ms; the
-// fields hold a million each.
+// groupCell packs the three counts of a group into one word, so that a drain does not
+// see a bad attempt without its attempt. Each field counts up to a million; a drain
+// follows every 50 ms.
 type groupCell struct {
 	packed atomic.Uint64
 }
@@ -81,8 +81,8 @@
 	return &Recorder{cells: make(map[crid.Target]*cell)}
 }
 
-// Record counts one attempt. The latency counts only for ResultOK, from the
-// forward to the head of the answer.
+// Record counts one attempt. The latency counts only for ResultOK; it is measured from
+// the forwarding of the request to the response header.
 func (r *Recorder) Record(target crid.Target, result Result, latency time.Duration, account crid.Account) {
 	if result == ResultShed || result == ResultUnreachable {
 		return
@@ -104,24 +104,24 @@
 	}
 }
 
-// SetReportedUnhealthy notes whether the target's own health or load report looks bad. Reports
-// lag and mislead: a bad one hastens an ejection that the results call for, and
-// neither kind does anything else.
+// SetReportedUnhealthy records whether the target's own health or load report is bad.
+// Such reports may be late or wrong. A bad one saves one confirmation of an ejection
+// that the results call for; it has no other effect.
 func (r *Recorder) SetReportedUnhealthy(target crid.Target, bad bool) {
 	r.withCell(target, func(c *cell) { c.reportedUnhealthy.Store(bad) })
 }
 
-// Begin notes an attempt that has been sent and has no answer yet; the caller
-// ends it with the first word on its outcome.
+// Begin records an attempt that has been sent and has no response yet. The caller ends
+// it at the first sign of its outcome.
 func (r *Recorder) Begin(target crid.Target, account crid.Account, now crid.Instant) *PendingAttempt {
 	group := uint8(groupOf(account))
-	var w *PendingAttempt
-	r.withCell(target, func(c *cell) { w = c.pending.begin(group, now) })
-	return w
+	var a *PendingAttempt
+	r.withCell(target, func(c *cell) { a = c.pending.begin(group, now) })
+	return a
 }
 
-// on does something to a target's cell before any drain can drop the cell: what
-// is noted in a cell after that is told to nobody.
+// withCell calls do on the cell of a target while no drain can remove the cell: what
+// is recorded in a removed cell is lost.
 func (r *Recorder) withCell(target crid.Target, do func(c *cell)) {
 	r.mu.RLock()
 	if c := r.cells[target]; c != nil {
@@ -140,9 +140,9 @@
 	do(c)
 }
 
-// Drain returns what was recorded since the last call, sorted by target, and
-// starts anew, with what is without an answer at present; one goroutine calls it.
-// An attempt recorded meanwhile may be split between two drains.
+// Drain returns the samples since the last call, sorted by target, with the attempts
+// that are pending now. Only one goroutine may call it. An attempt that is recorded
+// during the call may be split between two drains.
 func (r *Recorder) Drain(now crid.Instant) []Sample {
 	var samples []Sample
 	var idle []crid.Target
@@ -162,16 +162,15 @@
 	return samples
 }
 
-// snapshot copies the map, so that draining does not keep traffic waiting.
+// snapshot copies the map, so that a drain does not block traffic.
 func (r *Recorder) snapshot() map[crid.Target]*cell {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return maps.Clone(r.cells)
 }
 
-// drop forgets targets without a record for long. One that got a record since its
-// drain stays, and so does one on whose answer an attempt waits: else that
-// attempt would be missing from the evidence.
+// dropIdle removes idle targets. It keeps a target with an attempt since its drain,
+// and one with a pending attempt, which would otherwise be missing from the evidence.
 func (r *Recorder) dropIdle(idle []crid.Target, now crid.Instant) []Sample {
 	if len(idle) == 0 {
 		return nil
@@ -193,7 +192,7 @@
 	return late
 }
 
-// drain also reports whether the sample tells anything.
+// drain also reports whether the sample contains anything.
 func (c *cell) drain(target crid.Target, now crid.Instant) (Sample, bool) {
 	s := Sample{Target: target, ReportedUnhealthy: c.reportedUnhealthy.Load()}
 	var reported bool
@@ -212,8 +211,8 @@
 	return s, reported || len(s.Groups) > 0
 }
 
-// groupOf maps an account to its group; group 0 is for probes alone. All
-// daemons agree on it, so that their counts can be added.
+// groupOf maps an account to its group. Group 0 is only for probes. All daemons use
+// the same mapping, so that their counts can be added.
 func groupOf(account crid.Account) int {
 	if account == ProbeAccount {
 		return 0
--- a/core/crhealth/recorder_test.go
+++ b/core/crhealth/recorder_test.go
@@ -11,8 +11,8 @@
 	"camphorroad/core/crid"
 )
 
-// Traffic goroutines record while the control goroutine drains. An attempt that
-// is lost or counted twice would shift the evidence.
+// Traffic goroutines record while the control goroutine drains. An attempt that is
+// lost or counted twice would distort the evidence.
 func TestConcurrentAttemptsAreCountedOnce(t *testing.T) {
 	r := NewRecorder()
 	var wg sync.WaitGroup
@@ -32,7 +32,7 @@
 		close(done)
 	}()
 	var sum counts
-	broken := false
+	inconsistent := false
 	for running := true; running; {
 		select {
 		case <-done:
@@ -43,7 +43,7 @@
 			for _, g := range s.Groups {
 				t := tally{n: g.N, bad: g.Bad, wrong: g.Wrong}
 				if t.bad > t.n || t.wrong > t.bad {
-					broken = true
+					inconsistent = true
 				}
 				sum.groups[g.Index].add(t)
 			}
@@ -51,14 +51,14 @@
 	}
 	g := gomega.NewWithT(t)
 	g.Expect(sum.total()).To(gomega.Equal(tally{n: 40_000, bad: 20_000, wrong: 20_000}))
-	g.Expect(broken).To(gomega.BeFalse(), "a drain saw a bad attempt without its attempt")
-	r.Record("t1", ResultOK, 0, "a") // a cell without a record for long is dropped
+	g.Expect(inconsistent).To(gomega.BeFalse(), "a drain saw a bad attempt without its attempt")
+	r.Record("t1", ResultOK, 0, "a") // the drains may have removed the counters as idle
 	g.Expect(r.cells).To(gomega.HaveLen(1))
 	g.Expect(r.cells["t1"].pending.open).To(gomega.BeEmpty())
 }
 
-// A target gets no requests for a minute, and its counters are dropped just as
-// the next one is sent to it. If that one stalls, nobody is told.
+// If the counters of an idle target were removed while its next attempt is sent, a
+// stall of that attempt would not be reported.
 func TestPendingAttemptKeepsIdleTargetsCounters(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewRecorder()
@@ -75,7 +75,7 @@
 	g.Expect(r.cells).To(gomega.BeEmpty())
 }
 
-// BenchmarkDigestSize reports the bytes on the wire of one target in a digest.
+// BenchmarkDigestSize reports the encoded bytes per target of a digest.
 func BenchmarkDigestSize(b *testing.B) {
 	w := newWorld(DefaultParams(), 1, 15, 15, 10)
 	w.run(time.Second)
--- a/core/crhealth/sample.go
+++ b/core/crhealth/sample.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// groupCount is the number of groups that accounts are hashed to, with
-	// group 0 for probes. Counts per group cost a fixed space, whatever the
-	// number of accounts, and tell many accounts' failures from one's.
+	// groupCount is the number of groups that accounts are hashed to; group 0 is for
+	// probes. Counts by group take a fixed space for any number of accounts, and still
+	// tell the failures of one account from those of many.
 	groupCount = 17
-	// bucketCount is the number of latency buckets, each a factor of the square
-	// root of two wide: from below bucketBase to above 30 s.
+	// bucketCount is the number of latency buckets, from below bucketBase to above 30
+	// s. The bounds of a bucket differ by a factor of the square root of two.
 	bucketCount = 36
 	bucketBase  = 250 * time.Microsecond
 )
@@ -35,13 +35,13 @@
 	N     uint32
 }
 
-// Sample is what was recorded of one target over some time.
+// Sample is what was recorded for one target over some time.
 type Sample struct {
 	Target            crid.Target    `cbor:"t"`
 	Groups            []Group        `cbor:"g"`
 	Latency           []Bucket       `cbor:"l"`
-	ReportedUnhealthy bool           `cbor:"h,omitempty"` // the target's own health or load report looks bad
-	Pending           []PendingCount `cbor:"w,omitempty"` // without an answer now; replaces those of the sample before
+	ReportedUnhealthy bool           `cbor:"h,omitempty"` // the target's own health or load report is bad
+	Pending           []PendingCount `cbor:"w,omitempty"` // attempts without a response now; replaces that of the previous sample
 }
 
 func bucketOf(d time.Duration) int {
@@ -52,12 +52,12 @@
 	return min(i, bucketCount-1)
 }
 
-// bucketTop is the upper end of a bucket.
+// bucketUpper returns the upper bound of a bucket.
 func bucketUpper(i int) time.Duration {
 	return time.Duration(float64(bucketBase) * math.Pow(2, float64(i)/2))
 }
 
-// bucketValue is the geometric middle of a bucket.
+// bucketMidpoint returns the geometric mean of a bucket's bounds.
 func bucketMidpoint(i int) time.Duration {
 	return time.Duration(float64(bucketBase) * math.Pow(2, (float64(i)-0.5)/2))
 }
@@ -145,7 +145,7 @@
 	return sum
 }
 
-// median returns the number of answers and their median latency.
+// median returns the number of responses and their median latency.
 func (c *counts) median() (uint32, time.Duration) {
 	var n uint32
 	for _, k := range c.latency {
@@ -164,13 +164,13 @@
 	return n, bucketMidpoint(bucketCount - 1)
 }
 
-// The time that evidence is kept for, in slices.
+// Evidence is kept for sliceCount slices of time.
 const (
 	sliceLength = 250 * time.Millisecond
 	sliceCount  = 40
 )
 
-// window keeps the evidence on one target by time of arrival.
+// window holds the evidence on one target by time of arrival.
 type window struct {
 	slices [sliceCount]counts
 	index  [sliceCount]int64
@@ -195,7 +195,7 @@
 	return merged
 }
 
-// answers counts the answers of the last span.
+// responses counts the responses of the last span.
 func (w *window) responses(now crid.Instant, span time.Duration) uint32 {
 	var n uint32
 	for c := range w.recent(now, span) {
@@ -206,7 +206,7 @@
 	return n
 }
 
-// last ranges over the slices of the last span.
+// recent iterates over the slices of the last span.
 func (w *window) recent(now crid.Instant, span time.Duration) iter.Seq[*counts] {
 	newest := int64(now) / int64(sliceLength)
 	oldest := newest - int64(span/sliceLength)
--- a/core/crhealth/stall.go
+++ b/core/crhealth/stall.go
@@ -6,29 +6,29 @@
 	"camphorroad/core/crid"
 )
 
-// The bounds of a stall.
+// Bounds for the detection of stalls.
 const (
-	// stallSpan is the time without any answer after which a target is looked
-	// at; it is a little above waitLeast, as digests come every 250 ms.
+	// stallSpan is the span without any response after which a target may count as
+	// stalled. It exceeds minPendingAge by the interval of the digests, 250 ms.
 	stallSpan = 750 * time.Millisecond
-	// overdueFactor is how many times longer than nearly all answers of the
-	// service an attempt must wait.
+	// overdueFactor is the multiple of the service's typical latency after which a
+	// pending attempt is overdue.
 	overdueFactor = 4
-	// usualShare of the answers of the service came within the usual time.
+	// typicalQuantile is the quantile of the service's latency that counts as typical.
 	typicalQuantile = 0.99
-	// exitSilent is for how long a daemon that sends digests may send none
-	// before a stall counts as its own, not as its target's.
+	// maxExitSilence is the time without a digest after which the daemon beside a
+	// target, and not the target, is taken for stalled.
 	maxExitSilence = 500 * time.Millisecond
 )
 
-// judgeStall finds a target stalled that answers nothing at all while its peers
-// answer, and on which several accounts wait far longer than answers of this
-// service take.
+// judgeStall finds a target stalled that gives no responses while its peers do, and on
+// which attempts of several accounts are pending for far longer than the service
+// takes.
 //
-// A target that stalls fills its slots and then shows nothing more until the
-// attempts run into their timeouts; after that every daemon avoids it by itself.
-// The few failures would be outweighed by the good answers of the seconds
-// before, and callers would go on meeting it for as long.
+// The attempts on a stalled target fill its slots and give no result until they time
+// out; after that every daemon avoids it locally. The good responses of the seconds
+// before outweigh the few failures. Without this judgement, callers would keep reaching
+// the target for those seconds.
 func (v *evaluation) judgeStall(target crid.Target) Finding {
 	if v.exitIsSilent(target) || v.responses(target, stallSpan) > 0 {
 		return Finding{}
@@ -52,7 +52,8 @@
 	return Finding{Cause: CauseStalled, Score: 200 * (1 + excess)}
 }
 
-// silence is the longest span judged in which the target has not answered.
+// unresponsiveSpan returns the longest judged span in which the target has given no
+// response.
 func (v *evaluation) unresponsiveSpan(target crid.Target) time.Duration {
 	longest := stallSpan
 	for _, span := range judgedSpans {
@@ -64,23 +65,22 @@
 	return longest
 }
 
-// answersOf counts the answers in a span.
+// responses counts the responses in a span.
 func (v *evaluation) responses(target crid.Target, span time.Duration) uint32 {
 	return v.detector.records[target].window.responses(v.state.now, span)
 }
 
-// unanswered counts the attempts that are overdue now and those that ended badly
-// in the span, but hardly those of one group of accounts.
+// unanswered counts the attempts that are overdue now or ended badly in the span, with
+// a cap for each group of accounts.
 //
-// A caller may send a few requests that take far longer than all others. They
-// would look like a stall of the target that they happen to meet, and nobody
-// else would wait there.
+// A caller may send a few requests that take far longer than all others. Without the
+// cap they would look like a stall of the target that they reach.
 func (v *evaluation) unanswered(target crid.Target, span time.Duration) uint32 {
 	limit := v.overdueLimit()
 	groups := v.detector.records[target].window.sum(v.state.now, span).groups
-	for _, w := range v.pending(target) {
-		if int(w.Group) < groupCount && w.Age < bucketCount && bucketLower(int(w.Age)) >= limit {
-			groups[w.Group].bad += w.N
+	for _, c := range v.pending(target) {
+		if int(c.Group) < groupCount && c.Age < bucketCount && bucketLower(int(c.Age)) >= limit {
+			groups[c.Group].bad += c.N
 		}
 	}
 	var sum uint32
@@ -90,23 +90,24 @@
 	return sum
 }
 
-// waits are those that all entries told of in their newest digests.
+// pending returns the pending attempts that the entries reported in their newest
+// digests.
 func (v *evaluation) pending(target crid.Target) []PendingCount {
 	var pending []PendingCount
-	for _, known := range v.detector.senders {
-		if v.state.now.Sub(known.lastSeen) > stallSpan {
+	for _, src := range v.detector.senders {
+		if v.state.now.Sub(src.lastSeen) > stallSpan {
 			continue
 		}
-		for _, w := range known.pending[target] {
-			pending = addPending(pending, w)
+		for _, c := range src.pending[target] {
+			pending = addPending(pending, c)
 		}
 	}
 	return pending
 }
 
-// overdueLimit is far above the time that nearly all answers of the service took
-// in the longest span: where some requests rightly take seconds, a wait of
-// seconds says nothing.
+// overdueLimit returns the age from which on a pending attempt is overdue. It is far
+// above the latency of nearly all responses of the service in the longest span, so
+// that services whose requests take seconds are not found stalled.
 func (v *evaluation) overdueLimit() time.Duration {
 	if v.limit == 0 {
 		v.limit = max(overdueFactor*v.typicalLatency(), minPendingAge)
@@ -132,12 +133,13 @@
 	return 0
 }
 
-// exitIsSilent reports whether the daemon beside the target has ceased to send
+// exitIsSilent reports whether the daemon beside the target has stopped sending
 // digests.
 //
-// When that daemon is frozen, nothing passes it and its target looks stalled.
-// The members find this by themselves, and the target is well when it goes on.
+// While that daemon is frozen, no attempt gets through and its target looks stalled.
+// The membership protocol detects the frozen daemon, and the target is healthy when it
+// resumes.
 func (v *evaluation) exitIsSilent(target crid.Target) bool {
-	known := v.detector.senders[v.state.placements[target].daemon]
-	return known != nil && !known.idle && v.state.now.Sub(known.lastSeen) > maxExitSilence
+	exit := v.detector.senders[v.state.placements[target].daemon]
+	return exit != nil && !exit.idle && v.state.now.Sub(exit.lastSeen) > maxExitSilence
 }
--- a/core/crhealth/stall_test.go
+++ b/core/crhealth/stall_test.go
@@ -13,26 +13,26 @@
 	"camphorroad/core/crroute"
 )
 
-// attempt is a request on its way in virtual time.
+// attempt is a request in flight in virtual time.
 type attempt struct {
 	target  crid.Target
 	account crid.Account
 	ends    time.Duration
 	took    time.Duration
 	result  Result
-	waiting *PendingAttempt
+	pending *PendingAttempt
 }
 
-// locals is what a daemon's traffic decides by itself, with the real choice of
-// targets: by load, with strikes and avoidance.
+// localBalancer is a daemon's local choice of targets, by the code of crroute: by
+// load, with strikes and avoidance.
 type localBalancer struct {
 	timeout time.Duration // of one attempt
 	loads   map[crid.Target]*crroute.Load
 	running []attempt
 }
 
-// avoidLocally lets all entries choose as in service; an attempt takes so long at
-// most.
+// enableLocalAvoidance makes all entries choose targets as in production. An attempt
+// takes at most the timeout.
 func (w *world) enableLocalAvoidance(timeout time.Duration) {
 	for _, n := range w.nodes {
 		n.balancer = &localBalancer{timeout: timeout, loads: make(map[crid.Target]*crroute.Load)}
@@ -42,18 +42,18 @@
 	}
 }
 
-// choose lets a daemon's requests of one step choose their targets, evenly
-// spread over it, and ends those whose time has come.
+// sendRequests sends a daemon's requests of one step, evenly spread over the step, and
+// ends the attempts that are due.
 func (w *world) sendRequests(n *node, states map[crid.Target]TargetState) {
 	pool := n.balancer.pool(w.targets, states)
-	for i := range w.perStep {
-		now := w.now - step + step*time.Duration(i+1)/time.Duration(w.perStep)
+	for i := range w.requestsPerStep {
+		now := w.now - step + step*time.Duration(i+1)/time.Duration(w.requestsPerStep)
 		w.endAttempts(n, now)
 		if n.idle {
 			continue
 		}
-		ask := crroute.Ask{Now: n.clock(now), IntN: w.rng.IntN}
-		if target, ok := (crroute.TwoChoices[*crroute.Target]{}).Pick(pool, ask); ok {
+		req := crroute.Ask{Now: n.clock(now), IntN: w.rng.IntN}
+		if target, ok := (crroute.TwoChoices[*crroute.Target]{}).Pick(pool, req); ok {
 			w.begin(n, target.Name(), now)
 		}
 	}
@@ -88,14 +88,14 @@
 		a.result, a.took = ResultStalled, n.balancer.timeout
 		w.stalledAttempts[target]++
 	}
-	a.waiting = n.recorder.Begin(target, a.account, n.clock(now))
+	a.pending = n.recorder.Begin(target, a.account, n.clock(now))
 	a.ends = now + a.took
 	n.balancer.loads[target].Begin()
 	n.balancer.running = append(n.balancer.running, a)
 }
 
-// targetSlots is how many attempts a target holds at one time. Others wait in its
-// queue, and are refused when their time is up.
+// targetSlots is the number of attempts that a target handles at one time. Others wait
+// in its queue and are shed at their timeout.
 const targetSlots = 5
 
 func (w *world) endAttempts(n *node, now time.Duration) {
@@ -112,22 +112,22 @@
 			load.Unreachable(n.clock(now))
 			w.stalledAttempts[a.target]--
 		}
-		a.waiting.End()
+		a.pending.End()
 		n.recorder.Record(a.target, a.result, a.took, a.account)
 		return true
 	})
 }
 
-// stallShape is a service whose entries avoid by themselves what stalls.
+// stallShape is a service whose entries avoid stalled targets locally.
 type stallShape struct {
 	shape
 	timeout time.Duration
-	idle    bool // the daemon beside the sick target has no callers of late
+	idle    bool // the daemon beside the unhealthy target has no callers
 }
 
 func (s stallShape) world(seed uint64) *world {
 	w := newWorld(DefaultParams(), seed, s.targets, s.targets, s.floor)
-	w.perStep = s.perStep
+	w.requestsPerStep = s.requestsPerStep
 	w.enableLocalAvoidance(s.timeout)
 	w.run(10 * time.Second)
 	return w
@@ -143,10 +143,9 @@
 	{shape{"ledger, 10 s", 5, 3, 1}, 10 * time.Second, false},
 }
 
-// A target takes requests and gives no answer. Each daemon avoids it as soon as
-// one request of its own has run into the timeout, so that little reaches it,
-// and that little was outweighed by the good answers of the seconds before:
-// callers of every daemon went on meeting it for ten seconds.
+// Each daemon avoids a stalled target after its first timeout, so that few failures
+// are recorded. The good responses of the seconds before outweighed them, and callers
+// of every daemon reached the target for ten seconds.
 func TestStallIsDetectedDespiteLocalAvoidance(t *testing.T) {
 	t.Parallel()
 	for _, s := range stallShapes {
@@ -157,7 +156,7 @@
 				w := s.world(seed)
 				w.nodes["d03"].idle = s.idle
 				w.run(3 * time.Second)
-				w.behaviours[unhealthy] = endsWith(ResultStalled, 1)
+				w.behaviours[unhealthy] = endWith(ResultStalled, 1)
 				took := detect(w, unhealthy)
 				g.Expect(took).To(gomega.And(gomega.BeNumerically(">", 0), gomega.BeNumerically("<=", 3*time.Second)))
 				g.Expect(w.ejected).To(gomega.HaveLen(1))
@@ -166,7 +165,7 @@
 	}
 }
 
-// longFor lets requests of some accounts take very long, a share of them.
+// longRequests lets a share of the requests of some accounts take long.
 func longRequests(share float64, took time.Duration, accounts ...crid.Account) behaviour {
 	return func(now time.Duration, account crid.Account, rng *rand.Rand) (Result, time.Duration) {
 		if slices.Contains(accounts, account) && rng.Float64() < share {
@@ -176,10 +175,9 @@
 	}
 }
 
-// Requests go long without an answer though no target is to blame: some rightly
-// take seconds, some stall wherever they run, all targets hang on one database,
-// or one daemon is frozen before a target that is well. Taking targets out for
-// it would leave less capacity for the same work.
+// Requests may wait for long because they take seconds by nature, stall on any target,
+// depend on one database, or meet a frozen daemon. Ejections would then leave less
+// capacity for the same work.
 func TestLongRequestsAreNotTakenForAStall(t *testing.T) {
 	t.Parallel()
 	everywhere := func(w *world, act behaviour) {
@@ -195,7 +193,7 @@
 			everywhere(w, longRequests(0.5, s.timeout*6/10, "a1", "a2", "a3", "a4"))
 		},
 		"one account's stall": func(w *world, _ stallShape) { everywhere(w, longRequests(1, time.Hour, "a1")) },
-		"all stall":           func(w *world, _ stallShape) { everywhere(w, flapping(4*time.Second, endsWith(ResultStalled, 1))) },
+		"all stall":           func(w *world, _ stallShape) { everywhere(w, flapping(4*time.Second, endWith(ResultStalled, 1))) },
 		"daemon frozen": func(w *world, _ stallShape) {
 			w.nodes["d03"].paused = true
 			woken := w.now + 1500*time.Millisecond
--- a/core/crhealth/standing.go
+++ b/core/crhealth/standing.go
@@ -9,14 +9,15 @@
 	"camphorroad/core/crmember"
 )
 
-// standing is what this daemon may do as an arbiter, and since when.
+// leaseState is this daemon's lease on the arbiter role and the time since which it
+// holds it.
 type leaseState struct {
 	tenure        crmember.Tenure
-	handoverUntil crid.Instant          // up to which it may go on during a handover
-	handoverLists []crmember.Membership // the lists of the handover, while bridge holds
-	since         crid.Instant          // when the tenure under its list was first heard
+	handoverUntil crid.Instant          // end of the permission to continue during a handover
+	handoverLists []crmember.Membership // the lists of the handover, until handoverUntil
+	since         crid.Instant          // when the first lease under its list was received
 	carriedOver   map[crid.Service]crid.Instant
-	arbiters      map[crid.Service]crid.Daemon // arbiters already worked out
+	arbiters      map[crid.Service]crid.Daemon // cache of arbiter
 }
 
 func newLeaseState() leaseState {
@@ -26,9 +27,9 @@
 	}
 }
 
-// takeTenure notes the standing. Under another list another daemon may have
-// been arbiter in between, so the wait for its silence starts anew; except for a
-// service that was this daemon's all through the handover.
+// applyLease records the lease. Under a new list another daemon may have been the
+// arbiter meanwhile, so the wait for the expiry of its verdicts starts again. Services
+// that were this daemon's during the whole handover are exempt.
 func (s *State) applyLease(t crmember.Tenure) {
 	st := &s.lease
 	unbroken := s.holdsLease()
@@ -53,11 +54,11 @@
 	s.setHandover(0, nil)
 }
 
-// setBridge goes on through a handover with the services whose arbiter is this
-// daemon under every list of it: no other daemon can take itself for theirs.
-// Without it each change of the list would end all ejections for the time of
-// the handover and the silence after it, and callers would meet every sick
-// target again.
+// setHandover continues through a handover for the services whose arbiter is this
+// daemon under every list of the handover; no other daemon can be their arbiter.
+// Otherwise each change of the list would end all ejections for the time of the
+// handover and the ExpiryWait after it, and callers would reach every unhealthy target
+// again.
 func (s *State) setHandover(until crid.Instant, lists []crmember.Membership) {
 	st := &s.lease
 	st.handoverUntil = until
@@ -68,8 +69,8 @@
 	}
 }
 
-// keepServices notes, at the end of an unbroken handover, which services were
-// this daemon's under all of its lists, and since when.
+// carryOverServices records, at the end of an uninterrupted handover, the services
+// that were this daemon's under all of its lists, and since when.
 func (s *State) carryOverServices(unbroken bool) {
 	st := &s.lease
 	carried := make(map[crid.Service]crid.Instant)
@@ -83,7 +84,7 @@
 	st.carriedOver = carried
 }
 
-// arbiterSince is when this daemon became the service's arbiter.
+// arbiterSince returns the time at which this daemon became the service's arbiter.
 func (s *State) arbiterSince(service crid.Service) crid.Instant {
 	if since, ok := s.lease.carriedOver[service]; ok {
 		return since
@@ -91,10 +92,9 @@
 	return s.lease.since
 }
 
-// arbiter is the daemon that decides for a service, empty if none is known.
-// It follows from the list alone: two daemons with standing under one list
-// can not both take themselves for it. During a handover it is the one that all
-// lists agree on.
+// arbiter returns the daemon that is the arbiter of a service, or "" if none is known.
+// It depends on the list alone, so two daemons with leases under one list agree on it.
+// During a handover it is the daemon on which all lists agree.
 func (s *State) arbiter(service crid.Service) crid.Daemon {
 	if s.params.LocalOnly {
 		return s.self
@@ -116,7 +116,7 @@
 	return best
 }
 
-// ranked returns the member with the highest rank for a service.
+// topRanked returns the member with the highest rendezvous hash for a service.
 func topRanked(service crid.Service, members []crid.Daemon) crid.Daemon {
 	var best crid.Daemon
 	var highest uint64
@@ -137,8 +137,8 @@
 	return h.Sum64()
 }
 
-// mayAct reports whether this daemon has standing at the instant of the event.
-// A process that was paused learns from its clock that it has lost it.
+// holdsLease reports whether this daemon holds the lease at the time of the event. A
+// process that was paused finds by its clock that the lease has expired.
 func (s *State) holdsLease() bool {
 	if s.params.LocalOnly || !s.params.hasGuard(guardLease) {
 		return true
@@ -147,8 +147,8 @@
 }
 
 // deciding reports whether this daemon may send verdicts for the service. A new
-// arbiter waits until no verdict of a former one, or of its own former life,
-// can be in force any more.
+// arbiter waits until all verdicts of its predecessor, and of its own previous
+// incarnation, have expired.
 func (s *State) deciding(service crid.Service) bool {
 	if s.params.LocalOnly {
 		return true
--- a/core/crhealth/suspect.go
+++ b/core/crhealth/suspect.go
@@ -7,14 +7,14 @@
 	"camphorroad/core/crid"
 )
 
-// survey holds the evidence on the targets of a service that take work, over
-// each span; it is worked out when first asked for.
+// evaluation holds the evidence on the targets of a service that are not ejected, for
+// each span. It is computed on demand.
 type evaluation struct {
 	state    *State
 	detector *detector
 	targets  []crid.Target
 	bySpan   [len(judgedSpans)]map[crid.Target]Evidence
-	limit    time.Duration // of a wait; zero: not worked out
+	limit    time.Duration // cache of overdueLimit; zero: not computed
 }
 
 func (s *State) evaluate(d *detector) *evaluation {
@@ -38,13 +38,13 @@
 	return v.bySpan[span]
 }
 
-// compare returns a target's evidence over the shortest span that is enough for
-// it, or over the longest where that shows it wrong, and that of its peers over
-// the same span.
+// comparison returns the evidence on a target and on its peers over one span: the
+// shortest one with minAttempts on the target, or the longest one if the target is an
+// outlier for wrong responses there.
 //
-// If each target had a span of its own, then in the moment when all grow slow
-// those with a short span would look sick beside those whose longer span still
-// is full of the time before.
+// All targets are compared over the same span. If each had its own, then at the moment
+// when all become slow, those with a short span would look unhealthy beside those
+// whose longer span still contains the time before.
 func (v *evaluation) comparison(target crid.Target) (Evidence, []Evidence) {
 	span := 0
 	for span < len(judgedSpans)-1 && v.evidenceOver(span)[target].N < minAttempts {
@@ -56,9 +56,9 @@
 	return v.evidenceOver(span)[target], v.peers(target, span)
 }
 
-// wrongOver reports whether the target's wrong answers stand out over a span.
-// A healthy target gives none at all, so that those of a long time may be added
-// up: few wrong ones among many would else come too seldom for a short span.
+// wrongStandsOut reports whether the target is an outlier for wrong responses over a
+// span. A healthy target gives none at all, so those of a long span may be added up: a
+// small share of wrong responses would be too rare in a short span.
 func (v *evaluation) wrongStandsOut(target crid.Target, span int) bool {
 	own := v.evidenceOver(span)[target]
 	return own.Wrong >= minWrong && judgeWrong(own, v.peers(target, span)).Cause != CauseNone
@@ -75,11 +75,12 @@
 	return peers
 }
 
-// sharedOfLate reports whether the peers failed as much a short while ago.
+// peersFailedRecently reports whether, in any span, the peers failed as often as the
+// target does in e.
 //
-// When what all targets depend on comes back, they recover one after another. A
-// daemon that still avoids one has nothing but its failures of the common outage,
-// beside peers that answer again, and would take it out just then.
+// When a shared dependency recovers, the targets recover one after another. A daemon
+// that still avoids one of them locally has only its failures from the common outage,
+// beside peers that respond again, and the target would be ejected.
 func (v *evaluation) peersFailedRecently(target crid.Target, e Evidence) bool {
 	for span := range judgedSpans {
 		if typical, ok := medianBadRate(v.peers(target, span)); ok && !failsMoreThan(e, typical) {
@@ -89,8 +90,8 @@
 	return false
 }
 
-// suspects judges each target against its peers and returns those confirmed
-// sick, worst first.
+// unhealthyTargets judges each target against its peers and returns those confirmed
+// unhealthy, in descending order of score.
 func (s *State) unhealthyTargets(d *detector) []crid.Target {
 	v := s.evaluate(d)
 	var unhealthy []crid.Target
@@ -103,8 +104,9 @@
 	return unhealthy
 }
 
-// confirm counts the judgements in a row that found the target sick. Wrong
-// answers need one only; a bad report of the target itself saves one.
+// confirmUnhealthy counts the consecutive judgements that found the target unhealthy
+// and reports whether they suffice. Wrong responses need only one judgement. A bad
+// report of the target itself saves one.
 func (s *State) confirmUnhealthy(v *evaluation, target crid.Target) bool {
 	r := v.detector.records[target]
 	if !r.updated {
--- a/core/crhealth/waiting.go
+++ b/core/crhealth/waiting.go
@@ -8,12 +8,12 @@
 	"camphorroad/core/crid"
 )
 
-// waitLeast is the age at which an attempt without an answer is told of. Younger
-// ones are no evidence, whatever the service, and would only cost bytes.
+// minPendingAge is the age from which on a pending attempt is reported. Younger ones
+// are no evidence for any service and would only add bytes.
 const minPendingAge = 500 * time.Millisecond
 
-// Wait is the count of attempts of one group of accounts that are without an
-// answer at the moment of the sample, by age.
+// PendingCount is the number of attempts of one group of accounts that are pending at
+// the time of the sample, by age.
 type PendingCount struct {
 	_     struct{} `cbor:",toarray"`
 	Group uint8
@@ -21,8 +21,8 @@
 	N     uint32
 }
 
-// Waiting is an attempt whose answer has not begun. It is for one goroutine at a
-// time.
+// PendingAttempt is an attempt whose response has not begun. It is not safe for
+// concurrent use.
 type PendingAttempt struct {
 	list  *pendingList
 	id    uint64
@@ -30,20 +30,20 @@
 	began crid.Instant
 }
 
-// End takes the attempt off: its answer has begun, or it is given up. A second
-// call does nothing.
-func (w *PendingAttempt) End() {
-	w.list.mu.Lock()
-	defer w.list.mu.Unlock()
-	delete(w.list.open, w.id)
+// End removes the attempt, because its response has begun or it was abandoned. A
+// second call has no effect.
+func (a *PendingAttempt) End() {
+	a.list.mu.Lock()
+	defer a.list.mu.Unlock()
+	delete(a.list.open, a.id)
 }
 
-// waitList holds the attempts on one target that are without an answer.
+// pendingList holds the pending attempts on one target.
 type pendingList struct {
 	mu       sync.Mutex
 	nextID   uint64
 	open     map[uint64]*PendingAttempt
-	reported bool // the last drain told of some
+	reported bool // the last drain reported pending attempts
 }
 
 func (l *pendingList) begin(group uint8, now crid.Instant) *PendingAttempt {
@@ -53,27 +53,28 @@
 		l.open = make(map[uint64]*PendingAttempt)
 	}
 	l.nextID++
-	w := &PendingAttempt{list: l, id: l.nextID, group: group, began: now}
-	l.open[w.id] = w
-	return w
+	a := &PendingAttempt{list: l, id: l.nextID, group: group, began: now}
+	l.open[a.id] = a
+	return a
 }
 
-// any reports whether an attempt is without an answer.
+// hasAny reports whether an attempt is pending.
 func (l *pendingList) hasAny() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.open) > 0
 }
 
-// waits counts those of waitLeast and more, sorted. It also reports whether there
-// is something to tell: some, or none after some.
+// counts returns the pending attempts of at least minPendingAge, sorted. It also
+// reports whether the sample must contain them: there are some, or there were some at
+// the last drain.
 func (l *pendingList) counts(now crid.Instant) ([]PendingCount, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var counts []PendingCount
-	for _, w := range l.open {
-		if age := now.Sub(w.began); age >= minPendingAge {
-			counts = addPending(counts, PendingCount{Group: w.group, Age: uint8(bucketOf(age)), N: 1})
+	for _, a := range l.open {
+		if age := now.Sub(a.began); age >= minPendingAge {
+			counts = addPending(counts, PendingCount{Group: a.group, Age: uint8(bucketOf(age)), N: 1})
 		}
 	}
 	slices.SortFunc(counts, func(a, b PendingCount) int {
@@ -87,16 +88,16 @@
 	return counts, report
 }
 
-func addPending(pending []PendingCount, w PendingCount) []PendingCount {
-	i := slices.IndexFunc(pending, func(o PendingCount) bool { return o.Group == w.Group && o.Age == w.Age })
+func addPending(pending []PendingCount, c PendingCount) []PendingCount {
+	i := slices.IndexFunc(pending, func(o PendingCount) bool { return o.Group == c.Group && o.Age == c.Age })
 	if i < 0 {
-		return append(pending, w)
+		return append(pending, c)
 	}
-	pending[i].N += w.N
+	pending[i].N += c.N
 	return pending
 }
 
-// bucketFloor is the lower end of a bucket.
+// bucketLower returns the lower bound of a bucket.
 func bucketLower(i int) time.Duration {
 	if i == 0 {
 		return 0
--- a/core/crhealth/world_test.go
+++ b/core/crhealth/world_test.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	step    = 50 * time.Millisecond
-	horizon = 2 * time.Second
-	booking = crid.Service("booking")
+	step      = 50 * time.Millisecond
+	leaseTime = 2 * time.Second
+	booking   = crid.Service("booking")
 )
 
-// node is one daemon with the real reducer and recorder, on its own clock.
+// node is a daemon with the real reducer and recorder and its own clock.
 type node struct {
 	name         crid.Daemon
 	state        *State
 	recorder     *Recorder
-	offset       time.Duration
-	rate         float64
+	clockOffset  time.Duration
+	clockRate    float64
 	incarnation  uint64
 	paused       bool
-	isolated     bool // hears nothing of standing
+	isolated     bool // receives no lease
 	heldRevision crid.Revision
 	inbox        []delivery
 	routing      map[crid.Service]RoutingUpdate
-	idle         bool           // has no callers; with locals only
-	balancer     *localBalancer // nil: targets are drawn evenly, and answers come at once
+	idle         bool           // has no callers; only with a balancer
+	balancer     *localBalancer // nil: targets are drawn at random, and responses come at once
 }
 
 type delivery struct {
@@ -44,7 +44,7 @@
 	msg  crevent.Message
 }
 
-// behaviour is how a target answers.
+// behaviour is the response of a target to one request.
 type behaviour func(now time.Duration, account crid.Account, rng *rand.Rand) (Result, time.Duration)
 
 func healthy(_ time.Duration, _ crid.Account, rng *rand.Rand) (Result, time.Duration) {
@@ -58,7 +58,7 @@
 	}
 }
 
-func endsWith(result Result, share float64) behaviour {
+func endWith(result Result, share float64) behaviour {
 	return func(now time.Duration, account crid.Account, rng *rand.Rand) (Result, time.Duration) {
 		if rng.Float64() < share {
 			return result, 0
@@ -67,39 +67,39 @@
 	}
 }
 
-// world runs several daemons in virtual time. Standing is granted as crmember
-// promises it: never under two lists at one time.
+// world simulates several daemons in virtual time. It grants leases as crmember
+// guarantees: never under two lists at one time.
 type world struct {
-	params         Params
-	rng            *rand.Rand
-	now            time.Duration
-	nodes          map[crid.Daemon]*node
-	names          []crid.Daemon
-	targets        []crid.Target
-	floor          int
-	behaviours     map[crid.Target]behaviour
-	failingAccount crid.Account
-	perStep        int // requests of each daemon in each step
-	loss           float64
-	delay          time.Duration
-	cut            map[[2]crid.Daemon]bool
-	noResponse     map[crid.Daemon]crid.Target // one-way cut between an entry and a target
+	params          Params
+	rng             *rand.Rand
+	now             time.Duration
+	nodes           map[crid.Daemon]*node
+	names           []crid.Daemon
+	targets         []crid.Target
+	floor           int
+	behaviours      map[crid.Target]behaviour
+	failingAccount  crid.Account
+	requestsPerStep int // requests of each daemon per step
+	loss            float64
+	delay           time.Duration
+	partitioned     map[[2]crid.Daemon]bool
+	noResponse      map[crid.Daemon]crid.Target // the target of which an entry gets no responses
 
 	causes          map[string]int      // of the ejections
-	stalledAttempts map[crid.Target]int // attempts without an answer, in its slots
+	stalledAttempts map[crid.Target]int // attempts that occupy a slot without a response
 	rev             crid.Revision
 	members         []crid.Daemon
 	nextMembers     []crid.Daemon
 	switchAt        time.Duration
 	reports         map[int]int
-	ejected         map[crid.Target]int // ejections decided, by all daemons
+	ejected         map[crid.Target]int // ejections decided by all daemons
 }
 
 func newWorld(p Params, seed uint64, daemons, targets, floor int) *world {
 	w := &world{
-		params: p, rng: rand.New(rand.NewPCG(seed, 1)), floor: floor, perStep: 10, delay: 2 * time.Millisecond,
+		params: p, rng: rand.New(rand.NewPCG(seed, 1)), floor: floor, requestsPerStep: 10, delay: 2 * time.Millisecond,
 		nodes: make(map[crid.Daemon]*node), behaviours: make(map[crid.Target]behaviour),
-		cut: make(map[[2]crid.Daemon]bool), noResponse: make(map[crid.Daemon]crid.Target),
+		partitioned: make(map[[2]crid.Daemon]bool), noResponse: make(map[crid.Daemon]crid.Target),
 		rev: 1, reports: make(map[int]int), ejected: make(map[crid.Target]int), causes: make(map[string]int), stalledAttempts: make(map[crid.Target]int),
 	}
 	for i := range targets {
@@ -109,7 +109,7 @@
 		name := crid.Daemon(fmt.Sprintf("d%02d", i))
 		w.names = append(w.names, name)
 		w.nodes[name] = &node{
-			name: name, offset: time.Duration(w.rng.IntN(1000)) * time.Hour, rate: 1 + (w.rng.Float64()-0.5)/100,
+			name: name, clockOffset: time.Duration(w.rng.IntN(1000)) * time.Hour, clockRate: 1 + (w.rng.Float64()-0.5)/100,
 		}
 	}
 	w.members = slices.Clone(w.names)
@@ -120,10 +120,10 @@
 }
 
 func (n *node) clock(now time.Duration) crid.Instant {
-	return crid.Instant(n.offset + time.Duration(float64(now)*n.rate))
+	return crid.Instant(n.clockOffset + time.Duration(float64(now)*n.clockRate))
 }
 
-// list places target i beside daemon i, round and round.
+// list returns a list in which the targets are assigned to the daemons in turn.
 func (w *world) list(rev crid.Revision, without ...crid.Target) crinstance.List {
 	instances := make([]crinstance.Instance, len(w.names))
 	for i, name := range w.names {
@@ -179,7 +179,7 @@
 
 func (w *world) send(from crid.Daemon, s crevent.Send) {
 	to := w.nodes[s.To]
-	if w.cut[[2]crid.Daemon{from, s.To}] || w.rng.Float64() < w.loss {
+	if w.partitioned[[2]crid.Daemon{from, s.To}] || w.rng.Float64() < w.loss {
 		return
 	}
 	copies := 1
@@ -218,18 +218,18 @@
 	var later []delivery
 	ready := n.inbox
 	n.inbox = nil
-	for _, l := range ready {
-		if l.due > w.now {
-			later = append(later, l)
+	for _, d := range ready {
+		if d.due > w.now {
+			later = append(later, d)
 			continue
 		}
-		w.step(n, crevent.Received{Now: n.clock(w.now), From: l.from, Msg: l.msg})
+		w.step(n, crevent.Received{Now: n.clock(w.now), From: d.from, Msg: d.msg})
 	}
 	n.inbox = append(later, n.inbox...)
 }
 
-// grant renews standing, and moves it to the next list once nobody holds any
-// under the former.
+// renewLeases renews the leases, and moves them to the next list once nobody holds any
+// under the previous one.
 func (w *world) renewLeases() {
 	if w.nextMembers != nil && w.now >= w.switchAt {
 		w.members = w.nextMembers
@@ -247,18 +247,19 @@
 		}
 		now := n.clock(w.now)
 		n.heldRevision = w.rev
-		w.step(n, crmember.Tenure{Now: now, Active: w.rev, Members: w.members, Until: now.Add(horizon)})
+		w.step(n, crmember.Tenure{Now: now, Active: w.rev, Members: w.members, Until: now.Add(leaseTime)})
 	}
 }
 
-// change begins to move standing to other members. Daemons that hear of it give
-// it up at once; the horizon is waited out for the others.
+// changeMembers starts the move of the leases to other members. Daemons that hear of
+// it give up their leases at once; the move waits until those of the others have
+// expired.
 func (w *world) changeMembers(members []crid.Daemon) {
 	if w.nextMembers != nil {
 		return
 	}
 	w.nextMembers = members
-	w.switchAt = w.now + horizon*102/100
+	w.switchAt = w.now + leaseTime*102/100
 	for _, name := range w.names {
 		if n := w.nodes[name]; !n.paused && !n.isolated {
 			w.announceHandover(n)
@@ -266,13 +267,13 @@
 	}
 }
 
-// bridge tells a node of the handover, as crmember does: what both lists give
-// it, it may go on with.
+// announceHandover sends a node the event of the handover. Like crmember, it lets the
+// node continue if the node is a member of both lists.
 func (w *world) announceHandover(n *node) {
 	now := n.clock(w.now)
 	ev := crmember.Tenure{Now: now}
 	if slices.Contains(w.members, n.name) && slices.Contains(w.nextMembers, n.name) {
-		ev.Bridge = now.Add(horizon)
+		ev.Bridge = now.Add(leaseTime)
 		ev.Over = []crmember.Membership{{Rev: w.rev, Members: w.members}, {Rev: w.rev + 1, Members: w.nextMembers}}
 	}
 	w.step(n, ev)
@@ -289,7 +290,7 @@
 		w.sendRequests(n, states)
 		return
 	}
-	for range w.perStep {
+	for range w.requestsPerStep {
 		t := w.targets[w.rng.IntN(len(w.targets))]
 		if st, ok := states[t]; ok && (st.Ejected || w.rng.IntN(FullWeight) >= st.Weight) {
 			continue
@@ -310,7 +311,7 @@
 	}
 }
 
-// inForce is the set of targets that traffic anywhere holds ejected now.
+// ejectedSomewhere returns the targets that are ejected at any entry now.
 func (w *world) ejectedSomewhere() map[crid.Target]bool {
 	union := make(map[crid.Target]bool)
 	for _, n := range w.nodes {
@@ -333,7 +334,8 @@
 	return w.nodes[w.nodes[w.members[0]].state.arbiter(booking)]
 }
 
-// everywhere reports whether all daemons with callers hold the target ejected.
+// ejectedEverywhere reports whether all daemons with callers treat the target as
+// ejected.
 func (w *world) ejectedEverywhere(t crid.Target) bool {
 	for _, n := range w.nodes {
 		if n.idle {
