--- a/core/crplace/board.go
+++ b/core/crplace/board.go
@@ -12,35 +12,35 @@
 	// whose exit did not answer an offer. It doubles with each silence. A cut
 	// of one path lasts some seconds, and each try costs its caller the
 	// timeout of an offer.
-	avoidFirst = 600 * time.Millisecond
-	avoidMost  = 2400 * time.Millisecond
+	minAvoidance = 600 * time.Millisecond
+	maxAvoidance = 2400 * time.Millisecond
 )
 
 // state is what is known of one target.
-type state struct {
-	told    Told
-	heard   bool
-	load    int
-	silence time.Duration
-	avoid   crid.Instant
-	trial   crid.Instant
+type targetState struct {
+	report     Told
+	reported   bool
+	load       int
+	avoidance  time.Duration
+	avoidUntil crid.Instant
+	lastTrial  crid.Instant
 }
 
 // Board is what one daemon knows of all targets. It is safe for concurrent use.
 type Board struct {
 	mu     sync.Mutex
-	states map[crid.Target]*state
+	states map[crid.Target]*targetState
 }
 
 // NewBoard returns a board that knows nothing.
-func NewBoard() *Board { return &Board{states: make(map[crid.Target]*state)} }
+func NewBoard() *Board { return &Board{states: make(map[crid.Target]*targetState)} }
 
 // Tell notes what an exit told of its target.
-func (b *Board) Tell(t crid.Target, told Told) {
+func (b *Board) Tell(t crid.Target, report Told) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(t)
-	s.told, s.heard, s.load = told, true, told.Load
+	s.report, s.reported, s.load = report, true, report.Load
 }
 
 // Begin counts a request sent from here since the exit told its load.
@@ -63,7 +63,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(t)
-	s.silence, s.avoid = 0, 0
+	s.avoidance, s.avoidUntil = 0, 0
 }
 
 // Silent notes that a target's exit did not answer, and avoids it for a while.
@@ -71,8 +71,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(t)
-	s.silence = min(max(2*s.silence, avoidFirst), avoidMost)
-	s.avoid = now.Add(s.silence)
+	s.avoidance = min(max(2*s.avoidance, minAvoidance), maxAvoidance)
+	s.avoidUntil = now.Add(s.avoidance)
 }
 
 // Keep forgets all targets but the given ones.
@@ -86,10 +86,10 @@
 	}
 }
 
-func (b *Board) state(t crid.Target) *state {
+func (b *Board) state(t crid.Target) *targetState {
 	s := b.states[t]
 	if s == nil {
-		s = &state{}
+		s = &targetState{}
 		b.states[t] = s
 	}
 	return s
--- a/core/crplace/choose.go
+++ b/core/crplace/choose.go
@@ -12,14 +12,14 @@
 const (
 	// roomy is the part of a target's slots up to which it is as good as idle.
 	// Above it, what others send at the same moment would make requests wait.
-	roomy = 0.85
+	lowUtilization = 0.85
 	// draws is the number of targets compared: two or more keep the load even
 	// although all daemons see the same board, and fewer than all keep them from
 	// choosing the same target at once.
-	draws = 3
+	sampleSize = 3
 	// speedWeight is what one more usual time of the service counts, in slots'
 	// share. A target five times as slow loses against a full one.
-	speedWeight = 0.6
+	serviceTimeWeight = 0.6
 	// coldWeight is what a target counts that has just started, in slots' share:
 	// it takes twice as long for some seconds, so that half of its slots are as
 	// good as taken.
@@ -29,85 +29,85 @@
 	// of the slots taken. A target that has just done well then goes before one
 	// of which nothing was heard for seconds; idempotent requests, which can be
 	// sent again, find out about the latter.
-	sickWeight = 3.0
+	unhealthyWeight = 3.0
 	// trialShare is the part of the idempotent requests that may try a target
 	// held to be sick, at most; the exits pace the trials of each.
 	trialShare = 0.25
 	// trialEvery is the least time between two trials of one target from here.
-	trialEvery = 700 * time.Millisecond
+	trialInterval = 700 * time.Millisecond
 )
 
 // view is a candidate with what is known of it.
-type view struct {
+type scoredCandidate struct {
 	Candidate
-	state   *state
-	use     float64 // share of the slots taken
-	sick    float64
-	avoided bool
-	score   float64
+	state         *targetState
+	utilization   float64 // share of the slots taken
+	unhealthyProb float64
+	avoided       bool
+	score         float64
 }
 
-func (v view) choice(trial, last bool) Choice {
-	return Choice{Candidate: v.Candidate, Trial: trial, Last: last, Sick: v.sick, Use: v.use}
+func (v scoredCandidate) choice(trial, last bool) Choice {
+	return Choice{Candidate: v.Candidate, Trial: trial, Last: last, Sick: v.unhealthyProb, Use: v.utilization}
 }
 
 // Choose picks the target to offer a request to, or reports that none is left.
-func (b *Board) Choose(now crid.Instant, all []Candidate, ask Ask) (Choice, bool) {
+func (b *Board) Choose(now crid.Instant, all []Candidate, req Ask) (Choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	views := b.views(now, all, ask)
-	if len(views) == 0 {
+	candidates := b.score(now, all, req)
+	if len(candidates) == 0 {
 		return Choice{}, false
 	}
-	if v, ok := trial(now, views, ask); ok {
-		v.state.trial = now
+	if v, ok := trial(now, candidates, req); ok {
+		v.state.lastTrial = now
 		return v.choice(true, false), true
 	}
-	well := filter(views, func(v view) bool { return v.sick < crjudge.Limit && !v.avoided })
-	if v, ok := spared(views, well, ask); ok {
+	healthy := filter(candidates, func(v scoredCandidate) bool { return v.unhealthyProb < crjudge.Limit && !v.avoided })
+	if v, ok := overflow(candidates, healthy, req); ok {
 		return v.choice(false, true), true
 	}
-	near := filter(well, func(v view) bool { return v.Domain == ask.Domain && v.use < roomy })
-	if len(near) > 0 {
-		return best(near, ask).choice(false, false), true
+	local := filter(healthy, func(v scoredCandidate) bool { return v.Domain == req.Domain && v.utilization < lowUtilization })
+	if len(local) > 0 {
+		return best(local, req).choice(false, false), true
 	}
-	free := filter(well, func(v view) bool { return v.use < 1 })
+	free := filter(healthy, func(v scoredCandidate) bool { return v.utilization < 1 })
 	if len(free) > 0 {
-		return best(free, ask).choice(false, false), true
+		return best(free, req).choice(false, false), true
 	}
-	if len(well) > 0 {
-		return best(well, ask).choice(false, false), true
+	if len(healthy) > 0 {
+		return best(healthy, req).choice(false, false), true
 	}
-	return lastResort(views), true
+	return lastResort(candidates), true
 }
 
-func (b *Board) views(now crid.Instant, all []Candidate, ask Ask) []view {
-	out := make([]view, 0, len(all))
-	usual := b.usual(all)
+func (b *Board) score(now crid.Instant, all []Candidate, req Ask) []scoredCandidate {
+	out := make([]scoredCandidate, 0, len(all))
+	typical := b.medianTypical(all)
 	for _, c := range all {
-		if slices.Contains(ask.Tried, c.Target) {
+		if slices.Contains(req.Tried, c.Target) {
 			continue
 		}
 		s := b.state(c.Target)
-		if s.heard && s.told.Closed {
+		if s.reported && s.report.Closed {
 			continue
 		}
-		v := view{Candidate: c, state: s, sick: s.told.Sick}
+		v := scoredCandidate{Candidate: c, state: s, unhealthyProb: s.report.Sick}
 		slots := c.Slots
-		if s.heard && s.told.Slots > 0 {
-			slots = s.told.Slots
+		if s.reported && s.report.Slots > 0 {
+			slots = s.report.Slots
 		}
-		v.use = float64(s.load) / float64(max(slots, 1))
-		v.avoided = now.Before(s.avoid) || (ask.Silent != nil && ask.Silent(c.Daemon))
-		v.score = v.use
+		v.utilization = float64(s.load) / float64(max(slots, 1))
+		v.avoided = now.Before(s.avoidUntil) || (req.Silent != nil && req.Silent(c.Daemon))
+		v.score = v.utilization
 		if c.Cold {
 			v.score += coldWeight
 		}
-		if ask.Class == crpolicy.ClassOnce || len(ask.Tried) > 0 || ask.Bound {
-			v.score += sickWeight * v.sick
+		if req.Class == crpolicy.ClassOnce || len(req.Tried) > 0 || req.Bound {
+			v.score += unhealthyWeight * v.unhealthyProb
 		}
-		if usual > 0 && s.told.Typical > 0 {
-			v.score += speedWeight * (float64(s.told.Typical)/float64(usual) - 1)
+		if typical > 0 && s.report.Typical > 0 {
+			v.score += serviceTimeWeight * (float64(s.report.Typical)/float64(typical) - 1)
 		}
 		out = append(out, v)
 	}
@@ -115,11 +115,11 @@
 }
 
 // usual is the median time of the targets' requests.
-func (b *Board) usual(all []Candidate) time.Duration {
+func (b *Board) medianTypical(all []Candidate) time.Duration {
 	times := make([]time.Duration, 0, len(all))
 	for _, c := range all {
-		if s := b.states[c.Target]; s != nil && s.told.Typical > 0 {
-			times = append(times, s.told.Typical)
+		if s := b.states[c.Target]; s != nil && s.report.Typical > 0 {
+			times = append(times, s.report.Typical)
 		}
 	}
 	if len(times) == 0 {
@@ -133,17 +133,17 @@
 // only a request can tell that it has recovered, and one that can be sent again
 // loses nothing. One that could not, the budget for repeats being used up, would be
 // lost where the target is still sick.
-func trial(now crid.Instant, views []view, ask Ask) (view, bool) {
-	if !ask.first() || ask.Bound || ask.Float() >= trialShare {
-		return view{}, false
+func trial(now crid.Instant, candidates []scoredCandidate, req Ask) (scoredCandidate, bool) {
+	if !req.firstTry() || req.Bound || req.Float() >= trialShare {
+		return scoredCandidate{}, false
 	}
-	sick := filter(views, func(v view) bool {
-		return v.sick >= crjudge.Limit && !v.avoided && v.use < roomy && now.Sub(v.state.trial) > trialEvery
+	unhealthy := filter(candidates, func(v scoredCandidate) bool {
+		return v.unhealthyProb >= crjudge.Limit && !v.avoided && v.utilization < lowUtilization && now.Sub(v.state.lastTrial) > trialInterval
 	})
-	if len(sick) == 0 || len(sick) == len(views) {
-		return view{}, false
+	if len(unhealthy) == 0 || len(unhealthy) == len(candidates) {
+		return scoredCandidate{}, false
 	}
-	return sick[int(ask.Float()*float64(len(sick)))], true
+	return unhealthy[int(req.Float()*float64(len(unhealthy)))], true
 }
 
 // spared picks a sick target with room for an idempotent request while all well
@@ -154,25 +154,27 @@
 // being used up, would as a rule be lost. And a call takes little of a well target's
 // time, but lost it takes its parent with it, which may run only once and has done
 // most of its work.
-func spared(views, well []view, ask Ask) (view, bool) {
-	if !ask.first() || ask.Bound || ask.Call {
-		return view{}, false
+func overflow(candidates, healthy []scoredCandidate, req Ask) (scoredCandidate, bool) {
+	if !req.firstTry() || req.Bound || req.Call {
+		return scoredCandidate{}, false
 	}
-	if slices.ContainsFunc(well, func(v view) bool { return v.use < roomy }) {
-		return view{}, false
+	if slices.ContainsFunc(healthy, func(v scoredCandidate) bool { return v.utilization < lowUtilization }) {
+		return scoredCandidate{}, false
 	}
-	sick := filter(views, func(v view) bool { return v.sick >= crjudge.Limit && !v.avoided && v.use < roomy })
-	if len(sick) == 0 {
-		return view{}, false
+	unhealthy := filter(candidates, func(v scoredCandidate) bool {
+		return v.unhealthyProb >= crjudge.Limit && !v.avoided && v.utilization < lowUtilization
+	})
+	if len(unhealthy) == 0 {
+		return scoredCandidate{}, false
 	}
-	return best(sick, ask), true
+	return best(unhealthy, req), true
 }
 
 // best draws a few and takes the one with the lowest score.
-func best(views []view, ask Ask) view {
-	chosen := views[int(ask.Float()*float64(len(views)))]
-	for range draws - 1 {
-		v := views[int(ask.Float()*float64(len(views)))]
+func best(candidates []scoredCandidate, req Ask) scoredCandidate {
+	chosen := candidates[int(req.Float()*float64(len(candidates)))]
+	for range sampleSize - 1 {
+		v := candidates[int(req.Float()*float64(len(candidates)))]
 		if v.score < chosen.score {
 			chosen = v
 		}
@@ -180,17 +182,17 @@
 	return chosen
 }
 
-func lastResort(views []view) Choice {
-	chosen := slices.MinFunc(views, func(a, b view) int {
+func lastResort(candidates []scoredCandidate) Choice {
+	chosen := slices.MinFunc(candidates, func(a, b scoredCandidate) int {
 		switch {
 		case a.avoided != b.avoided:
 			if b.avoided {
 				return -1
 			}
 			return 1
-		case a.sick+a.use < b.sick+b.use:
+		case a.unhealthyProb+a.utilization < b.unhealthyProb+b.utilization:
 			return -1
-		case a.sick+a.use > b.sick+b.use:
+		case a.unhealthyProb+a.utilization > b.unhealthyProb+b.utilization:
 			return 1
 		}
 		return 0
@@ -198,9 +200,9 @@
 	return chosen.choice(false, true)
 }
 
-func filter(views []view, keep func(view) bool) []view {
-	out := make([]view, 0, len(views))
-	for _, v := range views {
+func filter(candidates []scoredCandidate, keep func(scoredCandidate) bool) []scoredCandidate {
+	out := make([]scoredCandidate, 0, len(candidates))
+	for _, v := range candidates {
 		if keep(v) {
 			out = append(out, v)
 		}
--- a/core/crplace/crplace.go
+++ b/core/crplace/crplace.go
@@ -50,7 +50,7 @@
 }
 
 // first reports whether an idempotent request looks for its first target.
-func (a Ask) first() bool { return a.Class == crpolicy.ClassRepeat && len(a.Tried) == 0 }
+func (a Ask) firstTry() bool { return a.Class == crpolicy.ClassRepeat && len(a.Tried) == 0 }
 
 // Choice is the target chosen.
 type Choice struct {
@@ -68,7 +68,7 @@
 		return "trial"
 	case c.Last:
 		return "last resort"
-	case c.Use < roomy:
+	case c.Use < lowUtilization:
 		return "room"
 	}
 	return "queue"
--- a/core/crplace/crplace_test.go
+++ b/core/crplace/crplace_test.go
@@ -15,7 +15,7 @@
 const start = crid.Instant(time.Hour)
 
 // fixed returns random numbers in turn.
-func fixed(numbers ...float64) func() float64 {
+func sequence(numbers ...float64) func() float64 {
 	i := 0
 	return func() float64 {
 		n := numbers[i%len(numbers)]
@@ -34,161 +34,161 @@
 	return out
 }
 
-func once(float func() float64, tried ...crid.Target) crplace.Ask {
+func onceOnly(float func() float64, tried ...crid.Target) crplace.Ask {
 	return crplace.Ask{Class: crpolicy.ClassOnce, Domain: "a", Tried: tried, Float: float}
 }
 
-func repeat(float func() float64, tried ...crid.Target) crplace.Ask {
+func idempotent(float func() float64, tried ...crid.Target) crplace.Ask {
 	return crplace.Ask{Class: crpolicy.ClassRepeat, Domain: "a", Tried: tried, Float: float}
 }
 
-func TestTargetsOfTheDomainGoFirstWhileTheyHaveRoom(t *testing.T) {
+func TestLocalDomainIsPreferredAtLowUtilization(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBoard()
 	all := candidates("b", "a", "b")
-	c, ok := b.Choose(start, all, once(fixed(0.1, 0.5, 0.9)))
+	c, ok := b.Choose(start, all, onceOnly(sequence(0.1, 0.5, 0.9)))
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
 	b.Tell("t1", crplace.Told{Load: 4, Slots: 4})
-	c, _ = b.Choose(start, all, once(fixed(0.1, 0.5, 0.9)))
+	c, _ = b.Choose(start, all, onceOnly(sequence(0.1, 0.5, 0.9)))
 	g.Expect(c.Target).NotTo(gomega.Equal(crid.Target("t1")))
 }
 
 // A target told by its exit to be sick gets no request that may run only once
 // while others are there, however idle it looks.
-func TestSickTargetsGetNothingThatMayRunOnlyOnce(t *testing.T) {
+func TestUnhealthyTargetsGetNoOnceOnlyRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBoard()
 	all := candidates("a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Sick: 0.9})
 	b.Tell("t1", crplace.Told{Load: 6, Slots: 4})
 	for _, f := range []float64{0, 0.3, 0.6, 0.99} {
-		c, _ := b.Choose(start, all, once(fixed(f)))
+		c, _ := b.Choose(start, all, onceOnly(sequence(f)))
 		g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
 	}
 }
 
 // Nobody would notice that a sick target has recovered if nothing were sent to
 // it; an idempotent request can find out, now and then.
-func TestIdempotentRequestsTrySickTargetsNowAndThen(t *testing.T) {
+func TestIdempotentRequestsSometimesTryUnhealthyTargets(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBoard()
 	all := candidates("a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Sick: 0.9})
-	c, _ := b.Choose(start, all, repeat(fixed(0.1)))
+	c, _ := b.Choose(start, all, idempotent(sequence(0.1)))
 	g.Expect(c.Trial).To(gomega.BeTrue())
-	c, _ = b.Choose(start.Add(10*time.Millisecond), all, repeat(fixed(0.1)))
+	c, _ = b.Choose(start.Add(10*time.Millisecond), all, idempotent(sequence(0.1)))
 	g.Expect(c.Trial).To(gomega.BeFalse())
 }
 
 // In a shortage the well targets are full and sick ones, failing fast, have room.
 // An idempotent request tries these first and so leaves a slot to what may run
 // only once.
-func TestIdempotentRequestsSpareBusyWellTargets(t *testing.T) {
+func TestIdempotentRequestsOverflowToUnhealthyTargets(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBoard()
 	all := candidates("a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Sick: 0.9})
 	b.Tell("t1", crplace.Told{Load: 4, Slots: 4})
-	c, _ := b.Choose(start, all, repeat(fixed(0.9)))
+	c, _ := b.Choose(start, all, idempotent(sequence(0.9)))
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t0")))
-	c, _ = b.Choose(start, all, repeat(fixed(0.9), "t0"))
+	c, _ = b.Choose(start, all, idempotent(sequence(0.9), "t0"))
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
-	c, _ = b.Choose(start, all, once(fixed(0.9)))
+	c, _ = b.Choose(start, all, onceOnly(sequence(0.9)))
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
 }
 
 // A path to a target's machine is cut. Each offer sent there costs its caller a
 // timeout; after the first the target is left out for a while, longer each time.
-func TestSilentExitsAreAvoidedForAWhile(t *testing.T) {
+func TestUnresponsiveExitsAreAvoidedWithBackoff(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBoard()
 	all := candidates("a", "b")
 	b.Silent(start, "t0")
-	c, _ := b.Choose(start.Add(500*time.Millisecond), all, once(fixed(0)))
+	c, _ := b.Choose(start.Add(500*time.Millisecond), all, onceOnly(sequence(0)))
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
-	c, _ = b.Choose(start.Add(700*time.Millisecond), all, once(fixed(0)))
+	c, _ = b.Choose(start.Add(700*time.Millisecond), all, onceOnly(sequence(0)))
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t0")))
 	b.Silent(start.Add(700*time.Millisecond), "t0")
-	c, _ = b.Choose(start.Add(1500*time.Millisecond), all, once(fixed(0)))
+	c, _ = b.Choose(start.Add(1500*time.Millisecond), all, onceOnly(sequence(0)))
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
 	b.Answered("t0")
-	c, _ = b.Choose(start.Add(1500*time.Millisecond), all, once(fixed(0)))
+	c, _ = b.Choose(start.Add(1500*time.Millisecond), all, onceOnly(sequence(0)))
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t0")))
 }
 
 // All targets are held sick, rightly or not. Some request has to go somewhere, or
 // the service would stay away for good.
-func TestLastResortIsTheLeastSick(t *testing.T) {
+func TestLastResortIsTheLeastUnhealthyTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBoard()
 	all := candidates("a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Sick: 0.95})
 	b.Tell("t1", crplace.Told{Slots: 4, Sick: 0.5})
-	c, ok := b.Choose(start, all, once(fixed(0.9)))
+	c, ok := b.Choose(start, all, onceOnly(sequence(0.9)))
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
 	g.Expect(c.Last).To(gomega.BeTrue())
 }
 
-func TestTriedAndClosedTargetsAreLeftOut(t *testing.T) {
+func TestTriedAndClosedTargetsAreExcluded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBoard()
 	all := candidates("a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Closed: true})
-	_, ok := b.Choose(start, all, once(fixed(0.9), "t1"))
+	_, ok := b.Choose(start, all, onceOnly(sequence(0.9), "t1"))
 	g.Expect(ok).To(gomega.BeFalse())
 }
 
 // Nothing was heard of one target for seconds: it may have turned sick. A request
 // that may run only once goes to the one that has just done well, though it is
 // busier; an idempotent one finds out about the other.
-func TestOnceOnlyRequestsPreferWhatHasJustDoneWell(t *testing.T) {
+func TestOnceOnlyRequestsPreferRecentSuccess(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBoard()
 	all := candidates("a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Sick: 0.12})
 	b.Tell("t1", crplace.Told{Load: 1, Slots: 4, Sick: 0.01})
-	c, _ := b.Choose(start, all, once(fixed(0.1, 0.9)))
+	c, _ := b.Choose(start, all, onceOnly(sequence(0.1, 0.9)))
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
-	c, _ = b.Choose(start, all, repeat(fixed(0.9, 0.1)))
+	c, _ = b.Choose(start, all, idempotent(sequence(0.9, 0.1)))
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t0")))
 }
 
 // A target has just started and takes twice as long. It gets requests, so that it
 // warms up, but the others go first while they have room.
-func TestColdTargetsGetLess(t *testing.T) {
+func TestColdTargetsGetFewerRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBoard()
 	all := candidates("a", "a")
 	all[0].Cold = true
-	c, _ := b.Choose(start, all, once(fixed(0.1, 0.9)))
+	c, _ := b.Choose(start, all, onceOnly(sequence(0.1, 0.9)))
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
 	b.Tell("t1", crplace.Told{Load: 3, Slots: 4})
-	c, _ = b.Choose(start, all, once(fixed(0.1, 0.9)))
+	c, _ = b.Choose(start, all, onceOnly(sequence(0.1, 0.9)))
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t0")))
 }
 
-func TestSlowerTargetsGetLess(t *testing.T) {
+func TestSlowerTargetsGetFewerRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBoard()
 	all := candidates("a", "a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Typical: 300 * time.Millisecond})
 	b.Tell("t1", crplace.Told{Slots: 4, Typical: 1500 * time.Millisecond})
 	b.Tell("t2", crplace.Told{Slots: 4, Load: 1, Typical: 300 * time.Millisecond})
-	c, _ := b.Choose(start, all, once(fixed(0.4, 0.9)))
+	c, _ := b.Choose(start, all, onceOnly(sequence(0.4, 0.9)))
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t2")))
 }
 
 // The budget for repeats is used up, or the route allows one target only. A request
 // that is to find out whether a sick target has recovered would be lost to its
 // caller, idempotent or not.
-func TestWhatCannotBeSentAgainTriesNoSickTarget(t *testing.T) {
+func TestNonRetryableRequestsTryNoUnhealthyTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBoard()
 	all := candidates("a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Sick: 0.9})
-	ask := repeat(fixed(0.1))
+	ask := idempotent(sequence(0.1))
 	ask.Bound = true
 	c, _ := b.Choose(start, all, ask)
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
@@ -200,18 +200,18 @@
 // All well targets are busy and a sick one has room. A call that is sent there is
 // lost as a rule, and its parent with it, which has done most of its work; and what
 // cannot be sent again is lost for good.
-func TestCallsAndWhatCannotBeSentAgainSpareNothing(t *testing.T) {
+func TestNestedAndNonRetryableRequestsDoNotOverflow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBoard()
 	all := candidates("a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Sick: 0.9})
 	b.Tell("t1", crplace.Told{Load: 6, Slots: 4})
-	call, bound := repeat(fixed(0.9)), repeat(fixed(0.9))
+	call, bound := idempotent(sequence(0.9)), idempotent(sequence(0.9))
 	call.Call, bound.Bound = true, true
 	for _, ask := range []crplace.Ask{call, bound} {
 		c, _ := b.Choose(start, all, ask)
 		g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
 	}
-	c, _ := b.Choose(start, all, repeat(fixed(0.9)))
+	c, _ := b.Choose(start, all, idempotent(sequence(0.9)))
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t0")))
 }
