--- a/core/crplace/board.go
+++ b/core/crplace/board.go
@@ -26,17 +26,17 @@
 	lastTrial  crid.Instant
 }
 
-// Board is what one daemon knows of all targets. It is safe for concurrent use.
-type Board struct {
+// Balancer is what one daemon knows of all targets. It is safe for concurrent use.
+type Balancer struct {
 	mu     sync.Mutex
 	states map[crid.Target]*targetState
 }
 
 // NewBoard returns a board that knows nothing.
-func NewBoard() *Board { return &Board{states: make(map[crid.Target]*targetState)} }
+func NewBoard() *Balancer { return &Balancer{states: make(map[crid.Target]*targetState)} }
 
 // Tell notes what an exit told of its target.
-func (b *Board) Tell(t crid.Target, report Told) {
+func (b *Balancer) Tell(t crid.Target, report Told) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(t)
@@ -44,14 +44,14 @@
 }
 
 // Begin counts a request sent from here since the exit told its load.
-func (b *Board) Begin(t crid.Target) {
+func (b *Balancer) Begin(t crid.Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state(t).load++
 }
 
 // End counts a request that ended.
-func (b *Board) End(t crid.Target) {
+func (b *Balancer) End(t crid.Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(t)
@@ -59,7 +59,7 @@
 }
 
 // Answered forgets former silences of a target's exit.
-func (b *Board) Answered(t crid.Target) {
+func (b *Balancer) Answered(t crid.Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(t)
@@ -67,7 +67,7 @@
 }
 
 // Silent notes that a target's exit did not answer, and avoids it for a while.
-func (b *Board) Silent(now crid.Instant, t crid.Target) {
+func (b *Balancer) Silent(now crid.Instant, t crid.Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(t)
@@ -76,7 +76,7 @@
 }
 
 // Keep forgets all targets but the given ones.
-func (b *Board) Keep(targets map[crid.Target]bool) {
+func (b *Balancer) Keep(targets map[crid.Target]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for t := range b.states {
@@ -86,7 +86,7 @@
 	}
 }
 
-func (b *Board) state(t crid.Target) *targetState {
+func (b *Balancer) state(t crid.Target) *targetState {
 	s := b.states[t]
 	if s == nil {
 		s = &targetState{}
--- a/core/crplace/choose.go
+++ b/core/crplace/choose.go
@@ -52,7 +52,7 @@
 }
 
 // Choose picks the target to offer a request to, or reports that none is left.
-func (b *Board) Choose(now crid.Instant, all []Candidate, req Ask) (Choice, bool) {
+func (b *Balancer) Choose(now crid.Instant, all []Candidate, req Ask) (Choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	candidates := b.score(now, all, req)
@@ -81,7 +81,7 @@
 	return lastResort(candidates), true
 }
 
-func (b *Board) score(now crid.Instant, all []Candidate, req Ask) []scoredCandidate {
+func (b *Balancer) score(now crid.Instant, all []Candidate, req Ask) []scoredCandidate {
 	out := make([]scoredCandidate, 0, len(all))
 	typical := b.medianTypical(all)
 	for _, c := range all {
@@ -115,7 +115,7 @@
 }
 
 // usual is the median time of the targets' requests.
-func (b *Board) medianTypical(all []Candidate) time.Duration {
+func (b *Balancer) medianTypical(all []Candidate) time.Duration {
 	times := make([]time.Duration, 0, len(all))
 	for _, c := range all {
 		if s := b.states[c.Target]; s != nil && s.report.Typical > 0 {
--- a/core/crplace/crplace.go
+++ b/core/crplace/crplace.go
@@ -1,6 +1,6 @@
 // Package crplace chooses the target that a request is offered to.
 //
-// A [Board] holds what this daemon knows of each target: the load and the
+// A [Balancer] holds what this daemon knows of each target: the load and the
 // judgement that its exit told last, corrected by what was sent from here since,
 // and whether its exit can be reached from here. The choice is made anew after
 // each refused offer.
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -65,7 +65,7 @@
 	Clock   func() crid.Instant
 	Local   *cregress.Exit
 	Peers   *croffer.Client
-	Board   *crplace.Board
+	Board   *crplace.Balancer
 	Budget  *crbudget.Budget
 	Quota   Quota
 	Meter   Meter
--- a/io/crmesh/crmesh.go
+++ b/io/crmesh/crmesh.go
@@ -91,7 +91,7 @@
 	return crlog.New(q, opts.Settings.Log, opts.Settings.Name)
 }
 
-func newBoard() *crplace.Board { return crplace.NewBoard() }
+func newBoard() *crplace.Balancer { return crplace.NewBoard() }
 
 func newExit(opts Options, l *crlog.Logger, loop *loop) *cregress.Exit {
 	x := cregress.New(cregress.Options{
@@ -125,7 +125,7 @@
 }
 
 func newEntry(
-	opts Options, x *cregress.Exit, peers *croffer.Client, board *crplace.Board, budget *crbudget.Budget, q *quota, m *meters, l *crlog.Logger,
+	opts Options, x *cregress.Exit, peers *croffer.Client, board *crplace.Balancer, budget *crbudget.Budget, q *quota, m *meters, l *crlog.Logger,
 ) *cringress.Entry {
 	s := opts.Settings
 	return cringress.New(cringress.Options{
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -54,7 +54,7 @@
 	log         *crlog.Logger
 	queue       *crlog.Queue
 	loop        *loop
-	board       *crplace.Board
+	board       *crplace.Balancer
 	exit        *cregress.Exit
 	entry       *cringress.Entry
 	peers       *croffer.Client
@@ -66,7 +66,7 @@
 }
 
 func newDaemon(
-	opts Options, l *crlog.Logger, q *crlog.Queue, lp *loop, board *crplace.Board, x *cregress.Exit, e *cringress.Entry,
+	opts Options, l *crlog.Logger, q *crlog.Queue, lp *loop, board *crplace.Balancer, x *cregress.Exit, e *cringress.Entry,
 	peers *croffer.Client, feed *crfeed.Feed, f *crwatch.Follower, ch *crbeat.Channel, m metrics.Registry,
 ) *daemon {
 	return &daemon{
--- a/lab/crexperiment/world.go
+++ b/lab/crexperiment/world.go
@@ -71,7 +71,7 @@
 type entry struct {
 	world   *world
 	domain  crid.Domain
-	board   *crplace.Board
+	board   *crplace.Balancer
 	budget  *crbudget.Budget
 	told    map[crid.Target]crplace.Told
 	judges  map[crid.Target]*crjudge.Judge
