--- a/core/crplace/board.go
+++ b/core/crplace/board.go
@@ -32,8 +32,8 @@
 	states map[crid.Target]*targetState
 }
 
-// NewBoard returns a board that knows nothing.
-func NewBoard() *Balancer { return &Balancer{states: make(map[crid.Target]*targetState)} }
+// NewBalancer returns a board that knows nothing.
+func NewBalancer() *Balancer { return &Balancer{states: make(map[crid.Target]*targetState)} }
 
 // Tell notes what an exit told of its target.
 func (b *Balancer) Tell(t crid.Target, report Told) {
--- a/core/crplace/crplace_test.go
+++ b/core/crplace/crplace_test.go
@@ -44,7 +44,7 @@
 
 func TestLocalDomainIsPreferredAtLowUtilization(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := crplace.NewBoard()
+	b := crplace.NewBalancer()
 	all := candidates("b", "a", "b")
 	c, ok := b.Choose(start, all, onceOnly(sequence(0.1, 0.5, 0.9)))
 	g.Expect(ok).To(gomega.BeTrue())
@@ -58,7 +58,7 @@
 // while others are there, however idle it looks.
 func TestUnhealthyTargetsGetNoOnceOnlyRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := crplace.NewBoard()
+	b := crplace.NewBalancer()
 	all := candidates("a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Sick: 0.9})
 	b.Tell("t1", crplace.Told{Load: 6, Slots: 4})
@@ -72,7 +72,7 @@
 // it; an idempotent request can find out, now and then.
 func TestIdempotentRequestsSometimesTryUnhealthyTargets(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := crplace.NewBoard()
+	b := crplace.NewBalancer()
 	all := candidates("a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Sick: 0.9})
 	c, _ := b.Choose(start, all, idempotent(sequence(0.1)))
@@ -86,7 +86,7 @@
 // only once.
 func TestIdempotentRequestsOverflowToUnhealthyTargets(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := crplace.NewBoard()
+	b := crplace.NewBalancer()
 	all := candidates("a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Sick: 0.9})
 	b.Tell("t1", crplace.Told{Load: 4, Slots: 4})
@@ -102,7 +102,7 @@
 // timeout; after the first the target is left out for a while, longer each time.
 func TestUnresponsiveExitsAreAvoidedWithBackoff(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := crplace.NewBoard()
+	b := crplace.NewBalancer()
 	all := candidates("a", "b")
 	b.Silent(start, "t0")
 	c, _ := b.Choose(start.Add(500*time.Millisecond), all, onceOnly(sequence(0)))
@@ -121,7 +121,7 @@
 // the service would stay away for good.
 func TestLastResortIsTheLeastUnhealthyTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := crplace.NewBoard()
+	b := crplace.NewBalancer()
 	all := candidates("a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Sick: 0.95})
 	b.Tell("t1", crplace.Told{Slots: 4, Sick: 0.5})
@@ -133,7 +133,7 @@
 
 func TestTriedAndClosedTargetsAreExcluded(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := crplace.NewBoard()
+	b := crplace.NewBalancer()
 	all := candidates("a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Closed: true})
 	_, ok := b.Choose(start, all, onceOnly(sequence(0.9), "t1"))
@@ -145,7 +145,7 @@
 // busier; an idempotent one finds out about the other.
 func TestOnceOnlyRequestsPreferRecentSuccess(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := crplace.NewBoard()
+	b := crplace.NewBalancer()
 	all := candidates("a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Sick: 0.12})
 	b.Tell("t1", crplace.Told{Load: 1, Slots: 4, Sick: 0.01})
@@ -159,7 +159,7 @@
 // warms up, but the others go first while they have room.
 func TestColdTargetsGetFewerRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := crplace.NewBoard()
+	b := crplace.NewBalancer()
 	all := candidates("a", "a")
 	all[0].Cold = true
 	c, _ := b.Choose(start, all, onceOnly(sequence(0.1, 0.9)))
@@ -171,7 +171,7 @@
 
 func TestSlowerTargetsGetFewerRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := crplace.NewBoard()
+	b := crplace.NewBalancer()
 	all := candidates("a", "a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Typical: 300 * time.Millisecond})
 	b.Tell("t1", crplace.Told{Slots: 4, Typical: 1500 * time.Millisecond})
@@ -185,7 +185,7 @@
 // caller, idempotent or not.
 func TestNonRetryableRequestsTryNoUnhealthyTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := crplace.NewBoard()
+	b := crplace.NewBalancer()
 	all := candidates("a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Sick: 0.9})
 	ask := idempotent(sequence(0.1))
@@ -202,7 +202,7 @@
 // cannot be sent again is lost for good.
 func TestNestedAndNonRetryableRequestsDoNotOverflow(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := crplace.NewBoard()
+	b := crplace.NewBalancer()
 	all := candidates("a", "a")
 	b.Tell("t0", crplace.Told{Slots: 4, Sick: 0.9})
 	b.Tell("t1", crplace.Told{Load: 6, Slots: 4})
--- a/io/crmesh/crmesh.go
+++ b/io/crmesh/crmesh.go
@@ -91,7 +91,7 @@
 	return crlog.New(q, opts.Settings.Log, opts.Settings.Name)
 }
 
-func newBoard() *crplace.Balancer { return crplace.NewBoard() }
+func newBoard() *crplace.Balancer { return crplace.NewBalancer() }
 
 func newExit(opts Options, l *crlog.Logger, loop *loop) *cregress.Exit {
 	x := cregress.New(cregress.Options{
--- a/lab/crexperiment/world.go
+++ b/lab/crexperiment/world.go
@@ -132,7 +132,7 @@
 		for i := range s.Targets {
 			domain := crid.Domain(fmt.Sprintf("d%d", i%w.x.Domains))
 			e := &entry{
-				world: w, domain: domain, board: crplace.NewBoard(),
+				world: w, domain: domain, board: crplace.NewBalancer(),
 				budget: crbudget.New(crbudget.Params{Ratio: ratio, Slack: slack, Window: window}),
 				told:   make(map[crid.Target]crplace.Told), judges: make(map[crid.Target]*crjudge.Judge),
 				strikes: make(map[crid.Target]int), out: make(map[crid.Target]crid.Instant),
