--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -27,8 +27,8 @@
 }
 
 // Told is the beat as the board wants it.
-func (b Beat) Told() crplace.Told {
-	return crplace.Told{
+func (b Beat) Told() crplace.LoadReport {
+	return crplace.LoadReport{
 		Load:    b.Load,
 		Slots:   b.Slots,
 		Sick:    float64(b.Sick) / 255,
@@ -126,7 +126,7 @@
 	// Tell passes a peer's word on its target to the board.
 	Tell struct {
 		Target crid.Target
-		Told   crplace.Told
+		Told   crplace.LoadReport
 	}
 	// Pull fetches plan and list from a peer.
 	Pull struct{ From crid.Daemon }
--- a/core/crplace/board.go
+++ b/core/crplace/board.go
@@ -18,7 +18,7 @@
 
 // state is what is known of one target.
 type targetState struct {
-	report     Told
+	report     LoadReport
 	reported   bool
 	load       int
 	avoidance  time.Duration
@@ -36,7 +36,7 @@
 func NewBalancer() *Balancer { return &Balancer{states: make(map[crid.Target]*targetState)} }
 
 // Tell notes what an exit told of its target.
-func (b *Balancer) Tell(t crid.Target, report Told) {
+func (b *Balancer) Tell(t crid.Target, report LoadReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(t)
--- a/core/crplace/crplace.go
+++ b/core/crplace/crplace.go
@@ -28,8 +28,8 @@
 	Cold   bool // started a moment ago, and still slow
 }
 
-// Told is what an exit tells of its target.
-type Told struct {
+// LoadReport is what an exit tells of its target.
+type LoadReport struct {
 	_       struct{} `cbor:",toarray"`
 	Load    int      // requests running and waiting
 	Slots   int
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -173,17 +173,17 @@
 }
 
 // Told returns what peers are told of the target.
-func (x *Exit) Told() crplace.Told {
+func (x *Exit) Told() crplace.LoadReport {
 	x.mu.Lock()
 	sick := x.judge.Sick(x.opts.Clock())
 	x.mu.Unlock()
 	return x.told(sick)
 }
 
-func (x *Exit) told(sick float64) crplace.Told {
+func (x *Exit) told(sick float64) crplace.LoadReport {
 	l := x.gate.Load()
 	r := x.target.Load()
-	return crplace.Told{
+	return crplace.LoadReport{
 		Load: l.Running + l.Waiting, Slots: l.Slots, Sick: sick, Typical: l.Typical,
 		Closed: r == nil || r.Leaving || x.stopping.Load(),
 	}
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -109,10 +109,10 @@
 	own      bool          // the answer is not a target's
 	targets  int           // that the request was sent to
 	offers   int
-	budget   string         // spent of what was allowed, where that kept the request from being sent again
-	refusals string         // why offers came to nothing, each with its number
-	choice   crplace.Choice // of the target that gave the answer
-	told     crplace.Told   // by its exit, last
+	budget   string             // spent of what was allowed, where that kept the request from being sent again
+	refusals string             // why offers came to nothing, each with its number
+	choice   crplace.Choice     // of the target that gave the answer
+	told     crplace.LoadReport // by its exit, last
 }
 
 func refusal(status int, reason string, after time.Duration) reply {
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -269,7 +269,7 @@
 	Daemons []crid.Daemon                        `json:"daemons"`
 	Silent  []crid.Daemon                        `json:"silent"`
 	Targets map[crid.Service][]crplace.Candidate `json:"targets"`
-	Own     crplace.Told                         `json:"own"`
+	Own     crplace.LoadReport                   `json:"own"`
 	Open    int64                                `json:"open"`
 }
 
--- a/io/croffer/croffer.go
+++ b/io/croffer/croffer.go
@@ -50,7 +50,7 @@
 	Ticket     uint64
 	Reason     string        // why not
 	RetryAfter time.Duration // when there may be room
-	Told       crplace.Told
+	Told       crplace.LoadReport
 }
 
 // Request is a request as its target gets it, but for what the exit adds.
@@ -102,7 +102,7 @@
 	Status     int
 	Header     map[string][]string
 	Body       []byte
-	Told       crplace.Told
+	Told       crplace.LoadReport
 }
 
 // NotRun reports whether the request certainly did not run and never will.
--- a/lab/crexperiment/policy.go
+++ b/lab/crexperiment/policy.go
@@ -13,7 +13,7 @@
 // policy is how a fleet learns which targets are sick.
 type policy struct {
 	// believe returns what an entry holds of a target, of which its exit told.
-	believe func(e *entry, x *exit, told crplace.Told) crplace.Told
+	believe func(e *entry, x *exit, told crplace.LoadReport) crplace.LoadReport
 	// learn takes an answer that an entry got as evidence.
 	learn func(e *entry, x *exit, ok bool)
 	// judged has the exit refuse what its target would probably fail.
@@ -37,7 +37,7 @@
 	// Each entry leaves a target out after failures in a row.
 	"threshold": {believe: byStrikes, learn: func(e *entry, x *exit, ok bool) { e.strike(x, ok) }},
 	// Nobody judges.
-	"none": {believe: func(_ *entry, _ *exit, told crplace.Told) crplace.Told { return withSick(told, 0) }, learn: nothing},
+	"none": {believe: func(_ *entry, _ *exit, told crplace.LoadReport) crplace.LoadReport { return withSick(told, 0) }, learn: nothing},
 	// All entries know the state and load of all targets at once, and no message is needed.
 	"oracle": {believe: byTruth, learn: nothing, fresh: true},
 }
@@ -54,25 +54,25 @@
 	return crjudge.Failure
 }
 
-func withSick(t crplace.Told, sick float64) crplace.Told {
+func withSick(t crplace.LoadReport, sick float64) crplace.LoadReport {
 	t.Sick = sick
 	return t
 }
 
-func asTold(_ *entry, _ *exit, told crplace.Told) crplace.Told { return told }
+func asTold(_ *entry, _ *exit, told crplace.LoadReport) crplace.LoadReport { return told }
 
-func byOwn(e *entry, x *exit, told crplace.Told) crplace.Told {
+func byOwn(e *entry, x *exit, told crplace.LoadReport) crplace.LoadReport {
 	return withSick(told, e.judge(x).Sick(e.world.now))
 }
 
-func byStrikes(e *entry, x *exit, told crplace.Told) crplace.Told {
+func byStrikes(e *entry, x *exit, told crplace.LoadReport) crplace.LoadReport {
 	if e.world.now < e.out[x.target] {
 		return withSick(told, 1)
 	}
 	return withSick(told, 0)
 }
 
-func byTruth(_ *entry, x *exit, told crplace.Told) crplace.Told {
+func byTruth(_ *entry, x *exit, told crplace.LoadReport) crplace.LoadReport {
 	if x.sick {
 		return withSick(told, 1)
 	}
--- a/lab/crexperiment/world.go
+++ b/lab/crexperiment/world.go
@@ -73,7 +73,7 @@
 	domain  crid.Domain
 	board   *crplace.Balancer
 	budget  *crbudget.Budget
-	told    map[crid.Target]crplace.Told
+	told    map[crid.Target]crplace.LoadReport
 	judges  map[crid.Target]*crjudge.Judge
 	strikes map[crid.Target]int
 	out     map[crid.Target]crid.Instant
@@ -134,7 +134,7 @@
 			e := &entry{
 				world: w, domain: domain, board: crplace.NewBalancer(),
 				budget: crbudget.New(crbudget.Params{Ratio: ratio, Slack: slack, Window: window}),
-				told:   make(map[crid.Target]crplace.Told), judges: make(map[crid.Target]*crjudge.Judge),
+				told:   make(map[crid.Target]crplace.LoadReport), judges: make(map[crid.Target]*crjudge.Judge),
 				strikes: make(map[crid.Target]int), out: make(map[crid.Target]crid.Instant),
 			}
 			x := &exit{
@@ -203,9 +203,9 @@
 	w.after(length, func() { x.phase(time.Duration(w.x.Sick.Every)) })
 }
 
-func (x *exit) told() crplace.Told {
+func (x *exit) told() crplace.LoadReport {
 	l := x.gate.Load()
-	return crplace.Told{Load: l.Running + l.Waiting, Slots: l.Slots, Sick: x.judge.Sick(x.world.now), Typical: l.Typical}
+	return crplace.LoadReport{Load: l.Running + l.Waiting, Slots: l.Slots, Sick: x.judge.Sick(x.world.now), Typical: l.Typical}
 }
 
 func (x *exit) beat() {
@@ -221,7 +221,7 @@
 	}
 }
 
-func (e *entry) hear(x *exit, told crplace.Told) {
+func (e *entry) hear(x *exit, told crplace.LoadReport) {
 	e.told[x.target] = told
 	e.board.Tell(x.target, e.world.policy.believe(e, x, told))
 }
