--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -29,11 +29,11 @@
 // Told is the beat as the board wants it.
 func (b Beat) Told() crplace.LoadReport {
 	return crplace.LoadReport{
-		Load:    b.Load,
-		Slots:   b.Slots,
-		Sick:    float64(b.Sick) / 255,
-		Typical: time.Duration(b.Typical) * time.Millisecond,
-		Closed:  b.Closed,
+		Load:          b.Load,
+		Slots:         b.Slots,
+		UnhealthyProb: float64(b.Sick) / 255,
+		Typical:       time.Duration(b.Typical) * time.Millisecond,
+		Closed:        b.Closed,
 	}
 }
 
--- a/core/crplace/choose.go
+++ b/core/crplace/choose.go
@@ -92,7 +92,7 @@
 		if s.reported && s.report.Closed {
 			continue
 		}
-		v := scoredCandidate{Candidate: c, state: s, unhealthyProb: s.report.Sick}
+		v := scoredCandidate{Candidate: c, state: s, unhealthyProb: s.report.UnhealthyProb}
 		slots := c.Slots
 		if s.reported && s.report.Slots > 0 {
 			slots = s.report.Slots
--- a/core/crplace/crplace.go
+++ b/core/crplace/crplace.go
@@ -30,12 +30,12 @@
 
 // LoadReport is what an exit tells of its target.
 type LoadReport struct {
-	_       struct{} `cbor:",toarray"`
-	Load    int      // requests running and waiting
-	Slots   int
-	Sick    float64
-	Typical time.Duration // zero: not known
-	Closed  bool          // takes nothing now
+	_             struct{} `cbor:",toarray"`
+	Load          int      // requests running and waiting
+	Slots         int
+	UnhealthyProb float64
+	Typical       time.Duration // zero: not known
+	Closed        bool          // takes nothing now
 }
 
 // Ask is what a choice depends on besides the board.
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -184,7 +184,7 @@
 	l := x.gate.Load()
 	r := x.target.Load()
 	return crplace.LoadReport{
-		Load: l.Running + l.Waiting, Slots: l.Slots, Sick: sick, Typical: l.Typical,
+		Load: l.Running + l.Waiting, Slots: l.Slots, UnhealthyProb: sick, Typical: l.Typical,
 		Closed: r == nil || r.Leaving || x.stopping.Load(),
 	}
 }
@@ -229,7 +229,7 @@
 	if x.lines.allow(now) {
 		x.opts.Log.Event(crlog.OfferRefused, crlog.Fields{
 			"request": o.ID, "target": string(o.Target), "entry": string(o.From), "reason": r.reason, "class": o.Class.String(),
-			"load": strconv.Itoa(told.Load), "slots": strconv.Itoa(told.Slots), "sick": crlog.Percent(told.Sick),
+			"load": strconv.Itoa(told.Load), "slots": strconv.Itoa(told.Slots), "sick": crlog.Percent(told.UnhealthyProb),
 			"wait": r.wait.Round(time.Millisecond).String(), "patience": r.patience.Round(time.Millisecond).String(),
 			"typical": told.Typical.Round(time.Millisecond).String(),
 		})
--- a/io/cregress/run.go
+++ b/io/cregress/run.go
@@ -49,7 +49,7 @@
 		"outcome": result.Outcome.String(), "status": strconv.Itoa(result.Status), "reason": result.Reason,
 		"waited": r.started.Sub(r.claim.at).Round(time.Millisecond).String(),
 		"took":   r.exit.opts.Clock().Sub(r.started).Round(time.Millisecond).String(),
-		"sick":   crlog.Percent(result.Told.Sick), "load": strconv.Itoa(result.Told.Load), "slots": strconv.Itoa(result.Told.Slots),
+		"sick":   crlog.Percent(result.Told.UnhealthyProb), "load": strconv.Itoa(result.Told.Load), "slots": strconv.Itoa(result.Told.Slots),
 	})
 }
 
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -118,7 +118,7 @@
 		Target:      d.exit.Target(),
 		Load:        told.Load,
 		Slots:       told.Slots,
-		Sick:        uint8(told.Sick * 255),
+		Sick:        uint8(told.UnhealthyProb * 255),
 		Typical:     told.Typical.Milliseconds(),
 		Closed:      told.Closed,
 		Stopping:    eff.Stopping,
--- a/lab/crexperiment/policy.go
+++ b/lab/crexperiment/policy.go
@@ -55,7 +55,7 @@
 }
 
 func withSick(t crplace.LoadReport, sick float64) crplace.LoadReport {
-	t.Sick = sick
+	t.UnhealthyProb = sick
 	return t
 }
 
--- a/lab/crexperiment/world.go
+++ b/lab/crexperiment/world.go
@@ -205,7 +205,7 @@
 
 func (x *exit) told() crplace.LoadReport {
 	l := x.gate.Load()
-	return crplace.LoadReport{Load: l.Running + l.Waiting, Slots: l.Slots, Sick: x.judge.Sick(x.world.now), Typical: l.Typical}
+	return crplace.LoadReport{Load: l.Running + l.Waiting, Slots: l.Slots, UnhealthyProb: x.judge.Sick(x.world.now), Typical: l.Typical}
 }
 
 func (x *exit) beat() {
@@ -247,7 +247,7 @@
 	w := x.world
 	holds := 0
 	for _, e := range w.entries {
-		if w.policy.believe(e, x, e.told[x.target]).Sick >= crjudge.Limit {
+		if w.policy.believe(e, x, e.told[x.target]).UnhealthyProb >= crjudge.Limit {
 			holds++
 		}
 	}
