--- a/core/crplace/choose.go
+++ b/core/crplace/choose.go
@@ -52,7 +52,7 @@
 }
 
 // Choose picks the target to offer a request to, or reports that none is left.
-func (b *Balancer) Choose(now crid.Instant, all []Candidate, req Ask) (Choice, bool) {
+func (b *Balancer) Choose(now crid.Instant, all []Candidate, req Request) (Choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	candidates := b.score(now, all, req)
@@ -81,7 +81,7 @@
 	return lastResort(candidates), true
 }
 
-func (b *Balancer) score(now crid.Instant, all []Candidate, req Ask) []scoredCandidate {
+func (b *Balancer) score(now crid.Instant, all []Candidate, req Request) []scoredCandidate {
 	out := make([]scoredCandidate, 0, len(all))
 	typical := b.medianTypical(all)
 	for _, c := range all {
@@ -133,7 +133,7 @@
 // only a request can tell that it has recovered, and one that can be sent again
 // loses nothing. One that could not, the budget for repeats being used up, would be
 // lost where the target is still sick.
-func trial(now crid.Instant, candidates []scoredCandidate, req Ask) (scoredCandidate, bool) {
+func trial(now crid.Instant, candidates []scoredCandidate, req Request) (scoredCandidate, bool) {
 	if !req.firstTry() || req.Bound || req.Float() >= trialShare {
 		return scoredCandidate{}, false
 	}
@@ -154,7 +154,7 @@
 // being used up, would as a rule be lost. And a call takes little of a well target's
 // time, but lost it takes its parent with it, which may run only once and has done
 // most of its work.
-func overflow(candidates, healthy []scoredCandidate, req Ask) (scoredCandidate, bool) {
+func overflow(candidates, healthy []scoredCandidate, req Request) (scoredCandidate, bool) {
 	if !req.firstTry() || req.Bound || req.Call {
 		return scoredCandidate{}, false
 	}
@@ -171,7 +171,7 @@
 }
 
 // best draws a few and takes the one with the lowest score.
-func best(candidates []scoredCandidate, req Ask) scoredCandidate {
+func best(candidates []scoredCandidate, req Request) scoredCandidate {
 	chosen := candidates[int(req.Float()*float64(len(candidates)))]
 	for range sampleSize - 1 {
 		v := candidates[int(req.Float()*float64(len(candidates)))]
--- a/core/crplace/crplace.go
+++ b/core/crplace/crplace.go
@@ -38,8 +38,8 @@
 	Closed        bool          // takes nothing now
 }
 
-// Ask is what a choice depends on besides the board.
-type Ask struct {
+// Request is what a choice depends on besides the board.
+type Request struct {
 	Class  crpolicy.Class
 	Domain crid.Domain            // of the entry
 	Tried  []crid.Target          // that refused this request already
@@ -50,7 +50,7 @@
 }
 
 // first reports whether an idempotent request looks for its first target.
-func (a Ask) firstTry() bool { return a.Class == crpolicy.ClassRepeat && len(a.Tried) == 0 }
+func (a Request) firstTry() bool { return a.Class == crpolicy.ClassRepeat && len(a.Tried) == 0 }
 
 // Choice is the target chosen.
 type Choice struct {
--- a/core/crplace/crplace_test.go
+++ b/core/crplace/crplace_test.go
@@ -34,12 +34,12 @@
 	return out
 }
 
-func onceOnly(float func() float64, tried ...crid.Target) crplace.Ask {
-	return crplace.Ask{Class: crpolicy.ClassOnce, Domain: "a", Tried: tried, Float: float}
+func onceOnly(float func() float64, tried ...crid.Target) crplace.Request {
+	return crplace.Request{Class: crpolicy.ClassOnce, Domain: "a", Tried: tried, Float: float}
 }
 
-func idempotent(float func() float64, tried ...crid.Target) crplace.Ask {
-	return crplace.Ask{Class: crpolicy.ClassRepeat, Domain: "a", Tried: tried, Float: float}
+func idempotent(float func() float64, tried ...crid.Target) crplace.Request {
+	return crplace.Request{Class: crpolicy.ClassRepeat, Domain: "a", Tried: tried, Float: float}
 }
 
 func TestLocalDomainIsPreferredAtLowUtilization(t *testing.T) {
@@ -208,7 +208,7 @@
 	b.Tell("t1", crplace.LoadReport{Load: 6, Slots: 4})
 	call, bound := idempotent(sequence(0.9)), idempotent(sequence(0.9))
 	call.Call, bound.Bound = true, true
-	for _, ask := range []crplace.Ask{call, bound} {
+	for _, ask := range []crplace.Request{call, bound} {
 		c, _ := b.Choose(start, all, ask)
 		g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
 	}
