--- a/core/crplace/choose.go
+++ b/core/crplace/choose.go
@@ -134,7 +134,7 @@
 // loses nothing. One that could not, the budget for repeats being used up, would be
 // lost where the target is still sick.
 func trial(now crid.Instant, candidates []scoredCandidate, req Request) (scoredCandidate, bool) {
-	if !req.firstTry() || req.Bound || req.Float() >= trialShare {
+	if !req.firstTry() || req.Bound || req.Rand() >= trialShare {
 		return scoredCandidate{}, false
 	}
 	unhealthy := filter(candidates, func(v scoredCandidate) bool {
@@ -143,7 +143,7 @@
 	if len(unhealthy) == 0 || len(unhealthy) == len(candidates) {
 		return scoredCandidate{}, false
 	}
-	return unhealthy[int(req.Float()*float64(len(unhealthy)))], true
+	return unhealthy[int(req.Rand()*float64(len(unhealthy)))], true
 }
 
 // spared picks a sick target with room for an idempotent request while all well
@@ -172,9 +172,9 @@
 
 // best draws a few and takes the one with the lowest score.
 func best(candidates []scoredCandidate, req Request) scoredCandidate {
-	chosen := candidates[int(req.Float()*float64(len(candidates)))]
+	chosen := candidates[int(req.Rand()*float64(len(candidates)))]
 	for range sampleSize - 1 {
-		v := candidates[int(req.Float()*float64(len(candidates)))]
+		v := candidates[int(req.Rand()*float64(len(candidates)))]
 		if v.score < chosen.score {
 			chosen = v
 		}
--- a/core/crplace/crplace.go
+++ b/core/crplace/crplace.go
@@ -43,7 +43,7 @@
 	Class  crpolicy.Class
 	Domain crid.Domain            // of the entry
 	Tried  []crid.Target          // that refused this request already
-	Float  func() float64         // in [0,1); safe for the caller's goroutine
+	Rand   func() float64         // in [0,1); safe for the caller's goroutine
 	Silent func(crid.Daemon) bool // whether nothing was heard of a daemon lately
 	Bound  bool                   // it could not be sent again if the target failed it
 	Call   bool                   // a request that holds a slot of the fleet waits for it
--- a/core/crplace/crplace_test.go
+++ b/core/crplace/crplace_test.go
@@ -35,11 +35,11 @@
 }
 
 func onceOnly(float func() float64, tried ...crid.Target) crplace.Request {
-	return crplace.Request{Class: crpolicy.ClassOnce, Domain: "a", Tried: tried, Float: float}
+	return crplace.Request{Class: crpolicy.ClassOnce, Domain: "a", Tried: tried, Rand: float}
 }
 
 func idempotent(float func() float64, tried ...crid.Target) crplace.Request {
-	return crplace.Request{Class: crpolicy.ClassRepeat, Domain: "a", Tried: tried, Float: float}
+	return crplace.Request{Class: crpolicy.ClassRepeat, Domain: "a", Tried: tried, Rand: float}
 }
 
 func TestLocalDomainIsPreferredAtLowUtilization(t *testing.T) {
