--- a/core/crplace/choose.go
+++ b/core/crplace/choose.go
@@ -103,7 +103,7 @@
 		if c.Cold {
 			v.score += coldWeight
 		}
-		if req.Class == crpolicy.ClassOnce || len(req.Tried) > 0 || req.Bound {
+		if req.Class == crpolicy.ClassOnce || len(req.Tried) > 0 || req.NoRetry {
 			v.score += unhealthyWeight * v.unhealthyProb
 		}
 		if typical > 0 && s.report.Typical > 0 {
@@ -134,7 +134,7 @@
 // loses nothing. One that could not, the budget for repeats being used up, would be
 // lost where the target is still sick.
 func trial(now crid.Instant, candidates []scoredCandidate, req Request) (scoredCandidate, bool) {
-	if !req.firstTry() || req.Bound || req.Rand() >= trialShare {
+	if !req.firstTry() || req.NoRetry || req.Rand() >= trialShare {
 		return scoredCandidate{}, false
 	}
 	unhealthy := filter(candidates, func(v scoredCandidate) bool {
@@ -155,7 +155,7 @@
 // time, but lost it takes its parent with it, which may run only once and has done
 // most of its work.
 func overflow(candidates, healthy []scoredCandidate, req Request) (scoredCandidate, bool) {
-	if !req.firstTry() || req.Bound || req.Call {
+	if !req.firstTry() || req.NoRetry || req.Call {
 		return scoredCandidate{}, false
 	}
 	if slices.ContainsFunc(healthy, func(v scoredCandidate) bool { return v.utilization < lowUtilization }) {
--- a/core/crplace/crplace.go
+++ b/core/crplace/crplace.go
@@ -40,13 +40,13 @@
 
 // Request is what a choice depends on besides the board.
 type Request struct {
-	Class  crpolicy.Class
-	Domain crid.Domain            // of the entry
-	Tried  []crid.Target          // that refused this request already
-	Rand   func() float64         // in [0,1); safe for the caller's goroutine
-	Silent func(crid.Daemon) bool // whether nothing was heard of a daemon lately
-	Bound  bool                   // it could not be sent again if the target failed it
-	Call   bool                   // a request that holds a slot of the fleet waits for it
+	Class   crpolicy.Class
+	Domain  crid.Domain            // of the entry
+	Tried   []crid.Target          // that refused this request already
+	Rand    func() float64         // in [0,1); safe for the caller's goroutine
+	Silent  func(crid.Daemon) bool // whether nothing was heard of a daemon lately
+	NoRetry bool                   // it could not be sent again if the target failed it
+	Call    bool                   // a request that holds a slot of the fleet waits for it
 }
 
 // first reports whether an idempotent request looks for its first target.
