--- a/core/crplace/choose.go
+++ b/core/crplace/choose.go
@@ -155,7 +155,7 @@
 // time, but lost it takes its parent with it, which may run only once and has done
 // most of its work.
 func overflow(candidates, healthy []scoredCandidate, req Request) (scoredCandidate, bool) {
-	if !req.firstTry() || req.NoRetry || req.Call {
+	if !req.firstTry() || req.NoRetry || req.Nested {
 		return scoredCandidate{}, false
 	}
 	if slices.ContainsFunc(healthy, func(v scoredCandidate) bool { return v.utilization < lowUtilization }) {
--- a/core/crplace/crplace.go
+++ b/core/crplace/crplace.go
@@ -46,7 +46,7 @@
 	Rand    func() float64         // in [0,1); safe for the caller's goroutine
 	Silent  func(crid.Daemon) bool // whether nothing was heard of a daemon lately
 	NoRetry bool                   // it could not be sent again if the target failed it
-	Call    bool                   // a request that holds a slot of the fleet waits for it
+	Nested  bool                   // a request that holds a slot of the fleet waits for it
 }
 
 // first reports whether an idempotent request looks for its first target.
--- a/core/crplace/crplace_test.go
+++ b/core/crplace/crplace_test.go
@@ -207,7 +207,7 @@
 	b.Tell("t0", crplace.LoadReport{Slots: 4, UnhealthyProb: 0.9})
 	b.Tell("t1", crplace.LoadReport{Load: 6, Slots: 4})
 	call, bound := idempotent(sequence(0.9)), idempotent(sequence(0.9))
-	call.Call, bound.NoRetry = true, true
+	call.Nested, bound.NoRetry = true, true
 	for _, ask := range []crplace.Request{call, bound} {
 		c, _ := b.Choose(start, all, ask)
 		g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
--- a/io/cringress/dispatch.go
+++ b/io/cringress/dispatch.go
@@ -85,7 +85,7 @@
 	}
 	choice, ok := d.opts.Board.Choose(now, d.view.Targets[d.service], crplace.Request{
 		Class: d.route.Class, Domain: d.opts.Domain, Tried: d.tried, Rand: rand.Float64,
-		Silent: func(id crid.Daemon) bool { return d.view.Silent[id] }, NoRetry: !d.again(now), Call: d.isCall(),
+		Silent: func(id crid.Daemon) bool { return d.view.Silent[id] }, NoRetry: !d.again(now), Nested: d.isCall(),
 	})
 	if !ok {
 		return false
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -63,7 +63,7 @@
 	}
 	e.refresh(r.kind.Service)
 	choice, ok := e.board.Choose(w.now, w.list[r.kind.Service], crplace.Request{
-		Class: r.kind.class(), Domain: e.domain, Tried: r.tried, Rand: w.rng.Float64, NoRetry: !r.again(), Call: r.call,
+		Class: r.kind.class(), Domain: e.domain, Tried: r.tried, Rand: w.rng.Float64, NoRetry: !r.again(), Nested: r.call,
 	})
 	if !ok || (r.sent > 0 && !e.budget.Spend(w.now, r.kind.Service, len(w.entries), 1)) {
 		r.finish(false)
