--- a/core/crplace/crplace_test.go
+++ b/core/crplace/crplace_test.go
@@ -128,7 +128,7 @@
 	c, ok := b.Choose(start, all, onceOnly(sequence(0.9)))
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
-	g.Expect(c.Last).To(gomega.BeTrue())
+	g.Expect(c.LastResort).To(gomega.BeTrue())
 }
 
 func TestTriedAndClosedTargetsAreExcluded(t *testing.T) {
--- a/io/cringress/dispatch.go
+++ b/io/cringress/dispatch.go
@@ -127,7 +127,7 @@
 	now := d.opts.Clock()
 	o := croffer.Offer{
 		ID: d.caller.ID, From: d.opts.Self, Target: c.Target, Service: d.service, Class: d.route.Class, Priority: d.priority(),
-		Left: d.deadline.Sub(now), Objective: d.route.Objective - now.Sub(d.started), Last: c.Last, Repeat: d.repeat,
+		Left: d.deadline.Sub(now), Objective: d.route.Objective - now.Sub(d.started), Last: c.LastResort, Repeat: d.repeat,
 		Aim: d.route.Objective, Call: d.isCall(),
 	}
 	if c.Daemon == d.opts.Self {
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -71,7 +71,7 @@
 	}
 	x := w.services[r.kind.Service][slices.IndexFunc(w.services[r.kind.Service], func(x *exit) bool { return x.target == choice.Target })]
 	r.tried = append(r.tried, choice.Target)
-	s := &send{request: r, exit: x, last: choice.Last}
+	s := &send{request: r, exit: x, last: choice.LastResort}
 	w.after(w.hop(e, x), s.offer)
 }
 
