--- a/core/crplace/crplace.go
+++ b/core/crplace/crplace.go
@@ -55,10 +55,10 @@
 // Choice is the target chosen.
 type Choice struct {
 	Candidate
-	Trial      bool    // the target is held to be sick, and the request is to find out
-	LastResort bool    // no better target is left: the exit should take it although sick
-	Sick       float64 // as this daemon believed
-	Use        float64 // share of the slots taken, as this daemon believed
+	Trial         bool    // the target is held to be sick, and the request is to find out
+	LastResort    bool    // no better target is left: the exit should take it although sick
+	UnhealthyProb float64 // as this daemon believed
+	Use           float64 // share of the slots taken, as this daemon believed
 }
 
 // Why says in a word what kind of choice it was, for logs.
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -302,7 +302,7 @@
 	f := crlog.Fields{
 		"request": q.caller.ID, "status": strconv.Itoa(a.status), "reason": a.reason, "service": string(q.service),
 		"target": string(a.choice.Target), "choice": a.choice.Why(),
-		"believed": crlog.Percent(a.choice.Sick), "told": crlog.Percent(a.told.UnhealthyProb), "class": q.class().String(), "refusals": a.refusals, "targets": strconv.Itoa(a.targets), "offers": strconv.Itoa(a.offers),
+		"believed": crlog.Percent(a.choice.UnhealthyProb), "told": crlog.Percent(a.told.UnhealthyProb), "class": q.class().String(), "refusals": a.refusals, "targets": strconv.Itoa(a.targets), "offers": strconv.Itoa(a.offers),
 		"budget": a.budget, "took": q.opts.Clock().Sub(q.started).Round(time.Millisecond).String(), "end": end,
 	}
 	if q.account != nil {
