--- a/core/crplace/choose.go
+++ b/core/crplace/choose.go
@@ -48,7 +48,7 @@
 }
 
 func (v scoredCandidate) choice(trial, last bool) Choice {
-	return Choice{Candidate: v.Candidate, Trial: trial, LastResort: last, UnhealthyProb: v.unhealthyProb, Use: v.utilization}
+	return Choice{Candidate: v.Candidate, Trial: trial, LastResort: last, UnhealthyProb: v.unhealthyProb, Utilization: v.utilization}
 }
 
 // Choose picks the target to offer a request to, or reports that none is left.
--- a/core/crplace/crplace.go
+++ b/core/crplace/crplace.go
@@ -58,7 +58,7 @@
 	Trial         bool    // the target is held to be sick, and the request is to find out
 	LastResort    bool    // no better target is left: the exit should take it although sick
 	UnhealthyProb float64 // as this daemon believed
-	Use           float64 // share of the slots taken, as this daemon believed
+	Utilization   float64 // share of the slots taken, as this daemon believed
 }
 
 // Why says in a word what kind of choice it was, for logs.
@@ -68,7 +68,7 @@
 		return "trial"
 	case c.LastResort:
 		return "last resort"
-	case c.Use < lowUtilization:
+	case c.Utilization < lowUtilization:
 		return "room"
 	}
 	return "queue"
