--- a/core/crplace/crplace.go
+++ b/core/crplace/crplace.go
@@ -61,8 +61,8 @@
 	Utilization   float64 // share of the slots taken, as this daemon believed
 }
 
-// Why says in a word what kind of choice it was, for logs.
-func (c Choice) Why() string {
+// Reason says in a word what kind of choice it was, for logs.
+func (c Choice) Reason() string {
 	switch {
 	case c.Trial:
 		return "trial"
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -301,7 +301,7 @@
 	}
 	f := crlog.Fields{
 		"request": q.caller.ID, "status": strconv.Itoa(a.status), "reason": a.reason, "service": string(q.service),
-		"target": string(a.choice.Target), "choice": a.choice.Why(),
+		"target": string(a.choice.Target), "choice": a.choice.Reason(),
 		"believed": crlog.Percent(a.choice.UnhealthyProb), "told": crlog.Percent(a.told.UnhealthyProb), "class": q.class().String(), "refusals": a.refusals, "targets": strconv.Itoa(a.targets), "offers": strconv.Itoa(a.offers),
 		"budget": a.budget, "took": q.opts.Clock().Sub(q.started).Round(time.Millisecond).String(), "end": end,
 	}
--- a/io/cringress/dispatch.go
+++ b/io/cringress/dispatch.go
@@ -98,7 +98,7 @@
 	if d.repeat {
 		d.opts.Meter.Repeated()
 		d.opts.Log.Event(crlog.RequestRepeated, crlog.Fields{
-			"request": d.caller.ID, "service": string(d.service), "target": string(choice.Target), "choice": choice.Why(), "after": d.last.reason,
+			"request": d.caller.ID, "service": string(d.service), "target": string(choice.Target), "choice": choice.Reason(), "after": d.last.reason,
 		})
 	}
 	d.offers++
