--- a/core/crplace/board.go
+++ b/core/crplace/board.go
@@ -35,8 +35,8 @@
 // NewBalancer returns a board that knows nothing.
 func NewBalancer() *Balancer { return &Balancer{states: make(map[crid.Target]*targetState)} }
 
-// Tell notes what an exit told of its target.
-func (b *Balancer) Tell(t crid.Target, report LoadReport) {
+// Report notes what an exit told of its target.
+func (b *Balancer) Report(t crid.Target, report LoadReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(t)
--- a/io/cringress/dispatch.go
+++ b/io/cringress/dispatch.go
@@ -161,7 +161,7 @@
 
 func (d *dispatch) heard(o croffer.Offer, r croffer.Reply) {
 	if r.Reason != "no such target here" {
-		d.opts.Board.Tell(o.Target, r.Told)
+		d.opts.Board.Report(o.Target, r.Told)
 	}
 	if !r.Taken {
 		d.note(r.Reason)
@@ -217,7 +217,7 @@
 // another target may be tried.
 func (d *dispatch) took(ctx context.Context, c crplace.Choice, r croffer.Result) bool {
 	if r.Told.Slots > 0 {
-		d.opts.Board.Tell(c.Target, r.Told)
+		d.opts.Board.Report(c.Target, r.Told)
 	}
 	if r.NotRun() {
 		d.note(r.Reason)
--- a/lab/crexperiment/policy.go
+++ b/lab/crexperiment/policy.go
@@ -109,6 +109,6 @@
 		if p.fresh {
 			told = x.told()
 		}
-		e.board.Tell(x.target, p.believe(e, x, told))
+		e.board.Report(x.target, p.believe(e, x, told))
 	}
 }
--- a/lab/crexperiment/world.go
+++ b/lab/crexperiment/world.go
@@ -223,7 +223,7 @@
 
 func (e *entry) hear(x *exit, told crplace.LoadReport) {
 	e.told[x.target] = told
-	e.board.Tell(x.target, e.world.policy.believe(e, x, told))
+	e.board.Report(x.target, e.world.policy.believe(e, x, told))
 }
 
 // look sweeps the gates, and takes the measures of what entries believe.
