--- a/core/crplace/board.go
+++ b/core/crplace/board.go
@@ -58,8 +58,8 @@
 	s.load = max(s.load-1, 0)
 }
 
-// Answered forgets former silences of a target's exit.
-func (b *Balancer) Answered(t crid.Target) {
+// Responded forgets former silences of a target's exit.
+func (b *Balancer) Responded(t crid.Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(t)
--- a/core/crplace/crplace_test.go
+++ b/core/crplace/crplace_test.go
@@ -112,7 +112,7 @@
 	b.Silent(start.Add(700*time.Millisecond), "t0")
 	c, _ = b.Choose(start.Add(1500*time.Millisecond), all, onceOnly(sequence(0)))
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
-	b.Answered("t0")
+	b.Responded("t0")
 	c, _ = b.Choose(start.Add(1500*time.Millisecond), all, onceOnly(sequence(0)))
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t0")))
 }
--- a/io/cringress/dispatch.go
+++ b/io/cringress/dispatch.go
@@ -142,7 +142,7 @@
 		}
 		return croffer.Result{}, false
 	}
-	d.opts.Board.Answered(c.Target)
+	d.opts.Board.Responded(c.Target)
 	d.heard(o, reply)
 	if grant == nil {
 		return croffer.Result{}, false
