--- a/core/crplace/board.go
+++ b/core/crplace/board.go
@@ -66,8 +66,8 @@
 	s.avoidance, s.avoidUntil = 0, 0
 }
 
-// Silent notes that a target's exit did not answer, and avoids it for a while.
-func (b *Balancer) Silent(now crid.Instant, t crid.Target) {
+// NoResponse notes that a target's exit did not answer, and avoids it for a while.
+func (b *Balancer) NoResponse(now crid.Instant, t crid.Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(t)
--- a/io/cringress/dispatch.go
+++ b/io/cringress/dispatch.go
@@ -138,7 +138,7 @@
 		if ctx.Err() == nil {
 			d.silent++
 			d.note("silent")
-			d.opts.Board.Silent(d.opts.Clock(), c.Target)
+			d.opts.Board.NoResponse(d.opts.Clock(), c.Target)
 		}
 		return croffer.Result{}, false
 	}
