--- a/core/crplace/board.go
+++ b/core/crplace/board.go
@@ -75,8 +75,8 @@
 	s.avoidUntil = now.Add(s.avoidance)
 }
 
-// Keep forgets all targets but the given ones.
-func (b *Balancer) Keep(targets map[crid.Target]bool) {
+// Retain forgets all targets but the given ones.
+func (b *Balancer) Retain(targets map[crid.Target]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for t := range b.states {
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -176,7 +176,7 @@
 	for _, id := range v.Daemons {
 		daemons[id] = true
 	}
-	d.board.Keep(targets)
+	d.board.Retain(targets)
 	d.peers.Keep(daemons)
 }
 
