--- a/core/crplace/board.go
+++ b/core/crplace/board.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// avoidFirst and avoidMost bound the time for which a target is avoided
-	// whose exit did not answer an offer. It doubles with each silence. A cut
-	// of one path lasts some seconds, and each try costs its caller the
-	// timeout of an offer.
+	// minAvoidance and maxAvoidance bound the time for which a target is avoided after
+	// its exit did not respond to an offer. The time doubles with each further offer
+	// without a response. A network partition lasts some seconds, and each try costs
+	// its caller the timeout of an offer.
 	minAvoidance = 600 * time.Millisecond
 	maxAvoidance = 2400 * time.Millisecond
 )
 
-// state is what is known of one target.
+// targetState is the state of one target.
 type targetState struct {
 	report     LoadReport
 	reported   bool
@@ -26,16 +26,16 @@
 	lastTrial  crid.Instant
 }
 
-// Balancer is what one daemon knows of all targets. It is safe for concurrent use.
+// Balancer holds what one daemon knows of all targets. It is safe for concurrent use.
 type Balancer struct {
 	mu     sync.Mutex
 	states map[crid.Target]*targetState
 }
 
-// NewBalancer returns a board that knows nothing.
+// NewBalancer returns a balancer without state.
 func NewBalancer() *Balancer { return &Balancer{states: make(map[crid.Target]*targetState)} }
 
-// Report notes what an exit told of its target.
+// Report records the newest report of a target's exit.
 func (b *Balancer) Report(t crid.Target, report LoadReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,14 +43,15 @@
 	s.report, s.reported, s.load = report, true, report.Load
 }
 
-// Begin counts a request sent from here since the exit told its load.
+// Begin counts a request that this daemon sends to the target. The next report
+// replaces the count.
 func (b *Balancer) Begin(t crid.Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state(t).load++
 }
 
-// End counts a request that ended.
+// End counts the end of such a request.
 func (b *Balancer) End(t crid.Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,7 +59,7 @@
 	s.load = max(s.load-1, 0)
 }
 
-// Responded forgets former silences of a target's exit.
+// Responded ends the avoidance of a target whose exit has responded.
 func (b *Balancer) Responded(t crid.Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -66,7 +67,8 @@
 	s.avoidance, s.avoidUntil = 0, 0
 }
 
-// NoResponse notes that a target's exit did not answer, and avoids it for a while.
+// NoResponse records that a target's exit did not respond, and avoids the target for a
+// while.
 func (b *Balancer) NoResponse(now crid.Instant, t crid.Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -75,7 +77,7 @@
 	s.avoidUntil = now.Add(s.avoidance)
 }
 
-// Retain forgets all targets but the given ones.
+// Retain removes all targets but the given ones.
 func (b *Balancer) Retain(targets map[crid.Target]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/core/crplace/choose.go
+++ b/core/crplace/choose.go
@@ -10,34 +10,35 @@
 )
 
 const (
-	// roomy is the part of a target's slots up to which it is as good as idle.
-	// Above it, what others send at the same moment would make requests wait.
+	// lowUtilization is the utilization up to which a target counts as idle. Above it,
+	// the requests that other daemons send at the same moment may have to wait.
 	lowUtilization = 0.85
-	// draws is the number of targets compared: two or more keep the load even
-	// although all daemons see the same board, and fewer than all keep them from
-	// choosing the same target at once.
+	// sampleSize is the number of targets compared. With two or more the load stays
+	// even although all daemons use the same reports; with fewer than all, the daemons
+	// do not choose the same target at once.
 	sampleSize = 3
-	// speedWeight is what one more usual time of the service counts, in slots'
-	// share. A target five times as slow loses against a full one.
+	// serviceTimeWeight is the utilization that one typical service time above that of
+	// the service counts as. A target five times as slow loses against a full one.
 	serviceTimeWeight = 0.6
-	// coldWeight is what a target counts that has just started, in slots' share:
-	// it takes twice as long for some seconds, so that half of its slots are as
-	// good as taken.
+	// coldWeight is the utilization that a cold target counts as, in addition to its
+	// own. For some seconds its requests take twice as long, which is as if half of
+	// its slots were taken.
 	coldWeight = 0.5
-	// sickWeight is what the probability of sickness counts, in slots' share, for
-	// a request that cannot be sent again: one in ten is as bad as three tenths
-	// of the slots taken. A target that has just done well then goes before one
-	// of which nothing was heard for seconds; idempotent requests, which can be
-	// sent again, find out about the latter.
+	// unhealthyWeight is the utilization that the probability of being unhealthy
+	// counts as, for a request that may not be retried: a probability of 0.1 counts as
+	// three tenths of the slots. Such a request prefers a target with a recent success
+	// to one without responses for seconds. Idempotent requests, which can be retried,
+	// test the latter.
 	unhealthyWeight = 3.0
-	// trialShare is the part of the idempotent requests that may try a target
-	// held to be sick, at most; the exits pace the trials of each.
+	// trialShare is the maximum share of idempotent requests that try an unhealthy
+	// target. The exits limit the rate of trials of each target.
 	trialShare = 0.25
-	// trialEvery is the least time between two trials of one target from here.
+	// trialInterval is the minimum time between two trials of one target by this
+	// daemon.
 	trialInterval = 700 * time.Millisecond
 )
 
-// view is a candidate with what is known of it.
+// scoredCandidate is a candidate with its state and score.
 type scoredCandidate struct {
 	Candidate
 	state         *targetState
@@ -51,7 +52,7 @@
 	return Choice{Candidate: v.Candidate, Trial: trial, LastResort: last, UnhealthyProb: v.unhealthyProb, Utilization: v.utilization}
 }
 
-// Choose picks the target to offer a request to, or reports that none is left.
+// Choose returns the target to offer a request to, or false if none is left.
 func (b *Balancer) Choose(now crid.Instant, all []Candidate, req Request) (Choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -114,7 +115,7 @@
 	return out
 }
 
-// usual is the median time of the targets' requests.
+// medianTypical returns the median of the targets' typical service times.
 func (b *Balancer) medianTypical(all []Candidate) time.Duration {
 	times := make([]time.Duration, 0, len(all))
 	for _, c := range all {
@@ -129,10 +130,9 @@
 	return times[len(times)/2]
 }
 
-// trial picks a target held to be sick for an idempotent request now and then:
-// only a request can tell that it has recovered, and one that can be sent again
-// loses nothing. One that could not, the budget for repeats being used up, would be
-// lost where the target is still sick.
+// trial picks an unhealthy target for a share of the idempotent requests. Only a
+// request can show that a target has recovered. A request without retries left is not
+// used: it would be lost if the target is still unhealthy.
 func trial(now crid.Instant, candidates []scoredCandidate, req Request) (scoredCandidate, bool) {
 	if !req.firstTry() || req.NoRetry || req.Rand() >= trialShare {
 		return scoredCandidate{}, false
@@ -146,14 +146,14 @@
 	return unhealthy[int(req.Rand()*float64(len(unhealthy)))], true
 }
 
-// spared picks a sick target with room for an idempotent request while all well
-// ones are busy. It may succeed there, and can still go to a well one if not; the
-// slot that it leaves to a request which may run only once is worth more.
+// overflow picks an unhealthy target with free slots for an idempotent request while
+// all healthy ones are busy. The request may succeed there, and can be retried on a
+// healthy target otherwise; the slot that it leaves free goes to a request that may
+// run only once.
 //
-// Two kinds of request spare nothing. One that could not be sent again, its budget
-// being used up, would as a rule be lost. And a call takes little of a well target's
-// time, but lost it takes its parent with it, which may run only once and has done
-// most of its work.
+// Two kinds of request do not overflow. One without retries left would usually be
+// lost. A nested call takes little of a healthy target's time, but if it fails, so
+// does its parent, which may run only once and has done most of its work.
 func overflow(candidates, healthy []scoredCandidate, req Request) (scoredCandidate, bool) {
 	if !req.firstTry() || req.NoRetry || req.Nested {
 		return scoredCandidate{}, false
@@ -170,7 +170,7 @@
 	return best(unhealthy, req), true
 }
 
-// best draws a few and takes the one with the lowest score.
+// best returns the candidate with the lowest score in a random sample.
 func best(candidates []scoredCandidate, req Request) scoredCandidate {
 	chosen := candidates[int(req.Rand()*float64(len(candidates)))]
 	for range sampleSize - 1 {
--- a/core/crplace/crplace.go
+++ b/core/crplace/crplace.go
@@ -1,15 +1,17 @@
 // Package crplace chooses the target that a request is offered to.
 //
-// A [Balancer] holds what this daemon knows of each target: the load and the
-// judgement that its exit told last, corrected by what was sent from here since,
-// and whether its exit can be reached from here. The choice is made anew after
-// each refused offer.
+// A [Balancer] holds the newest [LoadReport] of each target's exit, corrected by the
+// requests that this daemon has sent since, and whether this daemon can reach the
+// exit. The entry (io/cringress) chooses again after each refused offer. Package
+// crjudge makes the health estimates in the reports. The entry of io/crentry chooses by
+// package crroute instead.
 //
 // # Usage
 //
-//	board.Tell(now, target, told)
-//	choice, ok := board.Choose(now, candidates, crplace.Ask{Class: route.Class, Tried: tried, Float: rand.Float64})
-//	board.Begin(choice.Target); defer board.End(choice.Target)
+//	balancer.Report(target, report)
+//	choice, ok := balancer.Choose(now, candidates, crplace.Request{Class: route.Class, Tried: tried, Rand: rand.Float64})
+//	balancer.Begin(choice.Target)
+//	defer balancer.End(choice.Target)
 package crplace
 
 import (
@@ -19,49 +21,50 @@
 	"camphorroad/core/crpolicy"
 )
 
-// Candidate is a target of the service asked for.
+// Candidate is a target of the requested service.
 type Candidate struct {
 	Target crid.Target
-	Daemon crid.Daemon // that stands beside it
+	Daemon crid.Daemon // the daemon beside it
 	Domain crid.Domain
 	Slots  int
-	Cold   bool // started a moment ago, and still slow
+	Cold   bool // started recently and still slow
 }
 
-// LoadReport is what an exit tells of its target.
+// LoadReport is the report of an exit on its target.
 type LoadReport struct {
 	_             struct{} `cbor:",toarray"`
-	Load          int      // requests running and waiting
+	Load          int      // requests running and queued
 	Slots         int
 	UnhealthyProb float64
-	Typical       time.Duration // zero: not known
-	Closed        bool          // takes nothing now
+	Typical       time.Duration // typical service time; zero: not known
+	Closed        bool          // accepts no requests now
 }
 
-// Request is what a choice depends on besides the board.
+// Request is the input to a choice, besides the state of the balancer.
 type Request struct {
 	Class   crpolicy.Class
 	Domain  crid.Domain            // of the entry
-	Tried   []crid.Target          // that refused this request already
-	Rand    func() float64         // in [0,1); safe for the caller's goroutine
-	Silent  func(crid.Daemon) bool // whether nothing was heard of a daemon lately
-	NoRetry bool                   // it could not be sent again if the target failed it
-	Nested  bool                   // a request that holds a slot of the fleet waits for it
+	Tried   []crid.Target          // targets that have refused this request
+	Rand    func() float64         // random number in [0,1); called on the caller's goroutine
+	Silent  func(crid.Daemon) bool // whether no message of a daemon arrived recently
+	NoRetry bool                   // no retry is left if the target fails the request
+	Nested  bool                   // another request, which holds a slot, waits for this one
 }
 
-// first reports whether an idempotent request looks for its first target.
-func (a Request) firstTry() bool { return a.Class == crpolicy.ClassRepeat && len(a.Tried) == 0 }
+// firstTry reports whether the request is idempotent and has not been refused by any
+// target.
+func (r Request) firstTry() bool { return r.Class == crpolicy.ClassRepeat && len(r.Tried) == 0 }
 
-// Choice is the target chosen.
+// Choice is the chosen target.
 type Choice struct {
 	Candidate
-	Trial         bool    // the target is held to be sick, and the request is to find out
-	LastResort    bool    // no better target is left: the exit should take it although sick
-	UnhealthyProb float64 // as this daemon believed
-	Utilization   float64 // share of the slots taken, as this daemon believed
+	Trial         bool    // the target is unhealthy; the request tests whether it has recovered
+	LastResort    bool    // no better target is left: the exit should accept the request although the target is unhealthy
+	UnhealthyProb float64 // as known to this daemon
+	Utilization   float64 // share of the slots taken, as known to this daemon
 }
 
-// Reason says in a word what kind of choice it was, for logs.
+// Reason returns the kind of the choice, for logs.
 func (c Choice) Reason() string {
 	switch {
 	case c.Trial:
--- a/core/crplace/crplace_test.go
+++ b/core/crplace/crplace_test.go
@@ -14,7 +14,7 @@
 
 const start = crid.Instant(time.Hour)
 
-// fixed returns random numbers in turn.
+// sequence returns the numbers in turn.
 func sequence(numbers ...float64) func() float64 {
 	i := 0
 	return func() float64 {
@@ -54,8 +54,8 @@
 	g.Expect(c.Target).NotTo(gomega.Equal(crid.Target("t1")))
 }
 
-// A target told by its exit to be sick gets no request that may run only once
-// while others are there, however idle it looks.
+// However idle an unhealthy target looks, it gets no request that may run only once
+// while others are available.
 func TestUnhealthyTargetsGetNoOnceOnlyRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBalancer()
@@ -68,8 +68,8 @@
 	}
 }
 
-// Nobody would notice that a sick target has recovered if nothing were sent to
-// it; an idempotent request can find out, now and then.
+// A target that receives no requests cannot show that it has recovered. An idempotent
+// request can test it.
 func TestIdempotentRequestsSometimesTryUnhealthyTargets(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBalancer()
@@ -81,8 +81,8 @@
 	g.Expect(c.Trial).To(gomega.BeFalse())
 }
 
-// In a shortage the well targets are full and sick ones, failing fast, have room.
-// An idempotent request tries these first and so leaves a slot to what may run
+// Healthy targets are full, and unhealthy ones, which fail fast, have free slots. An
+// idempotent request tries these first and leaves a slot to a request that may run
 // only once.
 func TestIdempotentRequestsOverflowToUnhealthyTargets(t *testing.T) {
 	g := gomega.NewWithT(t)
@@ -98,8 +98,8 @@
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
 }
 
-// A path to a target's machine is cut. Each offer sent there costs its caller a
-// timeout; after the first the target is left out for a while, longer each time.
+// Each offer to an exit behind a network partition costs its caller a timeout. Without
+// avoidance, with backoff, every request would pay it.
 func TestUnresponsiveExitsAreAvoidedWithBackoff(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBalancer()
@@ -117,8 +117,8 @@
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t0")))
 }
 
-// All targets are held sick, rightly or not. Some request has to go somewhere, or
-// the service would stay away for good.
+// All targets are found unhealthy, perhaps wrongly. If no request were sent, the
+// service would stay unavailable.
 func TestLastResortIsTheLeastUnhealthyTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBalancer()
@@ -140,9 +140,9 @@
 	g.Expect(ok).To(gomega.BeFalse())
 }
 
-// Nothing was heard of one target for seconds: it may have turned sick. A request
-// that may run only once goes to the one that has just done well, though it is
-// busier; an idempotent one finds out about the other.
+// One target has not responded for seconds and may be unhealthy. A once-only request
+// goes to the one with a recent success although that is busier; an idempotent request
+// tests the other.
 func TestOnceOnlyRequestsPreferRecentSuccess(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBalancer()
@@ -155,8 +155,8 @@
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t0")))
 }
 
-// A target has just started and takes twice as long. It gets requests, so that it
-// warms up, but the others go first while they have room.
+// A cold target takes twice as long. It gets requests, so that it warms up, but others
+// go first while they have free slots.
 func TestColdTargetsGetFewerRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBalancer()
@@ -180,9 +180,8 @@
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t2")))
 }
 
-// The budget for repeats is used up, or the route allows one target only. A request
-// that is to find out whether a sick target has recovered would be lost to its
-// caller, idempotent or not.
+// The retry budget is used up, or the route allows one target only. A trial on an
+// unhealthy target would then lose even an idempotent request.
 func TestNonRetryableRequestsTryNoUnhealthyTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBalancer()
@@ -197,9 +196,9 @@
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t0")))
 }
 
-// All well targets are busy and a sick one has room. A call that is sent there is
-// lost as a rule, and its parent with it, which has done most of its work; and what
-// cannot be sent again is lost for good.
+// All healthy targets are busy and an unhealthy one has free slots. A nested call that
+// fails there also fails its parent, which has done most of its work; a request
+// without retries left is lost.
 func TestNestedAndNonRetryableRequestsDoNotOverflow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBalancer()
