--- a/core/crpace/crpace.go
+++ b/core/crpace/crpace.go
@@ -23,9 +23,9 @@
 const (
 	// weight is the weight of one more time in the moving mean: 50 requests,
 	// some ten seconds of a target's work.
-	weight = 0.02
+	smoothing = 0.02
 	// enough is the number of times before a mean is believed.
-	enough = 8
+	minSamples = 8
 	// slowDeviations is how many standard deviations above the mean a request
 	// counts as slow.
 	slowDeviations = 3.0
@@ -33,9 +33,9 @@
 	slowFactor = 2.7
 	// slowLeast keeps very short requests from counting as slow by a hiccup of
 	// the machine.
-	slowLeast = 150 * time.Millisecond
+	minSlow = 150 * time.Millisecond
 	// kindsMost bounds the kinds that are told apart.
-	kindsMost = 64
+	maxKinds = 64
 	// Assumed is the time reckoned with before any was seen.
 	Assumed = 300 * time.Millisecond
 )
@@ -58,7 +58,7 @@
 func (p *Pace) Add(took time.Duration) {
 	x := max(took.Seconds(), 0)
 	p.n++
-	w := max(weight, 1/float64(p.n))
+	w := max(smoothing, 1/float64(p.n))
 	delta := x - p.mean
 	p.mean += w * delta
 	p.variance = (1 - w) * (p.variance + w*delta*delta)
@@ -66,7 +66,7 @@
 
 // Typical returns the mean time, or zero where too little is known.
 func (p *Pace) Typical() time.Duration {
-	if p == nil || p.n < enough {
+	if p == nil || p.n < minSamples {
 		return 0
 	}
 	return seconds(p.mean)
@@ -75,7 +75,7 @@
 // Most returns the time within which five of six requests end as a rule, or zero
 // where too little is known.
 func (p *Pace) Most() time.Duration {
-	if p == nil || p.n < enough {
+	if p == nil || p.n < minSamples {
 		return 0
 	}
 	return seconds(p.mean + math.Sqrt(p.variance))
@@ -84,10 +84,10 @@
 // Slow returns the time from which on a request is slow, or zero where too
 // little is known.
 func (p *Pace) Slow() time.Duration {
-	if p == nil || p.n < enough {
+	if p == nil || p.n < minSamples {
 		return 0
 	}
-	return max(seconds(p.mean+slowDeviations*math.Sqrt(p.variance)), seconds(slowFactor*p.mean), slowLeast)
+	return max(seconds(p.mean+slowDeviations*math.Sqrt(p.variance)), seconds(slowFactor*p.mean), minSlow)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -107,7 +107,7 @@
 	}
 	kind := p.kinds[k]
 	if kind == nil {
-		if len(p.kinds) >= kindsMost {
+		if len(p.kinds) >= maxKinds {
 			return
 		}
 		kind = &Pace{}
--- a/core/crpace/crpace_test.go
+++ b/core/crpace/crpace_test.go
@@ -19,42 +19,42 @@
 )
 
 // work draws the time of a request: lognormal with a mean and a spread.
-func work(rng *rand.Rand, mean time.Duration, spread float64) time.Duration {
+func drawServiceTime(rng *rand.Rand, mean time.Duration, spread float64) time.Duration {
 	mu := math.Log(mean.Seconds()) - spread*spread/2
 	return time.Duration(math.Exp(mu+spread*rng.NormFloat64()) * float64(time.Second))
 }
 
 // far is how far an estimate is off, as a share of what it should be.
-func far(got, want time.Duration) float64 { return math.Abs(float64(got-want)) / float64(want) }
+func relativeError(got, want time.Duration) float64 { return math.Abs(float64(got-want)) / float64(want) }
 
 // A target runs calls of a tenth of a second, reads of more than one, and orders of
 // which every tenth is answered at once. One spread fitted to all of them is huge,
 // and the time that it told was ten times too long: targets without a queue refused
 // callers for want of room.
-func TestEachKindOfAMixtureHasItsOwnTime(t *testing.T) {
+func TestMixedKindsAreEstimatedSeparately(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var p crpace.Paces
 		for range 400 {
-			p.Add(call, work(rng, 130*time.Millisecond, 0.5))
-			p.Add(read, work(rng, 1300*time.Millisecond, 0.5))
-			took := work(rng, 510*time.Millisecond, 0.8)
+			p.Add(call, drawServiceTime(rng, 130*time.Millisecond, 0.5))
+			p.Add(read, drawServiceTime(rng, 1300*time.Millisecond, 0.5))
+			took := drawServiceTime(rng, 510*time.Millisecond, 0.8)
 			if rng.Float64() < 0.1 {
 				took = time.Millisecond
 			}
 			p.Add(hold, took)
 		}
-		g.Expect(far(p.Typical(call), 130*time.Millisecond)).To(gomega.BeNumerically("<", 0.35), "seed %d", seed)
-		g.Expect(far(p.Typical(read), 1300*time.Millisecond)).To(gomega.BeNumerically("<", 0.35), "seed %d", seed)
-		g.Expect(far(p.Typical(hold), 460*time.Millisecond)).To(gomega.BeNumerically("<", 0.35), "seed %d", seed)
-		g.Expect(far(p.Mean(), 630*time.Millisecond)).To(gomega.BeNumerically("<", 0.5), "seed %d", seed)
+		g.Expect(relativeError(p.Typical(call), 130*time.Millisecond)).To(gomega.BeNumerically("<", 0.35), "seed %d", seed)
+		g.Expect(relativeError(p.Typical(read), 1300*time.Millisecond)).To(gomega.BeNumerically("<", 0.35), "seed %d", seed)
+		g.Expect(relativeError(p.Typical(hold), 460*time.Millisecond)).To(gomega.BeNumerically("<", 0.35), "seed %d", seed)
+		g.Expect(relativeError(p.Mean(), 630*time.Millisecond)).To(gomega.BeNumerically("<", 0.5), "seed %d", seed)
 	}
 }
 
 // A kind was hardly seen yet. What is known of all requests is a better guess than
 // any figure fixed beforehand.
-func TestAnUnknownKindIsTakenForAnyOther(t *testing.T) {
+func TestUnknownKindFallsBackToAllRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var p crpace.Paces
 	g.Expect(p.Typical(call)).To(gomega.Equal(crpace.Assumed))
@@ -68,23 +68,23 @@
 
 // A target turns slow, fourfold. Its requests must stand out from those of its own
 // kind, and long ones by nature must not.
-func TestWhatRunsFarLongerThanItsKindIsSlow(t *testing.T) {
+func TestRequestsAreSlowRelativeToTheirKind(t *testing.T) {
 	g := gomega.NewWithT(t)
 	rng := rand.New(rand.NewPCG(3, 1))
 	var p crpace.Paces
 	for range 400 {
-		p.Add(call, work(rng, 130*time.Millisecond, 0.5))
-		p.Add(read, work(rng, 1300*time.Millisecond, 0.5))
+		p.Add(call, drawServiceTime(rng, 130*time.Millisecond, 0.5))
+		p.Add(read, drawServiceTime(rng, 1300*time.Millisecond, 0.5))
 	}
 	g.Expect(p.Slow(call)).To(gomega.BeNumerically("<", 4*130*time.Millisecond))
 	g.Expect(p.Slow(read)).To(gomega.BeNumerically("<", 4*1300*time.Millisecond))
-	chance := 0
+	slow := 0
 	for range 2000 {
-		if work(rng, 1300*time.Millisecond, 0.5) > p.Slow(read) {
-			chance++
+		if drawServiceTime(rng, 1300*time.Millisecond, 0.5) > p.Slow(read) {
+			slow++
 		}
 	}
-	g.Expect(chance).To(gomega.BeNumerically("<", 60))
+	g.Expect(slow).To(gomega.BeNumerically("<", 60))
 }
 
 // Callers may be given any number of kinds; what is kept of a target is bounded.
@@ -100,7 +100,7 @@
 	g.Expect(p.Typical(crpace.Kind{Objective: 999})).To(gomega.BeNumerically("~", time.Second, time.Millisecond))
 }
 
-func TestPaceKnowsWhatIsSlow(t *testing.T) {
+func TestSlowThresholdOfOneEstimator(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var p crpace.Pace
 	g.Expect(p.Slow()).To(gomega.BeZero())
