--- a/core/crpace/crpace.go
+++ b/core/crpace/crpace.go
@@ -47,15 +47,15 @@
 	Objective time.Duration
 }
 
-// Pace knows how long requests take as a rule. The zero value knows nothing yet.
+// Estimator knows how long requests take as a rule. The zero value knows nothing yet.
 // It is not safe for concurrent use.
-type Pace struct {
+type Estimator struct {
 	n              int
 	mean, variance float64 // of seconds
 }
 
 // Add notes the time of a request that was answered well.
-func (p *Pace) Add(took time.Duration) {
+func (p *Estimator) Add(took time.Duration) {
 	x := max(took.Seconds(), 0)
 	p.n++
 	w := max(smoothing, 1/float64(p.n))
@@ -65,7 +65,7 @@
 }
 
 // Typical returns the mean time, or zero where too little is known.
-func (p *Pace) Typical() time.Duration {
+func (p *Estimator) Typical() time.Duration {
 	if p == nil || p.n < minSamples {
 		return 0
 	}
@@ -74,7 +74,7 @@
 
 // Most returns the time within which five of six requests end as a rule, or zero
 // where too little is known.
-func (p *Pace) Most() time.Duration {
+func (p *Estimator) Most() time.Duration {
 	if p == nil || p.n < minSamples {
 		return 0
 	}
@@ -83,7 +83,7 @@
 
 // Slow returns the time from which on a request is slow, or zero where too
 // little is known.
-func (p *Pace) Slow() time.Duration {
+func (p *Estimator) Slow() time.Duration {
 	if p == nil || p.n < minSamples {
 		return 0
 	}
@@ -95,22 +95,22 @@
 // Paces knows the times of a target by kind. The zero value knows nothing yet. It
 // is not safe for concurrent use.
 type Paces struct {
-	all   Pace
-	kinds map[Kind]*Pace
+	all   Estimator
+	kinds map[Kind]*Estimator
 }
 
 // Add notes the time of a request that was answered well.
 func (p *Paces) Add(k Kind, took time.Duration) {
 	p.all.Add(took)
 	if p.kinds == nil {
-		p.kinds = make(map[Kind]*Pace)
+		p.kinds = make(map[Kind]*Estimator)
 	}
 	kind := p.kinds[k]
 	if kind == nil {
 		if len(p.kinds) >= maxKinds {
 			return
 		}
-		kind = &Pace{}
+		kind = &Estimator{}
 		p.kinds[k] = kind
 	}
 	kind.Add(took)
--- a/core/crpace/crpace_test.go
+++ b/core/crpace/crpace_test.go
@@ -25,7 +25,9 @@
 }
 
 // far is how far an estimate is off, as a share of what it should be.
-func relativeError(got, want time.Duration) float64 { return math.Abs(float64(got-want)) / float64(want) }
+func relativeError(got, want time.Duration) float64 {
+	return math.Abs(float64(got-want)) / float64(want)
+}
 
 // A target runs calls of a tenth of a second, reads of more than one, and orders of
 // which every tenth is answered at once. One spread fitted to all of them is huge,
@@ -102,7 +104,7 @@
 
 func TestSlowThresholdOfOneEstimator(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var p crpace.Pace
+	var p crpace.Estimator
 	g.Expect(p.Slow()).To(gomega.BeZero())
 	for i := range 40 {
 		p.Add(time.Duration(200+10*(i%10)) * time.Millisecond)
