--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -120,7 +120,7 @@
 	running map[*Ticket]bool
 	waiting []*Ticket // most urgent first, then in order of arrival
 	closed  bool
-	paces   crpace.Paces
+	paces   crpace.Estimators
 }
 
 // New returns a gate for a target with the given number of slots.
--- a/core/crpace/crpace.go
+++ b/core/crpace/crpace.go
@@ -92,15 +92,15 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Paces knows the times of a target by kind. The zero value knows nothing yet. It
+// Estimators knows the times of a target by kind. The zero value knows nothing yet. It
 // is not safe for concurrent use.
-type Paces struct {
+type Estimators struct {
 	all   Estimator
 	kinds map[Kind]*Estimator
 }
 
 // Add notes the time of a request that was answered well.
-func (p *Paces) Add(k Kind, took time.Duration) {
+func (p *Estimators) Add(k Kind, took time.Duration) {
 	p.all.Add(took)
 	if p.kinds == nil {
 		p.kinds = make(map[Kind]*Estimator)
@@ -118,7 +118,7 @@
 
 // Typical returns the mean time of a kind; where too little is known of it, that
 // of all requests, and at first [Assumed].
-func (p *Paces) Typical(k Kind) time.Duration {
+func (p *Estimators) Typical(k Kind) time.Duration {
 	if t := p.kinds[k].Typical(); t > 0 {
 		return t
 	}
@@ -129,8 +129,8 @@
 }
 
 // Most returns the time within which five of six requests of a kind end as a rule;
-// where too little is known of it, as [Paces.Typical].
-func (p *Paces) Most(k Kind) time.Duration {
+// where too little is known of it, as [Estimators.Typical].
+func (p *Estimators) Most(k Kind) time.Duration {
 	if t := p.kinds[k].Most(); t > 0 {
 		return t
 	}
@@ -139,10 +139,10 @@
 
 // Slow returns the time from which on a request of a kind is slow, or zero where
 // too little is known of the kind.
-func (p *Paces) Slow(k Kind) time.Duration { return p.kinds[k].Slow() }
+func (p *Estimators) Slow(k Kind) time.Duration { return p.kinds[k].Slow() }
 
 // Mean returns the mean time of all requests, or zero where too little is known.
-func (p *Paces) Mean() time.Duration { return p.all.Typical() }
+func (p *Estimators) Mean() time.Duration { return p.all.Typical() }
 
 // Kinds is the number of kinds that are told apart.
-func (p *Paces) Kinds() int { return len(p.kinds) }
+func (p *Estimators) Kinds() int { return len(p.kinds) }
--- a/core/crpace/crpace_test.go
+++ b/core/crpace/crpace_test.go
@@ -37,7 +37,7 @@
 	g := gomega.NewWithT(t)
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var p crpace.Paces
+		var p crpace.Estimators
 		for range 400 {
 			p.Add(call, drawServiceTime(rng, 130*time.Millisecond, 0.5))
 			p.Add(read, drawServiceTime(rng, 1300*time.Millisecond, 0.5))
@@ -58,7 +58,7 @@
 // any figure fixed beforehand.
 func TestUnknownKindFallsBackToAllRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var p crpace.Paces
+	var p crpace.Estimators
 	g.Expect(p.Typical(call)).To(gomega.Equal(crpace.Assumed))
 	for range 20 {
 		p.Add(read, time.Second)
@@ -73,7 +73,7 @@
 func TestRequestsAreSlowRelativeToTheirKind(t *testing.T) {
 	g := gomega.NewWithT(t)
 	rng := rand.New(rand.NewPCG(3, 1))
-	var p crpace.Paces
+	var p crpace.Estimators
 	for range 400 {
 		p.Add(call, drawServiceTime(rng, 130*time.Millisecond, 0.5))
 		p.Add(read, drawServiceTime(rng, 1300*time.Millisecond, 0.5))
@@ -92,7 +92,7 @@
 // Callers may be given any number of kinds; what is kept of a target is bounded.
 func TestKindsAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var p crpace.Paces
+	var p crpace.Estimators
 	for i := range 1000 {
 		for range 20 {
 			p.Add(crpace.Kind{Objective: time.Duration(i)}, time.Second)
