--- a/core/crpace/crpace.go
+++ b/core/crpace/crpace.go
@@ -36,8 +36,8 @@
 	minSlow = 150 * time.Millisecond
 	// kindsMost bounds the kinds that are told apart.
 	maxKinds = 64
-	// Assumed is the time reckoned with before any was seen.
-	Assumed = 300 * time.Millisecond
+	// DefaultServiceTime is the time reckoned with before any was seen.
+	DefaultServiceTime = 300 * time.Millisecond
 )
 
 // Kind is what requests have in common that take about as long: how they may be
@@ -117,7 +117,7 @@
 }
 
 // Typical returns the mean time of a kind; where too little is known of it, that
-// of all requests, and at first [Assumed].
+// of all requests, and at first [DefaultServiceTime].
 func (p *Estimators) Typical(k Kind) time.Duration {
 	if t := p.kinds[k].Typical(); t > 0 {
 		return t
@@ -125,7 +125,7 @@
 	if t := p.all.Typical(); t > 0 {
 		return t
 	}
-	return Assumed
+	return DefaultServiceTime
 }
 
 // Most returns the time within which five of six requests of a kind end as a rule;
--- a/core/crpace/crpace_test.go
+++ b/core/crpace/crpace_test.go
@@ -59,7 +59,7 @@
 func TestUnknownKindFallsBackToAllRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var p crpace.Estimators
-	g.Expect(p.Typical(call)).To(gomega.Equal(crpace.Assumed))
+	g.Expect(p.Typical(call)).To(gomega.Equal(crpace.DefaultServiceTime))
 	for range 20 {
 		p.Add(read, time.Second)
 	}
