--- a/core/crpace/crpace.go
+++ b/core/crpace/crpace.go
@@ -72,9 +72,9 @@
 	return seconds(p.mean)
 }
 
-// Most returns the time within which five of six requests end as a rule, or zero
+// UpperBound returns the time within which five of six requests end as a rule, or zero
 // where too little is known.
-func (p *Estimator) Most() time.Duration {
+func (p *Estimator) UpperBound() time.Duration {
 	if p == nil || p.n < minSamples {
 		return 0
 	}
@@ -131,7 +131,7 @@
 // Most returns the time within which five of six requests of a kind end as a rule;
 // where too little is known of it, as [Estimators.Typical].
 func (p *Estimators) Most(k Kind) time.Duration {
-	if t := p.kinds[k].Most(); t > 0 {
+	if t := p.kinds[k].UpperBound(); t > 0 {
 		return t
 	}
 	return p.Typical(k)
