--- a/core/crpace/crpace.go
+++ b/core/crpace/crpace.go
@@ -128,9 +128,9 @@
 	return DefaultServiceTime
 }
 
-// Most returns the time within which five of six requests of a kind end as a rule;
+// UpperBound returns the time within which five of six requests of a kind end as a rule;
 // where too little is known of it, as [Estimators.Typical].
-func (p *Estimators) Most(k Kind) time.Duration {
+func (p *Estimators) UpperBound(k Kind) time.Duration {
 	if t := p.kinds[k].UpperBound(); t > 0 {
 		return t
 	}
