--- a/core/crpace/crpace.go
+++ b/core/crpace/crpace.go
@@ -81,9 +81,9 @@
 	return seconds(p.mean + math.Sqrt(p.variance))
 }
 
-// Slow returns the time from which on a request is slow, or zero where too
+// SlowThreshold returns the time from which on a request is slow, or zero where too
 // little is known.
-func (p *Estimator) Slow() time.Duration {
+func (p *Estimator) SlowThreshold() time.Duration {
 	if p == nil || p.n < minSamples {
 		return 0
 	}
@@ -139,7 +139,7 @@
 
 // Slow returns the time from which on a request of a kind is slow, or zero where
 // too little is known of the kind.
-func (p *Estimators) Slow(k Kind) time.Duration { return p.kinds[k].Slow() }
+func (p *Estimators) Slow(k Kind) time.Duration { return p.kinds[k].SlowThreshold() }
 
 // Mean returns the mean time of all requests, or zero where too little is known.
 func (p *Estimators) Mean() time.Duration { return p.all.Typical() }
--- a/core/crpace/crpace_test.go
+++ b/core/crpace/crpace_test.go
@@ -105,11 +105,11 @@
 func TestSlowThresholdOfOneEstimator(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var p crpace.Estimator
-	g.Expect(p.Slow()).To(gomega.BeZero())
+	g.Expect(p.SlowThreshold()).To(gomega.BeZero())
 	for i := range 40 {
 		p.Add(time.Duration(200+10*(i%10)) * time.Millisecond)
 	}
 	g.Expect(p.Typical()).To(gomega.BeNumerically("~", 245*time.Millisecond, 30*time.Millisecond))
-	g.Expect(p.Slow()).To(gomega.BeNumerically(">", 600*time.Millisecond))
-	g.Expect(p.Slow()).To(gomega.BeNumerically("<", 1200*time.Millisecond))
+	g.Expect(p.SlowThreshold()).To(gomega.BeNumerically(">", 600*time.Millisecond))
+	g.Expect(p.SlowThreshold()).To(gomega.BeNumerically("<", 1200*time.Millisecond))
 }
