--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -226,7 +226,7 @@
 func (g *Gate) Slow(k crpace.Kind) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.paces.Slow(k)
+	return g.paces.SlowThreshold(k)
 }
 
 // Idle reports whether nothing runs and nothing waits.
--- a/core/crpace/crpace.go
+++ b/core/crpace/crpace.go
@@ -137,9 +137,9 @@
 	return p.Typical(k)
 }
 
-// Slow returns the time from which on a request of a kind is slow, or zero where
+// SlowThreshold returns the time from which on a request of a kind is slow, or zero where
 // too little is known of the kind.
-func (p *Estimators) Slow(k Kind) time.Duration { return p.kinds[k].SlowThreshold() }
+func (p *Estimators) SlowThreshold(k Kind) time.Duration { return p.kinds[k].SlowThreshold() }
 
 // Mean returns the mean time of all requests, or zero where too little is known.
 func (p *Estimators) Mean() time.Duration { return p.all.Typical() }
--- a/core/crpace/crpace_test.go
+++ b/core/crpace/crpace_test.go
@@ -65,7 +65,7 @@
 	}
 	p.Add(call, 100*time.Millisecond)
 	g.Expect(p.Typical(call)).To(gomega.BeNumerically("~", 957*time.Millisecond, 10*time.Millisecond))
-	g.Expect(p.Slow(call)).To(gomega.BeZero())
+	g.Expect(p.SlowThreshold(call)).To(gomega.BeZero())
 }
 
 // A target turns slow, fourfold. Its requests must stand out from those of its own
@@ -78,11 +78,11 @@
 		p.Add(call, drawServiceTime(rng, 130*time.Millisecond, 0.5))
 		p.Add(read, drawServiceTime(rng, 1300*time.Millisecond, 0.5))
 	}
-	g.Expect(p.Slow(call)).To(gomega.BeNumerically("<", 4*130*time.Millisecond))
-	g.Expect(p.Slow(read)).To(gomega.BeNumerically("<", 4*1300*time.Millisecond))
+	g.Expect(p.SlowThreshold(call)).To(gomega.BeNumerically("<", 4*130*time.Millisecond))
+	g.Expect(p.SlowThreshold(read)).To(gomega.BeNumerically("<", 4*1300*time.Millisecond))
 	slow := 0
 	for range 2000 {
-		if drawServiceTime(rng, 1300*time.Millisecond, 0.5) > p.Slow(read) {
+		if drawServiceTime(rng, 1300*time.Millisecond, 0.5) > p.SlowThreshold(read) {
 			slow++
 		}
 	}
