--- a/core/crgate/terms.go
+++ b/core/crgate/terms.go
@@ -34,7 +34,7 @@
 func (g *Gate) Latest(now crid.Instant, t Terms) crid.Instant {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if most := g.paces.UpperBound(t.Kind); t.Objective > most && !t.Call {
+	if most := g.paces.UpperEstimate(t.Kind); t.Objective > most && !t.Call {
 		return now.Add(min(t.Objective, t.Left) - most)
 	}
 	need := time.Duration(worthwhile * float64(g.paces.Typical(t.Kind)))
--- a/core/crpace/crpace.go
+++ b/core/crpace/crpace.go
@@ -1,16 +1,16 @@
-// Package crpace knows how long requests take at one target, by their kind.
+// Package crpace estimates the service times of one target's requests, by their kind.
+// Package crgate uses the estimates to admit requests and to detect slow ones.
 //
-// A target's work is a mixture: a call of a tenth of a second beside a read of
-// more than one, and answers that come at once. One time for all of them is wrong
-// for each, and a fit that takes the mixture for one distribution is wrong for
-// the whole. So each kind has its own moving mean, which needs no assumption
-// about how the times are spread.
+// A target serves a mixture: a call of a tenth of a second, a read of more than one
+// second, and requests that end at once. One estimate for all of them is wrong for
+// each, and a distribution fitted to the mixture is wrong as a whole. Each kind
+// therefore has its own moving mean, which needs no assumption about the distribution.
 //
 // # Usage
 //
-//	var p crpace.Paces
-//	p.Add(kind, took)
-//	need := p.Typical(kind)
+//	var e crpace.Estimators
+//	e.Add(kind, took)
+//	expected := e.Typical(kind)
 package crpace
 
 import (
@@ -21,128 +21,128 @@
 )
 
 const (
-	// weight is the weight of one more time in the moving mean: 50 requests,
-	// some ten seconds of a target's work.
+	// smoothing is the weight of one more service time in the moving mean. It
+	// corresponds to 50 requests, about ten seconds of a target's work.
 	smoothing = 0.02
-	// enough is the number of times before a mean is believed.
+	// minSamples is the number of service times needed for a mean.
 	minSamples = 8
-	// slowDeviations is how many standard deviations above the mean a request
-	// counts as slow.
+	// slowDeviations is the number of standard deviations above the mean from which on
+	// a request is slow.
 	slowDeviations = 3.0
-	// slowFactor is how many times the mean a slow request takes at least.
+	// slowFactor is the minimum multiple of the mean from which on a request is slow.
 	slowFactor = 2.7
-	// slowLeast keeps very short requests from counting as slow by a hiccup of
-	// the machine.
+	// minSlow is the time below which no request is slow, so that a short pause of the
+	// machine does not make very short requests slow.
 	minSlow = 150 * time.Millisecond
-	// kindsMost bounds the kinds that are told apart.
+	// maxKinds bounds the number of kinds that are estimated separately.
 	maxKinds = 64
-	// DefaultServiceTime is the time reckoned with before any was seen.
+	// DefaultServiceTime is the estimate while no service time is known.
 	DefaultServiceTime = 300 * time.Millisecond
 )
 
-// Kind is what requests have in common that take about as long: how they may be
-// repeated, and how soon the operator wants them answered.
+// Kind identifies requests with similar service times: those of one class and one
+// latency objective.
 type Kind struct {
 	Class     crpolicy.Class
 	Objective time.Duration
 }
 
-// Estimator knows how long requests take as a rule. The zero value knows nothing yet.
-// It is not safe for concurrent use.
+// Estimator estimates the service time of requests by a moving mean and variance. The
+// zero value is ready to use. It is not safe for concurrent use.
 type Estimator struct {
 	n              int
-	mean, variance float64 // of seconds
+	mean, variance float64 // in seconds
 }
 
-// Add notes the time of a request that was answered well.
-func (p *Estimator) Add(took time.Duration) {
+// Add records the service time of a successful request.
+func (e *Estimator) Add(took time.Duration) {
 	x := max(took.Seconds(), 0)
-	p.n++
-	w := max(smoothing, 1/float64(p.n))
-	delta := x - p.mean
-	p.mean += w * delta
-	p.variance = (1 - w) * (p.variance + w*delta*delta)
+	e.n++
+	w := max(smoothing, 1/float64(e.n))
+	delta := x - e.mean
+	e.mean += w * delta
+	e.variance = (1 - w) * (e.variance + w*delta*delta)
 }
 
-// Typical returns the mean time, or zero where too little is known.
-func (p *Estimator) Typical() time.Duration {
-	if p == nil || p.n < minSamples {
+// Typical returns the mean, or zero if there are too few samples.
+func (e *Estimator) Typical() time.Duration {
+	if e == nil || e.n < minSamples {
 		return 0
 	}
-	return seconds(p.mean)
+	return seconds(e.mean)
 }
 
-// UpperBound returns the time within which five of six requests end as a rule, or zero
-// where too little is known.
-func (p *Estimator) UpperBound() time.Duration {
-	if p == nil || p.n < minSamples {
+// UpperEstimate returns the time within which about five of six requests end, or zero if
+// there are too few samples.
+func (e *Estimator) UpperEstimate() time.Duration {
+	if e == nil || e.n < minSamples {
 		return 0
 	}
-	return seconds(p.mean + math.Sqrt(p.variance))
+	return seconds(e.mean + math.Sqrt(e.variance))
 }
 
-// SlowThreshold returns the time from which on a request is slow, or zero where too
-// little is known.
-func (p *Estimator) SlowThreshold() time.Duration {
-	if p == nil || p.n < minSamples {
+// SlowThreshold returns the time from which on a request is slow, or zero if there are
+// too few samples.
+func (e *Estimator) SlowThreshold() time.Duration {
+	if e == nil || e.n < minSamples {
 		return 0
 	}
-	return max(seconds(p.mean+slowDeviations*math.Sqrt(p.variance)), seconds(slowFactor*p.mean), minSlow)
+	return max(seconds(e.mean+slowDeviations*math.Sqrt(e.variance)), seconds(slowFactor*e.mean), minSlow)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Estimators knows the times of a target by kind. The zero value knows nothing yet. It
-// is not safe for concurrent use.
+// Estimators estimates the service times of a target by kind. The zero value is ready
+// to use. It is not safe for concurrent use.
 type Estimators struct {
 	all   Estimator
 	kinds map[Kind]*Estimator
 }
 
-// Add notes the time of a request that was answered well.
-func (p *Estimators) Add(k Kind, took time.Duration) {
-	p.all.Add(took)
-	if p.kinds == nil {
-		p.kinds = make(map[Kind]*Estimator)
+// Add records the service time of a successful request.
+func (e *Estimators) Add(k Kind, took time.Duration) {
+	e.all.Add(took)
+	if e.kinds == nil {
+		e.kinds = make(map[Kind]*Estimator)
 	}
-	kind := p.kinds[k]
-	if kind == nil {
-		if len(p.kinds) >= maxKinds {
+	estimator := e.kinds[k]
+	if estimator == nil {
+		if len(e.kinds) >= maxKinds {
 			return
 		}
-		kind = &Estimator{}
-		p.kinds[k] = kind
+		estimator = &Estimator{}
+		e.kinds[k] = estimator
 	}
-	kind.Add(took)
+	estimator.Add(took)
 }
 
-// Typical returns the mean time of a kind; where too little is known of it, that
-// of all requests, and at first [DefaultServiceTime].
-func (p *Estimators) Typical(k Kind) time.Duration {
-	if t := p.kinds[k].Typical(); t > 0 {
+// Typical returns the mean of a kind. With too few samples of the kind, it returns the
+// mean of all requests, or [DefaultServiceTime].
+func (e *Estimators) Typical(k Kind) time.Duration {
+	if t := e.kinds[k].Typical(); t > 0 {
 		return t
 	}
-	if t := p.all.Typical(); t > 0 {
+	if t := e.all.Typical(); t > 0 {
 		return t
 	}
 	return DefaultServiceTime
 }
 
-// UpperBound returns the time within which five of six requests of a kind end as a rule;
-// where too little is known of it, as [Estimators.Typical].
-func (p *Estimators) UpperBound(k Kind) time.Duration {
-	if t := p.kinds[k].UpperBound(); t > 0 {
+// UpperEstimate returns the time within which about five of six requests of a kind end.
+// With too few samples of the kind, it returns [Estimators.Typical].
+func (e *Estimators) UpperEstimate(k Kind) time.Duration {
+	if t := e.kinds[k].UpperEstimate(); t > 0 {
 		return t
 	}
-	return p.Typical(k)
+	return e.Typical(k)
 }
 
-// SlowThreshold returns the time from which on a request of a kind is slow, or zero where
-// too little is known of the kind.
-func (p *Estimators) SlowThreshold(k Kind) time.Duration { return p.kinds[k].SlowThreshold() }
+// SlowThreshold returns the time from which on a request of a kind is slow, or zero if
+// there are too few samples of the kind.
+func (e *Estimators) SlowThreshold(k Kind) time.Duration { return e.kinds[k].SlowThreshold() }
 
-// Mean returns the mean time of all requests, or zero where too little is known.
-func (p *Estimators) Mean() time.Duration { return p.all.Typical() }
+// Mean returns the mean of all requests, or zero if there are too few samples.
+func (e *Estimators) Mean() time.Duration { return e.all.Typical() }
 
-// Kinds is the number of kinds that are told apart.
-func (p *Estimators) Kinds() int { return len(p.kinds) }
+// Kinds returns the number of kinds that are estimated separately.
+func (e *Estimators) Kinds() int { return len(e.kinds) }
