--- a/core/crjudge/crjudge.go
+++ b/core/crjudge/crjudge.go
@@ -29,18 +29,18 @@
 
 	// usual is the share of targets that are taken to be sick at an ordinary moment.
 	// With more, a target of which nothing is known yet would hardly be used.
-	usual = 0.12
+	priorProb = 0.12
 	// turnover is the time in which a state is forgotten. Gray failures last for
 	// seconds.
-	turnover = 8 * time.Second
+	decayTime = 8 * time.Second
 	// failsSick and failsWell are the shares of requests that sick and sound targets
 	// fail.
-	failsSick = 0.7
-	failsWell = 0.015
+	unhealthyFailureRate = 0.7
+	healthyFailureRate   = 0.015
 	// least keeps the probability from growing so small that a burst of
 	// failures would have to wear down a long good record.
-	least = 0.004
-	most  = 0.985
+	minProb = 0.004
+	maxProb = 0.985
 )
 
 // Sign is one answer as evidence.
@@ -58,12 +58,12 @@
 )
 
 // odds is how much likelier a sick target gives the sign than a well one.
-func (s Sign) odds() float64 {
+func (s Sign) likelihoodRatio() float64 {
 	switch s {
 	case Success:
-		return (1 - failsSick) / (1 - failsWell)
+		return (1 - unhealthyFailureRate) / (1 - healthyFailureRate)
 	case Failure:
-		return failsSick / failsWell
+		return unhealthyFailureRate / healthyFailureRate
 	case Slow:
 		return 8
 	}
@@ -72,24 +72,24 @@
 
 // Judge follows one target. It is not safe for concurrent use.
 type Judge struct {
-	sick float64
-	at   crid.Instant
+	prob      float64
+	updatedAt crid.Instant
 }
 
 // New returns a judge that knows nothing of its target yet.
-func New(now crid.Instant) *Judge { return &Judge{sick: usual, at: now} }
+func New(now crid.Instant) *Judge { return &Judge{prob: priorProb, updatedAt: now} }
 
 // Sick returns the probability that the target is sick now.
 func (j *Judge) Sick(now crid.Instant) float64 {
-	age := max(now.Sub(j.at), 0)
-	keep := math.Exp(-age.Seconds() / turnover.Seconds())
-	return usual + (j.sick-usual)*keep
+	age := max(now.Sub(j.updatedAt), 0)
+	keep := math.Exp(-age.Seconds() / decayTime.Seconds())
+	return priorProb + (j.prob-priorProb)*keep
 }
 
 // Note takes an answer into account.
 func (j *Judge) Note(now crid.Instant, s Sign) {
 	p := j.Sick(now)
-	odds := p / (1 - p) * s.odds()
-	j.sick = min(max(odds/(1+odds), least), most)
-	j.at = max(j.at, now)
+	odds := p / (1 - p) * s.likelihoodRatio()
+	j.prob = min(max(odds/(1+odds), minProb), maxProb)
+	j.updatedAt = max(j.updatedAt, now)
 }
--- a/core/crjudge/crjudge_test.go
+++ b/core/crjudge/crjudge_test.go
@@ -15,7 +15,7 @@
 
 // A target that did well turns sick. Its first failure is not yet sure, but the
 // next request may run only once: sending it there would lose it, too.
-func TestOneFailureOfAWellTargetIsEnough(t *testing.T) {
+func TestOneFailureReachesTheThreshold(t *testing.T) {
 	g := gomega.NewWithT(t)
 	j := crjudge.New(start)
 	now := start
@@ -30,7 +30,7 @@
 
 // A sound target fails one request in eighty. Were it held sick for long, callers
 // would lose good capacity.
-func TestThreeSuccessesClearAChanceFailure(t *testing.T) {
+func TestSuccessesClearARandomFailure(t *testing.T) {
 	g := gomega.NewWithT(t)
 	j := crjudge.New(start)
 	j.Note(start, crjudge.Success)
@@ -44,7 +44,7 @@
 
 // Nobody sends a sick target anything. It recovers, and is wanted again: without
 // news the verdict has to fade.
-func TestAVerdictFadesWithoutNews(t *testing.T) {
+func TestEstimateDecaysWithoutObservations(t *testing.T) {
 	g := gomega.NewWithT(t)
 	j := crjudge.New(start)
 	for range 5 {
@@ -58,30 +58,30 @@
 // fail 85 of 100 requests then; sound ones fail 12 in 1,000. Of the requests that
 // may run only once, few may meet a sick target, and few sound targets may be
 // left out.
-func TestPlayedFleetIsJudgedWell(t *testing.T) {
+func TestSimulatedFleetIsEstimatedWell(t *testing.T) {
 	g := gomega.NewWithT(t)
 	rng := rand.New(rand.NewPCG(1, 2))
-	var sent, lost, wellTime, setAside int
+	var sent, lost, healthySteps, healthyExcluded int
 	for range 20 {
 		j := crjudge.New(start)
-		sick := false
+		unhealthy := false
 		for at := time.Duration(0); at < 5*time.Minute; at += 150 * time.Millisecond {
 			now := start.Add(at)
 			if at%(9*time.Second) < 150*time.Millisecond {
-				sick = rng.Float64() < 0.3
+				unhealthy = rng.Float64() < 0.3
 			}
-			held := j.Sick(now) >= crjudge.Limit
-			if !sick {
-				wellTime++
-				if held {
-					setAside++
+			excluded := j.Sick(now) >= crjudge.Limit
+			if !unhealthy {
+				healthySteps++
+				if excluded {
+					healthyExcluded++
 				}
 			}
-			if held && rng.Float64() < 0.6 {
+			if excluded && rng.Float64() < 0.6 {
 				continue // only some requests may try a target held to be sick
 			}
-			failed := rng.Float64() < 0.012 || (sick && rng.Float64() < 0.85)
-			if !held {
+			failed := rng.Float64() < 0.012 || (unhealthy && rng.Float64() < 0.85)
+			if !excluded {
 				sent++
 				if failed {
 					lost++
@@ -95,5 +95,5 @@
 		}
 	}
 	g.Expect(float64(lost)/float64(sent)).To(gomega.BeNumerically("<", 0.04), "once-only requests lost")
-	g.Expect(float64(setAside)/float64(wellTime)).To(gomega.BeNumerically("<", 0.1), "sound targets set aside")
+	g.Expect(float64(healthyExcluded)/float64(healthySteps)).To(gomega.BeNumerically("<", 0.1), "sound targets set aside")
 }
