--- a/core/crjudge/crjudge.go
+++ b/core/crjudge/crjudge.go
@@ -70,24 +70,24 @@
 	return 1
 }
 
-// Judge follows one target. It is not safe for concurrent use.
-type Judge struct {
+// Estimator follows one target. It is not safe for concurrent use.
+type Estimator struct {
 	prob      float64
 	updatedAt crid.Instant
 }
 
 // New returns a judge that knows nothing of its target yet.
-func New(now crid.Instant) *Judge { return &Judge{prob: priorProb, updatedAt: now} }
+func New(now crid.Instant) *Estimator { return &Estimator{prob: priorProb, updatedAt: now} }
 
 // Sick returns the probability that the target is sick now.
-func (j *Judge) Sick(now crid.Instant) float64 {
+func (j *Estimator) Sick(now crid.Instant) float64 {
 	age := max(now.Sub(j.updatedAt), 0)
 	keep := math.Exp(-age.Seconds() / decayTime.Seconds())
 	return priorProb + (j.prob-priorProb)*keep
 }
 
 // Note takes an answer into account.
-func (j *Judge) Note(now crid.Instant, s Sign) {
+func (j *Estimator) Note(now crid.Instant, s Sign) {
 	p := j.Sick(now)
 	odds := p / (1 - p) * s.likelihoodRatio()
 	j.prob = min(max(odds/(1+odds), minProb), maxProb)
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -74,7 +74,7 @@
 	repeats  atomic.Int64 // of these, those that were sent elsewhere before
 
 	mu      sync.Mutex
-	judge   *crjudge.Judge
+	judge   *crjudge.Estimator
 	held    bool // to be sick, as last told to peers
 	trial   crid.Instant
 	next    uint64
--- a/lab/crexperiment/policy.go
+++ b/lab/crexperiment/policy.go
@@ -79,7 +79,7 @@
 	return withSick(told, 0)
 }
 
-func (e *entry) judge(x *exit) *crjudge.Judge {
+func (e *entry) judge(x *exit) *crjudge.Estimator {
 	j := e.judges[x.target]
 	if j == nil {
 		j = crjudge.New(e.world.now)
--- a/lab/crexperiment/world.go
+++ b/lab/crexperiment/world.go
@@ -74,7 +74,7 @@
 	board   *crplace.Balancer
 	budget  *crbudget.Budget
 	told    map[crid.Target]crplace.LoadReport
-	judges  map[crid.Target]*crjudge.Judge
+	judges  map[crid.Target]*crjudge.Estimator
 	strikes map[crid.Target]int
 	out     map[crid.Target]crid.Instant
 }
@@ -88,7 +88,7 @@
 	beside  *entry
 	slots   int
 	gate    *crgate.Gate
-	judge   *crjudge.Judge
+	judge   *crjudge.Estimator
 	held    bool // as last told to all
 	trial   crid.Instant
 	waiting []*send
@@ -134,7 +134,7 @@
 			e := &entry{
 				world: w, domain: domain, board: crplace.NewBalancer(),
 				budget: crbudget.New(crbudget.Params{Ratio: ratio, Slack: slack, Window: window}),
-				told:   make(map[crid.Target]crplace.LoadReport), judges: make(map[crid.Target]*crjudge.Judge),
+				told:   make(map[crid.Target]crplace.LoadReport), judges: make(map[crid.Target]*crjudge.Estimator),
 				strikes: make(map[crid.Target]int), out: make(map[crid.Target]crid.Instant),
 			}
 			x := &exit{
