--- a/core/crjudge/crjudge.go
+++ b/core/crjudge/crjudge.go
@@ -43,13 +43,13 @@
 	maxProb = 0.985
 )
 
-// Sign is one answer as evidence.
-type Sign uint8
+// Observation is one answer as evidence.
+type Observation uint8
 
 // The signs.
 const (
 	// Success is a whole answer that is no failure.
-	Success Sign = iota + 1
+	Success Observation = iota + 1
 	// Failure is an answer that tells of a fault of the target's own.
 	Failure
 	// Slow is a request that runs far longer than the target's others. It is
@@ -58,7 +58,7 @@
 )
 
 // odds is how much likelier a sick target gives the sign than a well one.
-func (s Sign) likelihoodRatio() float64 {
+func (s Observation) likelihoodRatio() float64 {
 	switch s {
 	case Success:
 		return (1 - unhealthyFailureRate) / (1 - healthyFailureRate)
@@ -87,7 +87,7 @@
 }
 
 // Note takes an answer into account.
-func (j *Estimator) Note(now crid.Instant, s Sign) {
+func (j *Estimator) Note(now crid.Instant, s Observation) {
 	p := j.Sick(now)
 	odds := p / (1 - p) * s.likelihoodRatio()
 	j.prob = min(max(odds/(1+odds), minProb), maxProb)
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -309,7 +309,7 @@
 }
 
 // note takes an answer as evidence, and tells peers when the verdict changes.
-func (x *Exit) note(now crid.Instant, s crjudge.Sign, id string) {
+func (x *Exit) note(now crid.Instant, s crjudge.Observation, id string) {
 	x.mu.Lock()
 	before := x.judge.Sick(now)
 	x.judge.Note(now, s)
--- a/lab/crexperiment/policy.go
+++ b/lab/crexperiment/policy.go
@@ -47,7 +47,7 @@
 
 func nothing(*entry, *exit, bool) {}
 
-func sign(ok bool) crjudge.Sign {
+func sign(ok bool) crjudge.Observation {
 	if ok {
 		return crjudge.Success
 	}
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -191,7 +191,7 @@
 	x.grant()
 }
 
-func (x *exit) note(sign crjudge.Sign) {
+func (x *exit) note(sign crjudge.Observation) {
 	x.judge.Note(x.world.now, sign)
 	if sick := x.judge.Sick(x.world.now) >= crjudge.Limit; sick != x.held {
 		x.held = sick
