--- a/core/crjudge/crjudge.go
+++ b/core/crjudge/crjudge.go
@@ -86,8 +86,8 @@
 	return priorProb + (j.prob-priorProb)*keep
 }
 
-// Note takes an answer into account.
-func (j *Estimator) Note(now crid.Instant, s Observation) {
+// Observe takes an answer into account.
+func (j *Estimator) Observe(now crid.Instant, s Observation) {
 	p := j.Sick(now)
 	odds := p / (1 - p) * s.likelihoodRatio()
 	j.prob = min(max(odds/(1+odds), minProb), maxProb)
--- a/core/crjudge/crjudge_test.go
+++ b/core/crjudge/crjudge_test.go
@@ -21,10 +21,10 @@
 	now := start
 	for range 200 {
 		now = now.Add(100 * time.Millisecond)
-		j.Note(now, crjudge.Success)
+		j.Observe(now, crjudge.Success)
 	}
 	g.Expect(j.Sick(now)).To(gomega.BeNumerically("<", crjudge.Limit))
-	j.Note(now.Add(time.Second), crjudge.Failure)
+	j.Observe(now.Add(time.Second), crjudge.Failure)
 	g.Expect(j.Sick(now.Add(time.Second))).To(gomega.BeNumerically(">=", crjudge.Limit))
 }
 
@@ -33,11 +33,11 @@
 func TestSuccessesClearARandomFailure(t *testing.T) {
 	g := gomega.NewWithT(t)
 	j := crjudge.New(start)
-	j.Note(start, crjudge.Success)
-	j.Note(start, crjudge.Failure)
+	j.Observe(start, crjudge.Success)
+	j.Observe(start, crjudge.Failure)
 	g.Expect(j.Sick(start)).To(gomega.BeNumerically(">=", crjudge.Limit))
 	for range 4 {
-		j.Note(start, crjudge.Success)
+		j.Observe(start, crjudge.Success)
 	}
 	g.Expect(j.Sick(start)).To(gomega.BeNumerically("<", crjudge.Limit))
 }
@@ -48,7 +48,7 @@
 	g := gomega.NewWithT(t)
 	j := crjudge.New(start)
 	for range 5 {
-		j.Note(start, crjudge.Failure)
+		j.Observe(start, crjudge.Failure)
 	}
 	g.Expect(j.Sick(start.Add(3 * time.Second))).To(gomega.BeNumerically(">=", crjudge.Limit))
 	g.Expect(j.Sick(start.Add(20 * time.Second))).To(gomega.BeNumerically("<", crjudge.Limit))
@@ -88,9 +88,9 @@
 				}
 			}
 			if failed {
-				j.Note(now, crjudge.Failure)
+				j.Observe(now, crjudge.Failure)
 			} else {
-				j.Note(now, crjudge.Success)
+				j.Observe(now, crjudge.Success)
 			}
 		}
 	}
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -312,7 +312,7 @@
 func (x *Exit) note(now crid.Instant, s crjudge.Observation, id string) {
 	x.mu.Lock()
 	before := x.judge.Sick(now)
-	x.judge.Note(now, s)
+	x.judge.Observe(now, s)
 	after := x.judge.Sick(now)
 	changed := (after >= crjudge.Limit) != x.held
 	x.held = after >= crjudge.Limit
--- a/lab/crexperiment/policy.go
+++ b/lab/crexperiment/policy.go
@@ -33,7 +33,7 @@
 	// The product: the exit judges by all answers and tells peers.
 	"product": {believe: asTold, learn: nothing, judged: true},
 	// Each entry judges by the answers that it got itself.
-	"own": {believe: byOwn, learn: func(e *entry, x *exit, ok bool) { e.judge(x).Note(e.world.now, sign(ok)) }},
+	"own": {believe: byOwn, learn: func(e *entry, x *exit, ok bool) { e.judge(x).Observe(e.world.now, sign(ok)) }},
 	// Each entry leaves a target out after failures in a row.
 	"threshold": {believe: byStrikes, learn: func(e *entry, x *exit, ok bool) { e.strike(x, ok) }},
 	// Nobody judges.
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -192,7 +192,7 @@
 }
 
 func (x *exit) note(sign crjudge.Observation) {
-	x.judge.Note(x.world.now, sign)
+	x.judge.Observe(x.world.now, sign)
 	if sick := x.judge.Sick(x.world.now) >= crjudge.Limit; sick != x.held {
 		x.held = sick
 		x.tell()
