--- a/core/crjudge/crjudge.go
+++ b/core/crjudge/crjudge.go
@@ -79,8 +79,8 @@
 // New returns a judge that knows nothing of its target yet.
 func New(now crid.Instant) *Estimator { return &Estimator{prob: priorProb, updatedAt: now} }
 
-// Sick returns the probability that the target is sick now.
-func (j *Estimator) Sick(now crid.Instant) float64 {
+// UnhealthyProb returns the probability that the target is sick now.
+func (j *Estimator) UnhealthyProb(now crid.Instant) float64 {
 	age := max(now.Sub(j.updatedAt), 0)
 	keep := math.Exp(-age.Seconds() / decayTime.Seconds())
 	return priorProb + (j.prob-priorProb)*keep
@@ -88,7 +88,7 @@
 
 // Observe takes an answer into account.
 func (j *Estimator) Observe(now crid.Instant, s Observation) {
-	p := j.Sick(now)
+	p := j.UnhealthyProb(now)
 	odds := p / (1 - p) * s.likelihoodRatio()
 	j.prob = min(max(odds/(1+odds), minProb), maxProb)
 	j.updatedAt = max(j.updatedAt, now)
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -175,7 +175,7 @@
 // Told returns what peers are told of the target.
 func (x *Exit) Told() crplace.LoadReport {
 	x.mu.Lock()
-	sick := x.judge.Sick(x.opts.Clock())
+	sick := x.judge.UnhealthyProb(x.opts.Clock())
 	x.mu.Unlock()
 	return x.told(sick)
 }
@@ -242,7 +242,7 @@
 func (x *Exit) fit(now crid.Instant, o croffer.Offer) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.judge.Sick(now) < crjudge.Limit || o.Last {
+	if x.judge.UnhealthyProb(now) < crjudge.Limit || o.Last {
 		return true
 	}
 	if o.Class != crpolicy.ClassRepeat || now.Sub(x.trial) < trialEvery {
@@ -311,9 +311,9 @@
 // note takes an answer as evidence, and tells peers when the verdict changes.
 func (x *Exit) note(now crid.Instant, s crjudge.Observation, id string) {
 	x.mu.Lock()
-	before := x.judge.Sick(now)
+	before := x.judge.UnhealthyProb(now)
 	x.judge.Observe(now, s)
-	after := x.judge.Sick(now)
+	after := x.judge.UnhealthyProb(now)
 	changed := (after >= crjudge.Limit) != x.held
 	x.held = after >= crjudge.Limit
 	x.mu.Unlock()
--- a/lab/crexperiment/policy.go
+++ b/lab/crexperiment/policy.go
@@ -62,7 +62,7 @@
 func asTold(_ *entry, _ *exit, told crplace.LoadReport) crplace.LoadReport { return told }
 
 func byOwn(e *entry, x *exit, told crplace.LoadReport) crplace.LoadReport {
-	return withSick(told, e.judge(x).Sick(e.world.now))
+	return withSick(told, e.judge(x).UnhealthyProb(e.world.now))
 }
 
 func byStrikes(e *entry, x *exit, told crplace.LoadReport) crplace.LoadReport {
--- a/lab/crexperiment/world.go
+++ b/lab/crexperiment/world.go
@@ -205,7 +205,7 @@
 
 func (x *exit) told() crplace.LoadReport {
 	l := x.gate.Load()
-	return crplace.LoadReport{Load: l.Running + l.Waiting, Slots: l.Slots, UnhealthyProb: x.judge.Sick(x.world.now), Typical: l.Typical}
+	return crplace.LoadReport{Load: l.Running + l.Waiting, Slots: l.Slots, UnhealthyProb: x.judge.UnhealthyProb(x.world.now), Typical: l.Typical}
 }
 
 func (x *exit) beat() {
