--- a/core/crjudge/crjudge.go
+++ b/core/crjudge/crjudge.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	// Limit is the probability of sickness from which on a target gets no
+	// Threshold is the probability of sickness from which on a target gets no
 	// request that may run only once. A failure of a target that did well leads
 	// above it, and three successes in a row after one failure lead below.
-	Limit = 0.35
+	Threshold = 0.35
 
 	// usual is the share of targets that are taken to be sick at an ordinary moment.
 	// With more, a target of which nothing is known yet would hardly be used.
--- a/core/crjudge/crjudge_test.go
+++ b/core/crjudge/crjudge_test.go
@@ -23,9 +23,9 @@
 		now = now.Add(100 * time.Millisecond)
 		j.Observe(now, crjudge.Success)
 	}
-	g.Expect(j.UnhealthyProb(now)).To(gomega.BeNumerically("<", crjudge.Limit))
+	g.Expect(j.UnhealthyProb(now)).To(gomega.BeNumerically("<", crjudge.Threshold))
 	j.Observe(now.Add(time.Second), crjudge.Failure)
-	g.Expect(j.UnhealthyProb(now.Add(time.Second))).To(gomega.BeNumerically(">=", crjudge.Limit))
+	g.Expect(j.UnhealthyProb(now.Add(time.Second))).To(gomega.BeNumerically(">=", crjudge.Threshold))
 }
 
 // A sound target fails one request in eighty. Were it held sick for long, callers
@@ -35,11 +35,11 @@
 	j := crjudge.New(start)
 	j.Observe(start, crjudge.Success)
 	j.Observe(start, crjudge.Failure)
-	g.Expect(j.UnhealthyProb(start)).To(gomega.BeNumerically(">=", crjudge.Limit))
+	g.Expect(j.UnhealthyProb(start)).To(gomega.BeNumerically(">=", crjudge.Threshold))
 	for range 4 {
 		j.Observe(start, crjudge.Success)
 	}
-	g.Expect(j.UnhealthyProb(start)).To(gomega.BeNumerically("<", crjudge.Limit))
+	g.Expect(j.UnhealthyProb(start)).To(gomega.BeNumerically("<", crjudge.Threshold))
 }
 
 // Nobody sends a sick target anything. It recovers, and is wanted again: without
@@ -50,8 +50,8 @@
 	for range 5 {
 		j.Observe(start, crjudge.Failure)
 	}
-	g.Expect(j.UnhealthyProb(start.Add(3 * time.Second))).To(gomega.BeNumerically(">=", crjudge.Limit))
-	g.Expect(j.UnhealthyProb(start.Add(20 * time.Second))).To(gomega.BeNumerically("<", crjudge.Limit))
+	g.Expect(j.UnhealthyProb(start.Add(3 * time.Second))).To(gomega.BeNumerically(">=", crjudge.Threshold))
+	g.Expect(j.UnhealthyProb(start.Add(20 * time.Second))).To(gomega.BeNumerically("<", crjudge.Threshold))
 }
 
 // Targets turn sick for nine seconds at a time, three in ten at any moment, and
@@ -70,7 +70,7 @@
 			if at%(9*time.Second) < 150*time.Millisecond {
 				unhealthy = rng.Float64() < 0.3
 			}
-			excluded := j.UnhealthyProb(now) >= crjudge.Limit
+			excluded := j.UnhealthyProb(now) >= crjudge.Threshold
 			if !unhealthy {
 				healthySteps++
 				if excluded {
--- a/core/crplace/choose.go
+++ b/core/crplace/choose.go
@@ -64,7 +64,7 @@
 		v.state.lastTrial = now
 		return v.choice(true, false), true
 	}
-	healthy := filter(candidates, func(v scoredCandidate) bool { return v.unhealthyProb < crjudge.Limit && !v.avoided })
+	healthy := filter(candidates, func(v scoredCandidate) bool { return v.unhealthyProb < crjudge.Threshold && !v.avoided })
 	if v, ok := overflow(candidates, healthy, req); ok {
 		return v.choice(false, true), true
 	}
@@ -138,7 +138,7 @@
 		return scoredCandidate{}, false
 	}
 	unhealthy := filter(candidates, func(v scoredCandidate) bool {
-		return v.unhealthyProb >= crjudge.Limit && !v.avoided && v.utilization < lowUtilization && now.Sub(v.state.lastTrial) > trialInterval
+		return v.unhealthyProb >= crjudge.Threshold && !v.avoided && v.utilization < lowUtilization && now.Sub(v.state.lastTrial) > trialInterval
 	})
 	if len(unhealthy) == 0 || len(unhealthy) == len(candidates) {
 		return scoredCandidate{}, false
@@ -162,7 +162,7 @@
 		return scoredCandidate{}, false
 	}
 	unhealthy := filter(candidates, func(v scoredCandidate) bool {
-		return v.unhealthyProb >= crjudge.Limit && !v.avoided && v.utilization < lowUtilization
+		return v.unhealthyProb >= crjudge.Threshold && !v.avoided && v.utilization < lowUtilization
 	})
 	if len(unhealthy) == 0 {
 		return scoredCandidate{}, false
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -242,7 +242,7 @@
 func (x *Exit) fit(now crid.Instant, o croffer.Offer) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.judge.UnhealthyProb(now) < crjudge.Limit || o.Last {
+	if x.judge.UnhealthyProb(now) < crjudge.Threshold || o.Last {
 		return true
 	}
 	if o.Class != crpolicy.ClassRepeat || now.Sub(x.trial) < trialEvery {
@@ -314,8 +314,8 @@
 	before := x.judge.UnhealthyProb(now)
 	x.judge.Observe(now, s)
 	after := x.judge.UnhealthyProb(now)
-	changed := (after >= crjudge.Limit) != x.held
-	x.held = after >= crjudge.Limit
+	changed := (after >= crjudge.Threshold) != x.held
+	x.held = after >= crjudge.Threshold
 	x.mu.Unlock()
 	if !changed {
 		return
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -78,7 +78,7 @@
 // fit reports whether the exit takes requests for its target now.
 func (s *send) fit() bool {
 	x, now := s.exit, s.exit.world.now
-	if !x.world.policy.judged || x.judge.UnhealthyProb(now) < crjudge.Limit || s.last {
+	if !x.world.policy.judged || x.judge.UnhealthyProb(now) < crjudge.Threshold || s.last {
 		return true
 	}
 	if s.kind.Once || now.Sub(x.trial) < trialEvery {
@@ -193,7 +193,7 @@
 
 func (x *exit) note(sign crjudge.Observation) {
 	x.judge.Observe(x.world.now, sign)
-	if sick := x.judge.UnhealthyProb(x.world.now) >= crjudge.Limit; sick != x.held {
+	if sick := x.judge.UnhealthyProb(x.world.now) >= crjudge.Threshold; sick != x.held {
 		x.held = sick
 		x.tell()
 	}
--- a/lab/crexperiment/world.go
+++ b/lab/crexperiment/world.go
@@ -247,7 +247,7 @@
 	w := x.world
 	holds := 0
 	for _, e := range w.entries {
-		if w.policy.believe(e, x, e.told[x.target]).UnhealthyProb >= crjudge.Limit {
+		if w.policy.believe(e, x, e.told[x.target]).UnhealthyProb >= crjudge.Threshold {
 			holds++
 		}
 	}
