--- a/core/crjudge/crjudge.go
+++ b/core/crjudge/crjudge.go
@@ -1,17 +1,18 @@
-// Package crjudge judges whether a target is sick, from all the answers that it
-// gives.
+// Package crjudge estimates whether a target is unhealthy from the responses that its
+// exit sees. Package crhealth, in contrast, compares the targets of a service with
+// each other, by the counts of all daemons.
 //
-// A target is taken for a machine with two states, well and sick, that changes
-// between them at random. Each answer moves the probability of sickness by
-// Bayes' rule, and time without answers moves it back to what is usual. So one
-// failure of a target that has done well is already strong evidence where many
-// targets turn sick, and old evidence loses its weight by itself.
+// The target is modeled as a hidden Markov process with two states, healthy and
+// unhealthy. Each observation updates the probability of the unhealthy state by Bayes'
+// rule; without observations the probability decays to the prior. One failure of a
+// target with a good record is thus strong evidence where many targets become
+// unhealthy, and old evidence loses its weight.
 //
 // # Usage
 //
-//	j := crjudge.New(now)
-//	j.Note(now, crjudge.Failure)
-//	if j.Sick(now) >= crjudge.Limit { ... }
+//	e := crjudge.New(now)
+//	e.Observe(now, crjudge.Failure)
+//	if e.UnhealthyProb(now) >= crjudge.Threshold { ... }
 package crjudge
 
 import (
@@ -22,44 +23,45 @@
 )
 
 const (
-	// Threshold is the probability of sickness from which on a target gets no
-	// request that may run only once. A failure of a target that did well leads
-	// above it, and three successes in a row after one failure lead below.
+	// Threshold is the probability from which on a target gets no request that may run
+	// only once. One failure of a target with a good record leads above it, and three
+	// successes in a row after one failure lead below it.
 	Threshold = 0.35
 
-	// usual is the share of targets that are taken to be sick at an ordinary moment.
-	// With more, a target of which nothing is known yet would hardly be used.
+	// priorProb is the share of targets that are unhealthy at an ordinary moment. With
+	// a higher value, a target without observations would hardly be used.
 	priorProb = 0.12
-	// turnover is the time in which a state is forgotten. Gray failures last for
-	// seconds.
+	// decayTime is the time constant with which the estimate returns to the prior.
+	// Gray failures last for seconds.
 	decayTime = 8 * time.Second
-	// failsSick and failsWell are the shares of requests that sick and sound targets
-	// fail.
+	// unhealthyFailureRate and healthyFailureRate are the shares of requests that
+	// unhealthy and healthy targets fail.
 	unhealthyFailureRate = 0.7
 	healthyFailureRate   = 0.015
-	// least keeps the probability from growing so small that a burst of
-	// failures would have to wear down a long good record.
+	// minProb and maxProb bound the probability, so that after a long good record a
+	// short burst of failures suffices to raise it.
 	minProb = 0.004
 	maxProb = 0.985
 )
 
-// Observation is one answer as evidence.
+// Observation is the result of one request as evidence.
 type Observation uint8
 
-// The signs.
+// Observations.
 const (
-	// Success is a whole answer that is no failure.
+	// Success is a complete response that is not a failure.
 	Success Observation = iota + 1
-	// Failure is an answer that tells of a fault of the target's own.
+	// Failure is a response that shows a fault of the target itself.
 	Failure
-	// Slow is a request that runs far longer than the target's others. It is
-	// weaker than a failure: a few requests are long by nature.
+	// Slow is a request that takes far longer than the target's other requests. It is
+	// weaker evidence than a failure, since a few requests are long by nature.
 	Slow
 )
 
-// odds is how much likelier a sick target gives the sign than a well one.
-func (s Observation) likelihoodRatio() float64 {
-	switch s {
+// likelihoodRatio is the probability of the observation for an unhealthy target,
+// divided by that for a healthy one.
+func (o Observation) likelihoodRatio() float64 {
+	switch o {
 	case Success:
 		return (1 - unhealthyFailureRate) / (1 - healthyFailureRate)
 	case Failure:
@@ -70,26 +72,26 @@
 	return 1
 }
 
-// Estimator follows one target. It is not safe for concurrent use.
+// Estimator estimates the health of one target. It is not safe for concurrent use.
 type Estimator struct {
 	prob      float64
 	updatedAt crid.Instant
 }
 
-// New returns a judge that knows nothing of its target yet.
+// New returns an estimator without observations.
 func New(now crid.Instant) *Estimator { return &Estimator{prob: priorProb, updatedAt: now} }
 
-// UnhealthyProb returns the probability that the target is sick now.
-func (j *Estimator) UnhealthyProb(now crid.Instant) float64 {
-	age := max(now.Sub(j.updatedAt), 0)
+// UnhealthyProb returns the probability that the target is unhealthy now.
+func (e *Estimator) UnhealthyProb(now crid.Instant) float64 {
+	age := max(now.Sub(e.updatedAt), 0)
 	keep := math.Exp(-age.Seconds() / decayTime.Seconds())
-	return priorProb + (j.prob-priorProb)*keep
+	return priorProb + (e.prob-priorProb)*keep
 }
 
-// Observe takes an answer into account.
-func (j *Estimator) Observe(now crid.Instant, s Observation) {
-	p := j.UnhealthyProb(now)
-	odds := p / (1 - p) * s.likelihoodRatio()
-	j.prob = min(max(odds/(1+odds), minProb), maxProb)
-	j.updatedAt = max(j.updatedAt, now)
+// Observe updates the estimate with an observation.
+func (e *Estimator) Observe(now crid.Instant, o Observation) {
+	p := e.UnhealthyProb(now)
+	odds := p / (1 - p) * o.likelihoodRatio()
+	e.prob = min(max(odds/(1+odds), minProb), maxProb)
+	e.updatedAt = max(e.updatedAt, now)
 }
--- a/core/crjudge/crjudge_test.go
+++ b/core/crjudge/crjudge_test.go
@@ -13,64 +13,63 @@
 
 const start = crid.Instant(time.Hour)
 
-// A target that did well turns sick. Its first failure is not yet sure, but the
-// next request may run only once: sending it there would lose it, too.
+// A healthy target becomes unhealthy. If its first failure did not exclude it, the
+// next request that may run only once would be lost, too.
 func TestOneFailureReachesTheThreshold(t *testing.T) {
 	g := gomega.NewWithT(t)
-	j := crjudge.New(start)
+	e := crjudge.New(start)
 	now := start
 	for range 200 {
 		now = now.Add(100 * time.Millisecond)
-		j.Observe(now, crjudge.Success)
+		e.Observe(now, crjudge.Success)
 	}
-	g.Expect(j.UnhealthyProb(now)).To(gomega.BeNumerically("<", crjudge.Threshold))
-	j.Observe(now.Add(time.Second), crjudge.Failure)
-	g.Expect(j.UnhealthyProb(now.Add(time.Second))).To(gomega.BeNumerically(">=", crjudge.Threshold))
+	g.Expect(e.UnhealthyProb(now)).To(gomega.BeNumerically("<", crjudge.Threshold))
+	e.Observe(now.Add(time.Second), crjudge.Failure)
+	g.Expect(e.UnhealthyProb(now.Add(time.Second))).To(gomega.BeNumerically(">=", crjudge.Threshold))
 }
 
-// A sound target fails one request in eighty. Were it held sick for long, callers
-// would lose good capacity.
+// A healthy target fails one request in eighty. If it were excluded for long, callers
+// would lose healthy capacity.
 func TestSuccessesClearARandomFailure(t *testing.T) {
 	g := gomega.NewWithT(t)
-	j := crjudge.New(start)
-	j.Observe(start, crjudge.Success)
-	j.Observe(start, crjudge.Failure)
-	g.Expect(j.UnhealthyProb(start)).To(gomega.BeNumerically(">=", crjudge.Threshold))
+	e := crjudge.New(start)
+	e.Observe(start, crjudge.Success)
+	e.Observe(start, crjudge.Failure)
+	g.Expect(e.UnhealthyProb(start)).To(gomega.BeNumerically(">=", crjudge.Threshold))
 	for range 4 {
-		j.Observe(start, crjudge.Success)
+		e.Observe(start, crjudge.Success)
 	}
-	g.Expect(j.UnhealthyProb(start)).To(gomega.BeNumerically("<", crjudge.Threshold))
+	g.Expect(e.UnhealthyProb(start)).To(gomega.BeNumerically("<", crjudge.Threshold))
 }
 
-// Nobody sends a sick target anything. It recovers, and is wanted again: without
-// news the verdict has to fade.
+// An unhealthy target gets no requests, so that no observation shows its recovery. The
+// estimate has to decay with time.
 func TestEstimateDecaysWithoutObservations(t *testing.T) {
 	g := gomega.NewWithT(t)
-	j := crjudge.New(start)
+	e := crjudge.New(start)
 	for range 5 {
-		j.Observe(start, crjudge.Failure)
+		e.Observe(start, crjudge.Failure)
 	}
-	g.Expect(j.UnhealthyProb(start.Add(3 * time.Second))).To(gomega.BeNumerically(">=", crjudge.Threshold))
-	g.Expect(j.UnhealthyProb(start.Add(20 * time.Second))).To(gomega.BeNumerically("<", crjudge.Threshold))
+	g.Expect(e.UnhealthyProb(start.Add(3 * time.Second))).To(gomega.BeNumerically(">=", crjudge.Threshold))
+	g.Expect(e.UnhealthyProb(start.Add(20 * time.Second))).To(gomega.BeNumerically("<", crjudge.Threshold))
 }
 
-// Targets turn sick for nine seconds at a time, three in ten at any moment, and
-// fail 85 of 100 requests then; sound ones fail 12 in 1,000. Of the requests that
-// may run only once, few may meet a sick target, and few sound targets may be
-// left out.
+// Three in ten targets are unhealthy at any moment, for nine seconds at a time, and
+// fail 85 of 100 requests; healthy ones fail 12 in 1,000. Few once-only requests may
+// reach an unhealthy target, and few healthy targets may be excluded.
 func TestSimulatedFleetIsEstimatedWell(t *testing.T) {
 	g := gomega.NewWithT(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	var sent, lost, healthySteps, healthyExcluded int
 	for range 20 {
-		j := crjudge.New(start)
+		e := crjudge.New(start)
 		unhealthy := false
 		for at := time.Duration(0); at < 5*time.Minute; at += 150 * time.Millisecond {
 			now := start.Add(at)
 			if at%(9*time.Second) < 150*time.Millisecond {
 				unhealthy = rng.Float64() < 0.3
 			}
-			excluded := j.UnhealthyProb(now) >= crjudge.Threshold
+			excluded := e.UnhealthyProb(now) >= crjudge.Threshold
 			if !unhealthy {
 				healthySteps++
 				if excluded {
@@ -78,7 +77,7 @@
 				}
 			}
 			if excluded && rng.Float64() < 0.6 {
-				continue // only some requests may try a target held to be sick
+				continue // only some requests may try an excluded target
 			}
 			failed := rng.Float64() < 0.012 || (unhealthy && rng.Float64() < 0.85)
 			if !excluded {
@@ -88,12 +87,12 @@
 				}
 			}
 			if failed {
-				j.Observe(now, crjudge.Failure)
+				e.Observe(now, crjudge.Failure)
 			} else {
-				j.Observe(now, crjudge.Success)
+				e.Observe(now, crjudge.Success)
 			}
 		}
 	}
 	g.Expect(float64(lost)/float64(sent)).To(gomega.BeNumerically("<", 0.04), "once-only requests lost")
-	g.Expect(float64(healthyExcluded)/float64(healthySteps)).To(gomega.BeNumerically("<", 0.1), "sound targets set aside")
+	g.Expect(float64(healthyExcluded)/float64(healthySteps)).To(gomega.BeNumerically("<", 0.1), "healthy targets excluded")
 }
