--- a/core/crhealth/baseline.go
+++ b/core/crhealth/baseline.go
@@ -14,7 +14,7 @@
 func FixedLocal(params Params) Params {
 	params.Judge = FixedJudge{Rate: fixedRate, Median: fixedMedian, MinAttempts: fixedMinAttempts}
 	params.LocalOnly = true
-	params.Stalls = false
+	params.DetectStalls = false
 	params.disabledGuards |= guardCorroboration
 	return params
 }
@@ -23,6 +23,6 @@
 // comparison.
 func NoEjection(params Params) Params {
 	params.Judge = NoJudge{}
-	params.Stalls = false
+	params.DetectStalls = false
 	return params
 }
--- a/core/crhealth/entry.go
+++ b/core/crhealth/entry.go
@@ -110,7 +110,7 @@
 }
 
 func (s *State) refillTokens() {
-	rate := float64(s.params.Budget)
+	rate := float64(s.params.DigestByteRate)
 	s.digestTokens = min(s.digestTokens+s.now.Sub(s.refilledAt).Seconds()*rate, rate*burstTime.Seconds())
 	s.refilledAt = s.now
 }
@@ -282,8 +282,8 @@
 }
 
 // enforcedEjections returns the ejections of the verdict that the floor allows in this
-// daemon's view, in descending order of score. The arbiter may not know yet that a
-// target is leaving.
+// daemon's view, in descending order of score. The arbiter may not have received yet
+// the list in which a target is leaving.
 func (s *State) enforcedEjections(service crid.Service, e *entry) map[crid.Target]bool {
 	if len(e.verdict.Ejected) == 0 {
 		return nil
--- a/core/crhealth/evaluation.go
+++ b/core/crhealth/evaluation.go
@@ -110,7 +110,7 @@
 func (s *State) confirmUnhealthy(v *evaluation, target crid.Target) bool {
 	r := v.detector.records[target]
 	if !r.updated {
-		return r.suspicion >= s.params.Confirm
+		return r.suspicion >= s.params.Confirmations
 	}
 	r.updated = false
 	e, peers := v.comparison(target)
@@ -118,7 +118,7 @@
 	if r.finding.Cause == CauseFailing && !s.params.LocalOnly && v.peersFailedRecently(target, e) {
 		r.finding = Finding{}
 	}
-	if r.finding.Cause == CauseNone && s.params.Stalls {
+	if r.finding.Cause == CauseNone && s.params.DetectStalls {
 		r.finding = v.judgeStall(target)
 	}
 	if r.finding.Cause == CauseNone {
@@ -128,10 +128,10 @@
 	}
 	r.suspicion++
 	if r.finding.Cause == CauseWrong {
-		r.suspicion = max(r.suspicion, s.params.Confirm)
+		r.suspicion = max(r.suspicion, s.params.Confirmations)
 	}
-	if e.ReportedUnhealthy && r.suspicion == s.params.Confirm-1 {
+	if e.ReportedUnhealthy && r.suspicion == s.params.Confirmations-1 {
 		r.suspicion++
 	}
-	return r.suspicion >= s.params.Confirm
+	return r.suspicion >= s.params.Confirmations
 }
--- a/core/crhealth/fault_test.go
+++ b/core/crhealth/fault_test.go
@@ -176,7 +176,7 @@
 }
 
 // Two targets become unhealthy, and the floor allows one ejection, then none. The one
-// with the higher score is ejected; event 402 tells operators why the other is not.
+// with the higher score is ejected; event 402 reports the other.
 func TestFloorKeepsTheLessUnhealthyTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(DefaultParams(), 7, 6, 6, 5)
@@ -194,8 +194,9 @@
 	g.Expect(tight.ejected).To(gomega.BeEmpty())
 }
 
-// Other targets leave while one is ejected, and the arbiter may hear of it later than
-// the entries. Unless the entries end the ejection, the service stays below its floor.
+// Other targets leave while one is ejected, and the arbiter may receive the new list
+// later than the entries. Unless the entries end the ejection, the service stays below
+// its floor.
 func TestLossOfCapacityEndsEjections(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newWorld(DefaultParams(), 7, 6, 6, 5)
@@ -237,8 +238,7 @@
 	w.run(6 * time.Second)
 	g.Expect(w.ejectedSomewhere()).To(gomega.HaveKey(unhealthy))
 
-	// The former arbiter resumes with a full inbox and still takes itself for the
-	// arbiter.
+	// The former arbiter resumes with a full inbox and the old list.
 	before := w.ejected[unhealthy]
 	dead.paused = false
 	dead.isolated = true
--- a/core/crhealth/params.go
+++ b/core/crhealth/params.go
@@ -6,25 +6,25 @@
 // in the whole fleet. If an arbiter waited for less time than the verdicts of its
 // predecessor are valid, its ejections would add up with theirs.
 type Params struct {
-	DigestEvery time.Duration // between two digests of a service with traffic
-	JudgeEvery  time.Duration // between two judgements of a service
-	IdleAfter   time.Duration `cbor:"Quiet" json:"Quiet"` // time without traffic after which no digests are sent
-	Budget      int           // bytes per second for the digests of all services
+	DigestEvery    time.Duration // between two digests of a service with traffic
+	JudgeEvery     time.Duration // between two judgements of a service
+	IdleAfter      time.Duration `cbor:"Quiet" json:"Quiet"`   // time without traffic after which no digests are sent
+	DigestByteRate int           `cbor:"Budget" json:"Budget"` // in bytes per second, over all services
 
 	ValidFor time.Duration // validity of a verdict, from the sending of the digest that it answers
 	Drift    float64       // bound on the relative error of each daemon's clock
 	Margin   time.Duration // added to each wait that depends on another clock
 
-	Confirm          int           // consecutive judgements before a slow or failing target is ejected
+	Confirmations    int           `cbor:"Confirm" json:"Confirm"`   // consecutive judgements before a slow or failing target is ejected
 	BaseEjectionTime time.Duration `cbor:"HoldBase" json:"HoldBase"` // duration of the first ejection; doubles with each further one
 	MaxEjectionTime  time.Duration `cbor:"HoldMost" json:"HoldMost"` // longest ejection
 	EjectionDecay    time.Duration `cbor:"Forgive" json:"Forgive"`   // time in good health that takes one off the count of ejections
 	SlowStart        time.Duration // from the end of an ejection to full weight
 	ColdStart        time.Duration // from a start to full weight
 
-	Judge     Judge `cbor:"-"` // nil: PeerJudge, the default
-	Stalls    bool  // detect stalls by pending attempts, before they time out
-	LocalOnly bool  `cbor:"Alone" json:"Alone"` // baseline: each daemon ejects on its own evidence
+	Judge        Judge `cbor:"-"`                    // nil: PeerJudge, the default
+	DetectStalls bool  `cbor:"Stalls" json:"Stalls"` // detect stalls by pending attempts, before they time out
+	LocalOnly    bool  `cbor:"Alone" json:"Alone"`   // baseline: each daemon ejects on its own evidence
 
 	disabledGuards guard // set by tests only
 }
@@ -50,18 +50,18 @@
 		DigestEvery:      250 * time.Millisecond,
 		JudgeEvery:       200 * time.Millisecond,
 		IdleAfter:        2 * time.Second,
-		Budget:           8 << 10,
+		DigestByteRate:   8 << 10,
 		ValidFor:         1500 * time.Millisecond,
 		Drift:            0.01,
 		Margin:           100 * time.Millisecond,
-		Confirm:          2,
+		Confirmations:    2,
 		BaseEjectionTime: 5 * time.Second,
 		MaxEjectionTime:  2 * time.Minute,
 		EjectionDecay:    time.Minute,
 		SlowStart:        5 * time.Second,
 		ColdStart:        10 * time.Second,
 		Judge:            PeerJudge{},
-		Stalls:           true,
+		DetectStalls:     true,
 	}
 }
 
--- a/core/crhealth/world_test.go
+++ b/core/crhealth/world_test.go
@@ -251,8 +251,8 @@
 	}
 }
 
-// changeMembers starts the move of the leases to other members. Daemons that hear of
-// it give up their leases at once; the move waits until those of the others have
+// changeMembers starts the move of the leases to other members. Reachable
+// daemons give up their leases at once; the move waits until those of the others have
 // expired.
 func (w *world) changeMembers(members []crid.Daemon) {
 	if w.nextMembers != nil {
