--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -120,7 +120,7 @@
 	running map[*Ticket]bool
 	waiting []*Ticket // most urgent first, then in order of arrival
 	closed  bool
-	paces   crpace.Paces
+	paces   crpace.Estimators
 }
 
 // New returns a gate for a target with the given number of slots.
@@ -226,7 +226,7 @@
 func (g *Gate) Slow(k crpace.Kind) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.paces.Slow(k)
+	return g.paces.SlowThreshold(k)
 }
 
 // Idle reports whether nothing runs and nothing waits.
--- a/core/crhealth/baseline.go
+++ b/core/crhealth/baseline.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// The thresholds of FixedAlone.
+// Thresholds of FixedLocal.
 const (
-	fixedRate   = 0.2
-	fixedMedian = 60 * time.Millisecond
-	fixedLeast  = 5
+	fixedRate        = 0.2
+	fixedMedian      = 60 * time.Millisecond
+	fixedMinAttempts = 5
 )
 
-// FixedAlone returns params under which each daemon ejects on its own evidence
-// by fixed thresholds, for comparison.
-func FixedAlone(params Params) Params {
-	params.Judge = FixedJudge{Rate: fixedRate, Median: fixedMedian, Least: fixedLeast}
-	params.Alone = true
-	params.Stalls = false
-	params.without |= guardAccounts
+// FixedLocal returns params with which each daemon ejects by fixed thresholds on its
+// own evidence. It is a baseline for comparison.
+func FixedLocal(params Params) Params {
+	params.Judge = FixedJudge{Rate: fixedRate, Median: fixedMedian, MinAttempts: fixedMinAttempts}
+	params.LocalOnly = true
+	params.DetectStalls = false
+	params.disabledGuards |= guardCorroboration
 	return params
 }
 
-// NoEjection returns params under which no target is ejected, for comparison.
+// NoEjection returns params with which no target is ejected. It is a baseline for
+// comparison.
 func NoEjection(params Params) Params {
 	params.Judge = NoJudge{}
-	params.Stalls = false
+	params.DetectStalls = false
 	return params
 }
--- a/core/crhealth/crhealth.go
+++ b/core/crhealth/crhealth.go
@@ -1,14 +1,18 @@
-// Package crhealth finds sick targets and ejects them, so that the healthy
-// capacity of a service never falls below its floor by ejecting.
+// Package crhealth ejects unhealthy targets by outlier detection over the whole
+// fleet. Ejections never take the healthy capacity of a service below its floor.
 //
 // Traffic goroutines of every daemon count their attempts in a [Recorder]. The
-// reducer [State] sends them as a [Digest] to the service's arbiter, which is
-// the daemon that ranks first for the service among the members of the active
-// list. The arbiter adds up the evidence of all entries, compares each target
-// with its peers ([PeerJudge]) and answers each digest with a [Verdict]. A
-// verdict holds for a bounded time, counted from the sending of the digest that
-// it answers; so an arbiter that is gone or cut off is obeyed no longer, and
-// the next one starts only then. docs/design/05-ejection.md gives the argument.
+// reducer [State], which core/crdaemon runs, sends the counts as a [Digest] to the
+// service's arbiter: the daemon with the highest rendezvous hash for the service
+// among the members of the active list. The arbiter adds up the evidence of all
+// entries, compares each target with its peers ([PeerJudge]) and replies to each digest
+// with a [Verdict]. A verdict is valid for a bounded time from the sending of the
+// digest that it answers. The verdicts of an arbiter that is down or partitioned
+// therefore expire, and the next arbiter sends its first verdict only then.
+// docs/design/05-ejection.md gives the argument.
+//
+// Package crjudge, in contrast, estimates the health of one target from the responses
+// that its own exit sees.
 //
 // # Usage
 //
@@ -18,7 +22,7 @@
 //	s := crhealth.New(crhealth.DefaultParams())
 //	s.Step(crhealth.Observed{Now: now, Samples: recorder.Drain(now)}) // each tick
 //	for _, effect := range s.Step(ev) {
-//		// crevent.Send, crevent.Report and Steer go to the shell.
+//		// The caller executes crevent.Send, crevent.Report and RoutingUpdate.
 //	}
 package crhealth
 
@@ -35,8 +39,8 @@
 	"camphorroad/core/crpolicy"
 )
 
-// place is where a target stands, by the newest list.
-type place struct {
+// placement is the daemon and service of a target, according to the newest list.
+type placement struct {
 	daemon    crid.Daemon
 	service   crid.Service
 	leaving   bool
@@ -48,64 +52,64 @@
 type State struct {
 	params Params
 
-	now      crid.Instant
-	self     crid.Daemon
-	life     crid.Incarnation
-	stopping bool
-	snapshot *crpolicy.Snapshot
-	listed   bool
-	places   map[crid.Target]*place
-	targets  map[crid.Service][]crid.Target // sorted
-	peers    map[crid.Daemon]crmember.Peer
-	standing standing
-
-	entries map[crid.Service]*entry
-	hot     map[crid.Service]bool // services whose Steer changes with time
-	dockets map[crid.Service]*docket
-	seq     uint64
-	number  uint64
-	credit  float64 // bytes that digests may take now
-	paidAt  crid.Instant
-	late    bool
+	now         crid.Instant
+	self        crid.Daemon
+	incarnation crid.Incarnation
+	stopping    bool
+	snapshot    *crpolicy.Snapshot
+	listed      bool
+	placements  map[crid.Target]*placement
+	targets     map[crid.Service][]crid.Target // sorted
+	peers       map[crid.Daemon]crmember.Peer
+	lease       leaseState
+
+	entries      map[crid.Service]*entry
+	timeVarying  map[crid.Service]bool // services whose RoutingUpdate changes with time
+	detectors    map[crid.Service]*detector
+	seq          uint64
+	number       uint64
+	digestTokens float64 // bytes that digests may use now
+	refilledAt   crid.Instant
+	digestsLate  bool
 
 	out []crevent.Effect
 }
 
-// New returns a reducer that knows nothing yet.
+// New returns a reducer without state.
 func New(p Params) *State {
 	if p.Judge == nil {
 		p.Judge = PeerJudge{}
 	}
 	return &State{
-		params:   p,
-		places:   make(map[crid.Target]*place),
-		targets:  make(map[crid.Service][]crid.Target),
-		peers:    make(map[crid.Daemon]crmember.Peer),
-		entries:  make(map[crid.Service]*entry),
-		hot:      make(map[crid.Service]bool),
-		dockets:  make(map[crid.Service]*docket),
-		standing: newStanding(),
+		params:      p,
+		placements:  make(map[crid.Target]*placement),
+		targets:     make(map[crid.Service][]crid.Target),
+		peers:       make(map[crid.Daemon]crmember.Peer),
+		entries:     make(map[crid.Service]*entry),
+		timeVarying: make(map[crid.Service]bool),
+		detectors:   make(map[crid.Service]*detector),
+		lease:       newLeaseState(),
 	}
 }
 
-// Step takes one event and returns what is to be done.
+// Step handles one event and returns its effects.
 func (s *State) Step(ev crevent.Event) []crevent.Effect {
 	s.now = max(s.now, ev.At())
 	s.out = nil
 	switch ev := ev.(type) {
 	case crevent.Started:
 		s.self = ev.Self
-		s.life = ev.Incarnation
+		s.incarnation = ev.Incarnation
 	case crevent.Stopping:
 		s.stopping = true
 	case crinstance.Listed:
-		s.takeList(ev.List)
+		s.applyList(ev.List)
 	case crconfig.Applied:
 		s.snapshot = ev.Snapshot
 	case crmember.Peers:
-		s.takePeers(ev.Peers)
+		s.applyPeers(ev.Peers)
 	case crmember.Tenure:
-		s.takeTenure(ev)
+		s.applyLease(ev)
 	case Observed:
 		s.observe(ev.Samples)
 	case crevent.Received:
@@ -113,7 +117,7 @@
 	case crevent.Tick:
 		s.tick()
 	}
-	s.steerAfter(ev)
+	s.updateRoutingAfter(ev)
 	return s.out
 }
 
@@ -130,19 +134,19 @@
 	s.emit(crevent.Report{Number: number, Fields: fields})
 }
 
-// takeList indexes a list. A target that was not in the list before is cold;
-// all those of the first list are taken as warm, since their age is unknown.
-func (s *State) takeList(list crinstance.List) {
-	former := s.places
-	s.places = make(map[crid.Target]*place, len(former))
+// applyList indexes a list. A target that was not in the previous list is cold. All
+// targets of the first list count as warm, since their age is unknown.
+func (s *State) applyList(list crinstance.List) {
+	previous := s.placements
+	s.placements = make(map[crid.Target]*placement, len(previous))
 	s.targets = make(map[crid.Service][]crid.Target)
 	for _, in := range list.Instances() {
 		for _, t := range in.Targets {
-			p := &place{daemon: in.Daemon, service: t.Service, leaving: in.Leaving(), cold: s.listed, coldSince: s.now}
-			if old, ok := former[t.Name]; ok {
+			p := &placement{daemon: in.Daemon, service: t.Service, leaving: in.Leaving(), cold: s.listed, coldSince: s.now}
+			if old, ok := previous[t.Name]; ok {
 				p.cold, p.coldSince = old.cold, old.coldSince
 			}
-			s.places[t.Name] = p
+			s.placements[t.Name] = p
 			s.targets[t.Service] = append(s.targets[t.Service], t.Name)
 		}
 	}
@@ -153,19 +157,19 @@
 	for service := range s.entries {
 		if len(s.targets[service]) == 0 {
 			delete(s.entries, service)
-			delete(s.hot, service)
+			delete(s.timeVarying, service)
 		}
 	}
 }
 
-// takePeers notes who is reachable. A daemon with a new incarnation has been
-// replaced with its instance, so its targets are cold.
-func (s *State) takePeers(peers []crmember.Peer) {
-	former := s.peers
+// applyPeers records who is reachable. A new incarnation of a daemon means that its
+// whole instance was replaced, so its targets are cold.
+func (s *State) applyPeers(peers []crmember.Peer) {
+	previous := s.peers
 	s.peers = make(map[crid.Daemon]crmember.Peer, len(peers))
 	restarted := make(map[crid.Daemon]bool)
 	for _, p := range peers {
-		old := former[p.Daemon]
+		old := previous[p.Daemon]
 		if old.Incarnation != 0 && p.Incarnation != 0 && old.Incarnation != p.Incarnation {
 			restarted[p.Daemon] = true
 		}
@@ -174,25 +178,25 @@
 	if len(restarted) == 0 {
 		return
 	}
-	for _, p := range s.places {
+	for _, p := range s.placements {
 		if restarted[p.daemon] {
 			p.cold = true
 			p.coldSince = s.now
-			s.hot[p.service] = true
+			s.timeVarying[p.service] = true
 		}
 	}
 }
 
-// coldNow reports whether a target is in its first seconds.
-func (s *State) coldNow(p *place) bool {
+// isCold reports whether a target started less than ColdStart ago.
+func (s *State) isCold(p *placement) bool {
 	return p.cold && s.now.Sub(p.coldSince) < s.params.ColdStart
 }
 
 // isCapacity reports whether a target counts as capacity: listed, not leaving,
-// reachable and warm. A daemon that is not among the peers does not count.
+// reachable and warm. A target whose daemon is not among the peers does not count.
 func (s *State) isCapacity(target crid.Target) bool {
-	p := s.places[target]
-	if p == nil || p.leaving || s.coldNow(p) {
+	p := s.placements[target]
+	if p == nil || p.leaving || s.isCold(p) {
 		return false
 	}
 	if p.daemon == s.self {
@@ -202,7 +206,8 @@
 	return peer.Reachable && !peer.Leaving
 }
 
-// allowance is how many targets of a service may be ejected at one time.
+// allowance returns the number of targets of a service that may be ejected at one
+// time.
 func (s *State) allowance(service crid.Service) int {
 	if s.snapshot == nil {
 		return 0
@@ -223,9 +228,9 @@
 func (s *State) receive(from crid.Daemon, msg crevent.Message) {
 	switch msg := msg.(type) {
 	case Digest:
-		s.takeDigest(from, msg)
+		s.handleDigest(from, msg)
 	case Verdict:
-		s.takeVerdict(from, msg)
+		s.handleVerdict(from, msg)
 	}
 }
 
--- a/core/crhealth/dump.go
+++ b/core/crhealth/dump.go
@@ -7,15 +7,16 @@
 	"camphorroad/core/crid"
 )
 
-// TargetDump is the arbiter's view of a target that is not in plain health.
+// TargetDump is the arbiter's state of a target that is ejected, suspected or was
+// ejected recently.
 type TargetDump struct {
-	Target    crid.Target `json:"target"`
-	Cause     string      `json:"cause"`
-	Ejected   bool        `json:"ejected"`
-	ForFloor  bool        `json:"keptForFloor"`
-	Suspicion int         `json:"suspicion"`
-	Strikes   int         `json:"strikes"`
-	HoldLeft  string      `json:"holdLeft,omitempty"`
+	Target       crid.Target `json:"target"`
+	Cause        string      `json:"cause"`
+	Ejected      bool        `json:"ejected"`
+	KeptForFloor bool        `json:"keptForFloor"`
+	Suspicion    int         `json:"suspicion"`
+	Ejections    int         `json:"strikes"`
+	EjectionLeft string      `json:"holdLeft,omitempty"`
 }
 
 // ServiceDump is the state of one service.
@@ -23,26 +24,26 @@
 	Service   crid.Service  `json:"service"`
 	Arbiter   crid.Daemon   `json:"arbiter"`
 	Allowance int           `json:"allowance"` // targets that may be ejected at one time
-	Steered   []TargetState `json:"steered"`   // what traffic here was told
-	Senders   int           `json:"senders"`   // entries heard, as arbiter
-	Targets   []TargetDump  `json:"targets"`   // as arbiter
+	Routing   []TargetState `json:"steered"`   // the last RoutingUpdate for local traffic
+	Senders   int           `json:"senders"`   // entries whose digests arrived; only at the arbiter
+	Targets   []TargetDump  `json:"targets"`   // only at the arbiter
 }
 
-// Dump is the state for the state dump.
+// Dump is this package's part of the state dump.
 type Dump struct {
-	Standing bool          `json:"standing"`
-	Services []ServiceDump `json:"services"` // sorted
+	HoldsLease bool          `json:"standing"`
+	Services   []ServiceDump `json:"services"` // sorted
 }
 
-// Dump returns the state at the last event.
+// Dump returns the state after the last event.
 func (s *State) Dump() any {
-	dump := Dump{Standing: s.mayAct()}
+	dump := Dump{HoldsLease: s.holdsLease()}
 	for _, service := range sortedServices(s.targets) {
 		sd := ServiceDump{Service: service, Arbiter: s.arbiter(service), Allowance: s.allowance(service)}
 		if e := s.entries[service]; e != nil {
-			sd.Steered = slices.Clone(e.steered.Targets)
+			sd.Routing = slices.Clone(e.routing.Targets)
 		}
-		if d := s.dockets[service]; d != nil {
+		if d := s.detectors[service]; d != nil {
 			sd.Senders = len(d.senders)
 			sd.Targets = s.dumpTargets(d)
 		}
@@ -51,19 +52,19 @@
 	return dump
 }
 
-func (s *State) dumpTargets(d *docket) []TargetDump {
+func (s *State) dumpTargets(d *detector) []TargetDump {
 	var targets []TargetDump
 	for _, target := range d.targets() {
 		r := d.records[target]
-		if !r.ejected && r.suspicion == 0 && r.strikes == 0 {
+		if !r.ejected && r.suspicion == 0 && r.ejections == 0 {
 			continue
 		}
 		td := TargetDump{
 			Target: target, Cause: r.finding.Cause.String(), Ejected: r.ejected,
-			ForFloor: r.kept, Suspicion: r.suspicion, Strikes: r.strikes,
+			KeptForFloor: r.keptForFloor, Suspicion: r.suspicion, Ejections: r.ejections,
 		}
 		if r.ejected {
-			td.HoldLeft = r.holdUntil.Sub(s.now).String()
+			td.EjectionLeft = r.ejectedUntil.Sub(s.now).String()
 		}
 		targets = append(targets, td)
 	}
--- a/core/crhealth/judge.go
+++ b/core/crhealth/judge.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-// Evidence is what is known of one target over the span judged.
+// Evidence summarizes the attempts on one target over one span.
 type Evidence struct {
-	N       uint32        // attempts
-	Bad     uint32        // failed, stalled or wrong attempts that other accounts and senders bear out
-	Wrong   uint32        // wrong ones among them
-	Answers uint32        // attempts with a latency
-	Median  time.Duration // of the answers
-	Hint    bool          // the target's own report looks bad
-	Cold    bool          // in slow start: its latency says nothing
+	N                 uint32        // attempts
+	Bad               uint32        // failed, stalled or wrong attempts that other accounts and senders corroborate
+	Wrong             uint32        // wrong attempts among them
+	Responses         uint32        // attempts with a latency
+	Median            time.Duration // of the responses
+	ReportedUnhealthy bool          // the target's own health or load report is bad
+	Cold              bool          // in slow start: its latency is not judged
 
 	latency [bucketCount]uint32
 }
 
-// Above is the share of answers that took clearly longer than d.
-func (e Evidence) Above(d time.Duration) float64 {
-	if e.Answers == 0 {
+// ShareAbove returns the share of responses whose latency bucket is above that of d.
+func (e Evidence) ShareAbove(d time.Duration) float64 {
+	if e.Responses == 0 {
 		return 0
 	}
 	var n uint32
 	for i := bucketOf(d) + 1; i < bucketCount; i++ {
 		n += e.latency[i]
 	}
-	return float64(n) / float64(e.Answers)
+	return float64(n) / float64(e.Responses)
 }
 
-// Rate is the share of bad attempts.
-func (e Evidence) Rate() float64 {
+// BadRate returns the share of bad attempts.
+func (e Evidence) BadRate() float64 {
 	if e.N == 0 {
 		return 0
 	}
 	return float64(e.Bad) / float64(e.N)
 }
 
-// Cause is what a target was found sick by.
+// Cause is the reason for which a target was found unhealthy.
 type Cause uint8
 
-// The causes of sickness.
+// Causes.
 const (
 	CauseNone    Cause = iota
-	CauseWrong         // answers wrongly
-	CauseFailing       // fails or stalls more than its peers
-	CauseSlow          // answers more slowly than its peers
-	CauseStalled       // answers nothing while its peers do
+	CauseWrong         // gives wrong responses
+	CauseFailing       // fails or stalls more often than its peers
+	CauseSlow          // responds more slowly than its peers
+	CauseStalled       // gives no responses while its peers do
 )
 
-// String returns a short description for people.
+// String returns the name that events and dumps show.
 func (c Cause) String() string {
 	switch c {
 	case CauseWrong:
@@ -67,10 +67,10 @@
 	}
 }
 
-// Finding is a judgement on one target.
+// Finding is the result of judging one target.
 type Finding struct {
 	Cause Cause
-	Score float64 // how much worse than its peers; orders the ejection
+	Score float64 // how far it stands out from its peers; a higher score is ejected first
 }
 
 // Judge compares a target with its peers of the same service.
@@ -78,23 +78,23 @@
 	Judge(target Evidence, peers []Evidence) Finding
 }
 
-// The bounds of PeerJudge.
+// Bounds of PeerJudge.
 const (
-	minBad      = 4 // bad attempts before a target can be failing
-	minWrong    = 2 // wrong answers before a target can be wrong
-	minAnswers  = 8 // answers before a median is believed
-	rateMargin  = 0.05
-	slowRatio   = 1.5 // of the peers' median, with endless answers
-	slowNoise   = 6.0 // added to the ratio, divided by the root of the answers
-	slowLeast   = 5 * time.Millisecond
-	slowShare   = 0.3 // of the answers, above the peers' share, that must be slow
-	madFactor   = 4
-	wrongFactor = 5
+	minBad          = 4 // bad attempts needed for CauseFailing
+	minWrong        = 2 // wrong responses needed for CauseWrong
+	minResponses    = 8 // responses needed for a median
+	rateMargin      = 0.05
+	slowRatio       = 1.5 // multiple of the peers' median, for a very large number of responses
+	slowNoise       = 6.0 // divided by the square root of the number of responses, and added to slowRatio
+	minSlowExcess   = 5 * time.Millisecond
+	slowShareMargin = 0.3 // by which the target's share of slow responses must exceed that of its peers
+	madFactor       = 4
+	wrongFactor     = 5
 )
 
-// PeerJudge finds a target sick when it stands out among its peers. When all
-// are slow or failing it finds none: that is load, or the network, and ejecting
-// would leave less capacity for the same work.
+// PeerJudge finds a target unhealthy if it is an outlier among its peers. If all
+// targets are slow or failing, it finds none: the cause is then load or the network,
+// and an ejection would leave less capacity for the same work.
 type PeerJudge struct{}
 
 var _ Judge = PeerJudge{}
@@ -121,91 +121,93 @@
 		return Finding{}
 	}
 	rate := float64(target.Wrong) / float64(target.N)
-	if rate <= wrongFactor*middle(rates) {
+	if rate <= wrongFactor*median(rates) {
 		return Finding{}
 	}
 	return Finding{Cause: CauseWrong, Score: 1000 * (1 + rate)}
 }
 
 func judgeFailing(target Evidence, peers []Evidence) Finding {
-	usual, ok := usualRate(peers)
-	if !ok || target.Bad < minBad || !failsMore(target, usual) {
+	typical, ok := medianBadRate(peers)
+	if !ok || target.Bad < minBad || !failsMoreThan(target, typical) {
 		return Finding{}
 	}
-	return Finding{Cause: CauseFailing, Score: 100 * (1 + target.Rate() - usual)}
+	return Finding{Cause: CauseFailing, Score: 100 * (1 + target.BadRate() - typical)}
 }
 
-// usualRate is the middle share of bad attempts; it reports false without any.
-func usualRate(peers []Evidence) (float64, bool) {
+// medianBadRate returns the peers' median share of bad attempts, and false if no peer
+// has attempts.
+func medianBadRate(peers []Evidence) (float64, bool) {
 	var rates []float64
 	for _, p := range peers {
 		if p.N > 0 {
-			rates = append(rates, p.Rate())
+			rates = append(rates, p.BadRate())
 		}
 	}
-	return middle(rates), len(rates) > 0
+	return median(rates), len(rates) > 0
 }
 
-func failsMore(target Evidence, usual float64) bool {
-	noise := max(1/math.Sqrt(float64(target.N)), chance(usual, target.N))
-	return target.Rate()-usual >= rateMargin+noise
+func failsMoreThan(target Evidence, typical float64) bool {
+	noise := max(1/math.Sqrt(float64(target.N)), noiseMargin(typical, target.N))
+	return target.BadRate()-typical >= rateMargin+noise
 }
 
-// chance is by how much a share of n attempts may stand out by chance where it is
-// usual among the peers: four standard deviations. Where many attempts fail or
-// take long everywhere, some target has more than its share of them at any moment.
-func chance(usual float64, n uint32) float64 {
-	return 4 * math.Sqrt(usual*(1-usual)/float64(n))
+// noiseMargin is four standard deviations of the share of n attempts that are bad or
+// slow, where the typical share is that of the peers. If many attempts are bad or slow
+// everywhere, some target exceeds the typical share at any moment by chance.
+func noiseMargin(typical float64, n uint32) float64 {
+	return 4 * math.Sqrt(typical*(1-typical)/float64(n))
 }
 
 func judgeSlow(target Evidence, peers []Evidence) Finding {
-	if target.Answers < minAnswers || target.Cold {
+	if target.Responses < minResponses || target.Cold {
 		return Finding{}
 	}
 	var medians []float64
 	for _, p := range peers {
-		if p.Answers >= minAnswers && !p.Cold {
+		if p.Responses >= minResponses && !p.Cold {
 			medians = append(medians, float64(p.Median))
 		}
 	}
 	if len(medians) == 0 || 2*len(medians) < len(peers) {
 		return Finding{}
 	}
-	usual := middle(medians)
-	limit := usual * (slowRatio + slowNoise/math.Sqrt(float64(target.Answers)))
-	limit = max(limit, usual+float64(slowLeast), usual+madFactor*spreadOf(medians, usual))
+	typical := median(medians)
+	limit := typical * (slowRatio + slowNoise/math.Sqrt(float64(target.Responses)))
+	limit = max(limit, typical+float64(minSlowExcess), typical+madFactor*medianAbsDeviation(medians, typical))
 	own := float64(target.Median)
-	if own < limit || !slowerShare(target, peers, time.Duration(limit)) {
+	if own < limit || !hasMoreSlowResponses(target, peers, time.Duration(limit)) {
 		return Finding{}
 	}
-	return Finding{Cause: CauseSlow, Score: own / usual}
+	return Finding{Cause: CauseSlow, Score: own / typical}
 }
 
-// slowerShare reports whether the target's share of slow answers is clearly above
-// that of its peers. In the moment when all grow slow, half of each target's answers
-// are old and fast; the medians then jump one after another, the shares do not.
-func slowerShare(target Evidence, peers []Evidence, limit time.Duration) bool {
+// hasMoreSlowResponses reports whether the target's share of slow responses clearly
+// exceeds that of its peers. While all targets become slow, half of each target's
+// responses are older and fast: the medians then jump one after another, but the
+// shares rise together.
+func hasMoreSlowResponses(target Evidence, peers []Evidence, limit time.Duration) bool {
 	var shares []float64
 	for _, p := range peers {
-		if p.Answers >= minAnswers && !p.Cold {
-			shares = append(shares, p.Above(limit))
+		if p.Responses >= minResponses && !p.Cold {
+			shares = append(shares, p.ShareAbove(limit))
 		}
 	}
-	usual := middle(shares)
-	return target.Above(limit)-usual >= max(slowShare, chance(usual, target.Answers))
+	typical := median(shares)
+	return target.ShareAbove(limit)-typical >= max(slowShareMargin, noiseMargin(typical, target.Responses))
 }
 
-// spreadOf is the median absolute deviation.
-func spreadOf(values []float64, center float64) float64 {
-	apart := make([]float64, 0, len(values))
+// medianAbsDeviation returns the median absolute deviation from center.
+func medianAbsDeviation(values []float64, center float64) float64 {
+	deviations := make([]float64, 0, len(values))
 	for _, v := range values {
-		apart = append(apart, math.Abs(v-center))
+		deviations = append(deviations, math.Abs(v-center))
 	}
-	return middle(apart)
+	return median(deviations)
 }
 
-// middle is the median; it sorts its argument.
-func middle(values []float64) float64 {
+// median returns the median of values, and sorts them.
+func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
@@ -214,12 +216,12 @@
 	return (values[(n-1)/2] + values[n/2]) / 2
 }
 
-// FixedJudge finds a target sick by fixed thresholds, without regard to its
-// peers. It is a baseline in measurements.
+// FixedJudge finds a target unhealthy by fixed thresholds, regardless of its peers. It
+// is a baseline for comparison.
 type FixedJudge struct {
-	Rate   float64       // share of bad attempts
-	Median time.Duration // median latency
-	Least  uint32        // attempts before judging
+	Rate        float64       // share of bad attempts
+	Median      time.Duration // median latency
+	MinAttempts uint32        // below which nothing is judged
 }
 
 var _ Judge = FixedJudge{}
@@ -227,17 +229,17 @@
 // Judge implements Judge.
 func (j FixedJudge) Judge(target Evidence, _ []Evidence) Finding {
 	switch {
-	case target.N < j.Least:
+	case target.N < j.MinAttempts:
 		return Finding{}
-	case target.Rate() >= j.Rate:
-		return Finding{Cause: CauseFailing, Score: target.Rate()}
+	case target.BadRate() >= j.Rate:
+		return Finding{Cause: CauseFailing, Score: target.BadRate()}
 	case target.Median >= j.Median:
 		return Finding{Cause: CauseSlow, Score: 1}
 	}
 	return Finding{}
 }
 
-// NoJudge never finds a target sick. It is a baseline in measurements.
+// NoJudge finds no target unhealthy. It is a baseline for comparison.
 type NoJudge struct{}
 
 var _ Judge = NoJudge{}
--- a/core/crhealth/recorder_test.go
+++ b/core/crhealth/recorder_test.go
@@ -11,9 +11,9 @@
 	"camphorroad/core/crid"
 )
 
-// Traffic goroutines record while the control goroutine drains. An attempt that
-// is lost or counted twice would shift the evidence.
-func TestRecorderLosesNothing(t *testing.T) {
+// Traffic goroutines record while the control goroutine drains. An attempt that is
+// lost or counted twice would distort the evidence.
+func TestConcurrentAttemptsAreCountedOnce(t *testing.T) {
 	r := NewRecorder()
 	var wg sync.WaitGroup
 	for i := range 4 {
@@ -32,7 +32,7 @@
 		close(done)
 	}()
 	var sum counts
-	broken := false
+	inconsistent := false
 	for running := true; running; {
 		select {
 		case <-done:
@@ -43,7 +43,7 @@
 			for _, g := range s.Groups {
 				t := tally{n: g.N, bad: g.Bad, wrong: g.Wrong}
 				if t.bad > t.n || t.wrong > t.bad {
-					broken = true
+					inconsistent = true
 				}
 				sum.groups[g.Index].add(t)
 			}
@@ -51,31 +51,31 @@
 	}
 	g := gomega.NewWithT(t)
 	g.Expect(sum.total()).To(gomega.Equal(tally{n: 40_000, bad: 20_000, wrong: 20_000}))
-	g.Expect(broken).To(gomega.BeFalse(), "a drain saw a bad attempt without its attempt")
-	r.Record("t1", ResultOK, 0, "a") // a cell without a record for long is dropped
+	g.Expect(inconsistent).To(gomega.BeFalse(), "a drain saw a bad attempt without its attempt")
+	r.Record("t1", ResultOK, 0, "a") // the drains may have removed the counters as idle
 	g.Expect(r.cells).To(gomega.HaveLen(1))
-	g.Expect(r.cells["t1"].waiting.open).To(gomega.BeEmpty())
+	g.Expect(r.cells["t1"].pending.open).To(gomega.BeEmpty())
 }
 
-// A target gets no requests for a minute, and its counters are dropped just as
-// the next one is sent to it. If that one stalls, nobody is told.
-func TestAnIdleTargetsFirstAttemptIsNotLost(t *testing.T) {
+// If the counters of an idle target were removed while its next attempt is sent, a
+// stall of that attempt would not be reported.
+func TestPendingAttemptKeepsIdleTargetsCounters(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewRecorder()
 	r.Record("t1", ResultOK, 0, "a")
 	w := r.Begin("t1", "a", 0)
-	for range idleDrains + 2 {
+	for range maxIdleDrains + 2 {
 		r.Drain(0)
 	}
 	g.Expect(r.Drain(crid.Instant(time.Second))).To(gomega.HaveLen(1))
 	w.End()
-	for range idleDrains + 2 {
+	for range maxIdleDrains + 2 {
 		r.Drain(0)
 	}
 	g.Expect(r.cells).To(gomega.BeEmpty())
 }
 
-// BenchmarkDigestSize reports the bytes on the wire of one target in a digest.
+// BenchmarkDigestSize reports the encoded bytes per target of a digest.
 func BenchmarkDigestSize(b *testing.B) {
 	w := newWorld(DefaultParams(), 1, 15, 15, 10)
 	w.run(time.Second)
@@ -83,7 +83,7 @@
 	for range 100 {
 		w.traffic(n)
 	}
-	d := Digest{Service: booking, Life: 1 << 60, Seq: 1 << 20}
+	d := Digest{Service: booking, Incarnation: 1 << 60, Seq: 1 << 20}
 	var encoded []byte
 	for b.Loop() {
 		d.Samples = append([]Sample{{Target: "booking-07"}}, n.recorder.Drain(0)...)
--- a/core/crhealth/stall.go
+++ b/core/crhealth/stall.go
@@ -6,138 +6,140 @@
 	"camphorroad/core/crid"
 )
 
-// The bounds of a stall.
+// Bounds for the detection of stalls.
 const (
-	// stallSpan is the time without any answer after which a target is looked
-	// at; it is a little above waitLeast, as digests come every 250 ms.
+	// stallSpan is the span without any response after which a target may count as
+	// stalled. It exceeds minPendingAge by the interval of the digests, 250 ms.
 	stallSpan = 750 * time.Millisecond
-	// overdueFactor is how many times longer than nearly all answers of the
-	// service an attempt must wait.
+	// overdueFactor is the multiple of the service's typical latency after which a
+	// pending attempt is overdue.
 	overdueFactor = 4
-	// usualShare of the answers of the service came within the usual time.
-	usualShare = 0.99
-	// exitSilent is for how long a daemon that sends digests may send none
-	// before a stall counts as its own, not as its target's.
-	exitSilent = 500 * time.Millisecond
+	// typicalQuantile is the quantile of the service's latency that counts as typical.
+	typicalQuantile = 0.99
+	// maxExitSilence is the time without a digest after which the daemon beside a
+	// target, and not the target, is taken for stalled.
+	maxExitSilence = 500 * time.Millisecond
 )
 
-// judgeStall finds a target stalled that answers nothing at all while its peers
-// answer, and on which several accounts wait far longer than answers of this
-// service take.
+// judgeStall finds a target stalled that gives no responses while its peers do, and on
+// which attempts of several accounts are pending for far longer than the service
+// takes.
 //
-// A target that stalls fills its slots and then shows nothing more until the
-// attempts run into their timeouts; after that every daemon avoids it by itself.
-// The few failures would be outweighed by the good answers of the seconds
-// before, and callers would go on meeting it for as long.
-func (v *survey) judgeStall(target crid.Target) Finding {
-	if v.exitIsSilent(target) || v.answersOf(target, stallSpan) > 0 {
+// The attempts on a stalled target fill its slots and give no result until they time
+// out; after that every daemon avoids it locally. The good responses of the seconds
+// before outweigh the few failures. Without this judgement, callers would keep reaching
+// the target for those seconds.
+func (v *evaluation) judgeStall(target crid.Target) Finding {
+	if v.exitIsSilent(target) || v.responses(target, stallSpan) > 0 {
 		return Finding{}
 	}
-	span := v.silence(target)
+	span := v.unresponsiveSpan(target)
 	own := v.unanswered(target, span)
 	if own < minBad {
 		return Finding{}
 	}
-	var answers, others []float64
+	var responses, unanswered []float64
 	for _, peer := range v.targets {
 		if peer != target {
-			answers = append(answers, float64(v.answersOf(peer, stallSpan)))
-			others = append(others, float64(v.unanswered(peer, span)))
+			responses = append(responses, float64(v.responses(peer, stallSpan)))
+			unanswered = append(unanswered, float64(v.unanswered(peer, span)))
 		}
 	}
-	excess := float64(own) - middle(others)
-	if middle(answers) == 0 || excess < minBad {
+	excess := float64(own) - median(unanswered)
+	if median(responses) == 0 || excess < minBad {
 		return Finding{}
 	}
 	return Finding{Cause: CauseStalled, Score: 200 * (1 + excess)}
 }
 
-// silence is the longest span judged in which the target has not answered.
-func (v *survey) silence(target crid.Target) time.Duration {
-	silent := stallSpan
-	for _, span := range spans {
-		if v.answersOf(target, span) > 0 {
+// unresponsiveSpan returns the longest judged span in which the target has given no
+// response.
+func (v *evaluation) unresponsiveSpan(target crid.Target) time.Duration {
+	longest := stallSpan
+	for _, span := range judgedSpans {
+		if v.responses(target, span) > 0 {
 			break
 		}
-		silent = span
+		longest = span
 	}
-	return silent
+	return longest
 }
 
-// answersOf counts the answers in a span.
-func (v *survey) answersOf(target crid.Target, span time.Duration) uint32 {
-	return v.docket.records[target].window.answers(v.state.now, span)
+// responses counts the responses in a span.
+func (v *evaluation) responses(target crid.Target, span time.Duration) uint32 {
+	return v.detector.records[target].window.responses(v.state.now, span)
 }
 
-// unanswered counts the attempts that are overdue now and those that ended badly
-// in the span, but hardly those of one group of accounts.
+// unanswered counts the attempts that are overdue now or ended badly in the span, with
+// a cap for each group of accounts.
 //
-// A caller may send a few requests that take far longer than all others. They
-// would look like a stall of the target that they happen to meet, and nobody
-// else would wait there.
-func (v *survey) unanswered(target crid.Target, span time.Duration) uint32 {
+// A caller may send a few requests that take far longer than all others. Without the
+// cap they would look like a stall of the target that they reach.
+func (v *evaluation) unanswered(target crid.Target, span time.Duration) uint32 {
 	limit := v.overdueLimit()
-	groups := v.docket.records[target].window.sum(v.state.now, span).groups
-	for _, w := range v.waits(target) {
-		if int(w.Group) < groupCount && w.Age < bucketCount && bucketFloor(int(w.Age)) >= limit {
-			groups[w.Group].bad += w.N
+	groups := v.detector.records[target].window.sum(v.state.now, span).groups
+	for _, c := range v.pending(target) {
+		if int(c.Group) < groupCount && c.Age < bucketCount && bucketLower(int(c.Age)) >= limit {
+			groups[c.Group].bad += c.N
 		}
 	}
 	var sum uint32
 	for _, t := range groups {
-		sum += min(t.bad, loneBad)
+		sum += min(t.bad, maxUncorroboratedBad)
 	}
 	return sum
 }
 
-// waits are those that all entries told of in their newest digests.
-func (v *survey) waits(target crid.Target) []Wait {
-	var waits []Wait
-	for _, known := range v.docket.senders {
-		if v.state.now.Sub(known.at) > stallSpan {
+// pending returns the pending attempts that the entries reported in their newest
+// digests.
+func (v *evaluation) pending(target crid.Target) []PendingCount {
+	var pending []PendingCount
+	for _, src := range v.detector.senders {
+		if v.state.now.Sub(src.lastSeen) > stallSpan {
 			continue
 		}
-		for _, w := range known.waits[target] {
-			waits = addWait(waits, w)
+		for _, c := range src.pending[target] {
+			pending = addPending(pending, c)
 		}
 	}
-	return waits
+	return pending
 }
 
-// overdueLimit is far above the time that nearly all answers of the service took
-// in the longest span: where some requests rightly take seconds, a wait of
-// seconds says nothing.
-func (v *survey) overdueLimit() time.Duration {
+// overdueLimit returns the age from which on a pending attempt is overdue. It is far
+// above the latency of nearly all responses of the service in the longest span, so
+// that services whose requests take seconds are not found stalled.
+func (v *evaluation) overdueLimit() time.Duration {
 	if v.limit == 0 {
-		v.limit = max(overdueFactor*v.usualTime(), waitLeast)
+		v.limit = max(overdueFactor*v.typicalLatency(), minPendingAge)
 	}
 	return v.limit
 }
 
-func (v *survey) usualTime() time.Duration {
+func (v *evaluation) typicalLatency() time.Duration {
 	var latency [bucketCount]uint32
 	var total uint32
-	for _, e := range v.over(len(spans) - 1) {
+	for _, e := range v.evidenceOver(len(judgedSpans) - 1) {
 		for i, n := range e.latency {
 			latency[i] += n
 		}
-		total += e.Answers
+		total += e.Responses
 	}
 	var seen uint32
 	for i, n := range latency {
-		if seen += n; float64(seen) >= usualShare*float64(total) {
-			return bucketTop(i)
+		if seen += n; float64(seen) >= typicalQuantile*float64(total) {
+			return bucketUpper(i)
 		}
 	}
 	return 0
 }
 
-// exitIsSilent reports whether the daemon beside the target has ceased to send
+// exitIsSilent reports whether the daemon beside the target has stopped sending
 // digests.
 //
-// When that daemon is frozen, nothing passes it and its target looks stalled.
-// The members find this by themselves, and the target is well when it goes on.
-func (v *survey) exitIsSilent(target crid.Target) bool {
-	known := v.docket.senders[v.state.places[target].daemon]
-	return known != nil && !known.last && v.state.now.Sub(known.at) > exitSilent
+// While that daemon is frozen, no attempt gets through and its target looks stalled.
+// The membership protocol detects the frozen daemon, and the target is healthy when it
+// resumes.
+func (v *evaluation) exitIsSilent(target crid.Target) bool {
+	exit := v.detector.senders[v.state.placements[target].daemon]
+	return exit != nil && !exit.idle && v.state.now.Sub(exit.lastSeen) > maxExitSilence
 }
--- a/core/crjudge/crjudge_test.go
+++ b/core/crjudge/crjudge_test.go
@@ -13,87 +13,86 @@
 
 const start = crid.Instant(time.Hour)
 
-// A target that did well turns sick. Its first failure is not yet sure, but the
-// next request may run only once: sending it there would lose it, too.
-func TestOneFailureOfAWellTargetIsEnough(t *testing.T) {
+// A healthy target becomes unhealthy. If its first failure did not exclude it, the
+// next request that may run only once would be lost, too.
+func TestOneFailureReachesTheThreshold(t *testing.T) {
 	g := gomega.NewWithT(t)
-	j := crjudge.New(start)
+	e := crjudge.New(start)
 	now := start
 	for range 200 {
 		now = now.Add(100 * time.Millisecond)
-		j.Note(now, crjudge.Success)
+		e.Observe(now, crjudge.Success)
 	}
-	g.Expect(j.Sick(now)).To(gomega.BeNumerically("<", crjudge.Limit))
-	j.Note(now.Add(time.Second), crjudge.Failure)
-	g.Expect(j.Sick(now.Add(time.Second))).To(gomega.BeNumerically(">=", crjudge.Limit))
+	g.Expect(e.UnhealthyProb(now)).To(gomega.BeNumerically("<", crjudge.Threshold))
+	e.Observe(now.Add(time.Second), crjudge.Failure)
+	g.Expect(e.UnhealthyProb(now.Add(time.Second))).To(gomega.BeNumerically(">=", crjudge.Threshold))
 }
 
-// A sound target fails one request in eighty. Were it held sick for long, callers
-// would lose good capacity.
-func TestThreeSuccessesClearAChanceFailure(t *testing.T) {
+// A healthy target fails one request in eighty. If it were excluded for long, callers
+// would lose healthy capacity.
+func TestSuccessesClearARandomFailure(t *testing.T) {
 	g := gomega.NewWithT(t)
-	j := crjudge.New(start)
-	j.Note(start, crjudge.Success)
-	j.Note(start, crjudge.Failure)
-	g.Expect(j.Sick(start)).To(gomega.BeNumerically(">=", crjudge.Limit))
+	e := crjudge.New(start)
+	e.Observe(start, crjudge.Success)
+	e.Observe(start, crjudge.Failure)
+	g.Expect(e.UnhealthyProb(start)).To(gomega.BeNumerically(">=", crjudge.Threshold))
 	for range 4 {
-		j.Note(start, crjudge.Success)
+		e.Observe(start, crjudge.Success)
 	}
-	g.Expect(j.Sick(start)).To(gomega.BeNumerically("<", crjudge.Limit))
+	g.Expect(e.UnhealthyProb(start)).To(gomega.BeNumerically("<", crjudge.Threshold))
 }
 
-// Nobody sends a sick target anything. It recovers, and is wanted again: without
-// news the verdict has to fade.
-func TestAVerdictFadesWithoutNews(t *testing.T) {
+// An unhealthy target gets no requests, so that no observation shows its recovery. The
+// estimate has to decay with time.
+func TestEstimateDecaysWithoutObservations(t *testing.T) {
 	g := gomega.NewWithT(t)
-	j := crjudge.New(start)
+	e := crjudge.New(start)
 	for range 5 {
-		j.Note(start, crjudge.Failure)
+		e.Observe(start, crjudge.Failure)
 	}
-	g.Expect(j.Sick(start.Add(3 * time.Second))).To(gomega.BeNumerically(">=", crjudge.Limit))
-	g.Expect(j.Sick(start.Add(20 * time.Second))).To(gomega.BeNumerically("<", crjudge.Limit))
+	g.Expect(e.UnhealthyProb(start.Add(3 * time.Second))).To(gomega.BeNumerically(">=", crjudge.Threshold))
+	g.Expect(e.UnhealthyProb(start.Add(20 * time.Second))).To(gomega.BeNumerically("<", crjudge.Threshold))
 }
 
-// Targets turn sick for nine seconds at a time, three in ten at any moment, and
-// fail 85 of 100 requests then; sound ones fail 12 in 1,000. Of the requests that
-// may run only once, few may meet a sick target, and few sound targets may be
-// left out.
-func TestPlayedFleetIsJudgedWell(t *testing.T) {
+// Three in ten targets are unhealthy at any moment, for nine seconds at a time, and
+// fail 85 of 100 requests; healthy ones fail 12 in 1,000. Few once-only requests may
+// reach an unhealthy target, and few healthy targets may be excluded.
+func TestSimulatedFleetIsEstimatedWell(t *testing.T) {
 	g := gomega.NewWithT(t)
 	rng := rand.New(rand.NewPCG(1, 2))
-	var sent, lost, wellTime, setAside int
+	var sent, lost, healthySteps, healthyExcluded int
 	for range 20 {
-		j := crjudge.New(start)
-		sick := false
+		e := crjudge.New(start)
+		unhealthy := false
 		for at := time.Duration(0); at < 5*time.Minute; at += 150 * time.Millisecond {
 			now := start.Add(at)
 			if at%(9*time.Second) < 150*time.Millisecond {
-				sick = rng.Float64() < 0.3
+				unhealthy = rng.Float64() < 0.3
 			}
-			held := j.Sick(now) >= crjudge.Limit
-			if !sick {
-				wellTime++
-				if held {
-					setAside++
+			excluded := e.UnhealthyProb(now) >= crjudge.Threshold
+			if !unhealthy {
+				healthySteps++
+				if excluded {
+					healthyExcluded++
 				}
 			}
-			if held && rng.Float64() < 0.6 {
-				continue // only some requests may try a target held to be sick
+			if excluded && rng.Float64() < 0.6 {
+				continue // only some requests may try an excluded target
 			}
-			failed := rng.Float64() < 0.012 || (sick && rng.Float64() < 0.85)
-			if !held {
+			failed := rng.Float64() < 0.012 || (unhealthy && rng.Float64() < 0.85)
+			if !excluded {
 				sent++
 				if failed {
 					lost++
 				}
 			}
 			if failed {
-				j.Note(now, crjudge.Failure)
+				e.Observe(now, crjudge.Failure)
 			} else {
-				j.Note(now, crjudge.Success)
+				e.Observe(now, crjudge.Success)
 			}
 		}
 	}
 	g.Expect(float64(lost)/float64(sent)).To(gomega.BeNumerically("<", 0.04), "once-only requests lost")
-	g.Expect(float64(setAside)/float64(wellTime)).To(gomega.BeNumerically("<", 0.1), "sound targets set aside")
+	g.Expect(float64(healthyExcluded)/float64(healthySteps)).To(gomega.BeNumerically("<", 0.1), "healthy targets excluded")
 }
--- /dev/null
+++ b/core/crplace/balancer.go
@@ -0,0 +1,98 @@
+package crplace
+
+import (
+	"sync"
+	"time"
+
+	"camphorroad/core/crid"
+)
+
+const (
+	// minAvoidance and maxAvoidance bound the time for which a target is avoided after
+	// its exit did not respond to an offer. The time doubles with each further offer
+	// without a response. A network partition lasts some seconds, and each try costs
+	// its caller the timeout of an offer.
+	minAvoidance = 600 * time.Millisecond
+	maxAvoidance = 2400 * time.Millisecond
+)
+
+// targetState is the state of one target.
+type targetState struct {
+	report     LoadReport
+	reported   bool
+	load       int
+	avoidance  time.Duration
+	avoidUntil crid.Instant
+	lastTrial  crid.Instant
+}
+
+// Balancer holds what one daemon knows of all targets. It is safe for concurrent use.
+type Balancer struct {
+	mu     sync.Mutex
+	states map[crid.Target]*targetState
+}
+
+// NewBalancer returns a balancer without state.
+func NewBalancer() *Balancer { return &Balancer{states: make(map[crid.Target]*targetState)} }
+
+// Report records the newest report of a target's exit.
+func (b *Balancer) Report(t crid.Target, report LoadReport) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	s := b.state(t)
+	s.report, s.reported, s.load = report, true, report.Load
+}
+
+// Begin counts a request that this daemon sends to the target. The next report
+// replaces the count.
+func (b *Balancer) Begin(t crid.Target) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.state(t).load++
+}
+
+// End counts the end of such a request.
+func (b *Balancer) End(t crid.Target) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	s := b.state(t)
+	s.load = max(s.load-1, 0)
+}
+
+// Responded ends the avoidance of a target whose exit has responded.
+func (b *Balancer) Responded(t crid.Target) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	s := b.state(t)
+	s.avoidance, s.avoidUntil = 0, 0
+}
+
+// NoResponse records that a target's exit did not respond, and avoids the target for a
+// while.
+func (b *Balancer) NoResponse(now crid.Instant, t crid.Target) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	s := b.state(t)
+	s.avoidance = min(max(2*s.avoidance, minAvoidance), maxAvoidance)
+	s.avoidUntil = now.Add(s.avoidance)
+}
+
+// Retain removes all targets but the given ones.
+func (b *Balancer) Retain(targets map[crid.Target]bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for t := range b.states {
+		if !targets[t] {
+			delete(b.states, t)
+		}
+	}
+}
+
+func (b *Balancer) state(t crid.Target) *targetState {
+	s := b.states[t]
+	if s == nil {
+		s = &targetState{}
+		b.states[t] = s
+	}
+	return s
+}
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -74,7 +74,7 @@
 	repeats  atomic.Int64 // of these, those that were sent elsewhere before
 
 	mu      sync.Mutex
-	judge   *crjudge.Judge
+	judge   *crjudge.Estimator
 	held    bool // to be sick, as last told to peers
 	trial   crid.Instant
 	next    uint64
@@ -173,18 +173,18 @@
 }
 
 // Told returns what peers are told of the target.
-func (x *Exit) Told() crplace.Told {
+func (x *Exit) Told() crplace.LoadReport {
 	x.mu.Lock()
-	sick := x.judge.Sick(x.opts.Clock())
+	sick := x.judge.UnhealthyProb(x.opts.Clock())
 	x.mu.Unlock()
 	return x.told(sick)
 }
 
-func (x *Exit) told(sick float64) crplace.Told {
+func (x *Exit) told(sick float64) crplace.LoadReport {
 	l := x.gate.Load()
 	r := x.target.Load()
-	return crplace.Told{
-		Load: l.Running + l.Waiting, Slots: l.Slots, Sick: sick, Typical: l.Typical,
+	return crplace.LoadReport{
+		Load: l.Running + l.Waiting, Slots: l.Slots, UnhealthyProb: sick, Typical: l.Typical,
 		Closed: r == nil || r.Leaving || x.stopping.Load(),
 	}
 }
@@ -229,7 +229,7 @@
 	if x.lines.allow(now) {
 		x.opts.Log.Event(crlog.OfferRefused, crlog.Fields{
 			"request": o.ID, "target": string(o.Target), "entry": string(o.From), "reason": r.reason, "class": o.Class.String(),
-			"load": strconv.Itoa(told.Load), "slots": strconv.Itoa(told.Slots), "sick": crlog.Percent(told.Sick),
+			"load": strconv.Itoa(told.Load), "slots": strconv.Itoa(told.Slots), "sick": crlog.Percent(told.UnhealthyProb),
 			"wait": r.wait.Round(time.Millisecond).String(), "patience": r.patience.Round(time.Millisecond).String(),
 			"typical": told.Typical.Round(time.Millisecond).String(),
 		})
@@ -242,7 +242,7 @@
 func (x *Exit) fit(now crid.Instant, o croffer.Offer) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.judge.Sick(now) < crjudge.Limit || o.Last {
+	if x.judge.UnhealthyProb(now) < crjudge.Threshold || o.Last {
 		return true
 	}
 	if o.Class != crpolicy.ClassRepeat || now.Sub(x.trial) < trialEvery {
@@ -309,13 +309,13 @@
 }
 
 // note takes an answer as evidence, and tells peers when the verdict changes.
-func (x *Exit) note(now crid.Instant, s crjudge.Sign, id string) {
+func (x *Exit) note(now crid.Instant, s crjudge.Observation, id string) {
 	x.mu.Lock()
-	before := x.judge.Sick(now)
-	x.judge.Note(now, s)
-	after := x.judge.Sick(now)
-	changed := (after >= crjudge.Limit) != x.held
-	x.held = after >= crjudge.Limit
+	before := x.judge.UnhealthyProb(now)
+	x.judge.Observe(now, s)
+	after := x.judge.UnhealthyProb(now)
+	changed := (after >= crjudge.Threshold) != x.held
+	x.held = after >= crjudge.Threshold
 	x.mu.Unlock()
 	if !changed {
 		return
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -65,7 +65,7 @@
 	Clock   func() crid.Instant
 	Local   *cregress.Exit
 	Peers   *croffer.Client
-	Board   *crplace.Board
+	Board   *crplace.Balancer
 	Budget  *crbudget.Budget
 	Quota   Quota
 	Meter   Meter
@@ -109,10 +109,10 @@
 	own      bool          // the answer is not a target's
 	targets  int           // that the request was sent to
 	offers   int
-	budget   string         // spent of what was allowed, where that kept the request from being sent again
-	refusals string         // why offers came to nothing, each with its number
-	choice   crplace.Choice // of the target that gave the answer
-	told     crplace.Told   // by its exit, last
+	budget   string             // spent of what was allowed, where that kept the request from being sent again
+	refusals string             // why offers came to nothing, each with its number
+	choice   crplace.Choice     // of the target that gave the answer
+	told     crplace.LoadReport // by its exit, last
 }
 
 func refusal(status int, reason string, after time.Duration) reply {
@@ -301,8 +301,8 @@
 	}
 	f := crlog.Fields{
 		"request": q.caller.ID, "status": strconv.Itoa(a.status), "reason": a.reason, "service": string(q.service),
-		"target": string(a.choice.Target), "choice": a.choice.Why(),
-		"believed": crlog.Percent(a.choice.Sick), "told": crlog.Percent(a.told.Sick), "class": q.class().String(), "refusals": a.refusals, "targets": strconv.Itoa(a.targets), "offers": strconv.Itoa(a.offers),
+		"target": string(a.choice.Target), "choice": a.choice.Reason(),
+		"believed": crlog.Percent(a.choice.UnhealthyProb), "told": crlog.Percent(a.told.UnhealthyProb), "class": q.class().String(), "refusals": a.refusals, "targets": strconv.Itoa(a.targets), "offers": strconv.Itoa(a.offers),
 		"budget": a.budget, "took": q.opts.Clock().Sub(q.started).Round(time.Millisecond).String(), "end": end,
 	}
 	if q.account != nil {
--- a/io/cringress/dispatch.go
+++ b/io/cringress/dispatch.go
@@ -83,9 +83,9 @@
 	if d.deadline.Sub(now) < leastTry {
 		return false
 	}
-	choice, ok := d.opts.Board.Choose(now, d.view.Targets[d.service], crplace.Ask{
-		Class: d.route.Class, Domain: d.opts.Domain, Tried: d.tried, Float: rand.Float64,
-		Silent: func(id crid.Daemon) bool { return d.view.Silent[id] }, Bound: !d.again(now), Call: d.isCall(),
+	choice, ok := d.opts.Board.Choose(now, d.view.Targets[d.service], crplace.Request{
+		Class: d.route.Class, Domain: d.opts.Domain, Tried: d.tried, Rand: rand.Float64,
+		Silent: func(id crid.Daemon) bool { return d.view.Silent[id] }, NoRetry: !d.again(now), Nested: d.isCall(),
 	})
 	if !ok {
 		return false
@@ -98,7 +98,7 @@
 	if d.repeat {
 		d.opts.Meter.Repeated()
 		d.opts.Log.Event(crlog.RequestRepeated, crlog.Fields{
-			"request": d.caller.ID, "service": string(d.service), "target": string(choice.Target), "choice": choice.Why(), "after": d.last.reason,
+			"request": d.caller.ID, "service": string(d.service), "target": string(choice.Target), "choice": choice.Reason(), "after": d.last.reason,
 		})
 	}
 	d.offers++
@@ -127,7 +127,7 @@
 	now := d.opts.Clock()
 	o := croffer.Offer{
 		ID: d.caller.ID, From: d.opts.Self, Target: c.Target, Service: d.service, Class: d.route.Class, Priority: d.priority(),
-		Left: d.deadline.Sub(now), Objective: d.route.Objective - now.Sub(d.started), Last: c.Last, Repeat: d.repeat,
+		Left: d.deadline.Sub(now), Objective: d.route.Objective - now.Sub(d.started), Last: c.LastResort, Repeat: d.repeat,
 		Aim: d.route.Objective, Call: d.isCall(),
 	}
 	if c.Daemon == d.opts.Self {
@@ -138,11 +138,11 @@
 		if ctx.Err() == nil {
 			d.silent++
 			d.note("silent")
-			d.opts.Board.Silent(d.opts.Clock(), c.Target)
+			d.opts.Board.NoResponse(d.opts.Clock(), c.Target)
 		}
 		return croffer.Result{}, false
 	}
-	d.opts.Board.Answered(c.Target)
+	d.opts.Board.Responded(c.Target)
 	d.heard(o, reply)
 	if grant == nil {
 		return croffer.Result{}, false
@@ -161,7 +161,7 @@
 
 func (d *dispatch) heard(o croffer.Offer, r croffer.Reply) {
 	if r.Reason != "no such target here" {
-		d.opts.Board.Tell(o.Target, r.Told)
+		d.opts.Board.Report(o.Target, r.Told)
 	}
 	if !r.Taken {
 		d.note(r.Reason)
@@ -217,7 +217,7 @@
 // another target may be tried.
 func (d *dispatch) took(ctx context.Context, c crplace.Choice, r croffer.Result) bool {
 	if r.Told.Slots > 0 {
-		d.opts.Board.Tell(c.Target, r.Told)
+		d.opts.Board.Report(c.Target, r.Told)
 	}
 	if r.NotRun() {
 		d.note(r.Reason)
--- a/io/crlog/catalogue_health.go
+++ b/io/crlog/catalogue_health.go
@@ -10,12 +10,12 @@
 			"no new work goes to the target", "nothing at once; look at the target",
 		},
 		{
-			crhealth.EventReturned, LevelInfo, "target returned",
+			crhealth.EventUnejected, LevelInfo, "target returned",
 			"the hold-off is over, or the floor needs the target",
 			"work comes back, a tenth at first", none,
 		},
 		{
-			crhealth.EventFloorHolds, LevelError, "floor holds",
+			crhealth.EventKeptForFloor, LevelError, "floor holds",
 			"a target is sick, but ejecting it would break the floor",
 			"callers still meet the sick target", "repair it, add targets, or publish a lower floor",
 		},
@@ -35,7 +35,7 @@
 			"ejected targets get work from this entry again", "look for a daemon that is down but still listed",
 		},
 		{
-			crhealth.EventHoldExtended, LevelWarn, "hold extended",
+			crhealth.EventEjectionExtended, LevelWarn, "hold extended",
 			"probes of an ejected target still fail",
 			"it stays out", "repair the target",
 		},
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -102,7 +102,7 @@
 		case crmesh.SendBeat:
 			d.channel.Beat(eff.To, d.beat(eff))
 		case crmesh.Tell:
-			d.board.Tell(eff.Target, eff.Told)
+			d.board.Report(eff.Target, eff.Told)
 		case crmesh.Pull:
 			go d.pull(ctx, eff.From)
 		case crmesh.Renew:
@@ -118,7 +118,7 @@
 		Target:      d.exit.Target(),
 		Load:        told.Load,
 		Slots:       told.Slots,
-		Sick:        uint8(told.Sick * 255),
+		Sick:        uint8(told.UnhealthyProb * 255),
 		Typical:     told.Typical.Milliseconds(),
 		Closed:      told.Closed,
 		Stopping:    eff.Stopping,
@@ -176,7 +176,7 @@
 	for _, id := range v.Daemons {
 		daemons[id] = true
 	}
-	d.board.Keep(targets)
+	d.board.Retain(targets)
 	d.peers.Keep(daemons)
 }
 
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -62,8 +62,8 @@
 		return
 	}
 	e.refresh(r.kind.Service)
-	choice, ok := e.board.Choose(w.now, w.list[r.kind.Service], crplace.Ask{
-		Class: r.kind.class(), Domain: e.domain, Tried: r.tried, Float: w.rng.Float64, Bound: !r.again(), Call: r.call,
+	choice, ok := e.board.Choose(w.now, w.list[r.kind.Service], crplace.Request{
+		Class: r.kind.class(), Domain: e.domain, Tried: r.tried, Rand: w.rng.Float64, NoRetry: !r.again(), Nested: r.call,
 	})
 	if !ok || (r.sent > 0 && !e.budget.Spend(w.now, r.kind.Service, len(w.entries), 1)) {
 		r.finish(false)
@@ -71,14 +71,14 @@
 	}
 	x := w.services[r.kind.Service][slices.IndexFunc(w.services[r.kind.Service], func(x *exit) bool { return x.target == choice.Target })]
 	r.tried = append(r.tried, choice.Target)
-	s := &send{request: r, exit: x, last: choice.Last}
+	s := &send{request: r, exit: x, last: choice.LastResort}
 	w.after(w.hop(e, x), s.offer)
 }
 
 // fit reports whether the exit takes requests for its target now.
 func (s *send) fit() bool {
 	x, now := s.exit, s.exit.world.now
-	if !x.world.policy.judged || x.judge.Sick(now) < crjudge.Limit || s.last {
+	if !x.world.policy.judged || x.judge.UnhealthyProb(now) < crjudge.Threshold || s.last {
 		return true
 	}
 	if s.kind.Once || now.Sub(x.trial) < trialEvery {
@@ -191,9 +191,9 @@
 	x.grant()
 }
 
-func (x *exit) note(sign crjudge.Sign) {
-	x.judge.Note(x.world.now, sign)
-	if sick := x.judge.Sick(x.world.now) >= crjudge.Limit; sick != x.held {
+func (x *exit) note(sign crjudge.Observation) {
+	x.judge.Observe(x.world.now, sign)
+	if sick := x.judge.UnhealthyProb(x.world.now) >= crjudge.Threshold; sick != x.held {
 		x.held = sick
 		x.tell()
 	}
--- a/lab/crexperiment/world.go
+++ b/lab/crexperiment/world.go
@@ -71,10 +71,10 @@
 type entry struct {
 	world   *world
 	domain  crid.Domain
-	board   *crplace.Board
+	board   *crplace.Balancer
 	budget  *crbudget.Budget
-	told    map[crid.Target]crplace.Told
-	judges  map[crid.Target]*crjudge.Judge
+	told    map[crid.Target]crplace.LoadReport
+	judges  map[crid.Target]*crjudge.Estimator
 	strikes map[crid.Target]int
 	out     map[crid.Target]crid.Instant
 }
@@ -88,7 +88,7 @@
 	beside  *entry
 	slots   int
 	gate    *crgate.Gate
-	judge   *crjudge.Judge
+	judge   *crjudge.Estimator
 	held    bool // as last told to all
 	trial   crid.Instant
 	waiting []*send
@@ -132,9 +132,9 @@
 		for i := range s.Targets {
 			domain := crid.Domain(fmt.Sprintf("d%d", i%w.x.Domains))
 			e := &entry{
-				world: w, domain: domain, board: crplace.NewBoard(),
+				world: w, domain: domain, board: crplace.NewBalancer(),
 				budget: crbudget.New(crbudget.Params{Ratio: ratio, Slack: slack, Window: window}),
-				told:   make(map[crid.Target]crplace.Told), judges: make(map[crid.Target]*crjudge.Judge),
+				told:   make(map[crid.Target]crplace.LoadReport), judges: make(map[crid.Target]*crjudge.Estimator),
 				strikes: make(map[crid.Target]int), out: make(map[crid.Target]crid.Instant),
 			}
 			x := &exit{
@@ -203,9 +203,9 @@
 	w.after(length, func() { x.phase(time.Duration(w.x.Sick.Every)) })
 }
 
-func (x *exit) told() crplace.Told {
+func (x *exit) told() crplace.LoadReport {
 	l := x.gate.Load()
-	return crplace.Told{Load: l.Running + l.Waiting, Slots: l.Slots, Sick: x.judge.Sick(x.world.now), Typical: l.Typical}
+	return crplace.LoadReport{Load: l.Running + l.Waiting, Slots: l.Slots, UnhealthyProb: x.judge.UnhealthyProb(x.world.now), Typical: l.Typical}
 }
 
 func (x *exit) beat() {
@@ -221,9 +221,9 @@
 	}
 }
 
-func (e *entry) hear(x *exit, told crplace.Told) {
+func (e *entry) hear(x *exit, told crplace.LoadReport) {
 	e.told[x.target] = told
-	e.board.Tell(x.target, e.world.policy.believe(e, x, told))
+	e.board.Report(x.target, e.world.policy.believe(e, x, told))
 }
 
 // look sweeps the gates, and takes the measures of what entries believe.
@@ -247,7 +247,7 @@
 	w := x.world
 	holds := 0
 	for _, e := range w.entries {
-		if w.policy.believe(e, x, e.told[x.target]).Sick >= crjudge.Limit {
+		if w.policy.believe(e, x, e.told[x.target]).UnhealthyProb >= crjudge.Threshold {
 			holds++
 		}
 	}
