--- a/core/crforward/bench_test.go
+++ b/core/crforward/bench_test.go
@@ -42,7 +42,7 @@
 }
 
 func runForward(b *testing.B, l *Ledger, id crid.Request, now crid.Instant) {
-	if err := l.Offer(id, crpolicy.ClassOnce, now, now.Add(time.Second)); err != nil {
+	if err := l.Register(id, crpolicy.ClassOnce, now, now.Add(time.Second)); err != nil {
 		b.Fatal(err)
 	}
 	if err := l.Start(id, now); err != nil {
--- a/core/crforward/ledger.go
+++ b/core/crforward/ledger.go
@@ -93,11 +93,11 @@
 	}
 }
 
-// Offer registers a forward that has arrived and will wait for its start. The
+// Register registers a forward that has arrived and will wait for its start. The
 // identifier names one attempt: a retry is a new forward with a new one. The
 // error is a [*Refusal]; a forward refused here is never started, nor are later
 // copies of it. The deadline is on the exit's clock.
-func (l *Ledger) Offer(id crid.Request, class crpolicy.Class, arrived, deadline crid.Instant) error {
+func (l *Ledger) Register(id crid.Request, class crpolicy.Class, arrived, deadline crid.Instant) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expire(arrived)
--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -58,7 +58,7 @@
 		t.Run(title, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			l := newLedger()
-			g.Expect(l.Offer(id, crpolicy.ClassOnce, opened, deadline)).To(gomega.Succeed())
+			g.Expect(l.Register(id, crpolicy.ClassOnce, opened, deadline)).To(gomega.Succeed())
 			c.happens(l)
 			err := l.Start(id, c.now)
 			g.Expect(reasonOf(err)).To(gomega.Equal(c.want))
@@ -76,7 +76,7 @@
 // upstream although the first has run it.
 func TestRevokeAnswers(t *testing.T) {
 	id := name(1)
-	offer := func(l *Ledger) { _ = l.Offer(id, crpolicy.ClassOnce, opened, deadline) }
+	offer := func(l *Ledger) { _ = l.Register(id, crpolicy.ClassOnce, opened, deadline) }
 	start := func(l *Ledger) { offer(l); _ = l.Start(id, opened) }
 	cases := map[string]struct {
 		before func(l *Ledger)
@@ -112,9 +112,9 @@
 	params := Params{MaxPending: 2, MaxFences: 2, MaxRecords: 5, Retain: time.Second}
 	l := NewLedger(params, session, opened, nil)
 	for n := range 2 {
-		g.Expect(l.Offer(name(n), crpolicy.ClassRepeat, opened, deadline)).To(gomega.Succeed())
+		g.Expect(l.Register(name(n), crpolicy.ClassRepeat, opened, deadline)).To(gomega.Succeed())
 	}
-	g.Expect(reasonOf(l.Offer(name(2), crpolicy.ClassRepeat, opened, deadline))).To(gomega.Equal(ReasonFull))
+	g.Expect(reasonOf(l.Register(name(2), crpolicy.ClassRepeat, opened, deadline))).To(gomega.Equal(ReasonFull))
 	for n := 3; n < 5; n++ {
 		g.Expect(l.Revoke(name(n), session, opened)).To(gomega.Equal(VerdictFenced))
 	}
@@ -135,7 +135,7 @@
 			g := gomega.NewWithT(t)
 			pulse := NewPulse(DefaultPulseLimit, opened)
 			l := NewLedger(DefaultParams(), session, opened, pulse)
-			g.Expect(l.Offer(name(1), crpolicy.ClassOnce, opened, deadline)).To(gomega.Succeed())
+			g.Expect(l.Register(name(1), crpolicy.ClassOnce, opened, deadline)).To(gomega.Succeed())
 			woken := later(5 * time.Second)
 			g.Expect(pulse.Gap(woken)).To(gomega.BeTrue())
 			if tickerFirst {
@@ -143,7 +143,7 @@
 			}
 			g.Expect(reasonOf(l.Start(name(1), woken))).To(gomega.Equal(ReasonStale))
 			fresh := NewLedger(DefaultParams(), session+1, woken+1, pulse)
-			g.Expect(fresh.Offer(name(1), crpolicy.ClassOnce, woken+1, woken+2)).To(gomega.Succeed())
+			g.Expect(fresh.Register(name(1), crpolicy.ClassOnce, woken+1, woken+2)).To(gomega.Succeed())
 			g.Expect(fresh.Start(name(1), woken+1)).To(gomega.Succeed())
 		})
 	}
@@ -171,7 +171,7 @@
 	g := gomega.NewWithT(t)
 	l := newLedger()
 	for n := range 1000 {
-		g.Expect(l.Offer(name(n), crpolicy.ClassOnce, opened, deadline)).To(gomega.Succeed())
+		g.Expect(l.Register(name(n), crpolicy.ClassOnce, opened, deadline)).To(gomega.Succeed())
 		var started [2]error
 		var verdict Verdict
 		var group sync.WaitGroup
--- a/core/crforward/machine_test.go
+++ b/core/crforward/machine_test.go
@@ -179,7 +179,7 @@
 	}
 	a := w.tries[f.try]
 	left := w.now.Add(500 * time.Millisecond)
-	if err := l.ledger.Offer(name(f.try), w.requests[a.request].class, w.now, left); err != nil {
+	if err := l.ledger.Register(name(f.try), w.requests[a.request].class, w.now, left); err != nil {
 		w.refuse(l, f.try, err)
 		return
 	}
--- a/core/crforward/refusal.go
+++ b/core/crforward/refusal.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// Refusal is the error of [Ledger.Offer] and [Ledger.Start].
+// Refusal is the error of [Ledger.Register] and [Ledger.Start].
 type Refusal struct {
 	reason Reason
 }
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -47,7 +47,7 @@
 		}
 	}
 	deadline := now.Add(f.Left)
-	if err := ledger.Offer(f.ID, f.Class, now, deadline); err != nil {
+	if err := ledger.Register(f.ID, f.Class, now, deadline); err != nil {
 		return refused(err)
 	}
 	t.inflight.Add(1)
