--- a/core/crforward/ledger.go
+++ b/core/crforward/ledger.go
@@ -8,10 +8,10 @@
 	"camphorroad/core/crpolicy"
 )
 
-// Session identifies one session between an entry and an exit. The entry draws
+// SessionID identifies one session between an entry and an exit. The entry draws
 // it at random when it opens the session, tells it in its first message, and
 // names with each revocation the session that the forward was sent over.
-type Session uint64
+type SessionID uint64
 
 // Params bound a Ledger.
 type Params struct {
@@ -66,7 +66,7 @@
 type Ledger struct {
 	mu       sync.Mutex
 	params   Params
-	session  Session
+	session  SessionID
 	openedAt crid.Instant
 	pulse    *Pulse
 	records  map[crid.Request]record
@@ -83,7 +83,7 @@
 // NewLedger returns the Ledger of a session that was opened at openedAt, counted
 // before its first forward is read. The pulse is the process's; with nil, the
 // shell tells of pauses by [Ledger.Paused].
-func NewLedger(params Params, session Session, openedAt crid.Instant, pulse *Pulse) *Ledger {
+func NewLedger(params Params, session SessionID, openedAt crid.Instant, pulse *Pulse) *Ledger {
 	return &Ledger{
 		params:   params,
 		session:  session,
@@ -147,7 +147,7 @@
 
 // Revoke asks that a forward sent over session sentOn be not started any more.
 // A forward that has not arrived yet is refused when it comes.
-func (l *Ledger) Revoke(id crid.Request, sentOn Session, now crid.Instant) Verdict {
+func (l *Ledger) Revoke(id crid.Request, sentOn SessionID, now crid.Instant) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	// An exit that restarted has forgotten what it ran in its earlier life. Were
--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -15,7 +15,7 @@
 const (
 	opened   = crid.Instant(1000)
 	deadline = opened + crid.Instant(10*time.Second)
-	session  = Session(7)
+	session  = SessionID(7)
 )
 
 func later(d time.Duration) crid.Instant { return opened.Add(d) }
@@ -80,7 +80,7 @@
 	start := func(l *Ledger) { offer(l); _ = l.Start(id, opened) }
 	cases := map[string]struct {
 		before func(l *Ledger)
-		sentOn Session
+		sentOn SessionID
 		want   Verdict
 	}{
 		"before the arrival":          {func(*Ledger) {}, session, VerdictFenced},
--- a/core/crforward/machine_test.go
+++ b/core/crforward/machine_test.go
@@ -35,12 +35,12 @@
 	try    int
 	sentAt crid.Instant
 	revoke bool
-	sentOn Session
+	sentOn SessionID
 	answer func(tr *Tracker, n int, now crid.Instant)
 }
 
 type link struct {
-	session Session
+	session SessionID
 	ledger  *Ledger // nil once the exit has restarted
 	toExit  []frame
 	toEntry []frame
@@ -122,7 +122,7 @@
 }
 
 func (w *world) open() {
-	l := &link{session: Session(len(w.links) + 1)}
+	l := &link{session: SessionID(len(w.links) + 1)}
 	params := Params{MaxPending: 4, MaxFences: 4, MaxRecords: 64, Retain: retain}
 	l.ledger = NewLedger(params, l.session, w.now, w.pulse)
 	l.ledger.off = w.off
--- a/io/crexit/crexit.go
+++ b/io/crexit/crexit.go
@@ -166,13 +166,13 @@
 
 	mu     sync.Mutex
 	ledger *crforward.Ledger
-	number crforward.Session
+	number crforward.SessionID
 	closed bool
 }
 
 // ledgerFor returns the session's ledger, or nil for a number that is not the
 // session's: the forward belongs to another session and must not start here.
-func (s *session) ledgerFor(number crforward.Session) *crforward.Ledger {
+func (s *session) ledgerFor(number crforward.SessionID) *crforward.Ledger {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
--- a/io/crhop/client.go
+++ b/io/crhop/client.go
@@ -31,18 +31,18 @@
 	peers *crpeer.Transport
 
 	mu  sync.Mutex
-	ids map[*crpeer.Session]crforward.Session
+	ids map[*crpeer.Session]crforward.SessionID
 }
 
 // NewClient returns a client over the transport.
 func NewClient(peers *crpeer.Transport) *Client {
-	return &Client{peers: peers, ids: make(map[*crpeer.Session]crforward.Session)}
+	return &Client{peers: peers, ids: make(map[*crpeer.Session]crforward.SessionID)}
 }
 
 // Handle is a forward's place: what a later revoke needs.
 type Handle struct {
 	session *crpeer.Session
-	number  crforward.Session
+	number  crforward.SessionID
 	id      crid.Request
 	target  crid.Target
 }
@@ -82,7 +82,7 @@
 }
 
 // number returns the random number of a session, drawn at its first use.
-func (c *Client) number(s *crpeer.Session) crforward.Session {
+func (c *Client) number(s *crpeer.Session) crforward.SessionID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, ok := c.ids[s]
@@ -91,7 +91,7 @@
 	}
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails, by its documentation
-	n = crforward.Session(binary.BigEndian.Uint64(b[:]))
+	n = crforward.SessionID(binary.BigEndian.Uint64(b[:]))
 	c.ids[s] = n
 	context.AfterFunc(s.Context(), func() { c.forget(s) })
 	return n
--- a/io/crhop/head_test.go
+++ b/io/crhop/head_test.go
@@ -15,7 +15,7 @@
 // arrayForward is a Forward whose fields have places in place of names.
 type arrayForward struct {
 	_       struct{} `cbor:",toarray"`
-	Session crforward.Session
+	Session crforward.SessionID
 	ID      crid.Request
 	Service crid.Service
 	Target  crid.Target
