--- a/core/crforward/ledger.go
+++ b/core/crforward/ledger.go
@@ -13,8 +13,8 @@
 // names with each revocation the session that the forward was sent over.
 type SessionID uint64
 
-// Params bound a Ledger.
-type Params struct {
+// LedgerParams bound a Ledger.
+type LedgerParams struct {
 	// MaxPending is the number of forwards that may wait for their start.
 	MaxPending int
 	// MaxFences is the number of revocations remembered for forwards that have
@@ -28,8 +28,8 @@
 }
 
 // DefaultParams suit a session of up to 800 forwards a second.
-func DefaultParams() Params {
-	return Params{MaxPending: 1024, MaxFences: 4096, MaxRecords: 65536, Retain: 75 * time.Second}
+func DefaultParams() LedgerParams {
+	return LedgerParams{MaxPending: 1024, MaxFences: 4096, MaxRecords: 65536, Retain: 75 * time.Second}
 }
 
 type state uint8
@@ -65,7 +65,7 @@
 // the upstream except through [Ledger.Start]. It is safe for concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
-	params   Params
+	params   LedgerParams
 	session  SessionID
 	openedAt crid.Instant
 	pulse    *Pulse
@@ -83,7 +83,7 @@
 // NewLedger returns the Ledger of a session that was opened at openedAt, counted
 // before its first forward is read. The pulse is the process's; with nil, the
 // shell tells of pauses by [Ledger.Paused].
-func NewLedger(params Params, session SessionID, openedAt crid.Instant, pulse *Pulse) *Ledger {
+func NewLedger(params LedgerParams, session SessionID, openedAt crid.Instant, pulse *Pulse) *Ledger {
 	return &Ledger{
 		params:   params,
 		session:  session,
