--- a/core/crforward/bench_test.go
+++ b/core/crforward/bench_test.go
@@ -14,7 +14,7 @@
 // ledger that is full of ended ones.
 func BenchmarkLedger(b *testing.B) {
 	const rate = 800 // a second, the most that the defaults are for
-	l := NewLedger(DefaultParams(), 1, 0, nil)
+	l := NewLedger(DefaultLedgerParams(), 1, 0, nil)
 	now := crid.Instant(0)
 	id := uint64(0)
 	b.ReportAllocs()
@@ -31,7 +31,7 @@
 	var bytes float64
 	for b.Loop() {
 		before := heapInUse()
-		l := NewLedger(DefaultParams(), 1, 0, nil)
+		l := NewLedger(DefaultLedgerParams(), 1, 0, nil)
 		for id := range uint64(forwards) {
 			runForward(b, l, numbered(id), crid.Instant(id))
 		}
--- a/core/crforward/ledger.go
+++ b/core/crforward/ledger.go
@@ -27,8 +27,8 @@
 	Retain time.Duration
 }
 
-// DefaultParams suit a session of up to 800 forwards a second.
-func DefaultParams() LedgerParams {
+// DefaultLedgerParams suit a session of up to 800 forwards a second.
+func DefaultLedgerParams() LedgerParams {
 	return LedgerParams{MaxPending: 1024, MaxFences: 4096, MaxRecords: 65536, Retain: 75 * time.Second}
 }
 
--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -22,7 +22,7 @@
 
 func name(n int) crid.Request { return crid.Request{byte(n), byte(n >> 8)} }
 
-func newLedger() *Ledger { return NewLedger(DefaultParams(), session, opened, nil) }
+func newLedger() *Ledger { return NewLedger(DefaultLedgerParams(), session, opened, nil) }
 
 func reasonOf(err error) Reason {
 	var r *Refusal
@@ -134,7 +134,7 @@
 		t.Run(title, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			pulse := NewPulse(DefaultPulseLimit, opened)
-			l := NewLedger(DefaultParams(), session, opened, pulse)
+			l := NewLedger(DefaultLedgerParams(), session, opened, pulse)
 			g.Expect(l.Register(name(1), crpolicy.ClassOnce, opened, deadline)).To(gomega.Succeed())
 			woken := later(5 * time.Second)
 			g.Expect(pulse.Gap(woken)).To(gomega.BeTrue())
@@ -142,7 +142,7 @@
 				g.Expect(pulse.Beat(woken)).To(gomega.BeTrue())
 			}
 			g.Expect(reasonOf(l.Start(name(1), woken))).To(gomega.Equal(ReasonStale))
-			fresh := NewLedger(DefaultParams(), session+1, woken+1, pulse)
+			fresh := NewLedger(DefaultLedgerParams(), session+1, woken+1, pulse)
 			g.Expect(fresh.Register(name(1), crpolicy.ClassOnce, woken+1, woken+2)).To(gomega.Succeed())
 			g.Expect(fresh.Start(name(1), woken+1)).To(gomega.Succeed())
 		})
--- a/io/crexit/crexit.go
+++ b/io/crexit/crexit.go
@@ -85,7 +85,7 @@
 // pauses, so the ledger has no pulse: a request that waited through a pause is
 // caught by its deadline.
 func (x *Exit) newOwn() *crforward.Ledger {
-	return crforward.NewLedger(crforward.DefaultParams(), 0, x.opts.Clock(), nil)
+	return crforward.NewLedger(crforward.DefaultLedgerParams(), 0, x.opts.Clock(), nil)
 }
 
 // Own is the ledger for a forward of the daemon's own entry, which must also
@@ -180,7 +180,7 @@
 	}
 	if s.ledger == nil {
 		s.number = number
-		s.ledger = crforward.NewLedger(crforward.DefaultParams(), number, s.openedAt, s.exit.opts.Pulse)
+		s.ledger = crforward.NewLedger(crforward.DefaultLedgerParams(), number, s.openedAt, s.exit.opts.Pulse)
 		s.exit.track(s.ledger)
 	}
 	if s.number != number {
--- a/io/crexit/session_test.go
+++ b/io/crexit/session_test.go
@@ -72,7 +72,7 @@
 	g.Eventually(h.exit.InFlight).Should(gomega.BeEquivalentTo(1))
 
 	// Forwards to a target that is not here are remembered, and cheap.
-	records := uint64(crforward.DefaultParams().MaxRecords)
+	records := uint64(crforward.DefaultLedgerParams().MaxRecords)
 	var wg sync.WaitGroup
 	var closed atomic.Int64
 	for worker := range uint64(16) {
