--- a/core/crforward/ledger.go
+++ b/core/crforward/ledger.go
@@ -22,14 +22,14 @@
 	MaxFences int
 	// MaxRecords is the number of forwards remembered, ended ones included.
 	MaxRecords int
-	// Retain is the time for which an ended forward is remembered. It must be
+	// Retention is the time for which an ended forward is remembered. It must be
 	// above the entries' [TrackerParams.Trust] by more than clocks drift in it.
-	Retain time.Duration
+	Retention time.Duration
 }
 
 // DefaultLedgerParams suit a session of up to 800 forwards a second.
 func DefaultLedgerParams() LedgerParams {
-	return LedgerParams{MaxPending: 1024, MaxFences: 4096, MaxRecords: 65536, Retain: 75 * time.Second}
+	return LedgerParams{MaxPending: 1024, MaxFences: 4096, MaxRecords: 65536, Retention: 75 * time.Second}
 }
 
 type state uint8
--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -109,7 +109,7 @@
 // users of other entries would notice nothing until then.
 func TestMemoryIsBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
-	params := LedgerParams{MaxPending: 2, MaxFences: 2, MaxRecords: 5, Retain: time.Second}
+	params := LedgerParams{MaxPending: 2, MaxFences: 2, MaxRecords: 5, Retention: time.Second}
 	l := NewLedger(params, session, opened, nil)
 	for n := range 2 {
 		g.Expect(l.Register(name(n), crpolicy.ClassRepeat, opened, deadline)).To(gomega.Succeed())
--- a/core/crforward/machine_test.go
+++ b/core/crforward/machine_test.go
@@ -123,7 +123,7 @@
 
 func (w *world) open() {
 	l := &link{session: SessionID(len(w.links) + 1)}
-	params := LedgerParams{MaxPending: 4, MaxFences: 4, MaxRecords: 64, Retain: retain}
+	params := LedgerParams{MaxPending: 4, MaxFences: 4, MaxRecords: 64, Retention: retain}
 	l.ledger = NewLedger(params, l.session, w.now, w.pulse)
 	l.ledger.off = w.off
 	w.links = append(w.links, l)
--- a/core/crforward/memory.go
+++ b/core/crforward/memory.go
@@ -92,7 +92,7 @@
 // verdict on a forgotten forward is never believed.
 func (l *Ledger) expire(now crid.Instant) {
 	n := 0
-	for n < len(l.ended) && now.Sub(l.ended[n].at) > l.params.Retain {
+	for n < len(l.ended) && now.Sub(l.ended[n].at) > l.params.Retention {
 		delete(l.records, l.ended[n].id)
 		n++
 	}
--- a/io/crpeer/idle_test.go
+++ b/io/crpeer/idle_test.go
@@ -18,7 +18,7 @@
 func TestUnusedSessionsAreClosed(t *testing.T) {
 	const peers = 20
 	g := gomega.NewWithT(t)
-	g.Expect(crpeer.DefaultIdle).To(gomega.BeNumerically(">", crforward.DefaultLedgerParams().Retain))
+	g.Expect(crpeer.DefaultIdle).To(gomega.BeNumerically(">", crforward.DefaultLedgerParams().Retention))
 	names := []string{"near"}
 	for i := range peers {
 		names = append(names, fmt.Sprintf("peer-%d", i))
