--- a/core/crforward/ledger.go
+++ b/core/crforward/ledger.go
@@ -82,7 +82,7 @@
 
 // NewLedger returns the Ledger of a session that was opened at openedAt, counted
 // before its first forward is read. The pulse is the process's; with nil, the
-// shell tells of pauses by [Ledger.Paused].
+// shell tells of pauses by [Ledger.RecordPause].
 func NewLedger(params LedgerParams, session SessionID, openedAt crid.Instant, pulse *Pulse) *Ledger {
 	return &Ledger{
 		params:   params,
@@ -204,10 +204,10 @@
 	}
 }
 
-// Paused tells that the process was found to have been paused. No forward of a
+// RecordPause tells that the process was found to have been paused. No forward of a
 // session opened before now starts any more: while the process slept, forwards
 // lay in its buffers, and their time would be counted only from the waking.
-func (l *Ledger) Paused(now crid.Instant) {
+func (l *Ledger) RecordPause(now crid.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stale = l.stale || !now.Before(l.openedAt)
