--- a/core/crforward/ledger.go
+++ b/core/crforward/ledger.go
@@ -227,9 +227,9 @@
 	l.closed = true
 }
 
-// Ended reports whether nothing can start over this session any more, so that
+// MustClose reports whether nothing can start over this session any more, so that
 // the shell must close it once what runs has finished.
-func (l *Ledger) Ended() bool {
+func (l *Ledger) MustClose() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closed || l.stale
--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -118,9 +118,9 @@
 	for n := 3; n < 5; n++ {
 		g.Expect(l.Revoke(name(n), session, opened)).To(gomega.Equal(VerdictFenced))
 	}
-	g.Expect(l.Ended()).To(gomega.BeFalse())
+	g.Expect(l.MustClose()).To(gomega.BeFalse())
 	g.Expect(l.Revoke(name(5), session, opened)).To(gomega.Equal(VerdictFenced))
-	g.Expect(l.Ended()).To(gomega.BeTrue())
+	g.Expect(l.MustClose()).To(gomega.BeTrue())
 	g.Expect(reasonOf(l.Start(name(0), opened))).To(gomega.Equal(ReasonClosed))
 	l.Revoke(name(5), session, later(2*time.Second))
 	g.Expect(l.Dump()).To(gomega.Equal(Dump{Pending: 1, Records: 3, Fences: 2, Closed: true}))
