--- a/core/crforward/ledger.go
+++ b/core/crforward/ledger.go
@@ -235,10 +235,10 @@
 	return l.closed || l.stale
 }
 
-// Worn reports whether nothing can start any more, or the bound of records is
+// ShouldRenew reports whether nothing can start any more, or the bound of records is
 // near, so that the entry should send its next forwards over a new session. A
 // session that reached the bound in full run would refuse all that was on its way.
-func (l *Ledger) Worn() bool {
+func (l *Ledger) ShouldRenew() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closed || l.stale || len(l.records) >= l.params.MaxRecords/4*3
--- a/io/crexit/crexit.go
+++ b/io/crexit/crexit.go
@@ -94,7 +94,7 @@
 func (x *Exit) Own() *crforward.Ledger {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.own.Worn() {
+	if !x.own.ShouldRenew() {
 		return x.own
 	}
 	delete(x.ledgers, x.former)
@@ -245,7 +245,7 @@
 		ex.Answer.Renew = true
 	} else {
 		ex = s.exit.Run(ctx, ledger, &f, r)
-		ex.Answer.Renew = ledger.Worn()
+		ex.Answer.Renew = ledger.ShouldRenew()
 	}
 	if f.Length == 0 {
 		r.Release() // with a body, net/http may read on after its answer
