--- a/core/crforward/doc.go
+++ b/core/crforward/doc.go
@@ -7,12 +7,12 @@
 // and its [Ledger.Start] is the last gate before the upstream is called. The
 // entry keeps one [Tracker] for each caller's request: it collects what is known
 // of every attempt, says whether another may be made, and what is true to tell
-// the caller. [Budget] bounds how much retries add to the load, and [Pulse]
+// the caller. [Budget] bounds how much retries add to the load, and [PauseDetector]
 // notices that the process was frozen.
 //
 // The two sides' clocks are never compared. A forward carries the time that is
 // left for it, and the exit counts that from the arrival; a forward that was
-// late on its way is caught by a revocation, by [Pulse] or by the session's end.
+// late on its way is caught by a revocation, by [PauseDetector] or by the session's end.
 //
 // # Usage
 //
--- a/core/crforward/ledger.go
+++ b/core/crforward/ledger.go
@@ -68,7 +68,7 @@
 	params   LedgerParams
 	session  SessionID
 	openedAt crid.Instant
-	pulse    *Pulse
+	pulse    *PauseDetector
 	records  map[crid.Request]record
 	ended    []ending
 	pending  int
@@ -83,7 +83,7 @@
 // NewLedger returns the Ledger of a session that was opened at openedAt, counted
 // before its first forward is read. The pulse is the process's; with nil, the
 // shell tells of pauses by [Ledger.RecordPause].
-func NewLedger(params LedgerParams, session SessionID, openedAt crid.Instant, pulse *Pulse) *Ledger {
+func NewLedger(params LedgerParams, session SessionID, openedAt crid.Instant, pulse *PauseDetector) *Ledger {
 	return &Ledger{
 		params:   params,
 		session:  session,
--- a/core/crforward/machine_test.go
+++ b/core/crforward/machine_test.go
@@ -66,7 +66,7 @@
 // between them, whose frames are lost, doubled, reordered and held up.
 type world struct {
 	now      crid.Instant
-	pulse    *Pulse
+	pulse    *PauseDetector
 	woken    crid.Instant // the end of the exit's last pause
 	links    []*link
 	requests []*request
--- a/core/crforward/pulse.go
+++ b/core/crforward/pulse.go
@@ -11,9 +11,9 @@
 // having been paused.
 const DefaultPulseLimit = time.Second
 
-// Pulse notices that the process was frozen (stopped, suspended, starved). A
+// PauseDetector notices that the process was frozen (stopped, suspended, starved). A
 // ticker feeds it much more often than its limit. It is safe for concurrent use.
-type Pulse struct {
+type PauseDetector struct {
 	mu      sync.Mutex
 	limit   time.Duration
 	last    crid.Instant
@@ -22,20 +22,20 @@
 }
 
 // NewPulse returns a Pulse whose first beat is now.
-func NewPulse(limit time.Duration, now crid.Instant) *Pulse {
-	return &Pulse{limit: limit, last: now}
+func NewPulse(limit time.Duration, now crid.Instant) *PauseDetector {
+	return &PauseDetector{limit: limit, last: now}
 }
 
 // Beat records that the process runs, and reports whether it was paused since
 // the last beat.
-func (p *Pulse) Beat(now crid.Instant) bool {
+func (p *PauseDetector) Beat(now crid.Instant) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.observe(now)
 }
 
 // Gap reports whether more than the limit lies between the last beat and now.
-func (p *Pulse) Gap(now crid.Instant) bool {
+func (p *PauseDetector) Gap(now crid.Instant) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Sub(p.last) > p.limit
@@ -44,7 +44,7 @@
 // PausedSince reports whether a pause was noticed at or after since, or is
 // noticed now. After a pause the ticker may run before the traffic does; the
 // pause is remembered, so that the ticker's beat does not hide it.
-func (p *Pulse) PausedSince(since, now crid.Instant) bool {
+func (p *PauseDetector) PausedSince(since, now crid.Instant) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now.Sub(p.last) > p.limit {
@@ -53,7 +53,7 @@
 	return p.paused && !p.resumed.Before(since)
 }
 
-func (p *Pulse) observe(now crid.Instant) bool {
+func (p *PauseDetector) observe(now crid.Instant) bool {
 	gap := now.Sub(p.last) > p.limit
 	if gap {
 		p.resumed = now
--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -70,7 +70,7 @@
 		fx.Supply(cfg),
 		fx.Provide(
 			func() *crlog.Logger { return crlog.New(logTo, cfg.Log.Level, cfg.Name) },
-			func() *crforward.Pulse { return crforward.NewPulse(crforward.DefaultPulseLimit, crclock.Now()) },
+			func() *crforward.PauseDetector { return crforward.NewPulse(crforward.DefaultPulseLimit, crclock.Now()) },
 			metrics.NewRegistry,
 			crhealth.NewRecorder,
 			newMeters,
@@ -121,7 +121,7 @@
 	return crplatform.NewClient(cfg.Platform.URL)
 }
 
-func newExit(cfg crsettings.Settings, pulse *crforward.Pulse, m *meters, rec *crhealth.Recorder) *crexit.Exit {
+func newExit(cfg crsettings.Settings, pulse *crforward.PauseDetector, m *meters, rec *crhealth.Recorder) *crexit.Exit {
 	specs := make([]crexit.Spec, 0, len(cfg.Targets))
 	for _, t := range cfg.Targets {
 		specs = append(specs, crexit.Spec{Name: crid.Target(t.Name), Service: crid.Service(t.Service), Addr: t.Addr})
@@ -136,7 +136,7 @@
 }
 
 func newShell(
-	lc fx.Lifecycle, cfg crsettings.Settings, log *crlog.Logger, pulse *crforward.Pulse, exit *crexit.Exit, m *meters,
+	lc fx.Lifecycle, cfg crsettings.Settings, log *crlog.Logger, pulse *crforward.PauseDetector, exit *crexit.Exit, m *meters,
 	rec *crhealth.Recorder,
 ) (*shell, error) {
 	s := &shell{
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -30,7 +30,7 @@
 	self   crid.Daemon
 	log    *crlog.Logger
 	clock  func() crid.Instant
-	pulse  *crforward.Pulse
+	pulse  *crforward.PauseDetector
 	exit   *crexit.Exit
 	loads  *crview.Loads
 	peers  *crpeer.Transport
--- a/io/crexit/crexit.go
+++ b/io/crexit/crexit.go
@@ -37,7 +37,7 @@
 // Options configure an Exit.
 type Options struct {
 	Targets []Spec
-	Pulse   *crforward.Pulse
+	Pulse   *crforward.PauseDetector
 	Clock   func() crid.Instant
 	Idle    time.Duration // longest silence of an upstream within its answer; zero: no bound
 	// Observe is told of each finished run; it must not block.
--- a/io/crexit/hop_test.go
+++ b/io/crexit/hop_test.go
@@ -33,7 +33,7 @@
 	client *crhop.Client
 	exit   *crexit.Exit
 	peers  *crpeer.Transport
-	pulse  *crforward.Pulse
+	pulse  *crforward.PauseDetector
 }
 
 // rawForward sends a forward as it is, with the session number it names.
