--- a/core/crforward/machine_test.go
+++ b/core/crforward/machine_test.go
@@ -77,7 +77,7 @@
 }
 
 func runMachine(ops []op, off switches, trackOff trackerSwitches) error {
-	w := &world{now: opened, pulse: NewPulse(time.Second, opened), off: off, trackOff: trackOff}
+	w := &world{now: opened, pulse: NewPauseDetector(time.Second, opened), off: off, trackOff: trackOff}
 	w.open()
 	for _, o := range ops {
 		w.step(o)
@@ -273,7 +273,7 @@
 		for _, l := range w.links {
 			l.ledger = nil
 		}
-		w.pulse = NewPulse(time.Second, w.now)
+		w.pulse = NewPauseDetector(time.Second, w.now)
 	}
 	w.open()
 }
--- a/core/crforward/pulse.go
+++ b/core/crforward/pulse.go
@@ -21,8 +21,8 @@
 	paused  bool         // whether there ever was one
 }
 
-// NewPulse returns a Pulse whose first beat is now.
-func NewPulse(limit time.Duration, now crid.Instant) *PauseDetector {
+// NewPauseDetector returns a Pulse whose first beat is now.
+func NewPauseDetector(limit time.Duration, now crid.Instant) *PauseDetector {
 	return &PauseDetector{limit: limit, last: now}
 }
 
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -104,7 +104,7 @@
 	snap := crpolicy.NewSnapshot(1, []crpolicy.Service{svc}, []crpolicy.Account{account("alpha", alphaKey), account("beta", betaKey)})
 	p.exit = crexit.New(crexit.Options{
 		Targets: []crexit.Spec{{Name: "t", Service: "s", Addr: upstream}},
-		Pulse:   crforward.NewPulse(time.Hour, crclock.Now()),
+		Pulse:   crforward.NewPauseDetector(time.Hour, crclock.Now()),
 		Clock:   crclock.Now,
 		Observe: p.fault,
 		Idle:    bodyIdle,
--- a/io/crexit/hop_test.go
+++ b/io/crexit/hop_test.go
@@ -64,7 +64,7 @@
 	tb.Cleanup(srv.Close)
 	dir := tb.TempDir()
 	g.Expect(crcert.Issue(dir, "entry", "exit")).To(gomega.Succeed())
-	pulse := crforward.NewPulse(time.Hour, crclock.Now())
+	pulse := crforward.NewPauseDetector(time.Hour, crclock.Now())
 	exit := crexit.New(crexit.Options{
 		Targets: []crexit.Spec{{Name: "t", Service: svc.Name, Addr: strings.TrimPrefix(srv.URL, "http://")}},
 		Pulse:   pulse,
--- a/io/crexit/unready_test.go
+++ b/io/crexit/unready_test.go
@@ -21,7 +21,7 @@
 	g := gomega.NewWithT(t)
 	exit := crexit.New(crexit.Options{
 		Targets: []crexit.Spec{{Name: "t", Service: "s", Addr: "127.0.0.1:1"}},
-		Pulse:   crforward.NewPulse(time.Hour, crclock.Now()),
+		Pulse:   crforward.NewPauseDetector(time.Hour, crclock.Now()),
 		Clock:   crclock.Now,
 	})
 	ex := exit.Run(t.Context(), exit.Own(), forward(1, crpolicy.ClassOnce), strings.NewReader(""))
--- a/io/crexit/watch_test.go
+++ b/io/crexit/watch_test.go
@@ -40,7 +40,7 @@
 	t.Cleanup(srv.Close)
 	w.exit = crexit.New(crexit.Options{
 		Targets: []crexit.Spec{{Name: "t", Service: "s", Addr: strings.TrimPrefix(srv.URL, "http://")}},
-		Pulse:   crforward.NewPulse(time.Hour, crclock.Now()),
+		Pulse:   crforward.NewPauseDetector(time.Hour, crclock.Now()),
 		Clock:   crclock.Now,
 		Probe: func(_ crid.Target, ok bool, took time.Duration) {
 			w.keep(func() { w.probes = append(w.probes, ok); w.took = took })
