--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -139,7 +139,7 @@
 			woken := later(5 * time.Second)
 			g.Expect(pulse.Gap(woken)).To(gomega.BeTrue())
 			if tickerFirst {
-				g.Expect(pulse.Beat(woken)).To(gomega.BeTrue())
+				g.Expect(pulse.Tick(woken)).To(gomega.BeTrue())
 			}
 			g.Expect(reasonOf(l.Start(name(1), woken))).To(gomega.Equal(ReasonStale))
 			fresh := NewLedger(DefaultLedgerParams(), session+1, woken+1, pulse)
--- a/core/crforward/machine_test.go
+++ b/core/crforward/machine_test.go
@@ -107,12 +107,12 @@
 		w.tell(o.pick)
 	case 12:
 		w.now = w.now.Add(300 * time.Millisecond)
-		w.pulse.Beat(w.now)
+		w.pulse.Tick(w.now)
 	case 13: // the exit is paused; its ticker may or may not run first
 		w.now = w.now.Add(2 * time.Second)
 		w.woken = w.now
 		if o.pick&1 == 0 {
-			w.pulse.Beat(w.now)
+			w.pulse.Tick(w.now)
 		}
 	case 14:
 		w.restart(o.pick)
--- a/core/crforward/pulse.go
+++ b/core/crforward/pulse.go
@@ -26,9 +26,9 @@
 	return &PauseDetector{limit: limit, last: now}
 }
 
-// Beat records that the process runs, and reports whether it was paused since
+// Tick records that the process runs, and reports whether it was paused since
 // the last beat.
-func (p *PauseDetector) Beat(now crid.Instant) bool {
+func (p *PauseDetector) Tick(now crid.Instant) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.observe(now)
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -148,7 +148,7 @@
 // before runs at each tick: it notices pauses and renews the view, so that many
 // changes of one moment make one view.
 func (s *shell) before(now crid.Instant) []crevent.Event {
-	if s.pulse.Beat(now) {
+	if s.pulse.Tick(now) {
 		s.log.Event(crlog.DaemonPaused, nil)
 	}
 	s.expireSteers(now)
--- a/io/crexit/session_test.go
+++ b/io/crexit/session_test.go
@@ -31,7 +31,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	old, err := h.peers.Session(t.Context(), "exit")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	h.pulse.Beat(crclock.Now().Add(2 * time.Hour)) // a pause of two hours, by the pulse's clock
+	h.pulse.Tick(crclock.Now().Add(2 * time.Hour)) // a pause of two hours, by the pulse's clock
 	ex, err := h.client.Forward(t.Context(), "exit", forward(2, crpolicy.ClassOnce), nil, func(*crhop.Handle) {})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(ex.Answer.Kind).To(gomega.Equal(crhop.KindRefusal))
