--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -137,7 +137,7 @@
 			l := NewLedger(DefaultLedgerParams(), session, opened, pulse)
 			g.Expect(l.Register(name(1), crpolicy.ClassOnce, opened, deadline)).To(gomega.Succeed())
 			woken := later(5 * time.Second)
-			g.Expect(pulse.Gap(woken)).To(gomega.BeTrue())
+			g.Expect(pulse.TickOverdue(woken)).To(gomega.BeTrue())
 			if tickerFirst {
 				g.Expect(pulse.Tick(woken)).To(gomega.BeTrue())
 			}
--- a/core/crforward/pulse.go
+++ b/core/crforward/pulse.go
@@ -34,8 +34,8 @@
 	return p.observe(now)
 }
 
-// Gap reports whether more than the limit lies between the last beat and now.
-func (p *PauseDetector) Gap(now crid.Instant) bool {
+// TickOverdue reports whether more than the limit lies between the last beat and now.
+func (p *PauseDetector) TickOverdue(now crid.Instant) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Sub(p.last) > p.limit
