--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -133,7 +133,7 @@
 	for title, tickerFirst := range map[string]bool{"ticker first": true, "traffic first": false} {
 		t.Run(title, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			pulse := NewPauseDetector(DefaultPulseLimit, opened)
+			pulse := NewPauseDetector(DefaultPauseThreshold, opened)
 			l := NewLedger(DefaultLedgerParams(), session, opened, pulse)
 			g.Expect(l.Register(name(1), crpolicy.ClassOnce, opened, deadline)).To(gomega.Succeed())
 			woken := later(5 * time.Second)
--- a/core/crforward/pulse.go
+++ b/core/crforward/pulse.go
@@ -7,9 +7,9 @@
 	"camphorroad/core/crid"
 )
 
-// DefaultPulseLimit is the gap between beats from which on the process counts as
+// DefaultPauseThreshold is the gap between beats from which on the process counts as
 // having been paused.
-const DefaultPulseLimit = time.Second
+const DefaultPauseThreshold = time.Second
 
 // PauseDetector notices that the process was frozen (stopped, suspended, starved). A
 // ticker feeds it much more often than its limit. It is safe for concurrent use.
--- a/io/crdaemon/state_test.go
+++ b/io/crdaemon/state_test.go
@@ -29,7 +29,7 @@
 	cfg := crsettings.Defaults()
 	cfg.Name, cfg.Domain = "booking-1", "north"
 	m := newMeters(metrics.NewRegistry())
-	pulse := crforward.NewPauseDetector(crforward.DefaultPulseLimit, crclock.Now())
+	pulse := crforward.NewPauseDetector(crforward.DefaultPauseThreshold, crclock.Now())
 	rec := crhealth.NewRecorder()
 	exit := newExit(cfg, pulse, m, rec)
 	s, err := newShell(nil, cfg, crlog.New(io.Discard, "info", cfg.Name), pulse, exit, m, rec)
