--- a/core/crforward/budget.go
+++ b/core/crforward/budget.go
@@ -22,10 +22,10 @@
 	return BudgetParams{Ratio: 0.1, Floor: 1, Burst: 10}
 }
 
-// Budget bounds retries to a share of the requests. Without it a service that is
+// RetryBudget bounds retries to a share of the requests. Without it a service that is
 // too slow for its load would get every request several times, and an overload
 // that ends by itself would feed itself. It is safe for concurrent use.
-type Budget struct {
+type RetryBudget struct {
 	mu     sync.Mutex
 	params BudgetParams
 	tokens float64
@@ -33,19 +33,19 @@
 }
 
 // NewBudget returns a Budget that starts with a burst.
-func NewBudget(params BudgetParams, now crid.Instant) *Budget {
-	return &Budget{params: params, tokens: params.Burst, last: now}
+func NewBudget(params BudgetParams, now crid.Instant) *RetryBudget {
+	return &RetryBudget{params: params, tokens: params.Burst, last: now}
 }
 
 // Request counts one caller's request.
-func (b *Budget) Request() {
+func (b *RetryBudget) Request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.add(b.params.Ratio)
 }
 
 // Take takes one retry out of the budget, and reports whether there was one.
-func (b *Budget) Take(now crid.Instant) bool {
+func (b *RetryBudget) Take(now crid.Instant) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.last.Before(now) {
@@ -59,6 +59,6 @@
 	return true
 }
 
-func (b *Budget) add(tokens float64) {
+func (b *RetryBudget) add(tokens float64) {
 	b.tokens = min(b.tokens+tokens, b.params.Burst)
 }
--- a/core/crforward/doc.go
+++ b/core/crforward/doc.go
@@ -7,7 +7,7 @@
 // and its [Ledger.Start] is the last gate before the upstream is called. The
 // entry keeps one [Tracker] for each caller's request: it collects what is known
 // of every attempt, says whether another may be made, and what is true to tell
-// the caller. [Budget] bounds how much retries add to the load, and [PauseDetector]
+// the caller. [RetryBudget] bounds how much retries add to the load, and [PauseDetector]
 // notices that the process was frozen.
 //
 // The two sides' clocks are never compared. A forward carries the time that is
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -79,7 +79,7 @@
 type Entry struct {
 	opts     Options
 	chooser  crroute.Chooser[*crroute.Target]
-	budget   *crforward.Budget
+	budget   *crforward.RetryBudget
 	inflight atomic.Int64
 	stopping atomic.Bool
 	counters Counters
