--- a/core/crforward/budget.go
+++ b/core/crforward/budget.go
@@ -7,8 +7,8 @@
 	"camphorroad/core/crid"
 )
 
-// BudgetParams bound the retries of one entry.
-type BudgetParams struct {
+// RetryBudgetParams bound the retries of one entry.
+type RetryBudgetParams struct {
 	// Ratio is the retries allowed for each request.
 	Ratio float64
 	// Floor is the retries a second that are allowed at any load.
@@ -18,8 +18,8 @@
 }
 
 // DefaultBudgetParams allow retries of a tenth of the requests.
-func DefaultBudgetParams() BudgetParams {
-	return BudgetParams{Ratio: 0.1, Floor: 1, Burst: 10}
+func DefaultBudgetParams() RetryBudgetParams {
+	return RetryBudgetParams{Ratio: 0.1, Floor: 1, Burst: 10}
 }
 
 // RetryBudget bounds retries to a share of the requests. Without it a service that is
@@ -27,13 +27,13 @@
 // that ends by itself would feed itself. It is safe for concurrent use.
 type RetryBudget struct {
 	mu     sync.Mutex
-	params BudgetParams
+	params RetryBudgetParams
 	tokens float64
 	last   crid.Instant
 }
 
 // NewBudget returns a Budget that starts with a burst.
-func NewBudget(params BudgetParams, now crid.Instant) *RetryBudget {
+func NewBudget(params RetryBudgetParams, now crid.Instant) *RetryBudget {
 	return &RetryBudget{params: params, tokens: params.Burst, last: now}
 }
 
