--- a/core/crforward/budget.go
+++ b/core/crforward/budget.go
@@ -17,8 +17,8 @@
 	Burst float64
 }
 
-// DefaultBudgetParams allow retries of a tenth of the requests.
-func DefaultBudgetParams() RetryBudgetParams {
+// DefaultRetryBudgetParams allow retries of a tenth of the requests.
+func DefaultRetryBudgetParams() RetryBudgetParams {
 	return RetryBudgetParams{Ratio: 0.1, Floor: 1, Burst: 10}
 }
 
