--- a/core/crforward/budget.go
+++ b/core/crforward/budget.go
@@ -32,8 +32,8 @@
 	last   crid.Instant
 }
 
-// NewBudget returns a Budget that starts with a burst.
-func NewBudget(params RetryBudgetParams, now crid.Instant) *RetryBudget {
+// NewRetryBudget returns a Budget that starts with a burst.
+func NewRetryBudget(params RetryBudgetParams, now crid.Instant) *RetryBudget {
 	return &RetryBudget{params: params, tokens: params.Burst, last: now}
 }
 
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -93,7 +93,7 @@
 	return &Entry{
 		opts:    opts,
 		chooser: opts.Chooser,
-		budget:  crforward.NewBudget(crforward.DefaultRetryBudgetParams(), opts.Clock()),
+		budget:  crforward.NewRetryBudget(crforward.DefaultRetryBudgetParams(), opts.Clock()),
 	}
 }
 
