--- a/core/crforward/budget.go
+++ b/core/crforward/budget.go
@@ -11,15 +11,15 @@
 type RetryBudgetParams struct {
 	// Ratio is the retries allowed for each request.
 	Ratio float64
-	// Floor is the retries a second that are allowed at any load.
-	Floor float64
+	// MinPerSecond is the retries a second that are allowed at any load.
+	MinPerSecond float64
 	// Burst is the retries that may be saved up.
 	Burst float64
 }
 
 // DefaultRetryBudgetParams allow retries of a tenth of the requests.
 func DefaultRetryBudgetParams() RetryBudgetParams {
-	return RetryBudgetParams{Ratio: 0.1, Floor: 1, Burst: 10}
+	return RetryBudgetParams{Ratio: 0.1, MinPerSecond: 1, Burst: 10}
 }
 
 // RetryBudget bounds retries to a share of the requests. Without it a service that is
@@ -49,7 +49,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.last.Before(now) {
-		b.add(b.params.Floor * float64(now.Sub(b.last)) / float64(time.Second))
+		b.add(b.params.MinPerSecond * float64(now.Sub(b.last)) / float64(time.Second))
 		b.last = now
 	}
 	if b.tokens < 1 {
--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -153,7 +153,7 @@
 // again the service would see several times its load and never recover.
 func TestBudgetBoundsRetries(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := NewRetryBudget(RetryBudgetParams{Ratio: 0.1, Floor: 1, Burst: 5}, opened)
+	b := NewRetryBudget(RetryBudgetParams{Ratio: 0.1, MinPerSecond: 1, Burst: 5}, opened)
 	retries := 0
 	for n := range 1000 {
 		b.Request()
