--- a/core/crforward/budget.go
+++ b/core/crforward/budget.go
@@ -37,8 +37,8 @@
 	return &RetryBudget{params: params, tokens: params.Burst, last: now}
 }
 
-// Request counts one caller's request.
-func (b *RetryBudget) Request() {
+// RecordRequest counts one caller's request.
+func (b *RetryBudget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.add(b.params.Ratio)
--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -156,7 +156,7 @@
 	b := NewRetryBudget(RetryBudgetParams{Ratio: 0.1, MinPerSecond: 1, Burst: 5}, opened)
 	retries := 0
 	for n := range 1000 {
-		b.Request()
+		b.RecordRequest()
 		if b.Take(later(time.Duration(n) * 10 * time.Millisecond)) {
 			retries++
 		}
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -18,7 +18,7 @@
 // any more, or the time is up; then the caller gets its final answer at once.
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request, req *accepted, b *body) {
 	w.Header().Set(HeaderRequest, req.id.String())
-	e.budget.Request()
+	e.budget.RecordRequest()
 	s := &serving{
 		entry:    e,
 		req:      req,
