--- a/core/crforward/ledger.go
+++ b/core/crforward/ledger.go
@@ -147,7 +147,7 @@
 
 // Revoke asks that a forward sent over session sentOn be not started any more.
 // A forward that has not arrived yet is refused when it comes.
-func (l *Ledger) Revoke(id crid.Request, sentOn SessionID, now crid.Instant) Verdict {
+func (l *Ledger) Revoke(id crid.Request, sentOn SessionID, now crid.Instant) RevokeResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	// An exit that restarted has forgotten what it ran in its earlier life. Were
--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -81,7 +81,7 @@
 	cases := map[string]struct {
 		before func(l *Ledger)
 		sentOn SessionID
-		want   Verdict
+		want   RevokeResult
 	}{
 		"before the arrival":          {func(*Ledger) {}, session, VerdictFenced},
 		"while pending":               {offer, session, VerdictFenced},
@@ -173,7 +173,7 @@
 	for n := range 1000 {
 		g.Expect(l.Register(name(n), crpolicy.ClassOnce, opened, deadline)).To(gomega.Succeed())
 		var started [2]error
-		var verdict Verdict
+		var verdict RevokeResult
 		var group sync.WaitGroup
 		for i := range started {
 			group.Go(func() { started[i] = l.Start(name(n), opened) })
--- a/core/crforward/outcome.go
+++ b/core/crforward/outcome.go
@@ -31,13 +31,13 @@
 	}
 }
 
-// Verdict is the exit's answer to a revocation.
-type Verdict uint8
+// RevokeResult is the exit's answer to a revocation.
+type RevokeResult uint8
 
 // The verdicts of an exit.
 const (
 	// VerdictStarted means that the forward was started and can not be undone.
-	VerdictStarted Verdict = iota + 1
+	VerdictStarted RevokeResult = iota + 1
 	// VerdictFenced means that the forward has not started and never will.
 	VerdictFenced
 	// VerdictUnknown means that the exit can not say: the forward was sent over
@@ -46,7 +46,7 @@
 )
 
 // String returns the verdict's word.
-func (v Verdict) String() string {
+func (v RevokeResult) String() string {
 	switch v {
 	case VerdictStarted:
 		return "started"
--- a/core/crforward/tracker_test.go
+++ b/core/crforward/tracker_test.go
@@ -14,7 +14,7 @@
 // once is sent on only with the same proof.
 func TestTrackerAfterAnAttempt(t *testing.T) {
 	sent := func(tr *Tracker) { tr.Sent(tr.Begin(), opened) }
-	verdict := func(v Verdict, after time.Duration) func(tr *Tracker) {
+	verdict := func(v RevokeResult, after time.Duration) func(tr *Tracker) {
 		return func(tr *Tracker) { sent(tr); tr.Verdict(0, v, later(after)) }
 	}
 	cases := map[string]struct {
--- a/io/crdaemon/hop.go
+++ b/io/crdaemon/hop.go
@@ -52,7 +52,7 @@
 }
 
 // Revoke implements crentry.Revoker.
-func (r localRevoker) Revoke(context.Context) crforward.Verdict {
+func (r localRevoker) Revoke(context.Context) crforward.RevokeResult {
 	return r.ledger.Revoke(r.id, 0, r.clock())
 }
 
@@ -62,6 +62,6 @@
 }
 
 // Revoke implements crentry.Revoker.
-func (r remoteRevoker) Revoke(ctx context.Context) crforward.Verdict {
+func (r remoteRevoker) Revoke(ctx context.Context) crforward.RevokeResult {
 	return r.client.Revoke(ctx, r.handle)
 }
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -34,7 +34,7 @@
 
 // Revoker asks the exit to say whether a forward was started.
 type Revoker interface {
-	Revoke(ctx context.Context) crforward.Verdict
+	Revoke(ctx context.Context) crforward.RevokeResult
 }
 
 // Admitter takes one request from an account's fleet-wide limit. It never waits
--- a/io/crhop/client.go
+++ b/io/crhop/client.go
@@ -206,7 +206,7 @@
 
 // Revoke asks the exit about a forward, over the session it was sent in. Where
 // that session has ended, or no answer comes in time, nothing is known.
-func (c *Client) Revoke(ctx context.Context, h *Handle) crforward.Verdict {
+func (c *Client) Revoke(ctx context.Context, h *Handle) crforward.RevokeResult {
 	stream, err := h.session.Open()
 	if err != nil {
 		return crforward.VerdictUnknown
@@ -225,7 +225,7 @@
 	return verdict
 }
 
-func askRevoke(stream *quic.Stream, rv Revoke) (crforward.Verdict, error) {
+func askRevoke(stream *quic.Stream, rv Revoke) (crforward.RevokeResult, error) {
 	w := crwire.NewWriter(stream)
 	defer w.Release()
 	if err := errors.Join(w.Kind(StreamRevoke), w.Value(rv)); err != nil {
