--- a/core/crforward/ledger.go
+++ b/core/crforward/ledger.go
@@ -164,7 +164,7 @@
 	}
 	switch rec.state {
 	case stateRunning, stateFinished:
-		return VerdictStarted
+		return RevokeResultStarted
 	case statePending:
 		l.refuse(id, ReasonFenced, now)
 	}
--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -85,8 +85,8 @@
 	}{
 		"before the arrival":          {func(*Ledger) {}, session, VerdictFenced},
 		"while pending":               {offer, session, VerdictFenced},
-		"while running":               {start, session, VerdictStarted},
-		"after the finish":            {func(l *Ledger) { start(l); l.Finish(id, opened) }, session, VerdictStarted},
+		"while running":               {start, session, RevokeResultStarted},
+		"after the finish":            {func(l *Ledger) { start(l); l.Finish(id, opened) }, session, RevokeResultStarted},
 		"after a drain":               {func(l *Ledger) { l.Drain(); offer(l) }, session, VerdictFenced},
 		"over a session opened later": {func(*Ledger) {}, session + 1, VerdictUnknown},
 	}
@@ -181,7 +181,7 @@
 		group.Go(func() { verdict = l.Revoke(name(n), session, opened) })
 		group.Wait()
 		g.Expect(started[0] == nil && started[1] == nil).To(gomega.BeFalse())
-		g.Expect(started[0] == nil || started[1] == nil).To(gomega.Equal(verdict == VerdictStarted))
+		g.Expect(started[0] == nil || started[1] == nil).To(gomega.Equal(verdict == RevokeResultStarted))
 		l.Finish(name(n), opened)
 	}
 }
--- a/core/crforward/outcome.go
+++ b/core/crforward/outcome.go
@@ -36,8 +36,8 @@
 
 // The verdicts of an exit.
 const (
-	// VerdictStarted means that the forward was started and can not be undone.
-	VerdictStarted RevokeResult = iota + 1
+	// RevokeResultStarted means that the forward was started and can not be undone.
+	RevokeResultStarted RevokeResult = iota + 1
 	// VerdictFenced means that the forward has not started and never will.
 	VerdictFenced
 	// VerdictUnknown means that the exit can not say: the forward was sent over
@@ -48,7 +48,7 @@
 // String returns the verdict's word.
 func (v RevokeResult) String() string {
 	switch v {
-	case VerdictStarted:
+	case RevokeResultStarted:
 		return "started"
 	case VerdictFenced:
 		return "fenced"
--- a/core/crforward/tracker.go
+++ b/core/crforward/tracker.go
@@ -132,7 +132,7 @@
 	a.ended = true
 	late := now.Sub(a.sentAt) > t.params.Trust && !t.off.trust
 	switch {
-	case v == VerdictStarted:
+	case v == RevokeResultStarted:
 		a.raise(progressRan)
 	case v == VerdictFenced && !late:
 		a.raise(progressRefused)
--- a/core/crforward/tracker_test.go
+++ b/core/crforward/tracker_test.go
@@ -30,7 +30,7 @@
 		"refused without proof":  {func(tr *Tracker) { sent(tr); tr.Refused(0, false, 0) }, Unknown, false, true},
 		"fenced":                 {verdict(VerdictFenced, time.Second), NotRun, true, true},
 		"fenced, too late":       {verdict(VerdictFenced, 2*time.Minute), Unknown, false, true},
-		"started":                {verdict(VerdictStarted, time.Second), Unknown, false, true},
+		"started":                {verdict(RevokeResultStarted, time.Second), Unknown, false, true},
 		"the exit can not say":   {verdict(VerdictUnknown, time.Second), Unknown, false, true},
 		"the head, then lost":    {func(tr *Tracker) { sent(tr); tr.Head(0); tr.Lost(0) }, Unknown, false, true},
 		"the head, then refused": {func(tr *Tracker) { sent(tr); tr.Head(0); tr.Refused(0, true, 0) }, Unknown, false, true},
