--- a/core/crforward/ledger.go
+++ b/core/crforward/ledger.go
@@ -160,7 +160,7 @@
 	rec, ok := l.records[id]
 	if !ok {
 		l.fenceAhead(id)
-		return VerdictFenced
+		return RevokeResultFenced
 	}
 	switch rec.state {
 	case stateRunning, stateFinished:
@@ -168,7 +168,7 @@
 	case statePending:
 		l.refuse(id, ReasonFenced, now)
 	}
-	return VerdictFenced
+	return RevokeResultFenced
 }
 
 // Cancel refuses a pending forward whose caller or entry went away; a started
--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -83,11 +83,11 @@
 		sentOn SessionID
 		want   RevokeResult
 	}{
-		"before the arrival":          {func(*Ledger) {}, session, VerdictFenced},
-		"while pending":               {offer, session, VerdictFenced},
+		"before the arrival":          {func(*Ledger) {}, session, RevokeResultFenced},
+		"while pending":               {offer, session, RevokeResultFenced},
 		"while running":               {start, session, RevokeResultStarted},
 		"after the finish":            {func(l *Ledger) { start(l); l.Finish(id, opened) }, session, RevokeResultStarted},
-		"after a drain":               {func(l *Ledger) { l.Drain(); offer(l) }, session, VerdictFenced},
+		"after a drain":               {func(l *Ledger) { l.Drain(); offer(l) }, session, RevokeResultFenced},
 		"over a session opened later": {func(*Ledger) {}, session + 1, VerdictUnknown},
 	}
 	for title, c := range cases {
@@ -96,7 +96,7 @@
 			l := newLedger()
 			c.before(l)
 			g.Expect(l.Revoke(id, c.sentOn, opened)).To(gomega.Equal(c.want))
-			if c.want == VerdictFenced {
+			if c.want == RevokeResultFenced {
 				offer(l)
 				g.Expect(l.Start(id, opened)).NotTo(gomega.Succeed())
 			}
@@ -116,10 +116,10 @@
 	}
 	g.Expect(reasonOf(l.Register(name(2), crpolicy.ClassRepeat, opened, deadline))).To(gomega.Equal(ReasonFull))
 	for n := 3; n < 5; n++ {
-		g.Expect(l.Revoke(name(n), session, opened)).To(gomega.Equal(VerdictFenced))
+		g.Expect(l.Revoke(name(n), session, opened)).To(gomega.Equal(RevokeResultFenced))
 	}
 	g.Expect(l.MustClose()).To(gomega.BeFalse())
-	g.Expect(l.Revoke(name(5), session, opened)).To(gomega.Equal(VerdictFenced))
+	g.Expect(l.Revoke(name(5), session, opened)).To(gomega.Equal(RevokeResultFenced))
 	g.Expect(l.MustClose()).To(gomega.BeTrue())
 	g.Expect(reasonOf(l.Start(name(0), opened))).To(gomega.Equal(ReasonClosed))
 	l.Revoke(name(5), session, later(2*time.Second))
--- a/core/crforward/outcome.go
+++ b/core/crforward/outcome.go
@@ -38,8 +38,8 @@
 const (
 	// RevokeResultStarted means that the forward was started and can not be undone.
 	RevokeResultStarted RevokeResult = iota + 1
-	// VerdictFenced means that the forward has not started and never will.
-	VerdictFenced
+	// RevokeResultFenced means that the forward has not started and never will.
+	RevokeResultFenced
 	// VerdictUnknown means that the exit can not say: the forward was sent over
 	// another session, which may have ended with an earlier life of the exit.
 	VerdictUnknown
@@ -50,7 +50,7 @@
 	switch v {
 	case RevokeResultStarted:
 		return "started"
-	case VerdictFenced:
+	case RevokeResultFenced:
 		return "fenced"
 	case VerdictUnknown:
 		return "unknown"
--- a/core/crforward/tracker.go
+++ b/core/crforward/tracker.go
@@ -134,7 +134,7 @@
 	switch {
 	case v == RevokeResultStarted:
 		a.raise(progressRan)
-	case v == VerdictFenced && !late:
+	case v == RevokeResultFenced && !late:
 		a.raise(progressRefused)
 	}
 }
