--- a/core/crforward/ledger.go
+++ b/core/crforward/ledger.go
@@ -154,7 +154,7 @@
 	// it to take a forward of an old session for one that is still on its way, it
 	// would vouch "never started" for one that ran.
 	if sentOn != l.session && !l.off.session {
-		return VerdictUnknown
+		return RevokeResultUnknown
 	}
 	l.expire(now)
 	rec, ok := l.records[id]
--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -88,7 +88,7 @@
 		"while running":               {start, session, RevokeResultStarted},
 		"after the finish":            {func(l *Ledger) { start(l); l.Finish(id, opened) }, session, RevokeResultStarted},
 		"after a drain":               {func(l *Ledger) { l.Drain(); offer(l) }, session, RevokeResultFenced},
-		"over a session opened later": {func(*Ledger) {}, session + 1, VerdictUnknown},
+		"over a session opened later": {func(*Ledger) {}, session + 1, RevokeResultUnknown},
 	}
 	for title, c := range cases {
 		t.Run(title, func(t *testing.T) {
--- a/core/crforward/outcome.go
+++ b/core/crforward/outcome.go
@@ -40,9 +40,9 @@
 	RevokeResultStarted RevokeResult = iota + 1
 	// RevokeResultFenced means that the forward has not started and never will.
 	RevokeResultFenced
-	// VerdictUnknown means that the exit can not say: the forward was sent over
+	// RevokeResultUnknown means that the exit can not say: the forward was sent over
 	// another session, which may have ended with an earlier life of the exit.
-	VerdictUnknown
+	RevokeResultUnknown
 )
 
 // String returns the verdict's word.
@@ -52,7 +52,7 @@
 		return "started"
 	case RevokeResultFenced:
 		return "fenced"
-	case VerdictUnknown:
+	case RevokeResultUnknown:
 		return "unknown"
 	default:
 		return "invalid"
--- a/io/crexit/crexit.go
+++ b/io/crexit/crexit.go
@@ -289,7 +289,7 @@
 		stream.CancelWrite(crhop.CodeCancelled)
 		return
 	}
-	verdict := crforward.VerdictUnknown
+	verdict := crforward.RevokeResultUnknown
 	if ledger := s.ledgerFor(rv.Session); ledger != nil {
 		verdict = ledger.Revoke(rv.ID, rv.Session, s.exit.opts.Clock())
 	}
--- a/io/crhop/client.go
+++ b/io/crhop/client.go
@@ -209,7 +209,7 @@
 func (c *Client) Revoke(ctx context.Context, h *Handle) crforward.RevokeResult {
 	stream, err := h.session.Open()
 	if err != nil {
-		return crforward.VerdictUnknown
+		return crforward.RevokeResultUnknown
 	}
 	defer h.session.Done()
 	stop := context.AfterFunc(ctx, func() { cancel(stream) })
@@ -220,7 +220,7 @@
 	verdict, err := askRevoke(stream, Revoke{Session: h.number, ID: h.id, Target: h.target})
 	if err != nil {
 		cancel(stream)
-		return crforward.VerdictUnknown
+		return crforward.RevokeResultUnknown
 	}
 	return verdict
 }
