--- a/core/crforward/machine_test.go
+++ b/core/crforward/machine_test.go
@@ -169,7 +169,7 @@
 	}
 	if f.revoke {
 		v := l.ledger.Revoke(name(f.try), f.sentOn, w.now)
-		w.reply(l, f.try, func(tr *Tracker, n int, now crid.Instant) { tr.Verdict(n, v, now) })
+		w.reply(l, f.try, func(tr *Tracker, n int, now crid.Instant) { tr.RevokeResult(n, v, now) })
 		return
 	}
 	// A session delivers a forward once; copies come from an entry that writes
--- a/core/crforward/tracker.go
+++ b/core/crforward/tracker.go
@@ -122,10 +122,10 @@
 	t.attempts[n].ended = true
 }
 
-// Verdict tells what the exit answered to a revocation of the attempt. A verdict
+// RevokeResult tells what the exit answered to a revocation of the attempt. A verdict
 // that comes later than Trust after the sending proves nothing: the exit may have
 // forgotten by then that it ran the forward.
-func (t *Tracker) Verdict(n int, v RevokeResult, now crid.Instant) {
+func (t *Tracker) RevokeResult(n int, v RevokeResult, now crid.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a := &t.attempts[n]
--- a/core/crforward/tracker_test.go
+++ b/core/crforward/tracker_test.go
@@ -15,7 +15,7 @@
 func TestTrackerAfterAnAttempt(t *testing.T) {
 	sent := func(tr *Tracker) { tr.Sent(tr.Begin(), opened) }
 	verdict := func(v RevokeResult, after time.Duration) func(tr *Tracker) {
-		return func(tr *Tracker) { sent(tr); tr.Verdict(0, v, later(after)) }
+		return func(tr *Tracker) { sent(tr); tr.RevokeResult(0, v, later(after)) }
 	}
 	cases := map[string]struct {
 		happens      func(tr *Tracker)
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -299,7 +299,7 @@
 	}
 	ask, cancel := context.WithTimeout(context.WithoutCancel(ctx), crhop.RevokeTimeout)
 	defer cancel()
-	s.tracker.Verdict(n, rv.Revoke(ask), s.entry.opts.Clock())
+	s.tracker.RevokeResult(n, rv.Revoke(ask), s.entry.opts.Clock())
 }
 
 func lostOutcome(inTime bool) Outcome {
