--- a/core/crforward/machine_test.go
+++ b/core/crforward/machine_test.go
@@ -134,7 +134,7 @@
 	n := pick % (len(w.requests) + 1)
 	if n == len(w.requests) {
 		r := &request{class: crpolicy.Class(1 + pick>>4&1)}
-		r.tracker = NewTracker(r.class, TrackerParams{MaxAttempts: 3, Trust: retain - time.Second})
+		r.tracker = NewTracker(r.class, TrackerParams{MaxAttempts: 3, RevokeWindow: retain - time.Second})
 		r.tracker.off = w.trackOff
 		w.requests = append(w.requests, r)
 	}
--- a/core/crforward/tracker.go
+++ b/core/crforward/tracker.go
@@ -12,14 +12,14 @@
 type TrackerParams struct {
 	// MaxAttempts is the number of attempts for one request.
 	MaxAttempts int
-	// Trust is the time after a forward's sending up to which a verdict on it is
+	// RevokeWindow is the time after a forward's sending up to which a verdict on it is
 	// believed. It must be below the exits' [Params.Retain].
-	Trust time.Duration
+	RevokeWindow time.Duration
 }
 
 // DefaultTrackerParams allow three attempts.
 func DefaultTrackerParams() TrackerParams {
-	return TrackerParams{MaxAttempts: 3, Trust: time.Minute}
+	return TrackerParams{MaxAttempts: 3, RevokeWindow: time.Minute}
 }
 
 // progress is what is known of an attempt; a greater one is never taken back by
@@ -130,7 +130,7 @@
 	defer t.mu.Unlock()
 	a := &t.attempts[n]
 	a.ended = true
-	late := now.Sub(a.sentAt) > t.params.Trust && !t.off.trust
+	late := now.Sub(a.sentAt) > t.params.RevokeWindow && !t.off.trust
 	switch {
 	case v == RevokeResultStarted:
 		a.raise(progressRan)
--- a/core/crforward/tracker_test.go
+++ b/core/crforward/tracker_test.go
@@ -54,7 +54,7 @@
 // have run. The caller must not be told "not run" on the word of the second.
 func TestTrackerNeedsEveryProof(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tr := NewTracker(crpolicy.ClassRepeat, TrackerParams{MaxAttempts: 2, Trust: time.Minute})
+	tr := NewTracker(crpolicy.ClassRepeat, TrackerParams{MaxAttempts: 2, RevokeWindow: time.Minute})
 	for n := range 2 {
 		tr.Sent(tr.Begin(), opened)
 		g.Expect(tr.NeedsRevoke(n)).To(gomega.BeTrue())
