--- a/core/crforward/tracker.go
+++ b/core/crforward/tracker.go
@@ -87,8 +87,8 @@
 	t.attempts[n].sentAt = now
 }
 
-// Head tells that the head of the upstream's answer was received.
-func (t *Tracker) Head(n int) {
+// ResponseStarted tells that the head of the upstream's answer was received.
+func (t *Tracker) ResponseStarted(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.attempts[n].raise(progressRan)
--- a/core/crforward/tracker_test.go
+++ b/core/crforward/tracker_test.go
@@ -32,9 +32,9 @@
 		"fenced, too late":       {verdict(RevokeResultFenced, 2*time.Minute), Unknown, false, true},
 		"started":                {verdict(RevokeResultStarted, time.Second), Unknown, false, true},
 		"the exit can not say":   {verdict(RevokeResultUnknown, time.Second), Unknown, false, true},
-		"the head, then lost":    {func(tr *Tracker) { sent(tr); tr.Head(0); tr.Lost(0) }, Unknown, false, true},
-		"the head, then refused": {func(tr *Tracker) { sent(tr); tr.Head(0); tr.Refused(0, true, 0) }, Unknown, false, true},
-		"the head was passed on": {func(tr *Tracker) { sent(tr); tr.Head(0); tr.Passed(); tr.Lost(0) }, Cut, false, false},
+		"the head, then lost":    {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Lost(0) }, Unknown, false, true},
+		"the head, then refused": {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Refused(0, true, 0) }, Unknown, false, true},
+		"the head was passed on": {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Passed(); tr.Lost(0) }, Cut, false, false},
 		"all was passed on":      {func(tr *Tracker) { sent(tr); tr.Passed(); tr.Done(0); tr.Complete() }, Answered, false, false},
 	}
 	for title, c := range cases {
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -196,7 +196,7 @@
 	target.Load().Hint(ex.Answer.InFlight, now)
 	switch ex.Answer.Kind {
 	case crhop.KindAnswer:
-		s.tracker.Head(n)
+		s.tracker.ResponseStarted(n)
 		return s.answered(n, target, ex, took)
 	case crhop.KindRefusal:
 		s.tracker.Refused(n, ex.Answer.NotRun, ex.Answer.RetryAfter)
@@ -219,7 +219,7 @@
 			s.observe(target, OutcomeShed, took)
 		}
 	case crhop.KindFailure:
-		s.tracker.Head(n)
+		s.tracker.ResponseStarted(n)
 		s.tracker.Lost(n)
 		s.reason = ex.Answer.Reason
 		if ex.Answer.Fault == crhop.FaultBody {
