--- a/core/crforward/machine_test.go
+++ b/core/crforward/machine_test.go
@@ -232,7 +232,7 @@
 	n := l.running[i]
 	l.running = append(l.running[:i:i], l.running[i+1:]...)
 	l.ledger.Finish(name(n), w.now)
-	w.reply(l, n, func(tr *Tracker, n int, _ crid.Instant) { tr.ResponseStarted(n); tr.Done(n) })
+	w.reply(l, n, func(tr *Tracker, n int, _ crid.Instant) { tr.ResponseStarted(n); tr.ResponseReceived(n) })
 }
 
 func (w *world) hear(l *link, pick int) {
--- a/core/crforward/tracker.go
+++ b/core/crforward/tracker.go
@@ -94,8 +94,8 @@
 	t.attempts[n].raise(progressRan)
 }
 
-// Done tells that the whole answer was received and checked.
-func (t *Tracker) Done(n int) {
+// ResponseReceived tells that the whole answer was received and checked.
+func (t *Tracker) ResponseReceived(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.attempts[n].raise(progressDone)
--- a/core/crforward/tracker_test.go
+++ b/core/crforward/tracker_test.go
@@ -35,7 +35,7 @@
 		"the head, then lost":    {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Lost(0) }, Unknown, false, true},
 		"the head, then refused": {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Refused(0, true, 0) }, Unknown, false, true},
 		"the head was passed on": {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Passed(); tr.Lost(0) }, Cut, false, false},
-		"all was passed on":      {func(tr *Tracker) { sent(tr); tr.Passed(); tr.Done(0); tr.Complete() }, Answered, false, false},
+		"all was passed on":      {func(tr *Tracker) { sent(tr); tr.Passed(); tr.ResponseReceived(0); tr.Complete() }, Answered, false, false},
 	}
 	for title, c := range cases {
 		t.Run(title, func(t *testing.T) {
