--- a/core/crforward/machine_test.go
+++ b/core/crforward/machine_test.go
@@ -249,7 +249,7 @@
 	}
 	n := pick % len(w.tries)
 	a := w.tries[n]
-	w.requests[a.request].tracker.Lost(a.number)
+	w.requests[a.request].tracker.Failed(a.number)
 	l := w.links[len(w.links)-1]
 	l.toExit = append(l.toExit, frame{try: n, revoke: true, sentOn: a.link.session})
 }
--- a/core/crforward/tracker.go
+++ b/core/crforward/tracker.go
@@ -114,9 +114,9 @@
 	t.retryAfter = max(t.retryAfter, retryAfter)
 }
 
-// Lost tells that the attempt failed without an answer: the dial or the session
+// Failed tells that the attempt failed without an answer: the dial or the session
 // failed, the answer was wrong or broke off, or the entry waits no longer.
-func (t *Tracker) Lost(n int) {
+func (t *Tracker) Failed(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.attempts[n].ended = true
--- a/core/crforward/tracker_test.go
+++ b/core/crforward/tracker_test.go
@@ -23,18 +23,18 @@
 		once, repeat bool // whether another attempt may be made
 	}{
 		"nothing tried":          {func(*Tracker) {}, NotRun, true, true},
-		"the dial failed":        {func(tr *Tracker) { tr.Lost(tr.Begin()) }, NotRun, true, true},
+		"the dial failed":        {func(tr *Tracker) { tr.Failed(tr.Begin()) }, NotRun, true, true},
 		"still under way":        {sent, Unknown, false, false},
-		"the session was lost":   {func(tr *Tracker) { sent(tr); tr.Lost(0) }, Unknown, false, true},
+		"the session was lost":   {func(tr *Tracker) { sent(tr); tr.Failed(0) }, Unknown, false, true},
 		"refused with proof":     {func(tr *Tracker) { sent(tr); tr.Refused(0, true, 0) }, NotRun, true, true},
 		"refused without proof":  {func(tr *Tracker) { sent(tr); tr.Refused(0, false, 0) }, Unknown, false, true},
 		"fenced":                 {verdict(RevokeResultFenced, time.Second), NotRun, true, true},
 		"fenced, too late":       {verdict(RevokeResultFenced, 2*time.Minute), Unknown, false, true},
 		"started":                {verdict(RevokeResultStarted, time.Second), Unknown, false, true},
 		"the exit can not say":   {verdict(RevokeResultUnknown, time.Second), Unknown, false, true},
-		"the head, then lost":    {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Lost(0) }, Unknown, false, true},
+		"the head, then lost":    {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Failed(0) }, Unknown, false, true},
 		"the head, then refused": {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Refused(0, true, 0) }, Unknown, false, true},
-		"the head was passed on": {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Passed(); tr.Lost(0) }, Cut, false, false},
+		"the head was passed on": {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Passed(); tr.Failed(0) }, Cut, false, false},
 		"all was passed on":      {func(tr *Tracker) { sent(tr); tr.Passed(); tr.ResponseReceived(0); tr.Complete() }, Answered, false, false},
 	}
 	for title, c := range cases {
@@ -58,7 +58,7 @@
 	for n := range 2 {
 		tr.Sent(tr.Begin(), opened)
 		g.Expect(tr.NeedsRevoke(n)).To(gomega.BeTrue())
-		tr.Lost(n)
+		tr.Failed(n)
 	}
 	tr.Refused(1, true, time.Second)
 	g.Expect(tr.Outcome()).To(gomega.Equal(Unknown))
--- a/io/crentry/answer.go
+++ b/io/crentry/answer.go
@@ -160,7 +160,7 @@
 	}
 	s.opening.release()
 	s.broke(err)
-	s.tracker.Lost(n)
+	s.tracker.Failed(n)
 	s.reason = "the answer broke off"
 	return false
 }
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -220,7 +220,7 @@
 		}
 	case crhop.KindFailure:
 		s.tracker.ResponseStarted(n)
-		s.tracker.Lost(n)
+		s.tracker.Failed(n)
 		s.reason = ex.Answer.Reason
 		if ex.Answer.Fault == crhop.FaultBody {
 			return false
@@ -272,7 +272,7 @@
 	if len(s.tried) >= s.req.view.Pool(s.req.service).Len() {
 		return false
 	}
-	s.tracker.Lost(n)
+	s.tracker.Failed(n)
 	return s.tracker.MayRetry()
 }
 
@@ -284,7 +284,7 @@
 	took := now.Sub(started)
 	s.reason = "no answer from the target's daemon"
 	if errors.Is(err, crhop.ErrNotSent) {
-		s.tracker.Lost(n)
+		s.tracker.Failed(n)
 		target.Load().Unreachable(now)
 		s.observe(target, OutcomeUnreached, took)
 		return
@@ -294,7 +294,7 @@
 		s.observe(target, lostOutcome(inTime), took)
 	}
 	if rv == nil || s.req.route.Class == crpolicy.ClassRepeat || !s.tracker.NeedsRevoke(n) {
-		s.tracker.Lost(n)
+		s.tracker.Failed(n)
 		return
 	}
 	ask, cancel := context.WithTimeout(context.WithoutCancel(ctx), crhop.RevokeTimeout)
