--- a/core/crforward/tracker.go
+++ b/core/crforward/tracker.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// Passed tells that the answer's head is about to be written to the caller.
-func (t *Tracker) Passed() {
+// RelayStarted tells that the answer's head is about to be written to the caller.
+func (t *Tracker) RelayStarted() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.passed = true
--- a/io/crentry/answer.go
+++ b/io/crentry/answer.go
@@ -20,7 +20,7 @@
 	defer s.end()
 	defer s.opening.release()
 	defer ex.Body.Close()
-	s.tracker.Passed()
+	s.tracker.RelayStarted()
 	if !s.body.reusable() {
 		w.Header().Set("Connection", "close")
 	}
