--- a/core/crforward/tracker.go
+++ b/core/crforward/tracker.go
@@ -146,8 +146,8 @@
 	t.passed = true
 }
 
-// Complete tells that the whole answer was written to the caller.
-func (t *Tracker) Complete() {
+// RelayCompleted tells that the whole answer was written to the caller.
+func (t *Tracker) RelayCompleted() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.complete = true
--- a/io/crentry/answer.go
+++ b/io/crentry/answer.go
@@ -30,7 +30,7 @@
 		e.count(crforward.Cut)
 		panic(http.ErrAbortHandler)
 	}
-	s.tracker.Complete()
+	s.tracker.RelayCompleted()
 	e.count(crforward.Answered)
 }
 
