--- a/core/crforward/outcome.go
+++ b/core/crforward/outcome.go
@@ -5,8 +5,8 @@
 
 // The outcomes of a request.
 const (
-	// Answered means that the whole answer was passed on.
-	Answered Outcome = iota + 1
+	// OutcomeAnswered means that the whole answer was passed on.
+	OutcomeAnswered Outcome = iota + 1
 	// NotRun means that the request provably never started at an upstream.
 	NotRun
 	// Unknown means that the request may have run, and neither can be proved.
@@ -18,7 +18,7 @@
 // String returns the outcome's word, as callers and operators see it.
 func (o Outcome) String() string {
 	switch o {
-	case Answered:
+	case OutcomeAnswered:
 		return "answered"
 	case NotRun:
 		return "notrun"
--- a/core/crforward/tracker.go
+++ b/core/crforward/tracker.go
@@ -184,7 +184,7 @@
 	defer t.mu.Unlock()
 	switch {
 	case t.complete:
-		return Answered
+		return OutcomeAnswered
 	case t.passed:
 		return Cut
 	case t.allNotRun():
--- a/core/crforward/tracker_test.go
+++ b/core/crforward/tracker_test.go
@@ -35,7 +35,7 @@
 		"the head, then lost":    {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Failed(0) }, Unknown, false, true},
 		"the head, then refused": {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Refused(0, true, 0) }, Unknown, false, true},
 		"the head was passed on": {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.RelayStarted(); tr.Failed(0) }, Cut, false, false},
-		"all was passed on":      {func(tr *Tracker) { sent(tr); tr.RelayStarted(); tr.ResponseReceived(0); tr.RelayCompleted() }, Answered, false, false},
+		"all was passed on":      {func(tr *Tracker) { sent(tr); tr.RelayStarted(); tr.ResponseReceived(0); tr.RelayCompleted() }, OutcomeAnswered, false, false},
 	}
 	for title, c := range cases {
 		t.Run(title, func(t *testing.T) {
--- a/io/crentry/answer.go
+++ b/io/crentry/answer.go
@@ -31,7 +31,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	s.tracker.RelayCompleted()
-	e.count(crforward.Answered)
+	e.count(crforward.OutcomeAnswered)
 }
 
 // broke takes an answer that broke off at its source as evidence; a caller
@@ -54,7 +54,7 @@
 	if a.Status == http.StatusNoContent {
 		delete(h, "Content-Length") // an HTTP/2 caller would wait for the body
 	}
-	h.Set(HeaderOutcome, crforward.Answered.String())
+	h.Set(HeaderOutcome, crforward.OutcomeAnswered.String())
 	w.WriteHeader(a.Status)
 }
 
--- a/io/crentry/refusal.go
+++ b/io/crentry/refusal.go
@@ -60,7 +60,7 @@
 
 func (e *Entry) count(o crforward.Outcome) {
 	switch o {
-	case crforward.Answered:
+	case crforward.OutcomeAnswered:
 		e.counters.Answered.Add(1)
 	case crforward.NotRun:
 		e.counters.NotRun.Add(1)
