--- a/core/crforward/machine_test.go
+++ b/core/crforward/machine_test.go
@@ -215,7 +215,7 @@
 	switch {
 	case r.class == crpolicy.ClassOnce && r.ran > 1:
 		w.fault = fmt.Errorf("request %d of class once ran twice", a.request)
-	case r.told == NotRun:
+	case r.told == OutcomeNotRun:
 		w.fault = fmt.Errorf("request %d ran after its caller was told notrun", a.request)
 	case !w.now.Before(a.deadline):
 		w.fault = fmt.Errorf("request %d was started after its deadline", a.request)
@@ -262,7 +262,7 @@
 	if r.told == 0 {
 		r.told = r.tracker.Outcome()
 	}
-	if r.told == NotRun && r.ran > 0 {
+	if r.told == OutcomeNotRun && r.ran > 0 {
 		w.fault = fmt.Errorf("a caller was told notrun of a request that ran")
 	}
 }
--- a/core/crforward/outcome.go
+++ b/core/crforward/outcome.go
@@ -7,8 +7,8 @@
 const (
 	// OutcomeAnswered means that the whole answer was passed on.
 	OutcomeAnswered Outcome = iota + 1
-	// NotRun means that the request provably never started at an upstream.
-	NotRun
+	// OutcomeNotRun means that the request provably never started at an upstream.
+	OutcomeNotRun
 	// Unknown means that the request may have run, and neither can be proved.
 	Unknown
 	// Cut means that the answer began and broke off.
@@ -20,7 +20,7 @@
 	switch o {
 	case OutcomeAnswered:
 		return "answered"
-	case NotRun:
+	case OutcomeNotRun:
 		return "notrun"
 	case Unknown:
 		return "unknown"
--- a/core/crforward/tracker.go
+++ b/core/crforward/tracker.go
@@ -188,7 +188,7 @@
 	case t.passed:
 		return Cut
 	case t.allNotRun():
-		return NotRun
+		return OutcomeNotRun
 	default:
 		return Unknown
 	}
--- a/core/crforward/tracker_test.go
+++ b/core/crforward/tracker_test.go
@@ -22,13 +22,13 @@
 		outcome      Outcome
 		once, repeat bool // whether another attempt may be made
 	}{
-		"nothing tried":          {func(*Tracker) {}, NotRun, true, true},
-		"the dial failed":        {func(tr *Tracker) { tr.Failed(tr.Begin()) }, NotRun, true, true},
+		"nothing tried":          {func(*Tracker) {}, OutcomeNotRun, true, true},
+		"the dial failed":        {func(tr *Tracker) { tr.Failed(tr.Begin()) }, OutcomeNotRun, true, true},
 		"still under way":        {sent, Unknown, false, false},
 		"the session was lost":   {func(tr *Tracker) { sent(tr); tr.Failed(0) }, Unknown, false, true},
-		"refused with proof":     {func(tr *Tracker) { sent(tr); tr.Refused(0, true, 0) }, NotRun, true, true},
+		"refused with proof":     {func(tr *Tracker) { sent(tr); tr.Refused(0, true, 0) }, OutcomeNotRun, true, true},
 		"refused without proof":  {func(tr *Tracker) { sent(tr); tr.Refused(0, false, 0) }, Unknown, false, true},
-		"fenced":                 {verdict(RevokeResultFenced, time.Second), NotRun, true, true},
+		"fenced":                 {verdict(RevokeResultFenced, time.Second), OutcomeNotRun, true, true},
 		"fenced, too late":       {verdict(RevokeResultFenced, 2*time.Minute), Unknown, false, true},
 		"started":                {verdict(RevokeResultStarted, time.Second), Unknown, false, true},
 		"the exit can not say":   {verdict(RevokeResultUnknown, time.Second), Unknown, false, true},
--- a/io/crentry/refusal.go
+++ b/io/crentry/refusal.go
@@ -37,7 +37,7 @@
 func (e *Entry) refuse(w http.ResponseWriter, b *body, r *refusal) {
 	outcome := r.outcome
 	if outcome == 0 {
-		outcome = crforward.NotRun
+		outcome = crforward.OutcomeNotRun
 	}
 	e.count(outcome)
 	body := refusalBody{Outcome: outcome.String(), Reason: r.reason}
@@ -62,7 +62,7 @@
 	switch o {
 	case crforward.OutcomeAnswered:
 		e.counters.Answered.Add(1)
-	case crforward.NotRun:
+	case crforward.OutcomeNotRun:
 		e.counters.NotRun.Add(1)
 	case crforward.Unknown:
 		e.counters.Unknown.Add(1)
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -317,7 +317,7 @@
 func (s *serving) giveUp() *refusal {
 	r := &refusal{outcome: s.tracker.Outcome(), reason: s.reason, retry: max(soon, s.tracker.RetryAfter())}
 	switch {
-	case r.outcome == crforward.NotRun:
+	case r.outcome == crforward.OutcomeNotRun:
 		r.status = http.StatusServiceUnavailable
 	case s.wrong:
 		r.status = http.StatusBadGateway
