--- a/core/crforward/outcome.go
+++ b/core/crforward/outcome.go
@@ -9,8 +9,8 @@
 	OutcomeAnswered Outcome = iota + 1
 	// OutcomeNotRun means that the request provably never started at an upstream.
 	OutcomeNotRun
-	// Unknown means that the request may have run, and neither can be proved.
-	Unknown
+	// OutcomeUnknown means that the request may have run, and neither can be proved.
+	OutcomeUnknown
 	// Cut means that the answer began and broke off.
 	Cut
 )
@@ -22,7 +22,7 @@
 		return "answered"
 	case OutcomeNotRun:
 		return "notrun"
-	case Unknown:
+	case OutcomeUnknown:
 		return "unknown"
 	case Cut:
 		return "cut"
--- a/core/crforward/tracker.go
+++ b/core/crforward/tracker.go
@@ -190,7 +190,7 @@
 	case t.allNotRun():
 		return OutcomeNotRun
 	default:
-		return Unknown
+		return OutcomeUnknown
 	}
 }
 
--- a/core/crforward/tracker_test.go
+++ b/core/crforward/tracker_test.go
@@ -24,16 +24,16 @@
 	}{
 		"nothing tried":          {func(*Tracker) {}, OutcomeNotRun, true, true},
 		"the dial failed":        {func(tr *Tracker) { tr.Failed(tr.Begin()) }, OutcomeNotRun, true, true},
-		"still under way":        {sent, Unknown, false, false},
-		"the session was lost":   {func(tr *Tracker) { sent(tr); tr.Failed(0) }, Unknown, false, true},
+		"still under way":        {sent, OutcomeUnknown, false, false},
+		"the session was lost":   {func(tr *Tracker) { sent(tr); tr.Failed(0) }, OutcomeUnknown, false, true},
 		"refused with proof":     {func(tr *Tracker) { sent(tr); tr.Refused(0, true, 0) }, OutcomeNotRun, true, true},
-		"refused without proof":  {func(tr *Tracker) { sent(tr); tr.Refused(0, false, 0) }, Unknown, false, true},
+		"refused without proof":  {func(tr *Tracker) { sent(tr); tr.Refused(0, false, 0) }, OutcomeUnknown, false, true},
 		"fenced":                 {verdict(RevokeResultFenced, time.Second), OutcomeNotRun, true, true},
-		"fenced, too late":       {verdict(RevokeResultFenced, 2*time.Minute), Unknown, false, true},
-		"started":                {verdict(RevokeResultStarted, time.Second), Unknown, false, true},
-		"the exit can not say":   {verdict(RevokeResultUnknown, time.Second), Unknown, false, true},
-		"the head, then lost":    {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Failed(0) }, Unknown, false, true},
-		"the head, then refused": {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Refused(0, true, 0) }, Unknown, false, true},
+		"fenced, too late":       {verdict(RevokeResultFenced, 2*time.Minute), OutcomeUnknown, false, true},
+		"started":                {verdict(RevokeResultStarted, time.Second), OutcomeUnknown, false, true},
+		"the exit can not say":   {verdict(RevokeResultUnknown, time.Second), OutcomeUnknown, false, true},
+		"the head, then lost":    {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Failed(0) }, OutcomeUnknown, false, true},
+		"the head, then refused": {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Refused(0, true, 0) }, OutcomeUnknown, false, true},
 		"the head was passed on": {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.RelayStarted(); tr.Failed(0) }, Cut, false, false},
 		"all was passed on":      {func(tr *Tracker) { sent(tr); tr.RelayStarted(); tr.ResponseReceived(0); tr.RelayCompleted() }, OutcomeAnswered, false, false},
 	}
@@ -61,7 +61,7 @@
 		tr.Failed(n)
 	}
 	tr.Refused(1, true, time.Second)
-	g.Expect(tr.Outcome()).To(gomega.Equal(Unknown))
+	g.Expect(tr.Outcome()).To(gomega.Equal(OutcomeUnknown))
 	g.Expect(tr.MayRetry()).To(gomega.BeFalse(), "the bound on attempts")
 	g.Expect(tr.RetryAfter()).To(gomega.Equal(time.Second))
 }
--- a/io/crentry/refusal.go
+++ b/io/crentry/refusal.go
@@ -64,7 +64,7 @@
 		e.counters.Answered.Add(1)
 	case crforward.OutcomeNotRun:
 		e.counters.NotRun.Add(1)
-	case crforward.Unknown:
+	case crforward.OutcomeUnknown:
 		e.counters.Unknown.Add(1)
 	case crforward.Cut:
 		e.counters.Cut.Add(1)
