--- a/core/crforward/outcome.go
+++ b/core/crforward/outcome.go
@@ -11,8 +11,8 @@
 	OutcomeNotRun
 	// OutcomeUnknown means that the request may have run, and neither can be proved.
 	OutcomeUnknown
-	// Cut means that the answer began and broke off.
-	Cut
+	// OutcomeCut means that the answer began and broke off.
+	OutcomeCut
 )
 
 // String returns the outcome's word, as callers and operators see it.
@@ -24,7 +24,7 @@
 		return "notrun"
 	case OutcomeUnknown:
 		return "unknown"
-	case Cut:
+	case OutcomeCut:
 		return "cut"
 	default:
 		return "invalid"
--- a/core/crforward/tracker.go
+++ b/core/crforward/tracker.go
@@ -186,7 +186,7 @@
 	case t.complete:
 		return OutcomeAnswered
 	case t.passed:
-		return Cut
+		return OutcomeCut
 	case t.allNotRun():
 		return OutcomeNotRun
 	default:
--- a/core/crforward/tracker_test.go
+++ b/core/crforward/tracker_test.go
@@ -34,7 +34,7 @@
 		"the exit can not say":   {verdict(RevokeResultUnknown, time.Second), OutcomeUnknown, false, true},
 		"the head, then lost":    {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Failed(0) }, OutcomeUnknown, false, true},
 		"the head, then refused": {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.Refused(0, true, 0) }, OutcomeUnknown, false, true},
-		"the head was passed on": {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.RelayStarted(); tr.Failed(0) }, Cut, false, false},
+		"the head was passed on": {func(tr *Tracker) { sent(tr); tr.ResponseStarted(0); tr.RelayStarted(); tr.Failed(0) }, OutcomeCut, false, false},
 		"all was passed on":      {func(tr *Tracker) { sent(tr); tr.RelayStarted(); tr.ResponseReceived(0); tr.RelayCompleted() }, OutcomeAnswered, false, false},
 	}
 	for title, c := range cases {
--- a/io/crentry/answer.go
+++ b/io/crentry/answer.go
@@ -27,7 +27,7 @@
 	writeHead(w, &ex.Answer)
 	if err := e.copyBody(w, r, ex, &s.opening); err != nil {
 		s.broke(err)
-		e.count(crforward.Cut)
+		e.count(crforward.OutcomeCut)
 		panic(http.ErrAbortHandler)
 	}
 	s.tracker.RelayCompleted()
--- a/io/crentry/refusal.go
+++ b/io/crentry/refusal.go
@@ -66,7 +66,7 @@
 		e.counters.NotRun.Add(1)
 	case crforward.OutcomeUnknown:
 		e.counters.Unknown.Add(1)
-	case crforward.Cut:
+	case crforward.OutcomeCut:
 		e.counters.Cut.Add(1)
 	}
 }
