--- a/core/crforward/bench_test.go
+++ b/core/crforward/bench_test.go
@@ -10,10 +10,10 @@
 	"camphorroad/core/crpolicy"
 )
 
-// BenchmarkLedger measures the whole course of a forward at the exit, with a
-// ledger that is full of ended ones.
+// BenchmarkLedger measures a forward from Register to Finish, with a ledger
+// that is full of ended ones.
 func BenchmarkLedger(b *testing.B) {
-	const rate = 800 // a second, the most that the defaults are for
+	const rate = 800 // a second, the highest rate that the defaults are for
 	l := NewLedger(DefaultLedgerParams(), 1, 0, nil)
 	now := crid.Instant(0)
 	id := uint64(0)
@@ -21,11 +21,11 @@
 	for b.Loop() {
 		id++
 		now = now.Add(time.Second / rate)
-		runForward(b, l, numbered(id), now)
+		runForward(b, l, benchID(id), now)
 	}
 }
 
-// BenchmarkBytesPerForward measures what a remembered forward takes.
+// BenchmarkBytesPerForward measures the memory of the record of a forward.
 func BenchmarkBytesPerForward(b *testing.B) {
 	const forwards = 60_000
 	var bytes float64
@@ -33,7 +33,7 @@
 		before := heapInUse()
 		l := NewLedger(DefaultLedgerParams(), 1, 0, nil)
 		for id := range uint64(forwards) {
-			runForward(b, l, numbered(id), crid.Instant(id))
+			runForward(b, l, benchID(id), crid.Instant(id))
 		}
 		bytes = (heapInUse() - before) / forwards
 		runtime.KeepAlive(l)
@@ -58,7 +58,7 @@
 	return float64(m.HeapAlloc)
 }
 
-func numbered(n uint64) crid.Request {
+func benchID(n uint64) crid.Request {
 	var id crid.Request
 	binary.BigEndian.PutUint64(id[:], n)
 	return id
--- a/core/crforward/budget.go
+++ b/core/crforward/budget.go
@@ -7,13 +7,14 @@
 	"camphorroad/core/crid"
 )
 
-// RetryBudgetParams bound the retries of one entry.
+// RetryBudgetParams limit the retries of one entry.
 type RetryBudgetParams struct {
-	// Ratio is the retries allowed for each request.
+	// Ratio is the number of retries that each request adds to the budget.
 	Ratio float64
-	// MinPerSecond is the retries a second that are allowed at any load.
+	// MinPerSecond is the number of retries a second that are allowed at any
+	// load.
 	MinPerSecond float64
-	// Burst is the retries that may be saved up.
+	// Burst is the number of unused retries that the budget holds at most.
 	Burst float64
 }
 
@@ -22,35 +23,37 @@
 	return RetryBudgetParams{Ratio: 0.1, MinPerSecond: 1, Burst: 10}
 }
 
-// RetryBudget bounds retries to a share of the requests. Without it a service that is
-// too slow for its load would get every request several times, and an overload
-// that ends by itself would feed itself. It is safe for concurrent use.
+// RetryBudget is a token bucket that limits retries to a share of the requests.
+// Without it, a service that is too slow for its load would receive each
+// request several times, and a short overload would sustain itself. It is safe
+// for concurrent use.
 type RetryBudget struct {
-	mu     sync.Mutex
-	params RetryBudgetParams
-	tokens float64
-	last   crid.Instant
+	mu         sync.Mutex
+	params     RetryBudgetParams
+	tokens     float64
+	refilledAt crid.Instant
 }
 
-// NewRetryBudget returns a Budget that starts with a burst.
+// NewRetryBudget returns a full RetryBudget.
 func NewRetryBudget(params RetryBudgetParams, now crid.Instant) *RetryBudget {
-	return &RetryBudget{params: params, tokens: params.Burst, last: now}
+	return &RetryBudget{params: params, tokens: params.Burst, refilledAt: now}
 }
 
-// RecordRequest counts one caller's request.
+// RecordRequest adds Ratio to the budget. It is called once for each caller's
+// request.
 func (b *RetryBudget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.add(b.params.Ratio)
 }
 
-// Take takes one retry out of the budget, and reports whether there was one.
+// Take removes one retry from the budget and reports whether there was one.
 func (b *RetryBudget) Take(now crid.Instant) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.last.Before(now) {
-		b.add(b.params.MinPerSecond * float64(now.Sub(b.last)) / float64(time.Second))
-		b.last = now
+	if b.refilledAt.Before(now) {
+		b.add(b.params.MinPerSecond * float64(now.Sub(b.refilledAt)) / float64(time.Second))
+		b.refilledAt = now
 	}
 	if b.tokens < 1 {
 		return false
--- a/core/crforward/doc.go
+++ b/core/crforward/doc.go
@@ -1,25 +1,30 @@
-// Package crforward holds the rules under which a forward between an entry
-// daemon and an exit daemon runs at most once, and under which "not run" may be
-// said of it.
-//
-// A request goes caller -> entry -> session -> exit -> upstream. The exit keeps
-// one [Ledger] for each session: it alone knows whether a forward was started,
-// and its [Ledger.Start] is the last gate before the upstream is called. The
-// entry keeps one [Tracker] for each caller's request: it collects what is known
-// of every attempt, says whether another may be made, and what is true to tell
-// the caller. [RetryBudget] bounds how much retries add to the load, and [PauseDetector]
-// notices that the process was frozen.
-//
-// The two sides' clocks are never compared. A forward carries the time that is
-// left for it, and the exit counts that from the arrival; a forward that was
-// late on its way is caught by a revocation, by [PauseDetector] or by the session's end.
+// Package crforward implements the protocol by which an exit daemon runs each
+// forward at most once, and by which the entry daemon knows whether it may
+// report a request as not run.
+//
+// A request goes caller -> entry -> session -> exit -> upstream. A forward is
+// one attempt at sending a request to an exit. The exit (io/crexit) keeps one
+// [Ledger] per session. Only the exit knows whether a forward was started, and
+// [Ledger.Start] is the last check before the upstream is called. The entry
+// (io/crentry) keeps one [Tracker] per request: it records what is known of
+// each attempt, whether another attempt is allowed, and which [Outcome] to
+// report. [RetryBudget] limits the load that retries add, and [PauseDetector]
+// detects that the process was suspended.
+//
+// The clocks of the two daemons are never compared. A forward carries its
+// remaining time, and the exit counts that time from the arrival. A forward
+// that was delayed on its way is caught by a revocation, by [PauseDetector] or
+// by the end of the session.
+//
+// The offers between daemons in io/croffer do not use this package; their
+// retries are limited for the whole fleet by core/crbudget.
 //
 // # Usage
 //
-// At the exit, with one Pulse for the process:
+// At the exit, with one PauseDetector per process:
 //
-//	ledger := crforward.NewLedger(crforward.DefaultParams(), session, now, pulse)
-//	if err := ledger.Offer(id, class, arrived, deadline); err != nil {
+//	ledger := crforward.NewLedger(crforward.DefaultLedgerParams(), session, now, detector)
+//	if err := ledger.Register(id, class, arrived, deadline); err != nil {
 //		return refuse(err) // Refusal.NotRun says whether it proves "not run"
 //	}
 //	defer ledger.Finish(id, clock.Now())
--- a/core/crforward/ledger.go
+++ b/core/crforward/ledger.go
@@ -8,22 +8,24 @@
 	"camphorroad/core/crpolicy"
 )
 
-// SessionID identifies one session between an entry and an exit. The entry draws
-// it at random when it opens the session, tells it in its first message, and
-// names with each revocation the session that the forward was sent over.
+// SessionID identifies a session between an entry and an exit. The entry draws
+// it at random when it opens the session and sends it in its first message.
+// Each revocation names the session over which the forward was sent.
 type SessionID uint64
 
-// LedgerParams bound a Ledger.
+// LedgerParams limit a Ledger.
 type LedgerParams struct {
 	// MaxPending is the number of forwards that may wait for their start.
 	MaxPending int
-	// MaxFences is the number of revocations remembered for forwards that have
-	// not arrived.
+	// MaxFences is the number of revocations kept for forwards that have not
+	// arrived.
 	MaxFences int
-	// MaxRecords is the number of forwards remembered, ended ones included.
+	// MaxRecords is the number of records kept, those of ended forwards
+	// included.
 	MaxRecords int
-	// Retention is the time for which an ended forward is remembered. It must be
-	// above the entries' [TrackerParams.Trust] by more than clocks drift in it.
+	// Retention is the time for which the record of an ended forward is kept.
+	// It must exceed [TrackerParams.RevokeWindow] of the entries by more than
+	// the clocks drift apart in that time.
 	Retention time.Duration
 }
 
@@ -46,70 +48,72 @@
 	state    state
 	class    crpolicy.Class
 	deadline crid.Instant
-	reason   Reason // of stateRefused
+	reason   Reason // only in stateRefused
 }
 
-// ending tells when a record was ended; endings are kept in the order of time.
-type ending struct {
+// endedRecord is the time at which a forward ended. The entries of
+// [Ledger.ended] are in the order of time.
+type endedRecord struct {
 	id crid.Request
 	at crid.Instant
 }
 
-// switches turn single guards off. Only tests set them, to show that each guard
-// is needed.
-type switches struct {
+// disabledGuards disables single checks. Only tests set it, to show that each
+// check is needed.
+type disabledGuards struct {
 	dedup, fence, deadline, pause, session bool
 }
 
-// Ledger is the exit's memory of the forwards of one session. Nothing starts at
+// Ledger is the exit's record of the forwards of one session. Nothing starts at
 // the upstream except through [Ledger.Start]. It is safe for concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
 	params   LedgerParams
 	session  SessionID
 	openedAt crid.Instant
-	pulse    *PauseDetector
+	detector *PauseDetector
 	records  map[crid.Request]record
-	ended    []ending
+	ended    []endedRecord
 	pending  int
 	running  int
 	fences   int
 	stale    bool
 	draining bool
 	closed   bool
-	off      switches
+	disabled disabledGuards
 }
 
-// NewLedger returns the Ledger of a session that was opened at openedAt, counted
-// before its first forward is read. The pulse is the process's; with nil, the
-// shell tells of pauses by [Ledger.RecordPause].
-func NewLedger(params LedgerParams, session SessionID, openedAt crid.Instant, pulse *PauseDetector) *Ledger {
+// NewLedger returns the Ledger of a session that was opened at openedAt, an
+// instant before its first forward is read. The detector is that of the
+// process; if it is nil, the caller reports pauses through
+// [Ledger.RecordPause].
+func NewLedger(params LedgerParams, session SessionID, openedAt crid.Instant, detector *PauseDetector) *Ledger {
 	return &Ledger{
 		params:   params,
 		session:  session,
 		openedAt: openedAt,
-		pulse:    pulse,
+		detector: detector,
 		records:  make(map[crid.Request]record),
 	}
 }
 
-// Register registers a forward that has arrived and will wait for its start. The
-// identifier names one attempt: a retry is a new forward with a new one. The
-// error is a [*Refusal]; a forward refused here is never started, nor are later
-// copies of it. The deadline is on the exit's clock.
+// Register adds a forward that has arrived and will wait for its start. The
+// identifier names one attempt: a retry is a new forward with a new identifier.
+// The error is a [*Refusal]; a forward refused here is never started, nor is a
+// later copy of it. The deadline is on the exit's clock.
 func (l *Ledger) Register(id crid.Request, class crpolicy.Class, arrived, deadline crid.Instant) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.expire(arrived)
-	if err := l.known(id); err != nil {
+	l.evictEnded(arrived)
+	if err := l.checkRecorded(id); err != nil {
 		return err
 	}
 	rec := record{state: statePending, class: class, deadline: deadline}
-	if !l.remember(id, rec) {
+	if !l.addRecord(id, rec) {
 		return &Refusal{reason: ReasonClosed}
 	}
 	l.pending++
-	reason := l.gate(rec, arrived)
+	reason := l.blockReason(rec, arrived)
 	if reason == 0 && l.pending > l.params.MaxPending {
 		reason = ReasonFull
 	}
@@ -120,10 +124,11 @@
 	return nil
 }
 
-// Start is the last gate before the upstream is called. The caller reads the
-// clock just before; a reading from before a wait would let work run whose
-// deadline passed in a pause. At most one Start of an identifier succeeds. The
-// error is a [*Refusal], and the forward is then never started.
+// Start is the last check before the upstream is called. The caller reads the
+// clock just before the call: with a reading from before a wait, a forward
+// whose deadline passed during a pause of the process would run. At most one
+// Start of an identifier succeeds. The error is a [*Refusal], and the forward
+// is then never started.
 func (l *Ledger) Start(id crid.Request, now crid.Instant) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,10 +136,10 @@
 	if !ok {
 		return &Refusal{reason: ReasonUnregistered}
 	}
-	if rec.state != statePending && !l.off.dedup {
+	if rec.state != statePending && !l.disabled.dedup {
 		return refusalOf(rec)
 	}
-	if reason := l.gate(rec, now); reason != 0 {
+	if reason := l.blockReason(rec, now); reason != 0 {
 		l.refuse(id, reason, now)
 		return &Refusal{reason: reason}
 	}
@@ -145,21 +150,21 @@
 	return nil
 }
 
-// Revoke asks that a forward sent over session sentOn be not started any more.
-// A forward that has not arrived yet is refused when it comes.
+// Revoke prevents the start of a forward that was sent over the session sentOn.
+// A forward that has not arrived yet is refused when it does.
 func (l *Ledger) Revoke(id crid.Request, sentOn SessionID, now crid.Instant) RevokeResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// An exit that restarted has forgotten what it ran in its earlier life. Were
-	// it to take a forward of an old session for one that is still on its way, it
-	// would vouch "never started" for one that ran.
-	if sentOn != l.session && !l.off.session {
+	// After a restart the exit no longer knows what it ran before. If it
+	// accepted revocations of forwards of an earlier session, it would report
+	// "fenced" for a forward that had run.
+	if sentOn != l.session && !l.disabled.session {
 		return RevokeResultUnknown
 	}
-	l.expire(now)
+	l.evictEnded(now)
 	rec, ok := l.records[id]
 	if !ok {
-		l.fenceAhead(id)
+		l.addFence(id)
 		return RevokeResultFenced
 	}
 	switch rec.state {
@@ -171,9 +176,9 @@
 	return RevokeResultFenced
 }
 
-// Cancel refuses a pending forward whose caller or entry went away; a started
-// one is the shell's to cancel at the upstream. It reports whether the forward
-// is now sure never to start.
+// Cancel refuses a pending forward whose caller or entry has gone. A running
+// one must be cancelled at the upstream by the caller of Cancel. It reports
+// whether the forward is certain never to start.
 func (l *Ledger) Cancel(id crid.Request, now crid.Instant) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -188,8 +193,8 @@
 	return rec.state == stateRefused || rec.state == stateFenced
 }
 
-// Finish tells that a started forward has ended, well or not. A pending one
-// counts as cancelled; other forwards are left as they are.
+// Finish records that a running forward has ended, successfully or not. A
+// pending forward is refused as cancelled; others are left as they are.
 func (l *Ledger) Finish(id crid.Request, now crid.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -200,44 +205,46 @@
 	case stateRunning:
 		l.running--
 		rec.state = stateFinished
-		l.end(id, rec, now)
+		l.markEnded(id, rec, now)
 	}
 }
 
-// RecordPause tells that the process was found to have been paused. No forward of a
-// session opened before now starts any more: while the process slept, forwards
-// lay in its buffers, and their time would be counted only from the waking.
+// RecordPause records that the process was paused. No forward starts any more
+// over a session that was opened before now: during the pause forwards lay in
+// the process's buffers, and their remaining time would be counted only from
+// its end.
 func (l *Ledger) RecordPause(now crid.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stale = l.stale || !now.Before(l.openedAt)
 }
 
-// Drain refuses what is pending and what comes; what runs may finish.
+// Drain refuses pending and new forwards. Running ones may finish.
 func (l *Ledger) Drain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.draining = true
 }
 
-// Close lets nothing start any more.
+// Close refuses all further starts.
 func (l *Ledger) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
 }
 
-// MustClose reports whether nothing can start over this session any more, so that
-// the shell must close it once what runs has finished.
+// MustClose reports whether nothing can start over this session any more. The
+// session must then be closed once the running forwards have finished.
 func (l *Ledger) MustClose() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closed || l.stale
 }
 
-// ShouldRenew reports whether nothing can start any more, or the bound of records is
-// near, so that the entry should send its next forwards over a new session. A
-// session that reached the bound in full run would refuse all that was on its way.
+// ShouldRenew reports whether the entry should send its next forwards over a
+// new session: nothing can start any more, or three quarters of MaxRecords are
+// in use. A session that reached MaxRecords under load would refuse every
+// forward that was on its way.
 func (l *Ledger) ShouldRenew() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -248,7 +255,7 @@
 type Dump struct {
 	Pending  int  `json:"pending"`
 	Running  int  `json:"running"`
-	Once     int  `json:"once"` // pending or running forwards that must run at most once
+	Once     int  `json:"once"` // pending or running forwards of class once
 	Records  int  `json:"records"`
 	Fences   int  `json:"fences"`
 	Stale    bool `json:"stale"`
--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -18,9 +18,9 @@
 	session  = SessionID(7)
 )
 
-func later(d time.Duration) crid.Instant { return opened.Add(d) }
+func after(d time.Duration) crid.Instant { return opened.Add(d) }
 
-func name(n int) crid.Request { return crid.Request{byte(n), byte(n >> 8)} }
+func attemptID(n int) crid.Request { return crid.Request{byte(n), byte(n >> 8)} }
 
 func newLedger() *Ledger { return NewLedger(DefaultLedgerParams(), session, opened, nil) }
 
@@ -32,34 +32,34 @@
 	return 0
 }
 
-// Each case lets something happen between a forward's arrival and the moment a
-// slot is free for it. Were the forward started all the same, a client would pay
-// a deposit, or file a return, after it was told that nothing was done.
-func TestStartIsRefusedAfter(t *testing.T) {
-	id := name(1)
+// An event between the arrival and the free slot must prevent the start: the
+// entry may already have reported "not run", and the client would pay a deposit
+// or file a return twice.
+func TestStartRefusedAfterEvent(t *testing.T) {
+	id := attemptID(1)
 	cases := map[string]struct {
-		happens func(l *Ledger)
-		now     crid.Instant
-		want    Reason
-		notRun  bool
+		event  func(l *Ledger)
+		now    crid.Instant
+		want   Reason
+		notRun bool
 	}{
-		"nothing":          {func(*Ledger) {}, later(time.Second), 0, false},
-		"a revocation":     {func(l *Ledger) { l.Revoke(id, session, opened) }, later(time.Second), ReasonFenced, true},
-		"a cancel":         {func(l *Ledger) { l.Cancel(id, opened) }, later(time.Second), ReasonCancelled, true},
-		"a finish":         {func(l *Ledger) { l.Finish(id, opened) }, later(time.Second), ReasonCancelled, true},
+		"nothing":          {func(*Ledger) {}, after(time.Second), 0, false},
+		"a revocation":     {func(l *Ledger) { l.Revoke(id, session, opened) }, after(time.Second), ReasonFenced, true},
+		"a cancel":         {func(l *Ledger) { l.Cancel(id, opened) }, after(time.Second), ReasonCancelled, true},
+		"a finish":         {func(l *Ledger) { l.Finish(id, opened) }, after(time.Second), ReasonCancelled, true},
 		"the deadline":     {func(*Ledger) {}, deadline, ReasonExpired, true},
-		"a pause":          {func(l *Ledger) { l.RecordPause(later(time.Second)) }, later(time.Second), ReasonStale, true},
-		"an earlier pause": {func(l *Ledger) { l.RecordPause(opened - 1) }, later(time.Second), 0, false},
-		"the drain":        {func(l *Ledger) { l.Drain() }, later(time.Second), ReasonDraining, true},
-		"the close":        {func(l *Ledger) { l.Close() }, later(time.Second), ReasonClosed, true},
-		"another start":    {func(l *Ledger) { _ = l.Start(id, opened) }, later(time.Second), ReasonDuplicate, false},
+		"a pause":          {func(l *Ledger) { l.RecordPause(after(time.Second)) }, after(time.Second), ReasonStale, true},
+		"an earlier pause": {func(l *Ledger) { l.RecordPause(opened - 1) }, after(time.Second), 0, false},
+		"the drain":        {func(l *Ledger) { l.Drain() }, after(time.Second), ReasonDraining, true},
+		"the close":        {func(l *Ledger) { l.Close() }, after(time.Second), ReasonClosed, true},
+		"another start":    {func(l *Ledger) { _ = l.Start(id, opened) }, after(time.Second), ReasonDuplicate, false},
 	}
 	for title, c := range cases {
 		t.Run(title, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			l := newLedger()
 			g.Expect(l.Register(id, crpolicy.ClassOnce, opened, deadline)).To(gomega.Succeed())
-			c.happens(l)
+			c.event(l)
 			err := l.Start(id, c.now)
 			g.Expect(reasonOf(err)).To(gomega.Equal(c.want))
 			var refusal *Refusal
@@ -71,11 +71,11 @@
 	}
 }
 
-// The entry waits no longer and asks the exit what became of the forward, which
-// may be at any step. A wrong "fenced" lets the entry send a filing on to another
-// upstream although the first has run it.
-func TestRevokeAnswers(t *testing.T) {
-	id := name(1)
+// The entry gives up waiting and revokes a forward that may be at any step.
+// After a wrong "fenced" the entry would send a request of class once to
+// another upstream although the first has run it.
+func TestRevokeResult(t *testing.T) {
+	id := attemptID(1)
 	offer := func(l *Ledger) { _ = l.Register(id, crpolicy.ClassOnce, opened, deadline) }
 	start := func(l *Ledger) { offer(l); _ = l.Start(id, opened) }
 	cases := map[string]struct {
@@ -104,84 +104,84 @@
 	}
 }
 
-// A broken or hostile entry floods one session with forwards or revocations. If
-// the exit forgot some to save memory it would later vouch for what it forgot;
-// users of other entries would notice nothing until then.
-func TestMemoryIsBounded(t *testing.T) {
+// An entry floods one session with forwards or revocations. The ledger must
+// close instead of evicting records early, which would yield false refusals and
+// false "fenced" results later.
+func TestLedgerMemoryBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	params := LedgerParams{MaxPending: 2, MaxFences: 2, MaxRecords: 5, Retention: time.Second}
 	l := NewLedger(params, session, opened, nil)
 	for n := range 2 {
-		g.Expect(l.Register(name(n), crpolicy.ClassRepeat, opened, deadline)).To(gomega.Succeed())
+		g.Expect(l.Register(attemptID(n), crpolicy.ClassRepeat, opened, deadline)).To(gomega.Succeed())
 	}
-	g.Expect(reasonOf(l.Register(name(2), crpolicy.ClassRepeat, opened, deadline))).To(gomega.Equal(ReasonFull))
+	g.Expect(reasonOf(l.Register(attemptID(2), crpolicy.ClassRepeat, opened, deadline))).To(gomega.Equal(ReasonFull))
 	for n := 3; n < 5; n++ {
-		g.Expect(l.Revoke(name(n), session, opened)).To(gomega.Equal(RevokeResultFenced))
+		g.Expect(l.Revoke(attemptID(n), session, opened)).To(gomega.Equal(RevokeResultFenced))
 	}
 	g.Expect(l.MustClose()).To(gomega.BeFalse())
-	g.Expect(l.Revoke(name(5), session, opened)).To(gomega.Equal(RevokeResultFenced))
+	g.Expect(l.Revoke(attemptID(5), session, opened)).To(gomega.Equal(RevokeResultFenced))
 	g.Expect(l.MustClose()).To(gomega.BeTrue())
-	g.Expect(reasonOf(l.Start(name(0), opened))).To(gomega.Equal(ReasonClosed))
-	l.Revoke(name(5), session, later(2*time.Second))
+	g.Expect(reasonOf(l.Start(attemptID(0), opened))).To(gomega.Equal(ReasonClosed))
+	l.Revoke(attemptID(5), session, after(2*time.Second))
 	g.Expect(l.Dump()).To(gomega.Equal(Dump{Pending: 1, Records: 3, Fences: 2, Closed: true}))
 }
 
-// The process is stopped for seconds and goes on as if nothing had happened. It
-// may run its ticker first or the queued forward first; in either order the
-// booking of a caller who left long ago must not run.
-func TestPulseRemembersThePause(t *testing.T) {
+// The process is suspended for seconds. Whether its ticker or the queued
+// forward runs first afterwards, the forward must not start: its caller may
+// have given up long ago.
+func TestPauseMakesSessionStale(t *testing.T) {
 	for title, tickerFirst := range map[string]bool{"ticker first": true, "traffic first": false} {
 		t.Run(title, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			pulse := NewPauseDetector(DefaultPauseThreshold, opened)
-			l := NewLedger(DefaultLedgerParams(), session, opened, pulse)
-			g.Expect(l.Register(name(1), crpolicy.ClassOnce, opened, deadline)).To(gomega.Succeed())
-			woken := later(5 * time.Second)
-			g.Expect(pulse.TickOverdue(woken)).To(gomega.BeTrue())
+			detector := NewPauseDetector(DefaultPauseThreshold, opened)
+			l := NewLedger(DefaultLedgerParams(), session, opened, detector)
+			g.Expect(l.Register(attemptID(1), crpolicy.ClassOnce, opened, deadline)).To(gomega.Succeed())
+			resumed := after(5 * time.Second)
+			g.Expect(detector.TickOverdue(resumed)).To(gomega.BeTrue())
 			if tickerFirst {
-				g.Expect(pulse.Tick(woken)).To(gomega.BeTrue())
+				g.Expect(detector.Tick(resumed)).To(gomega.BeTrue())
 			}
-			g.Expect(reasonOf(l.Start(name(1), woken))).To(gomega.Equal(ReasonStale))
-			fresh := NewLedger(DefaultLedgerParams(), session+1, woken+1, pulse)
-			g.Expect(fresh.Register(name(1), crpolicy.ClassOnce, woken+1, woken+2)).To(gomega.Succeed())
-			g.Expect(fresh.Start(name(1), woken+1)).To(gomega.Succeed())
+			g.Expect(reasonOf(l.Start(attemptID(1), resumed))).To(gomega.Equal(ReasonStale))
+			fresh := NewLedger(DefaultLedgerParams(), session+1, resumed+1, detector)
+			g.Expect(fresh.Register(attemptID(1), crpolicy.ClassOnce, resumed+1, resumed+2)).To(gomega.Succeed())
+			g.Expect(fresh.Start(attemptID(1), resumed+1)).To(gomega.Succeed())
 		})
 	}
 }
 
-// A service gets too slow and all its requests fail at once. If each were tried
-// again the service would see several times its load and never recover.
-func TestBudgetBoundsRetries(t *testing.T) {
+// Every request of a service that is too slow fails. Without the budget each
+// would be retried, and the service would receive several times its load and
+// never recover.
+func TestRetryBudgetLimitsRetries(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := NewRetryBudget(RetryBudgetParams{Ratio: 0.1, MinPerSecond: 1, Burst: 5}, opened)
 	retries := 0
 	for n := range 1000 {
 		b.RecordRequest()
-		if b.Take(later(time.Duration(n) * 10 * time.Millisecond)) {
+		if b.Take(after(time.Duration(n) * 10 * time.Millisecond)) {
 			retries++
 		}
 	}
 	g.Expect(retries).To(gomega.BeNumerically("~", 5+100+10, 1))
 }
 
-// The slot comes free at the very moment when the entry gives up. If both the
-// start and the revocation were granted, the entry would send the filing on while
-// it runs.
-func TestStartAndRevokeExcludeEachOther(t *testing.T) {
+// A slot becomes free just when the entry gives up. If both Start and Revoke
+// succeeded, the entry would send the request again while it runs.
+func TestStartAndRevokeAreExclusive(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newLedger()
 	for n := range 1000 {
-		g.Expect(l.Register(name(n), crpolicy.ClassOnce, opened, deadline)).To(gomega.Succeed())
+		g.Expect(l.Register(attemptID(n), crpolicy.ClassOnce, opened, deadline)).To(gomega.Succeed())
 		var started [2]error
-		var verdict RevokeResult
+		var result RevokeResult
 		var group sync.WaitGroup
 		for i := range started {
-			group.Go(func() { started[i] = l.Start(name(n), opened) })
+			group.Go(func() { started[i] = l.Start(attemptID(n), opened) })
 		}
-		group.Go(func() { verdict = l.Revoke(name(n), session, opened) })
+		group.Go(func() { result = l.Revoke(attemptID(n), session, opened) })
 		group.Wait()
 		g.Expect(started[0] == nil && started[1] == nil).To(gomega.BeFalse())
-		g.Expect(started[0] == nil || started[1] == nil).To(gomega.Equal(verdict == RevokeResultStarted))
-		l.Finish(name(n), opened)
+		g.Expect(started[0] == nil || started[1] == nil).To(gomega.Equal(result == RevokeResultStarted))
+		l.Finish(attemptID(n), opened)
 	}
 }
--- a/core/crforward/outcome.go
+++ b/core/crforward/outcome.go
@@ -1,21 +1,23 @@
 package crforward
 
-// Outcome is what is true to tell a caller of its request.
+// Outcome is what the entry reports to a caller about its request.
 type Outcome uint8
 
 // The outcomes of a request.
 const (
-	// OutcomeAnswered means that the whole answer was passed on.
+	// OutcomeAnswered means that the whole response was relayed to the caller.
 	OutcomeAnswered Outcome = iota + 1
-	// OutcomeNotRun means that the request provably never started at an upstream.
+	// OutcomeNotRun means that the request is proved never to have started at
+	// an upstream.
 	OutcomeNotRun
-	// OutcomeUnknown means that the request may have run, and neither can be proved.
+	// OutcomeUnknown means that the request may have run: there is no proof
+	// either way.
 	OutcomeUnknown
-	// OutcomeCut means that the answer began and broke off.
+	// OutcomeCut means that the response began and broke off.
 	OutcomeCut
 )
 
-// String returns the outcome's word, as callers and operators see it.
+// String returns the text that callers and operators see.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeAnswered:
@@ -31,23 +33,24 @@
 	}
 }
 
-// RevokeResult is the exit's answer to a revocation.
+// RevokeResult is the exit's reply to a revocation.
 type RevokeResult uint8
 
-// The verdicts of an exit.
+// The results of a revocation.
 const (
-	// RevokeResultStarted means that the forward was started and can not be undone.
+	// RevokeResultStarted means that the forward was started and cannot be
+	// undone.
 	RevokeResultStarted RevokeResult = iota + 1
 	// RevokeResultFenced means that the forward has not started and never will.
 	RevokeResultFenced
-	// RevokeResultUnknown means that the exit can not say: the forward was sent over
-	// another session, which may have ended with an earlier life of the exit.
+	// RevokeResultUnknown means that the exit has no proof: the forward was
+	// sent over another session, perhaps before a restart of the exit.
 	RevokeResultUnknown
 )
 
-// String returns the verdict's word.
-func (v RevokeResult) String() string {
-	switch v {
+// String returns the result's text.
+func (r RevokeResult) String() string {
+	switch r {
 	case RevokeResultStarted:
 		return "started"
 	case RevokeResultFenced:
--- a/core/crforward/refusal.go
+++ b/core/crforward/refusal.go
@@ -1,31 +1,33 @@
 package crforward
 
-// Reason says why the exit refuses a forward.
+// Reason is why the exit refuses a forward.
 type Reason uint8
 
 // The reasons of a refusal.
 const (
-	// ReasonDuplicate means that the identifier was offered or started before.
+	// ReasonDuplicate means that the identifier was registered or started
+	// before.
 	ReasonDuplicate Reason = iota + 1
-	// ReasonUnregistered means that the identifier was never offered.
+	// ReasonUnregistered means that the identifier was never registered.
 	ReasonUnregistered
 	// ReasonFenced means that the entry has revoked the forward.
 	ReasonFenced
 	// ReasonFull means that too many forwards of the session are pending.
 	ReasonFull
-	// ReasonCancelled means that the caller or the entry went away.
+	// ReasonCancelled means that the caller or the entry has gone.
 	ReasonCancelled
 	// ReasonExpired means that the forward's deadline has passed.
 	ReasonExpired
-	// ReasonStale means that the process was paused after the session opened.
+	// ReasonStale means that the process was paused after the session was
+	// opened.
 	ReasonStale
-	// ReasonDraining means that the target or the daemon is leaving.
+	// ReasonDraining means that the target or the daemon is stopping.
 	ReasonDraining
 	// ReasonClosed means that the session is closed.
 	ReasonClosed
 )
 
-// String returns the reason's word.
+// String returns the reason's text.
 func (r Reason) String() string {
 	switch r {
 	case ReasonDuplicate:
@@ -62,9 +64,9 @@
 // Reason returns why the forward was refused.
 func (r *Refusal) Reason() Reason { return r.reason }
 
-// NotRun reports whether the refusal proves that the forward never runs. That a
-// forward is a duplicate proves nothing: the first copy may be running, and an
-// entry told "not run" would send the request on, so that it ran twice.
+// NotRun reports whether the refusal proves that the forward never runs. A
+// duplicate proves nothing: the first copy may be running, and an entry that
+// took it for "not run" would send the request again, so that it ran twice.
 func (r *Refusal) NotRun() bool {
 	return r.reason != ReasonDuplicate && r.reason != ReasonUnregistered
 }
