--- a/core/crslot/crslot_test.go
+++ b/core/crslot/crslot_test.go
@@ -108,7 +108,7 @@
 // slots and the queue, and the callers of the seven other accounts see long
 // waits and refusals though their own rate is modest.
 func TestOtherAccountsKeepTheirShare(t *testing.T) {
-	p := crslot.Params{Slots: 5, Queue: 20}
+	p := crslot.Params{Slots: 5, MaxWaiting: 20}
 	for _, c := range fairCases {
 		for _, d := range []crslot.Discipline{crslot.DisciplineTime, crslot.DisciplineCount, crslot.DisciplineFIFO} {
 			p.Discipline = d
@@ -140,7 +140,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		now := clock()
-		q := crslot.New(crslot.Params{Slots: 1, Queue: 10, Guess: 200 * time.Millisecond}, now)
+		q := crslot.New(crslot.Params{Slots: 1, MaxWaiting: 10, Guess: 200 * time.Millisecond}, now)
 		lease := hold(t, q, "a")
 		came := now()
 		_, err := q.Acquire(context.Background(), "b", came.Add(50*time.Millisecond))
@@ -157,7 +157,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		now := clock()
-		q := crslot.New(crslot.Params{Slots: 1, Queue: 1}, now)
+		q := crslot.New(crslot.Params{Slots: 1, MaxWaiting: 1}, now)
 		lease := hold(t, q, "a")
 		_, err := q.Acquire(context.Background(), "b", now().Add(50*time.Millisecond))
 		g.Expect(err).To(gomega.MatchError(crslot.ErrExpired))
@@ -171,7 +171,7 @@
 func TestCancelWhileWaitingFreesThePlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		q := crslot.New(crslot.Params{Slots: 1, Queue: 1}, clock())
+		q := crslot.New(crslot.Params{Slots: 1, MaxWaiting: 1}, clock())
 		lease := hold(t, q, "a")
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error)
@@ -198,7 +198,7 @@
 		g := gomega.NewWithT(t)
 		var slept time.Duration
 		now := clock()
-		q := crslot.New(crslot.Params{Slots: 1, Queue: 1}, func() crid.Instant { return now().Add(slept) })
+		q := crslot.New(crslot.Params{Slots: 1, MaxWaiting: 1}, func() crid.Instant { return now().Add(slept) })
 		lease := hold(t, q, "a")
 		done := make(chan error)
 		go func() {
@@ -218,7 +218,7 @@
 func TestFullQueueMakesRoomForAnAccountBelowItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		q := crslot.New(crslot.Params{Slots: 1, Queue: 4}, clock())
+		q := crslot.New(crslot.Params{Slots: 1, MaxWaiting: 4}, clock())
 		lease := hold(t, q, "large")
 		results := make(chan string, 5)
 		wait := func(account crid.Account) {
@@ -246,7 +246,7 @@
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		q := crslot.New(crslot.Params{Slots: 1, Queue: 1}, clock())
+		q := crslot.New(crslot.Params{Slots: 1, MaxWaiting: 1}, clock())
 		lease := hold(t, q, "a")
 		done := make(chan *crslot.Lease)
 		go func() {
@@ -272,7 +272,7 @@
 func TestShedAnswersLowerTheLimitForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		q := crslot.New(crslot.Params{Slots: 10, Queue: 1}, clock())
+		q := crslot.New(crslot.Params{Slots: 10, MaxWaiting: 1}, clock())
 		for range 10 {
 			q.Shed()
 		}
@@ -289,7 +289,7 @@
 
 func BenchmarkUncontended(b *testing.B) {
 	start := time.Now()
-	q := crslot.New(crslot.Params{Slots: 5, Queue: 20}, func() crid.Instant { return crid.Instant(time.Since(start)) })
+	q := crslot.New(crslot.Params{Slots: 5, MaxWaiting: 20}, func() crid.Instant { return crid.Instant(time.Since(start)) })
 	ctx := context.Background()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -303,7 +303,7 @@
 
 func BenchmarkContended(b *testing.B) {
 	start := time.Now()
-	q := crslot.New(crslot.Params{Slots: 5, Queue: 1000}, func() crid.Instant { return crid.Instant(time.Since(start)) })
+	q := crslot.New(crslot.Params{Slots: 5, MaxWaiting: 1000}, func() crid.Instant { return crid.Instant(time.Since(start)) })
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
--- a/core/crslot/queue.go
+++ b/core/crslot/queue.go
@@ -38,7 +38,7 @@
 // Params configure a Queue.
 type Params struct {
 	Slots      int           // requests that run at once; at least 1
-	Queue      int           // requests that wait; zero: none
+	MaxWaiting      int           // requests that wait; zero: none
 	Guess      time.Duration // service time assumed before one is measured; default 20 ms
 	Discipline Discipline    // default DisciplineTime
 }
@@ -87,7 +87,7 @@
 		now:        now,
 		discipline: p.Discipline,
 		guess:      p.Guess,
-		room:       max(p.Queue, 0),
+		room:       max(p.MaxWaiting, 0),
 		limit:      newLimiter(p.Slots),
 		flows:      make(map[crid.Account]*flow),
 		mean:       float64(p.Guess),
--- a/io/crexit/target.go
+++ b/io/crexit/target.go
@@ -31,7 +31,7 @@
 		q.SetRoom(svc.Queue)
 		return
 	}
-	t.queue.Store(crslot.New(crslot.Params{Slots: svc.Slots, Queue: svc.Queue}, clock))
+	t.queue.Store(crslot.New(crslot.Params{Slots: svc.Slots, MaxWaiting: svc.Queue}, clock))
 }
 
 // bound sets the number of connections. A transport's bound can not be changed
