--- a/core/crslot/crslot_test.go
+++ b/core/crslot/crslot_test.go
@@ -140,7 +140,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		now := clock()
-		q := crslot.New(crslot.Params{Slots: 1, MaxWaiting: 10, Guess: 200 * time.Millisecond}, now)
+		q := crslot.New(crslot.Params{Slots: 1, MaxWaiting: 10, InitialServiceTime: 200 * time.Millisecond}, now)
 		lease := hold(t, q, "a")
 		came := now()
 		_, err := q.Acquire(context.Background(), "b", came.Add(50*time.Millisecond))
--- a/core/crslot/queue.go
+++ b/core/crslot/queue.go
@@ -39,7 +39,7 @@
 type Params struct {
 	Slots      int           // requests that run at once; at least 1
 	MaxWaiting      int           // requests that wait; zero: none
-	Guess      time.Duration // service time assumed before one is measured; default 20 ms
+	InitialServiceTime      time.Duration // service time assumed before one is measured; default 20 ms
 	Discipline Discipline    // default DisciplineTime
 }
 
@@ -77,8 +77,8 @@
 
 // New returns a queue that reads the daemon's clock through now.
 func New(p Params, now func() crid.Instant) *Queue {
-	if p.Guess <= 0 {
-		p.Guess = defaultGuess
+	if p.InitialServiceTime <= 0 {
+		p.InitialServiceTime = defaultGuess
 	}
 	if p.Discipline == 0 {
 		p.Discipline = DisciplineTime
@@ -86,12 +86,12 @@
 	return &Queue{
 		now:        now,
 		discipline: p.Discipline,
-		guess:      p.Guess,
+		guess:      p.InitialServiceTime,
 		room:       max(p.MaxWaiting, 0),
 		limit:      newLimiter(p.Slots),
 		flows:      make(map[crid.Account]*flow),
-		mean:       float64(p.Guess),
-		typical:    float64(p.Guess),
+		mean:       float64(p.InitialServiceTime),
+		typical:    float64(p.InitialServiceTime),
 		drained:    make(chan struct{}),
 	}
 }
