--- a/core/crslot/queue.go
+++ b/core/crslot/queue.go
@@ -265,9 +265,9 @@
 	q.dispatch(q.now())
 }
 
-// SetRoom sets the number of requests that may wait. Those that wait beyond it
+// SetMaxWaiting sets the number of requests that may wait. Those that wait beyond it
 // keep their places.
-func (q *Queue) SetRoom(room int) {
+func (q *Queue) SetMaxWaiting(room int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.room = max(room, 0)
--- a/io/crexit/target.go
+++ b/io/crexit/target.go
@@ -28,7 +28,7 @@
 	t.bound(svc.Connections)
 	if q := t.queue.Load(); q != nil {
 		q.SetLimit(svc.Slots)
-		q.SetRoom(svc.Queue)
+		q.SetMaxWaiting(svc.Queue)
 		return
 	}
 	t.queue.Store(crslot.New(crslot.Params{Slots: svc.Slots, MaxWaiting: svc.Queue}, clock))
