--- a/core/crslot/crslot_test.go
+++ b/core/crslot/crslot_test.go
@@ -282,7 +282,7 @@
 			hold(t, q, "a").Release()
 		}
 		g.Expect(q.Dump().Slots).To(gomega.Equal(10))
-		q.SetLimit(2)
+		q.SetSlots(2)
 		g.Expect(q.Dump().Slots).To(gomega.Equal(2))
 	})
 }
--- a/core/crslot/queue.go
+++ b/core/crslot/queue.go
@@ -256,9 +256,9 @@
 	q.dispatch(now)
 }
 
-// SetLimit sets the number of slots, at least 1. Slow start raises it step by
+// SetSlots sets the number of slots, at least 1. Slow start raises it step by
 // step; lowering it lets what runs finish.
-func (q *Queue) SetLimit(slots int) {
+func (q *Queue) SetSlots(slots int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.limit.set(slots)
--- a/io/crexit/target.go
+++ b/io/crexit/target.go
@@ -27,7 +27,7 @@
 	t.policy.Store(&svc)
 	t.bound(svc.Connections)
 	if q := t.queue.Load(); q != nil {
-		q.SetLimit(svc.Slots)
+		q.SetSlots(svc.Slots)
 		q.SetMaxWaiting(svc.Queue)
 		return
 	}
