--- a/core/crslot/crslot_test.go
+++ b/core/crslot/crslot_test.go
@@ -274,7 +274,7 @@
 		g := gomega.NewWithT(t)
 		q := crslot.New(crslot.Params{Slots: 10, MaxWaiting: 1}, clock())
 		for range 10 {
-			q.Shed()
+			q.RecordOverload()
 		}
 		g.Expect(q.Dump().Slots).To(gomega.Equal(7))
 		time.Sleep(time.Second)
--- a/core/crslot/queue.go
+++ b/core/crslot/queue.go
@@ -273,9 +273,9 @@
 	q.room = max(room, 0)
 }
 
-// Shed notes that the target answered with 429 or 503. The limit is lowered at
+// RecordOverload notes that the target answered with 429 or 503. The limit is lowered at
 // once and grows again with each answer after a pause.
-func (q *Queue) Shed() {
+func (q *Queue) RecordOverload() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.limit.shed(q.now())
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -209,7 +209,7 @@
 // noteShed takes an answer as word on whether its target takes work.
 func (r *run) noteShed(resp *http.Response) {
 	if shed(resp) {
-		r.target.queue.Load().Shed()
+		r.target.queue.Load().RecordOverload()
 	}
 	if isShed(resp.StatusCode) {
 		r.target.holdoff.Shed(r.forward.Account, r.exit.opts.Clock())
