--- a/core/crslot/holdoff.go
+++ b/core/crslot/holdoff.go
@@ -16,7 +16,7 @@
 	holdoffShifts = 3
 )
 
-// Holdoff keeps once requests from a target that only sheds. Such a request can
+// OverloadBackoff keeps once requests from a target that only sheds. Such a request can
 // not be tried elsewhere after its target has turned it away, so that its caller
 // is refused, while one that the exit holds off is proved not to have run, and goes
 // to another target. Repeat requests go on and show when the target is back.
@@ -26,7 +26,7 @@
 // not lose the target by it.
 //
 // It is safe for concurrent use.
-type Holdoff struct {
+type OverloadBackoff struct {
 	mu      sync.Mutex
 	row     int
 	account crid.Account // of the row's first shed answer
@@ -35,7 +35,7 @@
 }
 
 // Shed notes a shed answer.
-func (h *Holdoff) Shed(account crid.Account, now crid.Instant) {
+func (h *OverloadBackoff) Shed(account crid.Account, now crid.Instant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.row == 0 {
@@ -50,7 +50,7 @@
 }
 
 // Answered notes any other answer: the target takes work.
-func (h *Holdoff) Answered() {
+func (h *OverloadBackoff) Answered() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.row, h.mixed, h.until = 0, false, 0
@@ -58,7 +58,7 @@
 
 // Left is how long the account's once requests are still held off; zero: they are
 // not.
-func (h *Holdoff) Left(account crid.Account, now crid.Instant) time.Duration {
+func (h *OverloadBackoff) Left(account crid.Account, now crid.Instant) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.mixed && account != h.account {
--- a/io/crexit/target.go
+++ b/io/crexit/target.go
@@ -16,7 +16,7 @@
 	policy    atomic.Pointer[crpolicy.Service]
 	inflight  atomic.Int64
 	leaving   atomic.Bool // the upstream says that it is draining
-	holdoff   crslot.Holdoff
+	holdoff   crslot.OverloadBackoff
 }
 
 func newTarget(spec Spec) *target { return &target{spec: spec} }
