--- a/core/crslot/holdoff.go
+++ b/core/crslot/holdoff.go
@@ -34,8 +34,8 @@
 	until   crid.Instant
 }
 
-// Shed notes a shed answer.
-func (h *OverloadBackoff) Shed(account crid.Account, now crid.Instant) {
+// RecordOverload notes a shed answer.
+func (h *OverloadBackoff) RecordOverload(account crid.Account, now crid.Instant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.row == 0 {
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -212,7 +212,7 @@
 		r.target.queue.Load().RecordOverload()
 	}
 	if isShed(resp.StatusCode) {
-		r.target.holdoff.Shed(r.forward.Account, r.exit.opts.Clock())
+		r.target.holdoff.RecordOverload(r.forward.Account, r.exit.opts.Clock())
 		return
 	}
 	r.target.holdoff.Answered()
