--- a/core/crslot/holdoff.go
+++ b/core/crslot/holdoff.go
@@ -49,8 +49,8 @@
 	h.until = now.Add(holdoffBase << min(h.row-holdoffRow, holdoffShifts))
 }
 
-// Answered notes any other answer: the target takes work.
-func (h *OverloadBackoff) Answered() {
+// RecordAccepted notes any other answer: the target takes work.
+func (h *OverloadBackoff) RecordAccepted() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.row, h.mixed, h.until = 0, false, 0
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -215,7 +215,7 @@
 		r.target.holdoff.RecordOverload(r.forward.Account, r.exit.opts.Clock())
 		return
 	}
-	r.target.holdoff.Answered()
+	r.target.holdoff.RecordAccepted()
 }
 
 // shed reports whether the upstream asks for less load.
