--- a/core/crslot/holdoff.go
+++ b/core/crslot/holdoff.go
@@ -56,9 +56,9 @@
 	h.row, h.mixed, h.until = 0, false, 0
 }
 
-// Left is how long the account's once requests are still held off; zero: they are
+// Remaining is how long the account's once requests are still held off; zero: they are
 // not.
-func (h *OverloadBackoff) Left(account crid.Account, now crid.Instant) time.Duration {
+func (h *OverloadBackoff) Remaining(account crid.Account, now crid.Instant) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.mixed && account != h.account {
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -40,7 +40,7 @@
 	}
 	now := x.opts.Clock()
 	if f.Class != crpolicy.ClassRepeat {
-		if left := t.holdoff.Left(f.Account, now); left > 0 {
+		if left := t.holdoff.Remaining(f.Account, now); left > 0 {
 			ex := refusal("target sheds", true, max(refusedRetry, left))
 			ex.Answer.Fault = crhop.FaultShed
 			return ex
