--- a/core/crslot/queue.go
+++ b/core/crslot/queue.go
@@ -231,8 +231,8 @@
 // started on the target.
 func (l *Lease) Cancel() { l.finish(false) }
 
-// Granted is the instant at which the slot was assigned.
-func (l *Lease) Granted() crid.Instant { return l.granted }
+// GrantedAt is the instant at which the slot was assigned.
+func (l *Lease) GrantedAt() crid.Instant { return l.granted }
 
 func (l *Lease) finish(ran bool) {
 	q := l.queue
