--- a/core/crslot/dump.go
+++ b/core/crslot/dump.go
@@ -19,7 +19,7 @@
 // Dump is the state of a queue for the state dump.
 type Dump struct {
 	Slots    int           `json:"slots"` // in effect now
-	Most     int           `json:"most"`  // without shed answers
+	MaxSlots     int           `json:"most"`  // without shed answers
 	InFlight int           `json:"inflight"`
 	Waiting  int           `json:"waiting"`
 	Room     int           `json:"room"`
@@ -35,7 +35,7 @@
 	defer q.mu.Unlock()
 	d := Dump{
 		Slots:    q.limit.slots(),
-		Most:     int(q.limit.most),
+		MaxSlots:     int(q.limit.most),
 		InFlight: q.inFlight,
 		Waiting:  q.waiting,
 		Room:     q.room,
