--- a/core/crslot/dump.go
+++ b/core/crslot/dump.go
@@ -22,7 +22,7 @@
 	MaxSlots     int           `json:"most"`  // without shed answers
 	InFlight int           `json:"inflight"`
 	Waiting  int           `json:"waiting"`
-	Room     int           `json:"room"`
+	MaxWaiting     int           `json:"room"`
 	Draining bool          `json:"draining"`
 	Mean     time.Duration `json:"mean"` // smoothed service time
 	Backlog  time.Duration `json:"backlog"`
@@ -38,7 +38,7 @@
 		MaxSlots:     int(q.limit.most),
 		InFlight: q.inFlight,
 		Waiting:  q.waiting,
-		Room:     q.room,
+		MaxWaiting:     q.room,
 		Draining: q.draining,
 		Mean:     time.Duration(q.mean),
 		Backlog:  q.backlog(),
