--- a/core/crslot/dump.go
+++ b/core/crslot/dump.go
@@ -24,7 +24,7 @@
 	Waiting  int           `json:"waiting"`
 	MaxWaiting     int           `json:"room"`
 	Draining bool          `json:"draining"`
-	Mean     time.Duration `json:"mean"` // smoothed service time
+	MeanServiceTime     time.Duration `json:"mean"` // smoothed service time
 	Backlog  time.Duration `json:"backlog"`
 	Accounts []AccountDump `json:"accounts"` // those that run or wait, sorted
 }
@@ -40,7 +40,7 @@
 		Waiting:  q.waiting,
 		MaxWaiting:     q.room,
 		Draining: q.draining,
-		Mean:     time.Duration(q.mean),
+		MeanServiceTime:     time.Duration(q.mean),
 		Backlog:  q.backlog(),
 	}
 	for _, f := range q.flows {
