--- a/core/crslot/dump.go
+++ b/core/crslot/dump.go
@@ -13,7 +13,7 @@
 	Account  crid.Account  `json:"account"`
 	InFlight int           `json:"inflight"`
 	Waiting  int           `json:"waiting"`
-	Cost     time.Duration `json:"cost"` // smoothed service time
+	MeanServiceTime     time.Duration `json:"cost"` // smoothed service time
 }
 
 // Dump is the state of a queue for the state dump.
