--- a/core/crforward/machine_test.go
+++ b/core/crforward/machine_test.go
@@ -312,13 +312,13 @@
 		disabled disabledGuards
 		track    disabledTrackerGuards
 	}{
-		"exit: duplicates":       {disabled: disabledGuards{dedup: true}},
-		"exit: fences":           {disabled: disabledGuards{fence: true}},
-		"exit: deadline":         {disabled: disabledGuards{deadline: true}},
-		"exit: pause":            {disabled: disabledGuards{pause: true}},
-		"exit: session":          {disabled: disabledGuards{session: true}},
-		"entry: proof for retry": {track: disabledTrackerGuards{proof: true}},
-		"entry: late revoke result":    {track: disabledTrackerGuards{revokeWindow: true}},
+		"exit: duplicates":          {disabled: disabledGuards{dedup: true}},
+		"exit: fences":              {disabled: disabledGuards{fence: true}},
+		"exit: deadline":            {disabled: disabledGuards{deadline: true}},
+		"exit: pause":               {disabled: disabledGuards{pause: true}},
+		"exit: session":             {disabled: disabledGuards{session: true}},
+		"entry: proof for retry":    {track: disabledTrackerGuards{proof: true}},
+		"entry: late revoke result": {track: disabledTrackerGuards{revokeWindow: true}},
 	}
 	for title, c := range cases {
 		t.Run(title, func(t *testing.T) {
--- a/core/crslot/crslot_test.go
+++ b/core/crslot/crslot_test.go
@@ -20,11 +20,11 @@
 	return func() crid.Instant { return crid.Instant(time.Since(start)) + 1 }
 }
 
-// source sends requests of one account at a fixed pace.
+// source sends requests of one account at a fixed rate.
 type source struct {
-	account crid.Account
-	every   time.Duration
-	took    time.Duration
+	account  crid.Account
+	interval time.Duration
+	duration time.Duration
 }
 
 type served struct {
@@ -32,30 +32,30 @@
 	refused int
 }
 
-func (s *served) worst() time.Duration {
+func (s *served) p99() time.Duration {
 	slices.Sort(s.waits)
 	return s.waits[len(s.waits)*99/100]
 }
 
-// serve runs the sources against one queue on a virtual clock.
-func serve(p crslot.Params, sources []source, length, patience time.Duration) map[crid.Account]*served {
+// simulate runs the sources against one queue on a virtual clock.
+func simulate(p crslot.Params, sources []source, length, timeout time.Duration) map[crid.Account]*served {
 	now := clock()
 	q := crslot.New(p, now)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	result := make(map[crid.Account]*served)
-	one := func(s source) {
-		came := now()
-		lease, err := q.Acquire(context.Background(), s.account, came.Add(patience))
+	sendRequest := func(s source) {
+		arrived := now()
+		lease, err := q.Acquire(context.Background(), s.account, arrived.Add(timeout))
 		mu.Lock()
 		if err != nil {
 			result[s.account].refused++
 			mu.Unlock()
 			return
 		}
-		result[s.account].waits = append(result[s.account].waits, now().Sub(came))
+		result[s.account].waits = append(result[s.account].waits, now().Sub(arrived))
 		mu.Unlock()
-		time.Sleep(s.took)
+		time.Sleep(s.duration)
 		lease.Release()
 	}
 	for _, s := range sources {
@@ -64,8 +64,8 @@
 	for i, s := range sources {
 		wg.Go(func() {
 			time.Sleep(time.Duration(i) * 37 * time.Microsecond)
-			for end := now().Add(length); now().Before(end); time.Sleep(s.every) {
-				wg.Go(func() { one(s) })
+			for end := now().Add(length); now().Before(end); time.Sleep(s.interval) {
+				wg.Go(func() { sendRequest(s) })
 			}
 		})
 	}
@@ -73,19 +73,19 @@
 	return result
 }
 
-func eight(first source) []source {
+func eightAccounts(first source) []source {
 	sources := []source{first}
 	for i := range 7 {
 		name := crid.Account(fmt.Sprintf("small%d", i))
-		sources = append(sources, source{account: name, every: 40 * time.Millisecond, took: 20 * time.Millisecond})
+		sources = append(sources, source{account: name, interval: 40 * time.Millisecond, duration: 20 * time.Millisecond})
 	}
 	return sources
 }
 
-func worstSmall(r map[crid.Account]*served) (wait time.Duration, refused int) {
+func worstSmallAccount(r map[crid.Account]*served) (wait time.Duration, refused int) {
 	for account, s := range r {
 		if account != "large" {
-			wait = max(wait, s.worst())
+			wait = max(wait, s.p99())
 			refused = max(refused, s.refused)
 		}
 	}
@@ -100,20 +100,20 @@
 }{
 	{"five times the rate", source{"large", 8 * time.Millisecond, 20 * time.Millisecond}, 40 * time.Millisecond, 0},
 	{"ten times as long", source{"large", 40 * time.Millisecond, 200 * time.Millisecond}, 80 * time.Millisecond, 2},
-	{"poison that hangs", source{"large", 100 * time.Millisecond, 2 * time.Second}, 250 * time.Millisecond, 20},
+	{"requests that hang", source{"large", 100 * time.Millisecond, 2 * time.Second}, 250 * time.Millisecond, 20},
 }
 
-// A large account sends five times its rate, or requests ten times as long, or
-// ones that hang until they time out. In order of arrival its requests fill the
-// slots and the queue, and the callers of the seven other accounts see long
-// waits and refusals though their own rate is modest.
+// A large account sends five times its rate, requests ten times as long, or
+// requests that hang. In order of arrival its requests would fill the slots and
+// the queue, and the seven other accounts would see long waits and refusals at
+// a modest rate.
 func TestOtherAccountsKeepTheirShare(t *testing.T) {
 	p := crslot.Params{Slots: 5, MaxWaiting: 20}
 	for _, c := range fairCases {
 		for _, d := range []crslot.Discipline{crslot.DisciplineTime, crslot.DisciplineCount, crslot.DisciplineFIFO} {
 			p.Discipline = d
 			synctest.Test(t, func(t *testing.T) {
-				wait, refused := worstSmall(serve(p, eight(c.large), 10*time.Second, time.Second))
+				wait, refused := worstSmallAccount(simulate(p, eightAccounts(c.large), 10*time.Second, time.Second))
 				if d == crslot.DisciplineTime {
 					g := gomega.NewWithT(t)
 					g.Expect(wait).To(gomega.BeNumerically("<=", c.wait), c.name)
@@ -125,7 +125,7 @@
 	}
 }
 
-func hold(t testing.TB, q *crslot.Queue, account crid.Account) *crslot.Lease {
+func acquire(t testing.TB, q *crslot.Queue, account crid.Account) *crslot.Lease {
 	t.Helper()
 	lease, err := q.Acquire(context.Background(), account, 0)
 	if err != nil {
@@ -134,31 +134,31 @@
 	return lease
 }
 
-// All slots are held by slow requests. A caller with 50 ms left would learn
-// only after these that nothing ran, too late to try another target.
-func TestRequestThatCannotMakeItsDeadlineIsRefusedAtOnce(t *testing.T) {
+// All slots are held by slow requests. A caller with 50 ms left must learn at
+// once that its request did not run, while it can still try another target.
+func TestUnreachableDeadlineRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		now := clock()
 		q := crslot.New(crslot.Params{Slots: 1, MaxWaiting: 10, InitialServiceTime: 200 * time.Millisecond}, now)
-		lease := hold(t, q, "a")
-		came := now()
-		_, err := q.Acquire(context.Background(), "b", came.Add(50*time.Millisecond))
+		lease := acquire(t, q, "a")
+		arrived := now()
+		_, err := q.Acquire(context.Background(), "b", arrived.Add(50*time.Millisecond))
 		g.Expect(err).To(gomega.MatchError(crslot.ErrExpired))
 		g.Expect(err.(*crslot.Error).RetryAfter()).To(gomega.Equal(100 * time.Millisecond)) //nolint:errorlint // asserted above
-		g.Expect(now()).To(gomega.Equal(came))
+		g.Expect(now()).To(gomega.Equal(arrived))
 		lease.Release()
 	})
 }
 
-// The running request hangs although such requests are short as a rule. The
-// waiting caller is told at its deadline, and its place is free again.
-func TestDeadlineThatPassesWhileWaiting(t *testing.T) {
+// The running request hangs although such requests are usually short. The
+// waiting request is refused at its deadline, and its place becomes free.
+func TestDeadlinePassesWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		now := clock()
 		q := crslot.New(crslot.Params{Slots: 1, MaxWaiting: 1}, now)
-		lease := hold(t, q, "a")
+		lease := acquire(t, q, "a")
 		_, err := q.Acquire(context.Background(), "b", now().Add(50*time.Millisecond))
 		g.Expect(err).To(gomega.MatchError(crslot.ErrExpired))
 		g.Expect(q.Dump().Waiting).To(gomega.BeZero())
@@ -166,13 +166,13 @@
 	})
 }
 
-// A caller hangs up while its request waits. Its place must be free at once,
-// or callers that are still there are refused for it.
-func TestCancelWhileWaitingFreesThePlace(t *testing.T) {
+// A caller disconnects while its request waits. Unless its place becomes free
+// at once, other callers are refused because of it.
+func TestCancelWhileWaitingFreesPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		q := crslot.New(crslot.Params{Slots: 1, MaxWaiting: 1}, clock())
-		lease := hold(t, q, "a")
+		lease := acquire(t, q, "a")
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error)
 		go func() {
@@ -190,23 +190,23 @@
 	})
 }
 
-// The process is paused while a request waits, and wakes up long after its
-// deadline with the slot just freed. Starting it then would run a request whose
-// caller has been told that it did not run.
-func TestPausedProcessStartsNothingLate(t *testing.T) {
+// The process is paused while a request waits, and resumes long after its
+// deadline with the slot just freed. The caller may have been told that the
+// request did not run.
+func TestNothingStartsAfterDeadlineDuringPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		var slept time.Duration
+		var paused time.Duration
 		now := clock()
-		q := crslot.New(crslot.Params{Slots: 1, MaxWaiting: 1}, func() crid.Instant { return now().Add(slept) })
-		lease := hold(t, q, "a")
+		q := crslot.New(crslot.Params{Slots: 1, MaxWaiting: 1}, func() crid.Instant { return now().Add(paused) })
+		lease := acquire(t, q, "a")
 		done := make(chan error)
 		go func() {
 			_, err := q.Acquire(context.Background(), "b", now().Add(time.Second))
 			done <- err
 		}()
 		synctest.Wait()
-		slept = time.Minute
+		paused = time.Minute
 		lease.Release()
 		g.Expect(<-done).To(gomega.MatchError(crslot.ErrExpired))
 		g.Expect(q.Dump().InFlight).To(gomega.BeZero())
@@ -214,12 +214,13 @@
 }
 
 // One account has filled the queue when another sends its first request. The
-// newcomer gets a place; the newest request of the first is refused at once.
-func TestFullQueueMakesRoomForAnAccountBelowItsShare(t *testing.T) {
+// newcomer gets a place, and the newest request of the first account is refused
+// at once.
+func TestFullQueueDisplacesAccountAboveItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		q := crslot.New(crslot.Params{Slots: 1, MaxWaiting: 4}, clock())
-		lease := hold(t, q, "large")
+		lease := acquire(t, q, "large")
 		results := make(chan string, 5)
 		wait := func(account crid.Account) {
 			l, err := q.Acquire(context.Background(), account, 0)
@@ -241,13 +242,13 @@
 	})
 }
 
-// The target is leaving. What runs and waits goes on to its end, new requests
-// are turned to other targets, and the process learns when it may go.
+// The target is stopping. Running and waiting requests finish, new ones are
+// refused, and Drained reports the end.
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		q := crslot.New(crslot.Params{Slots: 1, MaxWaiting: 1}, clock())
-		lease := hold(t, q, "a")
+		lease := acquire(t, q, "a")
 		done := make(chan *crslot.Lease)
 		go func() {
 			l, _ := q.Acquire(context.Background(), "b", 0)
@@ -263,13 +264,14 @@
 		waited.Release()
 		waited.Release()
 		g.Expect(q.Drained()).To(gomega.BeClosed())
-		g.Expect(q.Dump().InFlight).To(gomega.BeZero(), "a second release does nothing")
+		g.Expect(q.Dump().InFlight).To(gomega.BeZero(), "a second release has no effect")
 	})
 }
 
-// The target answers 503 to a burst. Sending on at the full width would turn
-// away more; cutting once per answer would close it for seconds.
-func TestShedAnswersLowerTheLimitForAWhile(t *testing.T) {
+// The target answers a burst with 503. Without a reduction more requests would
+// be rejected; a reduction for each response would close the target for
+// seconds.
+func TestOverloadResponsesReduceSlotsTemporarily(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		q := crslot.New(crslot.Params{Slots: 10, MaxWaiting: 1}, clock())
@@ -279,7 +281,7 @@
 		g.Expect(q.Dump().Slots).To(gomega.Equal(7))
 		time.Sleep(time.Second)
 		for range 100 {
-			hold(t, q, "a").Release()
+			acquire(t, q, "a").Release()
 		}
 		g.Expect(q.Dump().Slots).To(gomega.Equal(10))
 		q.SetSlots(2)
--- a/core/crslot/dump.go
+++ b/core/crslot/dump.go
@@ -10,42 +10,42 @@
 
 // AccountDump is one account's part of a [Dump].
 type AccountDump struct {
-	Account  crid.Account  `json:"account"`
-	InFlight int           `json:"inflight"`
-	Waiting  int           `json:"waiting"`
-	MeanServiceTime     time.Duration `json:"cost"` // smoothed service time
+	Account         crid.Account  `json:"account"`
+	InFlight        int           `json:"inflight"`
+	Waiting         int           `json:"waiting"`
+	MeanServiceTime time.Duration `json:"cost"` // moving average
 }
 
-// Dump is the state of a queue for the state dump.
+// Dump is a Queue's part of the state dump.
 type Dump struct {
-	Slots    int           `json:"slots"` // in effect now
-	MaxSlots     int           `json:"most"`  // without shed answers
-	InFlight int           `json:"inflight"`
-	Waiting  int           `json:"waiting"`
-	MaxWaiting     int           `json:"room"`
-	Draining bool          `json:"draining"`
-	MeanServiceTime     time.Duration `json:"mean"` // smoothed service time
-	Backlog  time.Duration `json:"backlog"`
-	Accounts []AccountDump `json:"accounts"` // those that run or wait, sorted
+	Slots           int           `json:"slots"` // current limit
+	MaxSlots        int           `json:"most"`  // limit without overload responses
+	InFlight        int           `json:"inflight"`
+	Waiting         int           `json:"waiting"`
+	MaxWaiting      int           `json:"room"`
+	Draining        bool          `json:"draining"`
+	MeanServiceTime time.Duration `json:"mean"` // moving average
+	Backlog         time.Duration `json:"backlog"`
+	Accounts        []AccountDump `json:"accounts"` // those with requests, sorted
 }
 
-// Dump returns the state now.
+// Dump returns the current state.
 func (q *Queue) Dump() Dump {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	d := Dump{
-		Slots:    q.limit.slots(),
-		MaxSlots:     int(q.limit.most),
-		InFlight: q.inFlight,
-		Waiting:  q.waiting,
-		MaxWaiting:     q.room,
-		Draining: q.draining,
-		MeanServiceTime:     time.Duration(q.mean),
-		Backlog:  q.backlog(),
+		Slots:           q.limit.slots(),
+		MaxSlots:        int(q.limit.maxSlots),
+		InFlight:        q.inFlight,
+		Waiting:         q.waiting,
+		MaxWaiting:      q.maxWaiting,
+		Draining:        q.draining,
+		MeanServiceTime: time.Duration(q.meanServiceTime),
+		Backlog:         q.backlog(),
 	}
 	for _, f := range q.flows {
-		if f.held() > 0 {
-			d.Accounts = append(d.Accounts, AccountDump{f.account, len(f.running), len(f.waiters), time.Duration(f.cost)})
+		if f.size() > 0 {
+			d.Accounts = append(d.Accounts, AccountDump{f.account, len(f.running), len(f.waiters), time.Duration(f.serviceTime)})
 		}
 	}
 	slices.SortFunc(d.Accounts, func(a, b AccountDump) int {
--- a/core/crslot/errors.go
+++ b/core/crslot/errors.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Reason says why a request got no slot.
+// Reason is why a request got no slot.
 type Reason uint8
 
-// The reasons of a refusal. In each the request was not run.
+// The reasons of a refusal. The request was not run for any of them.
 const (
 	ReasonFull      Reason = iota + 1 // the wait queue is full
-	ReasonExpired                     // the deadline has passed or can not be met
-	ReasonDraining                    // the target takes no new work
+	ReasonExpired                     // the deadline has passed or cannot be met
+	ReasonDraining                    // the target accepts no new requests
 	ReasonCancelled                   // the caller's context ended
 )
 
@@ -32,14 +32,14 @@
 	}
 }
 
-// Error tells that a request got no slot and was not run. Compare it by
+// Error is returned if a request got no slot and was not run. Compare it by
 // errors.Is with [ErrFull], [ErrExpired], [ErrDraining] or [ErrCancelled].
 type Error struct {
 	reason     Reason
 	retryAfter time.Duration
 }
 
-// The refusals, for errors.Is.
+// The errors by reason, for errors.Is.
 var (
 	ErrFull      = &Error{reason: ReasonFull}
 	ErrExpired   = &Error{reason: ReasonExpired}
@@ -52,7 +52,7 @@
 	return fmt.Sprintf("no slot: %s, retry after %v", e.reason, e.retryAfter)
 }
 
-// Is reports whether the target is a refusal for the same reason.
+// Is reports whether the target is an Error with the same reason.
 func (e *Error) Is(target error) bool {
 	other, ok := target.(*Error)
 	return ok && other.reason == e.reason
@@ -61,6 +61,6 @@
 // Reason returns why the request got no slot.
 func (e *Error) Reason() Reason { return e.reason }
 
-// RetryAfter estimates when a slot will be free on this target. It is zero
-// when waiting does not help: draining and cancelled.
+// RetryAfter estimates when this target will have a free slot. It is zero if
+// waiting does not help: for ReasonDraining and ReasonCancelled.
 func (e *Error) RetryAfter() time.Duration { return e.retryAfter }
--- a/core/crslot/flow.go
+++ b/core/crslot/flow.go
@@ -9,58 +9,63 @@
 )
 
 const (
-	// manyFlows is the number of accounts above which idle ones are forgotten.
-	manyFlows = 512
-	// recent is how long an account counts as present after its last request.
-	recent = 2 * time.Second
-	// longFactor tells by how many times an account's requests must be longer
-	// than the median account's for slots to be kept from it.
-	longFactor = 3
-	// useHorizon is the time constant over which the use of slots is averaged.
-	useHorizon = time.Second
+	// evictThreshold is the number of accounts from which on idle ones are
+	// evicted.
+	evictThreshold = 512
+	// activeWindow is the time after its last request for which an account
+	// counts as active.
+	activeWindow = 2 * time.Second
+	// longRequestFactor is the ratio of an account's service time to the median
+	// account's above which slots are reserved for the others.
+	longRequestFactor = 3
+	// usageTimeConstant is the time constant of the average number of used
+	// slots.
+	usageTimeConstant = time.Second
 )
 
-// flow is one account's part of the queue.
+// flow is the state of one account.
 type flow struct {
-	account crid.Account
-	start   float64 // start tag of its next request: what it was charged, on the queue's virtual time
-	cost    float64 // smoothed service time, in nanoseconds
-	waiters []*waiter
-	running []*Lease
-	seen    crid.Instant
-	use     float64 // service time taken, decaying with useHorizon
-	usedAt  crid.Instant
-	since   crid.Instant // start of its present time of activity
+	account     crid.Account
+	startTag    float64 // virtual time at which its next request starts
+	serviceTime float64 // moving average, in nanoseconds
+	waiters     []*waiter
+	running     []*Lease
+	lastSeen    crid.Instant
+	busyTime    float64 // slot time used, in nanoseconds, decaying with usageTimeConstant
+	busyTimeAt  crid.Instant
+	activeSince crid.Instant // start of the current period of activity
 }
 
-func (f *flow) held() int { return len(f.waiters) + len(f.running) }
+func (f *flow) size() int { return len(f.waiters) + len(f.running) }
 
-// used is the average number of slots that the account took of late. The
-// average of an account that has only just come is taken over its own time.
-func (f *flow) used(now crid.Instant) float64 {
-	life := max(now.Sub(f.since), useHorizon/50)
-	whole := 1 - decay(life)
-	return f.use * decay(now.Sub(f.usedAt)) / (float64(useHorizon) * whole)
+// usedSlots is the average number of slots that the account used lately. For an
+// account that has just become active the average is taken over its period of
+// activity.
+func (f *flow) usedSlots(now crid.Instant) float64 {
+	age := max(now.Sub(f.activeSince), usageTimeConstant/50)
+	weight := 1 - decay(age)
+	return f.busyTime * decay(now.Sub(f.busyTimeAt)) / (float64(usageTimeConstant) * weight)
 }
 
-func (f *flow) addUse(took float64, now crid.Instant) {
-	f.use = f.use*decay(now.Sub(f.usedAt)) + took
-	f.usedAt = now
+func (f *flow) addBusyTime(took float64, now crid.Instant) {
+	f.busyTime = f.busyTime*decay(now.Sub(f.busyTimeAt)) + took
+	f.busyTimeAt = now
 }
 
-func decay(age time.Duration) float64 { return math.Exp(-age.Seconds() / useHorizon.Seconds()) }
+func decay(age time.Duration) float64 { return math.Exp(-age.Seconds() / usageTimeConstant.Seconds()) }
 
-// expected is the service time to reckon with. Requests that hang report
-// nothing until they end, so the oldest that still runs counts as well.
-func (f *flow) expected(now crid.Instant) float64 {
-	cost := f.cost
+// expectedServiceTime is the service time to assume for the next request. A
+// request that hangs adds nothing to the average until it ends, so the time of
+// the longest running one counts as well.
+func (f *flow) expectedServiceTime(now crid.Instant) float64 {
+	expected := f.serviceTime
 	for _, l := range f.running {
-		cost = max(cost, float64(now.Sub(l.granted)))
+		expected = max(expected, float64(now.Sub(l.grantedAt)))
 	}
-	return cost
+	return expected
 }
 
-func (f *flow) end(l *Lease) {
+func (f *flow) removeRunning(l *Lease) {
 	i := slices.Index(f.running, l)
 	last := len(f.running) - 1
 	f.running[i] = f.running[last]
@@ -68,48 +73,48 @@
 	f.running = f.running[:last]
 }
 
-func (q *Queue) flow(account crid.Account, now crid.Instant) *flow {
+func (q *Queue) flowOf(account crid.Account, now crid.Instant) *flow {
 	f, ok := q.flows[account]
 	if !ok {
-		q.forgetIdle()
-		f = &flow{account: account, cost: q.mean, since: now, usedAt: now}
+		q.evictIdle()
+		f = &flow{account: account, serviceTime: q.meanServiceTime, activeSince: now, busyTimeAt: now}
 		q.flows[account] = f
 	}
-	if now.Sub(f.seen) > recent && ok {
-		f.since = now
-		f.use = 0
+	if now.Sub(f.lastSeen) > activeWindow && ok {
+		f.activeSince = now
+		f.busyTime = 0
 	}
 	if len(f.waiters) == 0 {
-		f.start = max(f.start, q.virtual)
+		f.startTag = max(f.startTag, q.virtualTime)
 	}
-	f.seen = now
+	f.lastSeen = now
 	return f
 }
 
-// forgetIdle bounds the memory that accounts without requests take.
-func (q *Queue) forgetIdle() {
-	if len(q.flows) < manyFlows {
+// evictIdle bounds the memory of accounts without requests.
+func (q *Queue) evictIdle() {
+	if len(q.flows) < evictThreshold {
 		return
 	}
 	for account, f := range q.flows {
-		if f.held() == 0 {
+		if f.size() == 0 {
 			delete(q.flows, account)
 		}
 	}
 }
 
-func (q *Queue) push(f *flow, deadline crid.Instant) *waiter {
+func (q *Queue) enqueue(f *flow, deadline crid.Instant) *waiter {
 	if len(f.waiters) == 0 {
-		q.busy = append(q.busy, f)
+		q.backlogged = append(q.backlogged, f)
 	}
 	q.arrivals++
-	w := &waiter{flow: f, deadline: deadline, arrival: q.arrivals, ready: make(chan grant, 1)}
+	w := &waiter{flow: f, deadline: deadline, arrival: q.arrivals, decided: make(chan decision, 1)}
 	f.waiters = append(f.waiters, w)
 	q.waiting++
 	return w
 }
 
-func (q *Queue) remove(w *waiter) bool {
+func (q *Queue) dequeue(w *waiter) bool {
 	f := w.flow
 	i := slices.Index(f.waiters, w)
 	if i < 0 {
@@ -118,64 +123,65 @@
 	f.waiters = slices.Delete(f.waiters, i, i+1)
 	q.waiting--
 	if len(f.waiters) == 0 {
-		i := slices.Index(q.busy, f)
-		q.busy = slices.Delete(q.busy, i, i+1)
+		i := slices.Index(q.backlogged, f)
+		q.backlogged = slices.Delete(q.backlogged, i, i+1)
 	}
 	return true
 }
 
 func (q *Queue) refuse(w *waiter, reason Reason) {
-	if q.remove(w) {
-		w.ready <- grant{err: &Error{reason: reason, retryAfter: q.backlog()}}
+	if q.dequeue(w) {
+		w.decided <- decision{err: &Error{reason: reason, retryAfter: q.backlog()}}
 	}
 }
 
 func (q *Queue) grant(f *flow, now crid.Instant) *Lease {
-	q.virtual = max(q.virtual, f.start)
-	l := &Lease{queue: q, flow: f, charged: f.cost, granted: now}
+	q.virtualTime = max(q.virtualTime, f.startTag)
+	l := &Lease{queue: q, flow: f, charged: f.serviceTime, grantedAt: now}
 	if q.discipline == DisciplineCount {
-		l.charged = float64(q.guess)
+		l.charged = float64(q.initialServiceTime)
 	}
-	f.start += l.charged
+	f.startTag += l.charged
 	f.running = append(f.running, l)
 	q.inFlight++
 	return l
 }
 
-// charge corrects the account's tag by what the request really took.
+// charge replaces the estimated charge of a request by the time that it took,
+// and updates the averages.
 //
-// Charging each request alike would let an account with requests ten times as
-// long take ten times the slots' time; others would see their waits grow while
-// every count looks fair.
+// If every request were charged alike, an account whose requests take ten times
+// as long would get ten times the slot time of the others, and their waits
+// would grow although the numbers of requests are fair.
 func (q *Queue) charge(l *Lease, took float64) {
 	took = max(took, 1)
-	l.flow.cost += smoothing * (took - l.flow.cost)
-	l.flow.addUse(took, l.flow.seen)
-	q.mean += smoothing * (took - q.mean)
+	l.flow.serviceTime += serviceTimeWeight * (took - l.flow.serviceTime)
+	l.flow.addBusyTime(took, l.flow.lastSeen)
+	q.meanServiceTime += serviceTimeWeight * (took - q.meanServiceTime)
 	if q.discipline == DisciplineTime {
-		l.flow.start += took - l.charged
+		l.flow.startTag += took - l.charged
 	}
 }
 
-// dispatch hands free slots to waiters, one wake-up each.
+// dispatch assigns free slots to waiters and wakes each of them.
 func (q *Queue) dispatch(now crid.Instant) {
 	for q.inFlight < q.limit.slots() {
-		f := q.next(now)
+		f := q.nextFlow(now)
 		if f == nil {
 			break
 		}
 		w := f.waiters[0]
-		if passed(w.deadline, now) {
+		if deadlinePassed(w.deadline, now) {
 			q.refuse(w, ReasonExpired)
 			continue
 		}
-		q.remove(w)
-		w.ready <- grant{lease: q.grant(f, now)}
+		q.dequeue(w)
+		w.decided <- decision{lease: q.grant(f, now)}
 	}
-	q.closeDrained()
+	q.closeIfDrained()
 }
 
-func (q *Queue) closeDrained() {
+func (q *Queue) closeIfDrained() {
 	if !q.draining || q.inFlight+q.waiting > 0 {
 		return
 	}
@@ -186,134 +192,135 @@
 	}
 }
 
-// next is the flow whose first waiter gets the next slot.
-func (q *Queue) next(now crid.Instant) *flow {
+// nextFlow is the flow whose first waiter gets the next slot.
+func (q *Queue) nextFlow(now crid.Instant) *flow {
 	var best *flow
-	for _, f := range q.busy {
-		if q.crowds(f, now) {
+	for _, f := range q.backlogged {
+		if q.reservedForOthers(f, now) {
 			continue
 		}
-		if best == nil || q.rank(f) < q.rank(best) {
+		if best == nil || q.sortKey(f) < q.sortKey(best) {
 			best = f
 		}
 	}
 	return best
 }
 
-func (q *Queue) rank(f *flow) float64 {
+func (q *Queue) sortKey(f *flow) float64 {
 	if q.discipline == DisciplineFIFO {
 		return float64(f.waiters[0].arrival)
 	}
-	return f.start
+	return f.startTag
 }
 
-// crowds reports whether one more slot for the account would take one that the
-// other accounts are using, by requests much longer than theirs. A slot can not
-// be taken back: once all are held by requests that hang, the others wait for
-// as long as those hang, whatever their share. An account that is alone, or
-// whose requests are as long as others', may fill all slots.
-func (q *Queue) crowds(f *flow, now crid.Instant) bool {
+// reservedForOthers reports whether one more slot for the account would be one
+// that the other accounts use, while its requests are much longer than theirs.
+// A slot cannot be preempted: once requests that hang hold all of them, the
+// other accounts wait until those end, whatever their share. An account that is
+// alone, or whose requests are as long as the others', may use all slots.
+func (q *Queue) reservedForOthers(f *flow, now crid.Instant) bool {
 	n := len(f.running)
-	if q.discipline != DisciplineTime || n == 0 || f.expected(now) <= longFactor*q.typical {
+	if q.discipline != DisciplineTime || n == 0 || f.expectedServiceTime(now) <= longRequestFactor*q.medianServiceTime {
 		return false
 	}
-	others := q.used - f.used(now)
+	others := q.usedSlots - f.usedSlots(now)
 	return float64(n+1) > float64(q.limit.slots())-math.Ceil(others)
 }
 
-// survey takes stock of the accounts present: the median of their service
-// times, and the slots that all together use.
-func (q *Queue) survey(now crid.Instant) {
-	q.used = 0
-	costs := make([]float64, 0, len(q.flows))
+// updateStats computes, over the active accounts, the median of their service
+// times and the sum of the slots that they use.
+func (q *Queue) updateStats(now crid.Instant) {
+	q.usedSlots = 0
+	times := make([]float64, 0, len(q.flows))
 	for _, f := range q.flows {
-		if now.Sub(f.seen) < recent {
-			q.used += f.used(now)
-			costs = append(costs, f.cost)
+		if now.Sub(f.lastSeen) < activeWindow {
+			q.usedSlots += f.usedSlots(now)
+			times = append(times, f.serviceTime)
 		}
 	}
-	if len(costs) > 0 {
-		slices.Sort(costs)
-		q.typical = costs[(len(costs)-1)/2]
+	if len(times) > 0 {
+		slices.Sort(times)
+		q.medianServiceTime = times[(len(times)-1)/2]
 	}
 }
 
-// overShare is the account whose newest waiter gives way to a request of f: the
-// one that holds most, when f holds less than its fair share.
-func (q *Queue) overShare(f *flow) *flow {
+// flowToDisplace is the account whose newest waiter is refused to admit a
+// request of f: the one with the most requests, if f has less than its fair
+// share.
+func (q *Queue) flowToDisplace(f *flow) *flow {
 	if q.discipline == DisciplineFIFO {
 		return nil
 	}
 	var most *flow
-	for _, other := range q.busy {
-		if most == nil || other.held() > most.held() {
+	for _, other := range q.backlogged {
+		if most == nil || other.size() > most.size() {
 			most = other
 		}
 	}
-	if most == nil || most == f || f.held() >= most.held()-1 {
+	if most == nil || most == f || f.size() >= most.size()-1 {
 		return nil
 	}
-	if f.held() >= max(1, (q.room+q.limit.slots())/q.active(f)) {
+	if f.size() >= max(1, (q.maxWaiting+q.limit.slots())/q.activeFlows(f)) {
 		return nil
 	}
 	return most
 }
 
-// active counts the accounts that hold anything, and the newcomer.
-func (q *Queue) active(newcomer *flow) int {
+// activeFlows is the number of accounts with requests, the newcomer included.
+func (q *Queue) activeFlows(newcomer *flow) int {
 	n := 1
 	for _, f := range q.flows {
-		if f != newcomer && f.held() > 0 {
+		if f != newcomer && f.size() > 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// estimate is the wait of a request of f behind ahead others of f: the work
-// that start-time fair queueing serves first, shared among the slots.
-func (q *Queue) estimate(f *flow, ahead int) time.Duration {
-	tag := f.start + float64(ahead)*f.cost
-	work := float64(ahead) * f.cost
-	for _, other := range q.busy {
+// estimateWait is the wait of a request of f behind ahead others of f: the work
+// that start-time fair queueing serves first, divided by the number of slots.
+func (q *Queue) estimateWait(f *flow, ahead int) time.Duration {
+	tag := f.startTag + float64(ahead)*f.serviceTime
+	work := float64(ahead) * f.serviceTime
+	for _, other := range q.backlogged {
 		if other == f {
 			continue
 		}
-		n := math.Ceil((tag - other.start) / max(other.cost, 1))
-		work += min(max(n, 0), float64(len(other.waiters))) * other.cost
+		n := math.Ceil((tag - other.startTag) / max(other.serviceTime, 1))
+		work += min(max(n, 0), float64(len(other.waiters))) * other.serviceTime
 	}
-	return q.share(work)
+	return q.serveTime(work)
 }
 
-// backlog is how long all that runs and waits will take.
+// backlog is the time until everything that runs and waits has ended.
 func (q *Queue) backlog() time.Duration {
 	work := 0.0
-	for _, f := range q.busy {
-		work += float64(len(f.waiters)) * f.cost
+	for _, f := range q.backlogged {
+		work += float64(len(f.waiters)) * f.serviceTime
 	}
-	return q.share(work)
+	return q.serveTime(work)
 }
 
-func (q *Queue) share(work float64) time.Duration {
+func (q *Queue) serveTime(work float64) time.Duration {
 	slots := q.limit.slots()
-	running := float64(q.inFlight) * q.mean / 2
-	surplus := float64(max(q.inFlight-slots, 0)) * q.mean
+	running := float64(q.inFlight) * q.meanServiceTime / 2
+	surplus := float64(max(q.inFlight-slots, 0)) * q.meanServiceTime
 	return time.Duration((work + running + surplus) / float64(slots))
 }
 
-// sweep refuses waiters whose deadline has got out of reach since they came:
-// the target slowed down, or its limit fell. Holding them until the deadline
-// would leave the caller no time to go elsewhere.
+// sweep refuses waiters that can no longer meet their deadline, because the
+// target became slower or lost slots since they arrived. Refused only at the
+// deadline, the caller would have no time left for another target.
 func (q *Queue) sweep(now crid.Instant) {
-	if now.Sub(q.sweptAt) < sweepEvery {
+	if now.Sub(q.sweptAt) < sweepInterval {
 		return
 	}
 	q.sweptAt = now
-	q.survey(now)
-	for _, f := range slices.Clone(q.busy) {
+	q.updateStats(now)
+	for _, f := range slices.Clone(q.backlogged) {
 		ahead := 0
 		for _, w := range slices.Clone(f.waiters) {
-			if passed(w.deadline, now.Add(q.estimate(f, ahead))) {
+			if deadlinePassed(w.deadline, now.Add(q.estimateWait(f, ahead))) {
 				q.refuse(w, ReasonExpired)
 				continue
 			}
--- a/core/crslot/limit.go
+++ b/core/crslot/limit.go
@@ -7,57 +7,60 @@
 )
 
 const (
-	// shedFactor is what one epoch of shed answers leaves of the limit.
-	shedFactor = 0.7
-	// shedEpoch joins shed answers of one moment of overload: requests that ran
-	// together are all turned away together and must lower the limit only once.
-	shedEpoch = 100 * time.Millisecond
-	// shedHold is the pause before the limit grows again.
-	shedHold = 500 * time.Millisecond
-	// shedForget restores the whole limit after so long without a shed answer.
-	shedForget = 10 * time.Second
+	// decreaseFactor is the factor of one decrease of the limit.
+	decreaseFactor = 0.7
+	// decreaseInterval is the least time between two decreases. Requests that
+	// ran together are rejected together and must lower the limit only once.
+	decreaseInterval = 100 * time.Millisecond
+	// increaseDelay is the pause after a decrease before the limit grows again.
+	increaseDelay = 500 * time.Millisecond
+	// recoveryTime is the time without an overload response after which the
+	// limit is restored.
+	recoveryTime = 10 * time.Second
 )
 
-// limiter is the number of slots: additive increase, multiplicative decrease.
-type limiter struct {
-	most      float64
-	effective float64
-	cutAt     crid.Instant
-	cut       bool
+// aimdLimit is the number of slots. Overload responses lower it by a factor,
+// and requests that end raise it by steps (additive increase, multiplicative
+// decrease).
+type aimdLimit struct {
+	maxSlots    float64
+	current     float64
+	decreasedAt crid.Instant
+	reduced     bool
 }
 
-func newLimiter(slots int) limiter {
-	most := float64(max(slots, 1))
-	return limiter{most: most, effective: most}
+func newAIMDLimit(slots int) aimdLimit {
+	maxSlots := float64(max(slots, 1))
+	return aimdLimit{maxSlots: maxSlots, current: maxSlots}
 }
 
-func (l *limiter) slots() int { return max(int(l.effective), 1) }
+func (l *aimdLimit) slots() int { return max(int(l.current), 1) }
 
-func (l *limiter) set(slots int) {
-	l.most = float64(max(slots, 1))
-	if !l.cut {
-		l.effective = l.most
+func (l *aimdLimit) setMax(slots int) {
+	l.maxSlots = float64(max(slots, 1))
+	if !l.reduced {
+		l.current = l.maxSlots
 	}
-	l.effective = min(l.effective, l.most)
+	l.current = min(l.current, l.maxSlots)
 }
 
-func (l *limiter) shed(now crid.Instant) {
-	if l.cut && now.Sub(l.cutAt) < shedEpoch {
+func (l *aimdLimit) decrease(now crid.Instant) {
+	if l.reduced && now.Sub(l.decreasedAt) < decreaseInterval {
 		return
 	}
-	l.effective = max(l.effective*shedFactor, 1)
-	l.cutAt = now
-	l.cut = true
+	l.current = max(l.current*decreaseFactor, 1)
+	l.decreasedAt = now
+	l.reduced = true
 }
 
-// grow is called for each request that ended.
-func (l *limiter) grow(now crid.Instant) {
-	if !l.cut || now.Sub(l.cutAt) < shedHold {
+// increase is called for each request that ended.
+func (l *aimdLimit) increase(now crid.Instant) {
+	if !l.reduced || now.Sub(l.decreasedAt) < increaseDelay {
 		return
 	}
-	l.effective = min(l.effective+1/l.effective, l.most)
-	if now.Sub(l.cutAt) >= shedForget {
-		l.effective = l.most
+	l.current = min(l.current+1/l.current, l.maxSlots)
+	if now.Sub(l.decreasedAt) >= recoveryTime {
+		l.current = l.maxSlots
 	}
-	l.cut = l.effective < l.most
+	l.reduced = l.current < l.maxSlots
 }
--- a/core/crslot/queue.go
+++ b/core/crslot/queue.go
@@ -1,20 +1,27 @@
-// Package crslot guards the slots of one target at the exit daemon beside it.
+// Package crslot assigns the execution slots of one target at the exit daemon
+// that serves it (io/crexit).
 //
-// A [Queue] lets so many requests run at once as the target has slots, and so
-// many wait as the policy allows. Waiting requests are served by start-time
-// fair queueing between accounts: an account is charged the time that its
-// requests really took, so neither many requests nor long ones crowd out the
-// other accounts. A request that can not make its deadline is refused at once.
+// A [Queue] runs as many requests at once as the target has slots, and lets as
+// many wait as the policy allows. Slots are assigned by start-time fair
+// queueing between accounts. An account is charged the time that its requests
+// took, so that neither many requests nor long ones crowd out the other
+// accounts. A request that cannot meet its deadline is refused at once.
+//
+// [OverloadBackoff] keeps requests of class once from a target that only
+// answers with overload responses.
+//
+// Package crgate assigns slots in io/cregress by priority instead, without
+// fairness between accounts.
 //
 // # Usage
 //
-//	queue := crslot.New(crslot.Params{Slots: 5, Queue: 20}, clock.Now)
+//	queue := crslot.New(crslot.Params{Slots: 5, MaxWaiting: 20}, clock.Now)
 //	lease, err := queue.Acquire(ctx, account, deadline)
 //	if err != nil { ... } // a *crslot.Error: the request was not run
 //	defer lease.Release()
 //
-// A Queue is safe for concurrent use. Each waiter is woken by itself when its
-// slot has been assigned, so a freed slot wakes one goroutine.
+// A Queue is safe for concurrent use. Each waiter has its own channel, so that
+// a freed slot wakes one goroutine.
 package crslot
 
 import (
@@ -28,7 +35,7 @@
 // Discipline is the order in which waiting requests get slots.
 type Discipline uint8
 
-// The disciplines. The last two are baselines in measurements.
+// The disciplines. The last two are baselines for tests.
 const (
 	DisciplineTime  Discipline = iota + 1 // fair between accounts by service time
 	DisciplineCount                       // fair between accounts by number of requests
@@ -37,76 +44,77 @@
 
 // Params configure a Queue.
 type Params struct {
-	Slots      int           // requests that run at once; at least 1
-	MaxWaiting      int           // requests that wait; zero: none
-	InitialServiceTime      time.Duration // service time assumed before one is measured; default 20 ms
-	Discipline Discipline    // default DisciplineTime
+	Slots              int           // requests that run at once; at least 1
+	MaxWaiting         int           // requests that may wait; zero: none
+	InitialServiceTime time.Duration // assumed until a request has ended; default 20 ms
+	Discipline         Discipline    // default DisciplineTime
 }
 
 const (
-	defaultGuess = 20 * time.Millisecond
-	// sweepEvery bounds how often waiters are looked through for those whose
-	// deadline has got out of reach.
-	sweepEvery = 20 * time.Millisecond
-	// smoothing is the weight of the newest service time in the averages.
-	smoothing = 0.2
+	defaultServiceTime = 20 * time.Millisecond
+	// sweepInterval is the least time between two sweeps, which visit every
+	// waiter.
+	sweepInterval = 20 * time.Millisecond
+	// serviceTimeWeight is the weight of the newest service time in the moving
+	// averages.
+	serviceTimeWeight = 0.2
 )
 
 // Queue assigns the slots of one target.
 type Queue struct {
-	now        func() crid.Instant
-	discipline Discipline
-	guess      time.Duration
-	room       int
+	now                func() crid.Instant
+	discipline         Discipline
+	initialServiceTime time.Duration
+	maxWaiting         int
 
-	mu       sync.Mutex
-	limit    limiter
-	flows    map[crid.Account]*flow
-	busy     []*flow // flows that have waiters
-	virtual  float64
-	mean     float64 // smoothed service time, in nanoseconds
-	typical  float64 // median of the accounts' service times, at the last sweep
-	used     float64 // slots that all accounts use on average, at the last sweep
-	arrivals uint64
-	waiting  int
-	inFlight int
-	draining bool
-	drained  chan struct{}
-	sweptAt  crid.Instant
+	mu                sync.Mutex
+	limit             aimdLimit
+	flows             map[crid.Account]*flow
+	backlogged        []*flow // flows that have waiters
+	virtualTime       float64
+	meanServiceTime   float64 // moving average, in nanoseconds
+	medianServiceTime float64 // median of the accounts' service times at the last sweep, in nanoseconds
+	usedSlots         float64 // average number of slots that all accounts used, at the last sweep
+	arrivals          uint64
+	waiting           int
+	inFlight          int
+	draining          bool
+	drained           chan struct{}
+	sweptAt           crid.Instant
 }
 
 // New returns a queue that reads the daemon's clock through now.
 func New(p Params, now func() crid.Instant) *Queue {
 	if p.InitialServiceTime <= 0 {
-		p.InitialServiceTime = defaultGuess
+		p.InitialServiceTime = defaultServiceTime
 	}
 	if p.Discipline == 0 {
 		p.Discipline = DisciplineTime
 	}
 	return &Queue{
-		now:        now,
-		discipline: p.Discipline,
-		guess:      p.InitialServiceTime,
-		room:       max(p.MaxWaiting, 0),
-		limit:      newLimiter(p.Slots),
-		flows:      make(map[crid.Account]*flow),
-		mean:       float64(p.InitialServiceTime),
-		typical:    float64(p.InitialServiceTime),
-		drained:    make(chan struct{}),
+		now:                now,
+		discipline:         p.Discipline,
+		initialServiceTime: p.InitialServiceTime,
+		maxWaiting:         max(p.MaxWaiting, 0),
+		limit:              newAIMDLimit(p.Slots),
+		flows:              make(map[crid.Account]*flow),
+		meanServiceTime:    float64(p.InitialServiceTime),
+		medianServiceTime:  float64(p.InitialServiceTime),
+		drained:            make(chan struct{}),
 	}
 }
 
 // Lease is the right to run one request. It must be released exactly once;
 // later releases do nothing.
 type Lease struct {
-	queue   *Queue
-	flow    *flow
-	charged float64
-	granted crid.Instant
-	done    bool
+	queue     *Queue
+	flow      *flow
+	charged   float64
+	grantedAt crid.Instant
+	released  bool
 }
 
-type grant struct {
+type decision struct {
 	lease *Lease
 	err   error
 }
@@ -115,52 +123,52 @@
 	flow     *flow
 	deadline crid.Instant
 	arrival  uint64
-	ready    chan grant // buffered, so that the queue never waits for a waiter
+	decided  chan decision // buffered, so that the queue never blocks on a waiter
 }
 
 // Acquire waits for a slot on behalf of an account. A deadline of zero means
-// none. It returns an *Error when the request must not run.
+// none. It returns an *Error if the request must not run.
 func (q *Queue) Acquire(ctx context.Context, account crid.Account, deadline crid.Instant) (*Lease, error) {
 	if ctx.Err() != nil {
 		return nil, ErrCancelled
 	}
-	lease, w, err := q.enter(account, deadline)
+	lease, w, err := q.tryAcquire(account, deadline)
 	if err != nil || lease != nil {
 		return lease, err
 	}
 	return q.wait(ctx, w)
 }
 
-func (q *Queue) enter(account crid.Account, deadline crid.Instant) (*Lease, *waiter, error) {
+func (q *Queue) tryAcquire(account crid.Account, deadline crid.Instant) (*Lease, *waiter, error) {
 	now := q.now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.draining {
 		return nil, nil, ErrDraining
 	}
-	if passed(deadline, now) {
+	if deadlinePassed(deadline, now) {
 		return nil, nil, &Error{reason: ReasonExpired, retryAfter: q.backlog()}
 	}
-	f := q.flow(account, now)
+	f := q.flowOf(account, now)
 	q.sweep(now)
-	if q.inFlight < q.limit.slots() && len(f.waiters) == 0 && !q.crowds(f, now) {
+	if q.inFlight < q.limit.slots() && len(f.waiters) == 0 && !q.reservedForOthers(f, now) {
 		return q.grant(f, now), nil, nil
 	}
 	if err := q.admit(f, deadline, now); err != nil {
 		return nil, nil, err
 	}
-	return nil, q.push(f, deadline), nil
+	return nil, q.enqueue(f, deadline), nil
 }
 
 // admit decides whether a request may join the wait queue.
 func (q *Queue) admit(f *flow, deadline, now crid.Instant) error {
-	if wait := q.estimate(f, len(f.waiters)); passed(deadline, now.Add(wait)) {
+	if wait := q.estimateWait(f, len(f.waiters)); deadlinePassed(deadline, now.Add(wait)) {
 		return &Error{reason: ReasonExpired, retryAfter: wait}
 	}
-	if q.waiting < q.room {
+	if q.waiting < q.maxWaiting {
 		return nil
 	}
-	victim := q.overShare(f)
+	victim := q.flowToDisplace(f)
 	if victim == nil {
 		return &Error{reason: ReasonFull, retryAfter: q.backlog()}
 	}
@@ -177,32 +185,32 @@
 		expired = timer.C
 	}
 	select {
-	case g := <-w.ready:
-		return q.accept(ctx, w, g)
+	case d := <-w.decided:
+		return q.recheck(ctx, w, d)
 	case <-ctx.Done():
 	case <-expired:
 	}
-	if q.leave(w) {
-		return nil, q.lateness(ctx)
+	if q.abandon(w) {
+		return nil, q.waitError(ctx)
 	}
-	return q.accept(ctx, w, <-w.ready)
+	return q.recheck(ctx, w, <-w.decided)
 }
 
-// accept looks at the clock and the context once more. A process that was
-// paused wakes up with slots assigned long ago; running them then would do work
-// that the caller has been told nothing of, or was told had failed.
-func (q *Queue) accept(ctx context.Context, w *waiter, g grant) (*Lease, error) {
-	if g.err != nil {
-		return nil, g.err
+// recheck compares the deadline and the context once more. After a pause of the
+// process a slot may have been assigned long ago; the caller may have given up
+// since, or may have been told that the request failed.
+func (q *Queue) recheck(ctx context.Context, w *waiter, d decision) (*Lease, error) {
+	if d.err != nil {
+		return nil, d.err
 	}
-	if ctx.Err() != nil || passed(w.deadline, q.now()) {
-		g.lease.Cancel()
-		return nil, q.lateness(ctx)
+	if ctx.Err() != nil || deadlinePassed(w.deadline, q.now()) {
+		d.lease.Cancel()
+		return nil, q.waitError(ctx)
 	}
-	return g.lease, nil
+	return d.lease, nil
 }
 
-func (q *Queue) lateness(ctx context.Context) error {
+func (q *Queue) waitError(ctx context.Context) error {
 	if ctx.Err() != nil {
 		return ErrCancelled
 	}
@@ -211,78 +219,78 @@
 	return &Error{reason: ReasonExpired, retryAfter: q.backlog()}
 }
 
-// leave takes a waiter out; it reports false when the waiter has been granted
+// abandon removes a waiter. It returns false if the waiter was granted a slot
 // or refused meanwhile.
-func (q *Queue) leave(w *waiter) bool {
+func (q *Queue) abandon(w *waiter) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.remove(w) {
+	if !q.dequeue(w) {
 		return false
 	}
 	q.dispatch(q.now())
 	return true
 }
 
-// Release gives the slot back. The time since the grant is charged to the
-// account.
+// Release frees the slot. The time since the grant is charged to the account.
 func (l *Lease) Release() { l.finish(true) }
 
-// Cancel gives the slot back without a charge, for a request that never
-// started on the target.
+// Cancel frees the slot without a charge, for a request that never started on
+// the target.
 func (l *Lease) Cancel() { l.finish(false) }
 
 // GrantedAt is the instant at which the slot was assigned.
-func (l *Lease) GrantedAt() crid.Instant { return l.granted }
+func (l *Lease) GrantedAt() crid.Instant { return l.grantedAt }
 
 func (l *Lease) finish(ran bool) {
 	q := l.queue
 	now := q.now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if l.done {
+	if l.released {
 		return
 	}
-	l.done = true
+	l.released = true
 	q.inFlight--
-	l.flow.end(l)
-	l.flow.seen = now
+	l.flow.removeRunning(l)
+	l.flow.lastSeen = now
 	if ran {
-		q.charge(l, float64(now.Sub(l.granted)))
-		q.limit.grow(now)
+		q.charge(l, float64(now.Sub(l.grantedAt)))
+		q.limit.increase(now)
 	} else {
-		l.flow.start -= l.charged
+		l.flow.startTag -= l.charged
 	}
 	q.sweep(now)
 	q.dispatch(now)
 }
 
-// SetSlots sets the number of slots, at least 1. Slow start raises it step by
-// step; lowering it lets what runs finish.
+// SetSlots sets the maximum number of slots, at least 1. Slow start raises it
+// in steps. When it is lowered, the running requests finish.
 func (q *Queue) SetSlots(slots int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.limit.set(slots)
+	q.limit.setMax(slots)
 	q.dispatch(q.now())
 }
 
-// SetMaxWaiting sets the number of requests that may wait. Those that wait beyond it
-// keep their places.
-func (q *Queue) SetMaxWaiting(room int) {
+// SetMaxWaiting sets the number of requests that may wait. Those that already
+// wait beyond it keep their places.
+func (q *Queue) SetMaxWaiting(n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.room = max(room, 0)
+	q.maxWaiting = max(n, 0)
 }
 
-// RecordOverload notes that the target answered with 429 or 503. The limit is lowered at
-// once and grows again with each answer after a pause.
+// RecordOverload records that the target answered with 429 or 503. The number
+// of slots is reduced at once, and after a pause it grows with each request
+// that ends.
 func (q *Queue) RecordOverload() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.limit.shed(q.now())
+	q.limit.decrease(q.now())
 }
 
-// Drain refuses new requests. Those that run or wait go on; Drained tells when
-// the last has finished.
+// Drain refuses new requests. Running and waiting ones continue; Drained is
+// closed when the last has ended.
 func (q *Queue) Drain() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -293,4 +301,4 @@
 // Drained is closed once the queue is draining and nothing runs or waits.
 func (q *Queue) Drained() <-chan struct{} { return q.drained }
 
-func passed(deadline, now crid.Instant) bool { return deadline != 0 && !now.Before(deadline) }
+func deadlinePassed(deadline, now crid.Instant) bool { return deadline != 0 && !now.Before(deadline) }
