--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -31,8 +31,8 @@
 
 // The reasons. In each the request was not run.
 const (
-	// Full: it would start too late.
-	Full Reason = iota + 1
+	// ReasonFull: it would start too late.
+	ReasonFull Reason = iota + 1
 	// Displaced: more urgent requests came and took its place.
 	Displaced
 	// Leaving: the target or its daemon is stopping.
@@ -44,7 +44,7 @@
 // String returns a short description for people.
 func (r Reason) String() string {
 	switch r {
-	case Full:
+	case ReasonFull:
 		return "full"
 	case Displaced:
 		return "displaced"
@@ -162,7 +162,7 @@
 	g.sweep(now)
 	at := g.place(ask)
 	if wait := g.wait(now, at); now.Add(wait) > ask.Start {
-		return nil, &Refusal{reason: Full, retryAfter: g.wait(now, len(g.waiting)), wait: wait, patience: ask.Start.Sub(now)}
+		return nil, &Refusal{reason: ReasonFull, retryAfter: g.wait(now, len(g.waiting)), wait: wait, patience: ask.Start.Sub(now)}
 	}
 	t := &Ticket{ask: ask, decided: make(chan struct{})}
 	g.waiting = slices.Insert(g.waiting, at, t)
--- a/core/crgate/crgate_test.go
+++ b/core/crgate/crgate_test.go
@@ -63,7 +63,7 @@
 	admit(t, gate, 1, time.Second)
 	_, refusal := gate.Admit(start, crgate.Ask{Priority: 1, Start: start.Add(100 * time.Millisecond)})
 	g.Expect(refusal).NotTo(gomega.BeNil())
-	g.Expect(refusal.Reason()).To(gomega.Equal(crgate.Full))
+	g.Expect(refusal.Reason()).To(gomega.Equal(crgate.ReasonFull))
 	g.Expect(refusal.RetryAfter()).To(gomega.BeNumerically(">", 100*time.Millisecond))
 }
 
@@ -95,7 +95,7 @@
 	gate.Sweep(start.Add(499 * time.Millisecond))
 	g.Expect(decided(waits)).To(gomega.BeFalse())
 	gate.Sweep(start.Add(501 * time.Millisecond))
-	g.Expect(waits.Refusal().Reason()).To(gomega.Equal(crgate.Full))
+	g.Expect(waits.Refusal().Reason()).To(gomega.Equal(crgate.ReasonFull))
 }
 
 // The process stood still while a request waited, and wakes up with a free slot
--- a/core/crgate/mixture_test.go
+++ b/core/crgate/mixture_test.go
@@ -172,7 +172,7 @@
 	_, refusal := gate.Admit(start, crgate.Ask{Kind: readKind, Start: start})
 	g.Expect(refusal).To(gomega.BeNil())
 	_, refusal = gate.Admit(start, crgate.Ask{Kind: readKind, Start: start.Add(300 * time.Millisecond)})
-	g.Expect(refusal.Reason()).To(gomega.Equal(crgate.Full))
+	g.Expect(refusal.Reason()).To(gomega.Equal(crgate.ReasonFull))
 	g.Expect(refusal.Wait()).To(gomega.BeNumerically("~", time.Second, time.Millisecond))
 	g.Expect(refusal.Patience()).To(gomega.Equal(300 * time.Millisecond))
 }
--- a/core/crgate/queue.go
+++ b/core/crgate/queue.go
@@ -55,7 +55,7 @@
 		t := g.waiting[0]
 		g.waiting = slices.Delete(g.waiting, 0, 1)
 		if now > t.ask.Start {
-			g.refuse(t, Full, g.wait(now, len(g.waiting)))
+			g.refuse(t, ReasonFull, g.wait(now, len(g.waiting)))
 			continue
 		}
 		t.granted, t.began = true, now
@@ -83,7 +83,7 @@
 		if now <= t.ask.Start {
 			return false
 		}
-		g.refuse(t, Full, g.paces.Typical(t.ask.Kind))
+		g.refuse(t, ReasonFull, g.paces.Typical(t.ask.Kind))
 		return true
 	})
 }
