--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -33,8 +33,8 @@
 const (
 	// ReasonFull: it would start too late.
 	ReasonFull Reason = iota + 1
-	// Displaced: more urgent requests came and took its place.
-	Displaced
+	// ReasonDisplaced: more urgent requests came and took its place.
+	ReasonDisplaced
 	// Leaving: the target or its daemon is stopping.
 	Leaving
 	// Withdrawn: the entry took it back, or never sent it.
@@ -46,7 +46,7 @@
 	switch r {
 	case ReasonFull:
 		return "full"
-	case Displaced:
+	case ReasonDisplaced:
 		return "displaced"
 	case Leaving:
 		return "leaving"
--- a/core/crgate/crgate_test.go
+++ b/core/crgate/crgate_test.go
@@ -82,7 +82,7 @@
 		admit(t, gate, 0, 5*time.Second)
 	}
 	g.Expect(decided(low)).To(gomega.BeTrue())
-	g.Expect(low.Refusal().Reason()).To(gomega.Equal(crgate.Displaced))
+	g.Expect(low.Refusal().Reason()).To(gomega.Equal(crgate.ReasonDisplaced))
 }
 
 // The target hangs, so that no slot gets free and nothing happens. What waits
--- a/core/crgate/queue.go
+++ b/core/crgate/queue.go
@@ -73,7 +73,7 @@
 			continue
 		}
 		g.waiting = slices.Delete(g.waiting, i, i+1)
-		g.refuse(t, Displaced, g.wait(now, len(g.waiting)))
+		g.refuse(t, ReasonDisplaced, g.wait(now, len(g.waiting)))
 	}
 }
 
