--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -35,8 +35,8 @@
 	ReasonFull Reason = iota + 1
 	// ReasonDisplaced: more urgent requests came and took its place.
 	ReasonDisplaced
-	// Leaving: the target or its daemon is stopping.
-	Leaving
+	// ReasonLeaving: the target or its daemon is stopping.
+	ReasonLeaving
 	// Withdrawn: the entry took it back, or never sent it.
 	Withdrawn
 )
@@ -48,7 +48,7 @@
 		return "full"
 	case ReasonDisplaced:
 		return "displaced"
-	case Leaving:
+	case ReasonLeaving:
 		return "leaving"
 	case Withdrawn:
 		return "withdrawn"
@@ -140,7 +140,7 @@
 	defer g.mu.Unlock()
 	g.closed = true
 	for _, t := range g.waiting {
-		g.refuse(t, Leaving, 0)
+		g.refuse(t, ReasonLeaving, 0)
 	}
 	g.waiting = nil
 }
@@ -157,7 +157,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
-		return nil, &Refusal{reason: Leaving}
+		return nil, &Refusal{reason: ReasonLeaving}
 	}
 	g.sweep(now)
 	at := g.place(ask)
--- a/core/crgate/crgate_test.go
+++ b/core/crgate/crgate_test.go
@@ -117,12 +117,12 @@
 	running := admit(t, gate, 1, time.Second)
 	waits := admit(t, gate, 1, time.Second)
 	gate.Close()
-	g.Expect(waits.Refusal().Reason()).To(gomega.Equal(crgate.Leaving))
+	g.Expect(waits.Refusal().Reason()).To(gomega.Equal(crgate.ReasonLeaving))
 	g.Expect(gate.Idle()).To(gomega.BeFalse())
 	gate.Done(start, running, 0)
 	g.Expect(gate.Idle()).To(gomega.BeTrue())
 	_, refusal := gate.Admit(start, crgate.Ask{Start: start.Add(time.Second)})
-	g.Expect(refusal.Reason()).To(gomega.Equal(crgate.Leaving))
+	g.Expect(refusal.Reason()).To(gomega.Equal(crgate.ReasonLeaving))
 }
 
 // An entry takes its offer back, or dies between offer and request. Its slot
