--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -37,8 +37,8 @@
 	ReasonDisplaced
 	// ReasonLeaving: the target or its daemon is stopping.
 	ReasonLeaving
-	// Withdrawn: the entry took it back, or never sent it.
-	Withdrawn
+	// ReasonWithdrawn: the entry took it back, or never sent it.
+	ReasonWithdrawn
 )
 
 // String returns a short description for people.
@@ -50,7 +50,7 @@
 		return "displaced"
 	case ReasonLeaving:
 		return "leaving"
-	case Withdrawn:
+	case ReasonWithdrawn:
 		return "withdrawn"
 	}
 	return "unknown"
@@ -187,7 +187,7 @@
 	if i := slices.Index(g.waiting, t); i >= 0 {
 		g.waiting = slices.Delete(g.waiting, i, i+1)
 	}
-	g.refuse(t, Withdrawn, 0)
+	g.refuse(t, ReasonWithdrawn, 0)
 }
 
 // Done frees the slot of a request that ran. A time of zero says nothing about
