--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -80,8 +80,8 @@
 // RetryAfter estimates when the target has room again.
 func (r *Refusal) RetryAfter() time.Duration { return r.retryAfter }
 
-// Ask is what a request asks for.
-type Ask struct {
+// Request is what a request asks for.
+type Request struct {
 	Kind     crpace.Kind
 	Call     bool         // a request that holds a slot of the fleet waits for it
 	Priority int          // 0 is the most urgent
@@ -90,7 +90,7 @@
 
 // Ticket is an admitted request's place.
 type Ticket struct {
-	ask     Ask
+	ask     Request
 	began   crid.Instant // when it got its slot
 	decided chan struct{}
 	granted bool
@@ -153,7 +153,7 @@
 }
 
 // Admit gives a request a slot or a place in the queue, or refuses it.
-func (g *Gate) Admit(now crid.Instant, ask Ask) (*Ticket, *Refusal) {
+func (g *Gate) Admit(now crid.Instant, ask Request) (*Ticket, *Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
--- a/core/crgate/queue.go
+++ b/core/crgate/queue.go
@@ -16,7 +16,7 @@
 // A call goes before all else: its parent holds a slot while it waits, and if it
 // comes too late, the parent has worked in vain. At targets that are full of longer
 // requests calls would come last, and take their parents with them.
-func (a Ask) before(b Ask) bool {
+func (a Request) before(b Request) bool {
 	if a.Call != b.Call {
 		return a.Call
 	}
@@ -24,7 +24,7 @@
 }
 
 // place is where in the queue a request belongs.
-func (g *Gate) place(ask Ask) int {
+func (g *Gate) place(ask Request) int {
 	i := len(g.waiting)
 	for i > 0 && ask.before(g.waiting[i-1].ask) {
 		i--
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -94,7 +94,7 @@
 		Kind: s.kind.pace(), Call: s.call, Objective: time.Duration(s.kind.Objective) - w.now.Sub(s.started), Left: s.deadline.Sub(w.now),
 	}
 	if s.fit() {
-		ticket, refusal := x.gate.Admit(w.now, crgate.Ask{
+		ticket, refusal := x.gate.Admit(w.now, crgate.Request{
 			Kind: terms.Kind, Call: s.call, Priority: s.kind.Priority, Start: x.gate.Latest(w.now, terms),
 		})
 		if refusal == nil {
