--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -85,7 +85,7 @@
 	Kind     crpace.Kind
 	Call     bool         // a request that holds a slot of the fleet waits for it
 	Priority int          // 0 is the most urgent
-	Start    crid.Instant // latest useful start
+	LatestStart    crid.Instant // latest useful start
 }
 
 // Ticket is an admitted request's place.
@@ -161,8 +161,8 @@
 	}
 	g.sweep(now)
 	at := g.place(ask)
-	if wait := g.wait(now, at); now.Add(wait) > ask.Start {
-		return nil, &Refusal{reason: ReasonFull, retryAfter: g.wait(now, len(g.waiting)), wait: wait, patience: ask.Start.Sub(now)}
+	if wait := g.wait(now, at); now.Add(wait) > ask.LatestStart {
+		return nil, &Refusal{reason: ReasonFull, retryAfter: g.wait(now, len(g.waiting)), wait: wait, patience: ask.LatestStart.Sub(now)}
 	}
 	t := &Ticket{ask: ask, decided: make(chan struct{})}
 	g.waiting = slices.Insert(g.waiting, at, t)
--- a/core/crgate/crgate_test.go
+++ b/core/crgate/crgate_test.go
@@ -32,7 +32,7 @@
 
 func admit(t *testing.T, g *crgate.Gate, priority int, patience time.Duration) *crgate.Ticket {
 	t.Helper()
-	ticket, refusal := g.Admit(start, crgate.Request{Priority: priority, Start: start.Add(patience)})
+	ticket, refusal := g.Admit(start, crgate.Request{Priority: priority, LatestStart: start.Add(patience)})
 	gomega.NewWithT(t).Expect(refusal).To(gomega.BeNil())
 	return ticket
 }
@@ -61,7 +61,7 @@
 	}
 	admit(t, gate, 1, time.Second)
 	admit(t, gate, 1, time.Second)
-	_, refusal := gate.Admit(start, crgate.Request{Priority: 1, Start: start.Add(100 * time.Millisecond)})
+	_, refusal := gate.Admit(start, crgate.Request{Priority: 1, LatestStart: start.Add(100 * time.Millisecond)})
 	g.Expect(refusal).NotTo(gomega.BeNil())
 	g.Expect(refusal.Reason()).To(gomega.Equal(crgate.ReasonFull))
 	g.Expect(refusal.RetryAfter()).To(gomega.BeNumerically(">", 100*time.Millisecond))
@@ -121,7 +121,7 @@
 	g.Expect(gate.Idle()).To(gomega.BeFalse())
 	gate.Done(start, running, 0)
 	g.Expect(gate.Idle()).To(gomega.BeTrue())
-	_, refusal := gate.Admit(start, crgate.Request{Start: start.Add(time.Second)})
+	_, refusal := gate.Admit(start, crgate.Request{LatestStart: start.Add(time.Second)})
 	g.Expect(refusal.Reason()).To(gomega.Equal(crgate.ReasonLeaving))
 }
 
@@ -164,7 +164,7 @@
 			if urgent {
 				priority = 0
 			}
-			if ticket, refusal := gate.Admit(now, crgate.Request{Priority: priority, Start: now.Add(patience)}); refusal == nil {
+			if ticket, refusal := gate.Admit(now, crgate.Request{Priority: priority, LatestStart: now.Add(patience)}); refusal == nil {
 				open = append(open, &waiting{ticket: ticket, urgent: urgent})
 			}
 			next = next.Add(gap)
--- a/core/crgate/mixture_test.go
+++ b/core/crgate/mixture_test.go
@@ -24,7 +24,7 @@
 func teach(gate *crgate.Gate, times map[crpace.Kind]time.Duration) {
 	for kind, took := range times {
 		for range 50 {
-			ticket, _ := gate.Admit(start, crgate.Request{Kind: kind, Start: start.Add(time.Hour)})
+			ticket, _ := gate.Admit(start, crgate.Request{Kind: kind, LatestStart: start.Add(time.Hour)})
 			gate.Done(start, ticket, took)
 		}
 	}
@@ -43,16 +43,16 @@
 		if rng.Float64() < 0.15 {
 			took = time.Millisecond
 		}
-		ticket, _ := gate.Admit(start, crgate.Request{Kind: orderKind, Start: start.Add(time.Hour)})
+		ticket, _ := gate.Admit(start, crgate.Request{Kind: orderKind, LatestStart: start.Add(time.Hour)})
 		gate.Done(start, ticket, took)
 	}
 	for range 5 {
-		_, refusal := gate.Admit(start, crgate.Request{Kind: orderKind, Start: start.Add(time.Second)})
+		_, refusal := gate.Admit(start, crgate.Request{Kind: orderKind, LatestStart: start.Add(time.Second)})
 		g.Expect(refusal).To(gomega.BeNil())
 	}
 	latest := gate.Latest(start, crgate.Terms{Kind: orderKind, Objective: 2 * time.Second, Left: 3 * time.Second})
 	g.Expect(latest.Sub(start)).To(gomega.BeNumerically(">", time.Second))
-	_, refusal := gate.Admit(start, crgate.Request{Kind: orderKind, Priority: 1, Start: latest})
+	_, refusal := gate.Admit(start, crgate.Request{Kind: orderKind, Priority: 1, LatestStart: latest})
 	g.Expect(refusal).To(gomega.BeNil())
 }
 
@@ -63,13 +63,13 @@
 	gate := crgate.New(2)
 	teach(gate, map[crpace.Kind]time.Duration{readKind: time.Second})
 	for range 2 {
-		_, refusal := gate.Admit(start, crgate.Request{Kind: readKind, Start: start})
+		_, refusal := gate.Admit(start, crgate.Request{Kind: readKind, LatestStart: start})
 		g.Expect(refusal).To(gomega.BeNil())
 	}
-	_, refusal := gate.Admit(start, crgate.Request{Kind: readKind, Start: start.Add(500 * time.Millisecond)})
+	_, refusal := gate.Admit(start, crgate.Request{Kind: readKind, LatestStart: start.Add(500 * time.Millisecond)})
 	g.Expect(refusal).NotTo(gomega.BeNil())
 	later := start.Add(600 * time.Millisecond)
-	_, refusal = gate.Admit(later, crgate.Request{Kind: readKind, Start: later.Add(500 * time.Millisecond)})
+	_, refusal = gate.Admit(later, crgate.Request{Kind: readKind, LatestStart: later.Add(500 * time.Millisecond)})
 	g.Expect(refusal).To(gomega.BeNil())
 }
 
@@ -124,7 +124,7 @@
 				callWork += c.took
 				terms = crgate.Terms{Kind: callKind, Call: true, Objective: 500 * time.Millisecond, Left: parentLeft}
 			}
-			ticket, refusal := gate.Admit(now, crgate.Request{Kind: terms.Kind, Call: c.call, Priority: 2, Start: gate.Latest(now, terms)})
+			ticket, refusal := gate.Admit(now, crgate.Request{Kind: terms.Kind, Call: c.call, Priority: 2, LatestStart: gate.Latest(now, terms)})
 			if refusal == nil {
 				waiting = append(waiting, &open{coming: c, ticket: ticket})
 			}
@@ -169,9 +169,9 @@
 	g := gomega.NewWithT(t)
 	gate := crgate.New(1)
 	teach(gate, map[crpace.Kind]time.Duration{readKind: time.Second})
-	_, refusal := gate.Admit(start, crgate.Request{Kind: readKind, Start: start})
+	_, refusal := gate.Admit(start, crgate.Request{Kind: readKind, LatestStart: start})
 	g.Expect(refusal).To(gomega.BeNil())
-	_, refusal = gate.Admit(start, crgate.Request{Kind: readKind, Start: start.Add(300 * time.Millisecond)})
+	_, refusal = gate.Admit(start, crgate.Request{Kind: readKind, LatestStart: start.Add(300 * time.Millisecond)})
 	g.Expect(refusal.Reason()).To(gomega.Equal(crgate.ReasonFull))
 	g.Expect(refusal.Wait()).To(gomega.BeNumerically("~", time.Second, time.Millisecond))
 	g.Expect(refusal.Patience()).To(gomega.Equal(300 * time.Millisecond))
--- a/core/crgate/queue.go
+++ b/core/crgate/queue.go
@@ -54,7 +54,7 @@
 	for len(g.running) < g.slots && len(g.waiting) > 0 {
 		t := g.waiting[0]
 		g.waiting = slices.Delete(g.waiting, 0, 1)
-		if now > t.ask.Start {
+		if now > t.ask.LatestStart {
 			g.refuse(t, ReasonFull, g.wait(now, len(g.waiting)))
 			continue
 		}
@@ -69,7 +69,7 @@
 func (g *Gate) displace(now crid.Instant) {
 	for i := len(g.waiting) - 1; i >= 0; i-- {
 		t := g.waiting[i]
-		if now.Add(g.wait(now, i)/2) <= t.ask.Start {
+		if now.Add(g.wait(now, i)/2) <= t.ask.LatestStart {
 			continue
 		}
 		g.waiting = slices.Delete(g.waiting, i, i+1)
@@ -80,7 +80,7 @@
 // sweep refuses what has waited in vain.
 func (g *Gate) sweep(now crid.Instant) {
 	g.waiting = slices.DeleteFunc(g.waiting, func(t *Ticket) bool {
-		if now <= t.ask.Start {
+		if now <= t.ask.LatestStart {
 			return false
 		}
 		g.refuse(t, ReasonFull, g.paces.Typical(t.ask.Kind))
--- a/io/cregress/stop_test.go
+++ b/io/cregress/stop_test.go
@@ -31,7 +31,7 @@
 		Target: "t1", Service: "s1", Class: crpolicy.ClassOnce, Left: 10 * time.Second, Objective: 2 * time.Second, Aim: 2 * time.Second,
 	}
 	for range 20 {
-		ticket, _ := x.gate.Admit(now, crgate.Request{Kind: offer.Kind(), Start: now})
+		ticket, _ := x.gate.Admit(now, crgate.Request{Kind: offer.Kind(), LatestStart: now})
 		x.gate.Done(now, ticket, 500*time.Millisecond)
 	}
 	x.Finish(now.Add(5 * time.Second))
