--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -83,7 +83,7 @@
 // Request is what a request asks for.
 type Request struct {
 	Kind     crpace.Kind
-	Call     bool         // a request that holds a slot of the fleet waits for it
+	Nested     bool         // a request that holds a slot of the fleet waits for it
 	Priority int          // 0 is the most urgent
 	LatestStart    crid.Instant // latest useful start
 }
--- a/core/crgate/mixture_test.go
+++ b/core/crgate/mixture_test.go
@@ -124,7 +124,7 @@
 				callWork += c.took
 				terms = crgate.Terms{Kind: callKind, Call: true, Objective: 500 * time.Millisecond, Left: parentLeft}
 			}
-			ticket, refusal := gate.Admit(now, crgate.Request{Kind: terms.Kind, Call: c.call, Priority: 2, LatestStart: gate.Latest(now, terms)})
+			ticket, refusal := gate.Admit(now, crgate.Request{Kind: terms.Kind, Nested: c.call, Priority: 2, LatestStart: gate.Latest(now, terms)})
 			if refusal == nil {
 				waiting = append(waiting, &open{coming: c, ticket: ticket})
 			}
--- a/core/crgate/queue.go
+++ b/core/crgate/queue.go
@@ -17,8 +17,8 @@
 // comes too late, the parent has worked in vain. At targets that are full of longer
 // requests calls would come last, and take their parents with them.
 func (a Request) before(b Request) bool {
-	if a.Call != b.Call {
-		return a.Call
+	if a.Nested != b.Nested {
+		return a.Nested
 	}
 	return a.Priority < b.Priority
 }
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -207,7 +207,7 @@
 	if before != 0 {
 		latest = min(latest, before)
 	}
-	ticket, full := x.gate.Admit(now, crgate.Request{Kind: o.Kind(), Call: o.Call, Priority: o.Priority, LatestStart: latest})
+	ticket, full := x.gate.Admit(now, crgate.Request{Kind: o.Kind(), Nested: o.Call, Priority: o.Priority, LatestStart: latest})
 	if full != nil {
 		return x.refuse(now, o, refusal{
 			reason: full.Reason().String(), after: full.RetryAfter(), wait: full.Wait(), patience: full.Patience(),
