--- a/core/crgate/terms.go
+++ b/core/crgate/terms.go
@@ -15,8 +15,8 @@
 	margin = 12 * time.Millisecond
 )
 
-// Terms are how long a request is of use to its caller.
-type Terms struct {
+// Timing are how long a request is of use to its caller.
+type Timing struct {
 	Kind      crpace.Kind
 	Call      bool          // a request that holds a slot of the fleet waits for it
 	Objective time.Duration // until an answer loses worth; zero or less: it has
@@ -31,7 +31,7 @@
 // One that cannot meet its objective waits as long as an answer is of any use. So
 // does a call: its own objective says nothing of the time that its parent has left,
 // and its refusal would lose the parent.
-func (g *Gate) Latest(now crid.Instant, t Terms) crid.Instant {
+func (g *Gate) Latest(now crid.Instant, t Timing) crid.Instant {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if most := g.paces.Most(t.Kind); t.Objective > most && !t.Call {
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -90,7 +90,7 @@
 
 func (s *send) offer() {
 	x, w := s.exit, s.exit.world
-	terms := crgate.Terms{
+	terms := crgate.Timing{
 		Kind: s.kind.pace(), Call: s.call, Objective: time.Duration(s.kind.Objective) - w.now.Sub(s.started), Left: s.deadline.Sub(w.now),
 	}
 	if s.fit() {
