--- a/core/crgate/mixture_test.go
+++ b/core/crgate/mixture_test.go
@@ -122,7 +122,7 @@
 			terms := crgate.Timing{Kind: readKind, Objective: readObjective, Left: readLeft}
 			if c.call {
 				callWork += c.took
-				terms = crgate.Timing{Kind: callKind, Call: true, Objective: 500 * time.Millisecond, Left: parentLeft}
+				terms = crgate.Timing{Kind: callKind, Nested: true, Objective: 500 * time.Millisecond, Left: parentLeft}
 			}
 			ticket, refusal := gate.Admit(now, crgate.Request{Kind: terms.Kind, Nested: c.call, Priority: 2, LatestStart: gate.Latest(now, terms)})
 			if refusal == nil {
--- a/core/crgate/terms.go
+++ b/core/crgate/terms.go
@@ -18,7 +18,7 @@
 // Timing are how long a request is of use to its caller.
 type Timing struct {
 	Kind      crpace.Kind
-	Call      bool          // a request that holds a slot of the fleet waits for it
+	Nested      bool          // a request that holds a slot of the fleet waits for it
 	Objective time.Duration // until an answer loses worth; zero or less: it has
 	Left      time.Duration // until the caller is answered in any case
 }
@@ -34,7 +34,7 @@
 func (g *Gate) Latest(now crid.Instant, t Timing) crid.Instant {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if most := g.paces.Most(t.Kind); t.Objective > most && !t.Call {
+	if most := g.paces.Most(t.Kind); t.Objective > most && !t.Nested {
 		return now.Add(min(t.Objective, t.Left) - most)
 	}
 	need := time.Duration(worthwhile * float64(g.paces.Typical(t.Kind)))
