--- a/core/crgate/terms.go
+++ b/core/crgate/terms.go
@@ -20,7 +20,7 @@
 	Kind      crpace.Kind
 	Nested      bool          // a request that holds a slot of the fleet waits for it
 	Objective time.Duration // until an answer loses worth; zero or less: it has
-	Left      time.Duration // until the caller is answered in any case
+	TimeLeft      time.Duration // until the caller is answered in any case
 }
 
 // Latest returns the latest start at which a request is still of use. One that can
@@ -35,8 +35,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if most := g.paces.Most(t.Kind); t.Objective > most && !t.Nested {
-		return now.Add(min(t.Objective, t.Left) - most)
+		return now.Add(min(t.Objective, t.TimeLeft) - most)
 	}
 	need := time.Duration(worthwhile * float64(g.paces.Typical(t.Kind)))
-	return now.Add(max(t.Left-need-margin, 0))
+	return now.Add(max(t.TimeLeft-need-margin, 0))
 }
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -91,7 +91,7 @@
 func (s *send) offer() {
 	x, w := s.exit, s.exit.world
 	terms := crgate.Timing{
-		Kind: s.kind.pace(), Nested: s.call, Objective: time.Duration(s.kind.Objective) - w.now.Sub(s.started), Left: s.deadline.Sub(w.now),
+		Kind: s.kind.pace(), Nested: s.call, Objective: time.Duration(s.kind.Objective) - w.now.Sub(s.started), TimeLeft: s.deadline.Sub(w.now),
 	}
 	if s.fit() {
 		ticket, refusal := x.gate.Admit(w.now, crgate.Request{
