--- a/core/crgate/mixture_test.go
+++ b/core/crgate/mixture_test.go
@@ -50,7 +50,7 @@
 		_, refusal := gate.Admit(start, crgate.Request{Kind: orderKind, LatestStart: start.Add(time.Second)})
 		g.Expect(refusal).To(gomega.BeNil())
 	}
-	latest := gate.Latest(start, crgate.Timing{Kind: orderKind, Objective: 2 * time.Second, TimeLeft: 3 * time.Second})
+	latest := gate.LatestStart(start, crgate.Timing{Kind: orderKind, Objective: 2 * time.Second, TimeLeft: 3 * time.Second})
 	g.Expect(latest.Sub(start)).To(gomega.BeNumerically(">", time.Second))
 	_, refusal := gate.Admit(start, crgate.Request{Kind: orderKind, Priority: 1, LatestStart: latest})
 	g.Expect(refusal).To(gomega.BeNil())
@@ -124,7 +124,7 @@
 				callWork += c.took
 				terms = crgate.Timing{Kind: callKind, Nested: true, Objective: 500 * time.Millisecond, TimeLeft: parentLeft}
 			}
-			ticket, refusal := gate.Admit(now, crgate.Request{Kind: terms.Kind, Nested: c.call, Priority: 2, LatestStart: gate.Latest(now, terms)})
+			ticket, refusal := gate.Admit(now, crgate.Request{Kind: terms.Kind, Nested: c.call, Priority: 2, LatestStart: gate.LatestStart(now, terms)})
 			if refusal == nil {
 				waiting = append(waiting, &open{coming: c, ticket: ticket})
 			}
--- a/core/crgate/terms.go
+++ b/core/crgate/terms.go
@@ -23,7 +23,7 @@
 	TimeLeft      time.Duration // until the caller is answered in any case
 }
 
-// Latest returns the latest start at which a request is still of use. One that can
+// LatestStart returns the latest start at which a request is still of use. One that can
 // meet its objective starts only while it is likely to: started at the last moment,
 // every other request of a full target would end too late, and take the slot of one
 // that would not. Refused sooner, it may find room in time elsewhere.
@@ -31,7 +31,7 @@
 // One that cannot meet its objective waits as long as an answer is of any use. So
 // does a call: its own objective says nothing of the time that its parent has left,
 // and its refusal would lose the parent.
-func (g *Gate) Latest(now crid.Instant, t Timing) crid.Instant {
+func (g *Gate) LatestStart(now crid.Instant, t Timing) crid.Instant {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if most := g.paces.Most(t.Kind); t.Objective > most && !t.Nested {
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -203,7 +203,7 @@
 	if !x.fit(now, o) {
 		return x.refuse(now, o, refusal{reason: "sick"})
 	}
-	latest := x.gate.Latest(now, crgate.Timing{Kind: o.Kind(), Nested: o.Call, Objective: o.Objective, TimeLeft: o.Left})
+	latest := x.gate.LatestStart(now, crgate.Timing{Kind: o.Kind(), Nested: o.Call, Objective: o.Objective, TimeLeft: o.Left})
 	if before != 0 {
 		latest = min(latest, before)
 	}
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -95,7 +95,7 @@
 	}
 	if s.fit() {
 		ticket, refusal := x.gate.Admit(w.now, crgate.Request{
-			Kind: terms.Kind, Nested: s.call, Priority: s.kind.Priority, LatestStart: x.gate.Latest(w.now, terms),
+			Kind: terms.Kind, Nested: s.call, Priority: s.kind.Priority, LatestStart: x.gate.LatestStart(w.now, terms),
 		})
 		if refusal == nil {
 			s.ticket = ticket
