--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -190,9 +190,9 @@
 	g.refuse(t, ReasonWithdrawn, 0)
 }
 
-// Done frees the slot of a request that ran. A time of zero says nothing about
+// Release frees the slot of a request that ran. A time of zero says nothing about
 // how long requests take.
-func (g *Gate) Done(now crid.Instant, t *Ticket, took time.Duration) {
+func (g *Gate) Release(now crid.Instant, t *Ticket, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if t.ended {
--- a/core/crgate/crgate_test.go
+++ b/core/crgate/crgate_test.go
@@ -44,10 +44,10 @@
 	g.Expect(granted(running)).To(gomega.BeTrue())
 	low := admit(t, gate, 2, 5*time.Second)
 	high := admit(t, gate, 0, 5*time.Second)
-	gate.Done(start.Add(100*time.Millisecond), running, 100*time.Millisecond)
+	gate.Release(start.Add(100*time.Millisecond), running, 100*time.Millisecond)
 	g.Expect(granted(high)).To(gomega.BeTrue())
 	g.Expect(decided(low)).To(gomega.BeFalse())
-	gate.Done(start.Add(200*time.Millisecond), high, 100*time.Millisecond)
+	gate.Release(start.Add(200*time.Millisecond), high, 100*time.Millisecond)
 	g.Expect(granted(low)).To(gomega.BeTrue())
 }
 
@@ -57,7 +57,7 @@
 	g := gomega.NewWithT(t)
 	gate := crgate.New(2)
 	for range 20 {
-		gate.Done(start, admit(t, gate, 0, time.Second), time.Second)
+		gate.Release(start, admit(t, gate, 0, time.Second), time.Second)
 	}
 	admit(t, gate, 1, time.Second)
 	admit(t, gate, 1, time.Second)
@@ -74,7 +74,7 @@
 	g := gomega.NewWithT(t)
 	gate := crgate.New(1)
 	for range 20 {
-		gate.Done(start, admit(t, gate, 0, time.Second), 300*time.Millisecond)
+		gate.Release(start, admit(t, gate, 0, time.Second), 300*time.Millisecond)
 	}
 	admit(t, gate, 0, time.Second)
 	low := admit(t, gate, 5, 400*time.Millisecond)
@@ -105,7 +105,7 @@
 	gate := crgate.New(1)
 	running := admit(t, gate, 1, time.Second)
 	waits := admit(t, gate, 1, 500*time.Millisecond)
-	gate.Done(start.Add(3*time.Second), running, 0)
+	gate.Release(start.Add(3*time.Second), running, 0)
 	g.Expect(granted(waits)).To(gomega.BeFalse())
 	g.Expect(gate.Load().Running).To(gomega.BeZero())
 }
@@ -119,7 +119,7 @@
 	gate.Close()
 	g.Expect(waits.Refusal().Reason()).To(gomega.Equal(crgate.ReasonLeaving))
 	g.Expect(gate.Idle()).To(gomega.BeFalse())
-	gate.Done(start, running, 0)
+	gate.Release(start, running, 0)
 	g.Expect(gate.Idle()).To(gomega.BeTrue())
 	_, refusal := gate.Admit(start, crgate.Request{LatestStart: start.Add(time.Second)})
 	g.Expect(refusal.Reason()).To(gomega.Equal(crgate.ReasonLeaving))
@@ -133,7 +133,7 @@
 	first := admit(t, gate, 1, time.Second)
 	gate.Cancel(start, first)
 	gate.Cancel(start, first)
-	gate.Done(start, first, time.Second)
+	gate.Release(start, first, time.Second)
 	g.Expect(gate.Load().Running).To(gomega.BeZero())
 	g.Expect(granted(admit(t, gate, 1, time.Second))).To(gomega.BeTrue())
 }
@@ -177,7 +177,7 @@
 				kept = append(kept, w)
 			case w.ends == 0 && decided(w.ticket):
 			case w.ends != 0 && now >= w.ends:
-				gate.Done(now, w.ticket, work)
+				gate.Release(now, w.ticket, work)
 				served[w.urgent]++
 			default:
 				kept = append(kept, w)
--- a/core/crgate/mixture_test.go
+++ b/core/crgate/mixture_test.go
@@ -25,7 +25,7 @@
 	for kind, took := range times {
 		for range 50 {
 			ticket, _ := gate.Admit(start, crgate.Request{Kind: kind, LatestStart: start.Add(time.Hour)})
-			gate.Done(start, ticket, took)
+			gate.Release(start, ticket, took)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 			took = time.Millisecond
 		}
 		ticket, _ := gate.Admit(start, crgate.Request{Kind: orderKind, LatestStart: start.Add(time.Hour)})
-		gate.Done(start, ticket, took)
+		gate.Release(start, ticket, took)
 	}
 	for range 5 {
 		_, refusal := gate.Admit(start, crgate.Request{Kind: orderKind, LatestStart: start.Add(time.Second)})
@@ -146,7 +146,7 @@
 				still = append(still, o)
 				continue
 			}
-			gate.Done(now, o.ticket, o.took)
+			gate.Release(now, o.ticket, o.took)
 			limit := readObjective
 			if o.call {
 				limit = parentLeft
--- a/io/cregress/run.go
+++ b/io/cregress/run.go
@@ -83,7 +83,7 @@
 func (r *run) unreached(err error) croffer.Result {
 	x := r.exit
 	now := x.opts.Clock()
-	x.gate.Done(now, r.claim.ticket, 0)
+	x.gate.Release(now, r.claim.ticket, 0)
 	if !errors.Is(err, context.Canceled) {
 		x.note(now, crjudge.Failure, r.claim.offer.ID)
 	}
@@ -94,7 +94,7 @@
 func (r *run) broken(ctx context.Context, err error) croffer.Result {
 	x := r.exit
 	now := x.opts.Clock()
-	x.gate.Done(now, r.claim.ticket, 0)
+	x.gate.Release(now, r.claim.ticket, 0)
 	result := croffer.Result{Outcome: croffer.Unknown, Reason: err.Error()}
 	switch {
 	case errors.Is(context.Cause(ctx), errLate):
@@ -129,12 +129,12 @@
 	took := now.Sub(r.started)
 	told := x.opts.Dialect.Answer(a.Status, a.Header)
 	if told.NotRun {
-		x.gate.Done(now, r.claim.ticket, 0)
+		x.gate.Release(now, r.claim.ticket, 0)
 		return croffer.Result{Outcome: croffer.Rejected, Reason: "the target answered " + strconv.Itoa(a.Status), Told: x.Told()}
 	}
 	success := a.Status < http.StatusBadRequest
 	if (success && !told.Sealed) || a.Header.Get("Content-Encoding") != "" {
-		x.gate.Done(now, r.claim.ticket, 0)
+		x.gate.Release(now, r.claim.ticket, 0)
 		x.note(now, crjudge.Failure, r.claim.offer.ID)
 		return croffer.Result{Outcome: croffer.Unknown, Reason: "the answer is not the target's own", Told: x.Told()}
 	}
@@ -147,13 +147,13 @@
 	x := r.exit
 	switch {
 	case status < http.StatusInternalServerError:
-		x.gate.Done(now, r.claim.ticket, took)
+		x.gate.Release(now, r.claim.ticket, took)
 		x.note(now, crjudge.Success, r.claim.offer.ID)
 	case status == http.StatusGatewayTimeout:
-		x.gate.Done(now, r.claim.ticket, 0)
+		x.gate.Release(now, r.claim.ticket, 0)
 		r.lateEvidence(now)
 	default:
-		x.gate.Done(now, r.claim.ticket, 0)
+		x.gate.Release(now, r.claim.ticket, 0)
 		if !x.calls.failedSince(r.started) {
 			x.note(now, crjudge.Failure, r.claim.offer.ID)
 		}
--- a/io/cregress/stop_test.go
+++ b/io/cregress/stop_test.go
@@ -32,7 +32,7 @@
 	}
 	for range 20 {
 		ticket, _ := x.gate.Admit(now, crgate.Request{Kind: offer.Kind(), LatestStart: now})
-		x.gate.Done(now, ticket, 500*time.Millisecond)
+		x.gate.Release(now, ticket, 500*time.Millisecond)
 	}
 	x.Finish(now.Add(5 * time.Second))
 	g.Expect(x.Offer(now, offer).Taken).To(gomega.BeTrue())
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -178,7 +178,7 @@
 	if ok {
 		took = w.now.Sub(began)
 	}
-	x.gate.Done(w.now, s.ticket, took)
+	x.gate.Release(w.now, s.ticket, took)
 	if ok || fault {
 		x.note(sign(ok))
 	}
