--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -221,9 +221,9 @@
 	return Load{Running: len(g.running), Waiting: len(g.waiting), Slots: g.slots, Typical: g.paces.Mean()}
 }
 
-// Slow returns the time from which on a request of a kind is slow; zero: not
+// SlowThreshold returns the time from which on a request of a kind is slow; zero: not
 // known.
-func (g *Gate) Slow(k crpace.Kind) time.Duration {
+func (g *Gate) SlowThreshold(k crpace.Kind) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.paces.Slow(k)
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -146,7 +146,7 @@
 		return 0
 	}
 	longest := o.Left
-	if slow := x.gate.Slow(o.Kind()); slow > 0 {
+	if slow := x.gate.SlowThreshold(o.Kind()); slow > 0 {
 		longest = min(longest, slow)
 	}
 	return crid.Instant(end).Add(-longest)
--- a/io/cregress/run.go
+++ b/io/cregress/run.go
@@ -116,7 +116,7 @@
 	if r.watch.told() || r.exit.calls.failedSince(r.started) {
 		return
 	}
-	if slow := r.exit.gate.Slow(r.claim.offer.Kind()); slow > 0 && now.Sub(r.started) < slow {
+	if slow := r.exit.gate.SlowThreshold(r.claim.offer.Kind()); slow > 0 && now.Sub(r.started) < slow {
 		return
 	}
 	r.exit.note(now, crjudge.Slow, r.claim.offer.ID)
@@ -186,7 +186,7 @@
 }
 
 func (w *watch) start(x *Exit, o croffer.Offer) {
-	slow := x.gate.Slow(o.Kind())
+	slow := x.gate.SlowThreshold(o.Kind())
 	if slow == 0 {
 		return
 	}
