--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -74,8 +74,8 @@
 // reason.
 func (r *Refusal) Wait() time.Duration { return r.wait }
 
-// Patience is how long the request could have waited.
-func (r *Refusal) Patience() time.Duration { return r.patience }
+// MaxWait is how long the request could have waited.
+func (r *Refusal) MaxWait() time.Duration { return r.patience }
 
 // RetryAfter estimates when the target has room again.
 func (r *Refusal) RetryAfter() time.Duration { return r.retryAfter }
--- a/core/crgate/mixture_test.go
+++ b/core/crgate/mixture_test.go
@@ -174,5 +174,5 @@
 	_, refusal = gate.Admit(start, crgate.Request{Kind: readKind, LatestStart: start.Add(300 * time.Millisecond)})
 	g.Expect(refusal.Reason()).To(gomega.Equal(crgate.ReasonFull))
 	g.Expect(refusal.Wait()).To(gomega.BeNumerically("~", time.Second, time.Millisecond))
-	g.Expect(refusal.Patience()).To(gomega.Equal(300 * time.Millisecond))
+	g.Expect(refusal.MaxWait()).To(gomega.Equal(300 * time.Millisecond))
 }
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -210,7 +210,7 @@
 	ticket, full := x.gate.Admit(now, crgate.Request{Kind: o.Kind(), Nested: o.Call, Priority: o.Priority, LatestStart: latest})
 	if full != nil {
 		return x.refuse(now, o, refusal{
-			reason: full.Reason().String(), after: full.RetryAfter(), wait: full.Wait(), patience: full.Patience(),
+			reason: full.Reason().String(), after: full.RetryAfter(), wait: full.Wait(), patience: full.MaxWait(),
 		})
 	}
 	return croffer.Reply{Taken: true, Ticket: x.claim(now, o, ticket), Told: x.Told()}
