--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -110,7 +110,7 @@
 	Running int
 	Waiting int
 	Slots   int
-	Typical time.Duration // of a request; zero: not known yet
+	MeanTime time.Duration // of a request; zero: not known yet
 }
 
 // Gate guards one target. It is safe for concurrent use.
@@ -218,7 +218,7 @@
 func (g *Gate) Load() Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return Load{Running: len(g.running), Waiting: len(g.waiting), Slots: g.slots, Typical: g.paces.Mean()}
+	return Load{Running: len(g.running), Waiting: len(g.waiting), Slots: g.slots, MeanTime: g.paces.Mean()}
 }
 
 // SlowThreshold returns the time from which on a request of a kind is slow; zero: not
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -184,7 +184,7 @@
 	l := x.gate.Load()
 	r := x.target.Load()
 	return crplace.Told{
-		Load: l.Running + l.Waiting, Slots: l.Slots, Sick: sick, Typical: l.Typical,
+		Load: l.Running + l.Waiting, Slots: l.Slots, Sick: sick, Typical: l.MeanTime,
 		Closed: r == nil || r.Leaving || x.stopping.Load(),
 	}
 }
--- a/lab/crexperiment/world.go
+++ b/lab/crexperiment/world.go
@@ -205,7 +205,7 @@
 
 func (x *exit) told() crplace.Told {
 	l := x.gate.Load()
-	return crplace.Told{Load: l.Running + l.Waiting, Slots: l.Slots, Sick: x.judge.Sick(x.world.now), Typical: l.Typical}
+	return crplace.Told{Load: l.Running + l.Waiting, Slots: l.Slots, Sick: x.judge.Sick(x.world.now), Typical: l.MeanTime}
 }
 
 func (x *exit) beat() {
