--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -1,20 +1,25 @@
-// Package crgate admits requests to the slots of one target.
+// Package crgate implements admission control for the slots of one target.
 //
-// A target runs as many requests as it has slots, so that its own queue, which
-// knows neither urgency nor deadlines, stays empty. What has to wait, waits here:
-// the most urgent first, each no longer than it is any use to its caller. What
-// cannot be served in time is refused at once, while there is still time to go to
-// another target.
+// A target runs as many requests at once as it has slots, so that its own
+// queue, which knows neither priorities nor deadlines, stays empty. Other
+// requests wait in the [Gate]: those of the highest priority first, each until
+// its latest useful start. A request that cannot start in time is refused at
+// once, while another target can still serve it.
 //
-// It answers loads above what the slots can do, and mixtures of short and long
-// requests: each is reckoned with by the time of its own kind.
+// The wait is estimated from the service times of each kind of request
+// (core/crpace), so that a mixture of short and long requests is estimated
+// correctly.
+//
+// The package is used by io/cregress. Package crslot assigns slots in io/crexit
+// instead, with fairness between accounts and without priorities.
 //
 // # Usage
 //
-//	latest := gate.Latest(now, crgate.Terms{Kind: kind, Objective: objective, Left: left})
-//	ticket, err := gate.Admit(now, crgate.Ask{Kind: kind, Priority: 1, Start: latest})
+//	latest := gate.LatestStart(now, crgate.Timing{Kind: kind, Objective: objective, TimeLeft: left})
+//	ticket, refusal := gate.Admit(now, crgate.Request{Kind: kind, Priority: 1, LatestStart: latest})
+//	if refusal != nil { ... }
 //	<-ticket.Decided()
-//	if ticket.Granted() { ...; gate.Done(now, ticket, took) }
+//	if ticket.Refusal() == nil { ...; gate.Release(now, ticket, took) }
 package crgate
 
 import (
@@ -26,18 +31,19 @@
 	"camphorroad/core/crpace"
 )
 
-// Reason says why a request was not admitted, or not started after all.
+// Reason is why a request was not admitted, or lost its place after it was.
 type Reason uint8
 
-// The reasons. In each the request was not run.
+// The reasons of a refusal. The request was not run for any of them.
 const (
-	// ReasonFull: it would start too late.
+	// ReasonFull means that the request would start too late.
 	ReasonFull Reason = iota + 1
-	// ReasonDisplaced: more urgent requests came and took its place.
+	// ReasonDisplaced means that more urgent requests took the request's place.
 	ReasonDisplaced
-	// ReasonLeaving: the target or its daemon is stopping.
+	// ReasonLeaving means that the target or its daemon is stopping.
 	ReasonLeaving
-	// ReasonWithdrawn: the entry took it back, or never sent it.
+	// ReasonWithdrawn means that the entry cancelled the request or never sent
+	// it.
 	ReasonWithdrawn
 )
 
@@ -56,74 +62,75 @@
 	return "unknown"
 }
 
-// Refusal tells why a request got no slot and when to come back.
+// Refusal tells why a request got no slot and when to retry.
 type Refusal struct {
-	reason     Reason
-	retryAfter time.Duration
-	wait       time.Duration
-	patience   time.Duration
+	reason        Reason
+	retryAfter    time.Duration
+	estimatedWait time.Duration
+	maxWait       time.Duration
 }
 
 // Error implements error.
 func (r *Refusal) Error() string { return "no slot: " + r.reason.String() }
 
-// Reason returns why.
+// Reason returns why the request got no slot.
 func (r *Refusal) Reason() Reason { return r.reason }
 
-// Wait is the estimated wait for a slot that was too long; zero if that was not the
-// reason.
-func (r *Refusal) Wait() time.Duration { return r.wait }
+// Wait is the estimated wait for a slot, if the request was refused on arrival
+// because of it; otherwise zero.
+func (r *Refusal) Wait() time.Duration { return r.estimatedWait }
 
-// MaxWait is how long the request could have waited.
-func (r *Refusal) MaxWait() time.Duration { return r.patience }
+// MaxWait is the longest wait after which the request would still have started
+// in time, if it was refused on arrival because of its wait; otherwise zero.
+func (r *Refusal) MaxWait() time.Duration { return r.maxWait }
 
-// RetryAfter estimates when the target has room again.
+// RetryAfter estimates when the target can admit such a request again.
 func (r *Refusal) RetryAfter() time.Duration { return r.retryAfter }
 
-// Request is what a request asks for.
+// Request is a request for a slot.
 type Request struct {
-	Kind     crpace.Kind
-	Nested     bool         // a request that holds a slot of the fleet waits for it
-	Priority int          // 0 is the most urgent
-	LatestStart    crid.Instant // latest useful start
+	Kind        crpace.Kind
+	Nested      bool         // a running request, which holds a slot in the fleet, waits for this one
+	Priority    int          // 0 is the most urgent
+	LatestStart crid.Instant // latest useful start
 }
 
-// Ticket is an admitted request's place.
+// Ticket is the place of an admitted request.
 type Ticket struct {
-	ask     Request
-	began   crid.Instant // when it got its slot
-	decided chan struct{}
-	granted bool
-	ended   bool
-	refusal *Refusal
+	request   Request
+	startedAt crid.Instant // when it got its slot
+	decided   chan struct{}
+	granted   bool
+	ended     bool
+	refusal   *Refusal
 }
 
-// Decided is closed once the request has its slot or has lost its place.
+// Decided is closed once the request has got a slot or lost its place.
 func (t *Ticket) Decided() <-chan struct{} { return t.decided }
 
-// Refusal tells why the request lost its place, or is nil if it has its slot.
-// It may be called once Decided is closed.
+// Refusal tells why the request lost its place, or is nil if it got a slot. It
+// may be called once Decided is closed.
 func (t *Ticket) Refusal() *Refusal { return t.refusal }
 
-// Load is how busy the target is.
+// Load is the current load of the target.
 type Load struct {
-	Running int
-	Waiting int
-	Slots   int
+	Running  int
+	Waiting  int
+	Slots    int
 	MeanTime time.Duration // of a request; zero: not known yet
 }
 
-// Gate guards one target. It is safe for concurrent use.
+// Gate admits requests to one target. It is safe for concurrent use.
 type Gate struct {
-	mu      sync.Mutex
-	slots   int
-	running map[*Ticket]bool
-	waiting []*Ticket // most urgent first, then in order of arrival
-	closed  bool
-	paces   crpace.Paces
+	mu           sync.Mutex
+	slots        int
+	running      map[*Ticket]bool
+	waiting      []*Ticket // most urgent first, then in order of arrival
+	closed       bool
+	serviceTimes crpace.Paces
 }
 
-// New returns a gate for a target with the given number of slots.
+// New returns a Gate for a target with the given number of slots.
 func New(slots int) *Gate { return &Gate{slots: max(slots, 1), running: make(map[*Ticket]bool)} }
 
 // SetSlots changes the number of slots.
@@ -134,7 +141,7 @@
 	g.dispatch(now)
 }
 
-// Close refuses all that waits and all that comes, until Open.
+// Close refuses all waiting requests, and all new ones until Open.
 func (g *Gate) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -153,26 +160,26 @@
 }
 
 // Admit gives a request a slot or a place in the queue, or refuses it.
-func (g *Gate) Admit(now crid.Instant, ask Request) (*Ticket, *Refusal) {
+func (g *Gate) Admit(now crid.Instant, req Request) (*Ticket, *Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
 		return nil, &Refusal{reason: ReasonLeaving}
 	}
 	g.sweep(now)
-	at := g.place(ask)
-	if wait := g.wait(now, at); now.Add(wait) > ask.LatestStart {
-		return nil, &Refusal{reason: ReasonFull, retryAfter: g.wait(now, len(g.waiting)), wait: wait, patience: ask.LatestStart.Sub(now)}
+	at := g.insertPosition(req)
+	if wait := g.estimateWait(now, at); now.Add(wait) > req.LatestStart {
+		return nil, &Refusal{reason: ReasonFull, retryAfter: g.estimateWait(now, len(g.waiting)), estimatedWait: wait, maxWait: req.LatestStart.Sub(now)}
 	}
-	t := &Ticket{ask: ask, decided: make(chan struct{})}
+	t := &Ticket{request: req, decided: make(chan struct{})}
 	g.waiting = slices.Insert(g.waiting, at, t)
 	g.dispatch(now)
 	g.displace(now)
 	return t, nil
 }
 
-// Cancel takes a place back that is not started yet; a slot that was granted is
-// free again.
+// Cancel removes a request that has not been run from the queue, or frees its
+// slot if it has got one.
 func (g *Gate) Cancel(now crid.Instant, t *Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -180,7 +187,7 @@
 		return
 	}
 	if t.granted {
-		g.free(t)
+		g.release(t)
 		g.dispatch(now)
 		return
 	}
@@ -190,23 +197,24 @@
 	g.refuse(t, ReasonWithdrawn, 0)
 }
 
-// Release frees the slot of a request that ran. A time of zero says nothing about
-// how long requests take.
+// Release frees the slot of a request that ran. If took is zero it does not
+// count as a service time.
 func (g *Gate) Release(now crid.Instant, t *Ticket, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if t.ended {
 		return
 	}
-	g.free(t)
+	g.release(t)
 	if took > 0 {
-		g.paces.Add(t.ask.Kind, took)
+		g.serviceTimes.Add(t.request.Kind, took)
 	}
 	g.dispatch(now)
 }
 
-// Sweep refuses what has waited in vain. It is to be called now and then, since
-// nothing else happens at a target whose requests all hang.
+// Sweep refuses requests whose latest start has passed. It must be called
+// periodically: at a target whose requests all hang, no other call has this
+// effect.
 func (g *Gate) Sweep(now crid.Instant) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -214,19 +222,19 @@
 	g.dispatch(now)
 }
 
-// Load returns how busy the target is now.
+// Load returns the current load of the target.
 func (g *Gate) Load() Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return Load{Running: len(g.running), Waiting: len(g.waiting), Slots: g.slots, MeanTime: g.paces.Mean()}
+	return Load{Running: len(g.running), Waiting: len(g.waiting), Slots: g.slots, MeanTime: g.serviceTimes.Mean()}
 }
 
-// SlowThreshold returns the time from which on a request of a kind is slow; zero: not
-// known.
+// SlowThreshold returns the time from which on a request of a kind counts as
+// slow; zero: not known.
 func (g *Gate) SlowThreshold(k crpace.Kind) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.paces.Slow(k)
+	return g.serviceTimes.Slow(k)
 }
 
 // Idle reports whether nothing runs and nothing waits.
--- a/core/crgate/crgate_test.go
+++ b/core/crgate/crgate_test.go
@@ -30,14 +30,14 @@
 	}
 }
 
-func admit(t *testing.T, g *crgate.Gate, priority int, patience time.Duration) *crgate.Ticket {
+func admit(t *testing.T, g *crgate.Gate, priority int, maxWait time.Duration) *crgate.Ticket {
 	t.Helper()
-	ticket, refusal := g.Admit(start, crgate.Request{Priority: priority, LatestStart: start.Add(patience)})
+	ticket, refusal := g.Admit(start, crgate.Request{Priority: priority, LatestStart: start.Add(maxWait)})
 	gomega.NewWithT(t).Expect(refusal).To(gomega.BeNil())
 	return ticket
 }
 
-func TestRequestsGetSlotsInOrderOfUrgency(t *testing.T) {
+func TestSlotsGoByPriority(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(1)
 	running := admit(t, gate, 1, time.Second)
@@ -51,9 +51,9 @@
 	g.Expect(granted(low)).To(gomega.BeTrue())
 }
 
-// All slots hold requests of a second. A caller whose answer is worth something
-// for 100 ms more would wait in vain; told at once, it can go to another target.
-func TestWhatCannotStartInTimeIsRefusedAtOnce(t *testing.T) {
+// All slots hold requests of a second. A request with 100 ms left would wait in
+// vain; refused at once, it can go to another target.
+func TestLateStartRefusedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(2)
 	for range 20 {
@@ -67,10 +67,10 @@
 	g.Expect(refusal.RetryAfter()).To(gomega.BeNumerically(">", 100*time.Millisecond))
 }
 
-// The queue is as long as the least urgent can bear when urgent requests come.
-// These push the others out of reach; the others learn it at once, while there
-// is time to go elsewhere, and not when their time is up.
-func TestUrgentRequestsDisplaceOthersAtOnce(t *testing.T) {
+// Urgent requests arrive while the queue is as long as the least urgent request
+// can wait. That one must be refused at once, not when its time is up, so that
+// it can go to another target.
+func TestUrgentRequestsDisplaceOthers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(1)
 	for range 20 {
@@ -85,39 +85,40 @@
 	g.Expect(low.Refusal().Reason()).To(gomega.Equal(crgate.ReasonDisplaced))
 }
 
-// The target hangs, so that no slot gets free and nothing happens. What waits
-// must still be told when its time is up.
-func TestWhatWaitsInVainIsRefusedBySweep(t *testing.T) {
+// The target hangs, so that no slot becomes free. Waiting requests must still
+// be refused when their time is up.
+func TestSweepRefusesLateRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(1)
 	admit(t, gate, 1, time.Second)
-	waits := admit(t, gate, 1, 500*time.Millisecond)
+	waiting := admit(t, gate, 1, 500*time.Millisecond)
 	gate.Sweep(start.Add(499 * time.Millisecond))
-	g.Expect(decided(waits)).To(gomega.BeFalse())
+	g.Expect(decided(waiting)).To(gomega.BeFalse())
 	gate.Sweep(start.Add(501 * time.Millisecond))
-	g.Expect(waits.Refusal().Reason()).To(gomega.Equal(crgate.ReasonFull))
+	g.Expect(waiting.Refusal().Reason()).To(gomega.Equal(crgate.ReasonFull))
 }
 
-// The process stood still while a request waited, and wakes up with a free slot
-// after the caller has been told that the request did not run.
-func TestNothingStartsAfterItsTime(t *testing.T) {
+// The process is paused while a request waits, and resumes with a free slot.
+// The caller may have been told that the request did not run.
+func TestNothingStartsAfterLatestStart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(1)
 	running := admit(t, gate, 1, time.Second)
-	waits := admit(t, gate, 1, 500*time.Millisecond)
+	waiting := admit(t, gate, 1, 500*time.Millisecond)
 	gate.Release(start.Add(3*time.Second), running, 0)
-	g.Expect(granted(waits)).To(gomega.BeFalse())
+	g.Expect(granted(waiting)).To(gomega.BeFalse())
 	g.Expect(gate.Load().Running).To(gomega.BeZero())
 }
 
-// The target leaves. What waits would run on a target that is about to end.
-func TestClosingRefusesWhatWaitsAndKeepsWhatRuns(t *testing.T) {
+// The target is stopping. A waiting request would run on a target that is about
+// to exit.
+func TestCloseRefusesWaitingAndKeepsRunning(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(1)
 	running := admit(t, gate, 1, time.Second)
-	waits := admit(t, gate, 1, time.Second)
+	waiting := admit(t, gate, 1, time.Second)
 	gate.Close()
-	g.Expect(waits.Refusal().Reason()).To(gomega.Equal(crgate.ReasonLeaving))
+	g.Expect(waiting.Refusal().Reason()).To(gomega.Equal(crgate.ReasonLeaving))
 	g.Expect(gate.Idle()).To(gomega.BeFalse())
 	gate.Release(start, running, 0)
 	g.Expect(gate.Idle()).To(gomega.BeTrue())
@@ -125,9 +126,9 @@
 	g.Expect(refusal.Reason()).To(gomega.Equal(crgate.ReasonLeaving))
 }
 
-// An entry takes its offer back, or dies between offer and request. Its slot
-// must be free again, and only once.
-func TestCancelFreesTheSlotOnce(t *testing.T) {
+// An entry withdraws its offer, or crashes between offer and request. The slot
+// must become free, and only once.
+func TestCancelFreesSlotOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(1)
 	first := admit(t, gate, 1, time.Second)
@@ -138,46 +139,46 @@
 	g.Expect(granted(admit(t, gate, 1, time.Second))).To(gomega.BeTrue())
 }
 
-// Requests come at 1.7 times what the target can do, one in five of them urgent.
-// Callers of urgent ones must be served all the same, what is admitted must be
-// served in its time, and the slots must not idle.
-func TestOverloadServesTheUrgentAndKeepsTheSlotsBusy(t *testing.T) {
+// Requests arrive at 1.7 times the target's capacity, one in five of them
+// urgent. The urgent ones must be served, what is admitted must be served in
+// time, and the slots must not be idle.
+func TestOverloadServesUrgentAndKeepsSlotsBusy(t *testing.T) {
 	g := gomega.NewWithT(t)
-	const slots, work, patience = 5, 300 * time.Millisecond, 700 * time.Millisecond
+	const slots, serviceTime, maxWait = 5, 300 * time.Millisecond, 700 * time.Millisecond
 	gate := crgate.New(slots)
-	type waiting struct {
+	type pending struct {
 		ticket *crgate.Ticket
 		ends   crid.Instant
 		urgent bool
 	}
-	var open []*waiting
-	served, asked := map[bool]int{}, map[bool]int{}
-	gap := work * 10 / (17 * slots)
+	var open []*pending
+	served, arrived := map[bool]int{}, map[bool]int{}
+	interval := serviceTime * 10 / (17 * slots)
 	n := 0
 	next := start
 	for now := start; now < start.Add(time.Minute); now = now.Add(5 * time.Millisecond) {
 		for next <= now {
 			urgent := n%5 == 0
 			n++
-			asked[urgent]++
+			arrived[urgent]++
 			priority := 2
 			if urgent {
 				priority = 0
 			}
-			if ticket, refusal := gate.Admit(now, crgate.Request{Priority: priority, LatestStart: now.Add(patience)}); refusal == nil {
-				open = append(open, &waiting{ticket: ticket, urgent: urgent})
+			if ticket, refusal := gate.Admit(now, crgate.Request{Priority: priority, LatestStart: now.Add(maxWait)}); refusal == nil {
+				open = append(open, &pending{ticket: ticket, urgent: urgent})
 			}
-			next = next.Add(gap)
+			next = next.Add(interval)
 		}
-		var kept []*waiting
+		var kept []*pending
 		for _, w := range open {
 			switch {
 			case w.ends == 0 && granted(w.ticket):
-				w.ends = now.Add(work)
+				w.ends = now.Add(serviceTime)
 				kept = append(kept, w)
 			case w.ends == 0 && decided(w.ticket):
 			case w.ends != 0 && now >= w.ends:
-				gate.Release(now, w.ticket, work)
+				gate.Release(now, w.ticket, serviceTime)
 				served[w.urgent]++
 			default:
 				kept = append(kept, w)
@@ -185,7 +186,7 @@
 		}
 		open = kept
 	}
-	g.Expect(float64(served[true])/float64(asked[true])).To(gomega.BeNumerically(">", 0.98), "urgent")
-	capacity := slots * float64(time.Minute) / float64(work)
+	g.Expect(float64(served[true])/float64(arrived[true])).To(gomega.BeNumerically(">", 0.98), "urgent")
+	capacity := slots * float64(time.Minute) / float64(serviceTime)
 	g.Expect(float64(served[true]+served[false])/capacity).To(gomega.BeNumerically(">", 0.93), "use of the slots")
 }
--- a/core/crgate/mixture_test.go
+++ b/core/crgate/mixture_test.go
@@ -15,13 +15,13 @@
 )
 
 var (
-	callKind  = crpace.Kind{Class: crpolicy.ClassRepeat, Objective: 500 * time.Millisecond}
-	readKind  = crpace.Kind{Class: crpolicy.ClassRepeat, Objective: 3 * time.Second}
-	orderKind = crpace.Kind{Class: crpolicy.ClassOnce, Objective: 2 * time.Second}
+	nestedKind = crpace.Kind{Class: crpolicy.ClassRepeat, Objective: 500 * time.Millisecond}
+	readKind   = crpace.Kind{Class: crpolicy.ClassRepeat, Objective: 3 * time.Second}
+	orderKind  = crpace.Kind{Class: crpolicy.ClassOnce, Objective: 2 * time.Second}
 )
 
-// teach lets a gate see how long requests of some kinds take.
-func teach(gate *crgate.Gate, times map[crpace.Kind]time.Duration) {
+// addServiceTimes adds 50 service times of each kind to a gate.
+func addServiceTimes(gate *crgate.Gate, times map[crpace.Kind]time.Duration) {
 	for kind, took := range times {
 		for range 50 {
 			ticket, _ := gate.Admit(start, crgate.Request{Kind: kind, LatestStart: start.Add(time.Hour)})
@@ -30,13 +30,14 @@
 	}
 }
 
-// A target runs short calls, long reads, and orders of half a second, some of which
-// are answered at once. Its slots are just taken and nobody waits. An order has two
-// seconds: told that there is no room, it would go to a sick target and be lost.
-func TestABusyTargetWithoutAQueueHasRoomForAnOrder(t *testing.T) {
+// All slots of a target with mixed requests are taken and nothing waits. Some
+// orders end at once, which spreads their service times. An order with two
+// seconds left must not be refused, or it would go to a failing target and be
+// lost.
+func TestBusyTargetWithoutQueueAdmitsOrder(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(5)
-	teach(gate, map[crpace.Kind]time.Duration{callKind: 130 * time.Millisecond, readKind: 1300 * time.Millisecond})
+	addServiceTimes(gate, map[crpace.Kind]time.Duration{nestedKind: 130 * time.Millisecond, readKind: 1300 * time.Millisecond})
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		took := time.Duration(float64(510*time.Millisecond) * math.Exp(0.5*rng.NormFloat64()))
@@ -56,12 +57,12 @@
 	g.Expect(refusal).To(gomega.BeNil())
 }
 
-// Requests that have run for most of their time are about to leave their slots. One
-// that just came must not be told that it would wait as long as behind fresh ones.
-func TestWhatRunsIsReckonedWithByWhatIsLeftOfIt(t *testing.T) {
+// Requests that have run for most of their time will free their slots soon. The
+// estimate for a new request must not assume that they have just started.
+func TestEstimateCountsRemainingTimeOfRunning(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(2)
-	teach(gate, map[crpace.Kind]time.Duration{readKind: time.Second})
+	addServiceTimes(gate, map[crpace.Kind]time.Duration{readKind: time.Second})
 	for range 2 {
 		_, refusal := gate.Admit(start, crgate.Request{Kind: readKind, LatestStart: start})
 		g.Expect(refusal).To(gomega.BeNil())
@@ -73,102 +74,101 @@
 	g.Expect(refusal).To(gomega.BeNil())
 }
 
-// coming is a request of the load below.
-type coming struct {
-	at   crid.Instant
-	call bool
-	took time.Duration
+// arrival is a request of the load below.
+type arrival struct {
+	at     crid.Instant
+	nested bool
+	took   time.Duration
 }
 
-// load draws reads of more than a second, more than five slots can do, and four calls
-// a second among them.
-func load(rng *rand.Rand, span time.Duration) []coming {
-	var out []coming
+// drawLoad draws reads of more than a second, more than five slots can serve,
+// and four nested requests a second among them.
+func drawLoad(rng *rand.Rand, span time.Duration) []arrival {
+	var out []arrival
 	for at := start; at < start.Add(span); at = at.Add(10 * time.Millisecond) {
 		if rng.Float64() < 0.045 {
-			out = append(out, coming{at: at, took: time.Duration(float64(1150*time.Millisecond) * math.Exp(0.5*rng.NormFloat64()))})
+			out = append(out, arrival{at: at, took: time.Duration(float64(1150*time.Millisecond) * math.Exp(0.5*rng.NormFloat64()))})
 		}
 		if rng.Float64() < 0.04 {
-			out = append(out, coming{at: at, call: true, took: time.Duration(float64(115*time.Millisecond) * math.Exp(0.5*rng.NormFloat64()))})
+			out = append(out, arrival{at: at, nested: true, took: time.Duration(float64(115*time.Millisecond) * math.Exp(0.5*rng.NormFloat64()))})
 		}
 	}
 	return out
 }
 
-// A target is full of reads of more than a second, a fifth more than it can do, and
-// requests at other targets call it for a tenth of a second each. Their own callers
-// wait two seconds. If the calls wait in line behind the reads, they come too late,
-// and each takes a request with it that had done half a second of work; going first,
-// all of them are in time and the reads lose next to nothing.
-func TestCallsAreServedInTimeAtAFullTarget(t *testing.T) {
+// A target has a fifth more reads of over a second than it can serve, and
+// nested requests of a tenth of a second whose parents have two seconds. Queued
+// behind the reads, nested requests would be late and waste the work of their
+// parents; going first, they cost the reads almost nothing.
+func TestNestedRequestsServedInTimeAtFullTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const parentLeft, readObjective, readLeft = 2 * time.Second, 3 * time.Second, 6 * time.Second
 	gate := crgate.New(5)
-	teach(gate, map[crpace.Kind]time.Duration{callKind: 130 * time.Millisecond, readKind: 1300 * time.Millisecond})
+	addServiceTimes(gate, map[crpace.Kind]time.Duration{nestedKind: 130 * time.Millisecond, readKind: 1300 * time.Millisecond})
 	type open struct {
-		coming
-		ticket *crgate.Ticket
-		began  crid.Instant
+		arrival
+		ticket    *crgate.Ticket
+		startedAt crid.Instant
 	}
 	var waiting, running []*open
-	asked, inTime := map[bool]int{}, map[bool]int{}
-	callWork := time.Duration(0)
-	list := load(rand.New(rand.NewPCG(4, 5)), time.Minute)
+	arrived, inTime := map[bool]int{}, map[bool]int{}
+	nestedWork := time.Duration(0)
+	arrivals := drawLoad(rand.New(rand.NewPCG(4, 5)), time.Minute)
 	for now := start; now < start.Add(70*time.Second); now = now.Add(5 * time.Millisecond) {
-		for len(list) > 0 && list[0].at <= now {
-			c := list[0]
-			list = list[1:]
-			asked[c.call]++
-			terms := crgate.Timing{Kind: readKind, Objective: readObjective, TimeLeft: readLeft}
-			if c.call {
-				callWork += c.took
-				terms = crgate.Timing{Kind: callKind, Nested: true, Objective: 500 * time.Millisecond, TimeLeft: parentLeft}
+		for len(arrivals) > 0 && arrivals[0].at <= now {
+			c := arrivals[0]
+			arrivals = arrivals[1:]
+			arrived[c.nested]++
+			timing := crgate.Timing{Kind: readKind, Objective: readObjective, TimeLeft: readLeft}
+			if c.nested {
+				nestedWork += c.took
+				timing = crgate.Timing{Kind: nestedKind, Nested: true, Objective: 500 * time.Millisecond, TimeLeft: parentLeft}
 			}
-			ticket, refusal := gate.Admit(now, crgate.Request{Kind: terms.Kind, Nested: c.call, Priority: 2, LatestStart: gate.LatestStart(now, terms)})
+			ticket, refusal := gate.Admit(now, crgate.Request{Kind: timing.Kind, Nested: c.nested, Priority: 2, LatestStart: gate.LatestStart(now, timing)})
 			if refusal == nil {
-				waiting = append(waiting, &open{coming: c, ticket: ticket})
+				waiting = append(waiting, &open{arrival: c, ticket: ticket})
 			}
 		}
-		rest := waiting[:0]
+		stillWaiting := waiting[:0]
 		for _, o := range waiting {
 			switch {
 			case granted(o.ticket):
-				o.began = now
+				o.startedAt = now
 				running = append(running, o)
 			case !decided(o.ticket):
-				rest = append(rest, o)
+				stillWaiting = append(stillWaiting, o)
 			}
 		}
-		waiting = rest
-		still := running[:0]
+		waiting = stillWaiting
+		stillRunning := running[:0]
 		for _, o := range running {
-			if now.Sub(o.began) < o.took {
-				still = append(still, o)
+			if now.Sub(o.startedAt) < o.took {
+				stillRunning = append(stillRunning, o)
 				continue
 			}
 			gate.Release(now, o.ticket, o.took)
 			limit := readObjective
-			if o.call {
+			if o.nested {
 				limit = parentLeft
 			}
 			if now.Sub(o.at) <= limit {
-				inTime[o.call]++
+				inTime[o.nested]++
 			}
 		}
-		running = still
+		running = stillRunning
 		gate.Sweep(now)
 	}
-	g.Expect(inTime[true]).To(gomega.BeNumerically(">=", asked[true]*98/100), "calls in the time of their parents")
-	possible := float64(5*time.Minute-callWork) / float64(1300*time.Millisecond)
-	g.Expect(float64(inTime[false])).To(gomega.BeNumerically(">=", 0.8*possible), "reads in time, of those that the slots can do")
+	g.Expect(inTime[true]).To(gomega.BeNumerically(">=", arrived[true]*98/100), "nested requests within the time of their parents")
+	capacity := float64(5*time.Minute-nestedWork) / float64(1300*time.Millisecond)
+	g.Expect(float64(inTime[false])).To(gomega.BeNumerically(">=", 0.8*capacity), "reads in time, of those that the slots can do")
 }
 
-// A caller asks why it was refused. The answer is in the wait that was expected and
-// in the time that the request had.
-func TestARefusalTellsWhatDecidedIt(t *testing.T) {
+// A refusal must carry the estimated wait and the longest wait that was
+// acceptable, so that an operator can explain it.
+func TestRefusalTellsWaitAndMaxWait(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(1)
-	teach(gate, map[crpace.Kind]time.Duration{readKind: time.Second})
+	addServiceTimes(gate, map[crpace.Kind]time.Duration{readKind: time.Second})
 	_, refusal := gate.Admit(start, crgate.Request{Kind: readKind, LatestStart: start})
 	g.Expect(refusal).To(gomega.BeNil())
 	_, refusal = gate.Admit(start, crgate.Request{Kind: readKind, LatestStart: start.Add(300 * time.Millisecond)})
--- a/core/crgate/queue.go
+++ b/core/crgate/queue.go
@@ -7,95 +7,99 @@
 	"camphorroad/core/crid"
 )
 
-// remaining is the share of its kind's time that a request is reckoned to take on at
-// least, however long it runs already.
-const remaining = 0.3
+// minRemainingShare is the least share of its kind's mean time that a running
+// request is assumed to need still, however long it has been running.
+const minRemainingShare = 0.3
 
-// before reports whether a request goes before another one that came earlier.
+// precedes reports whether a request goes before another one that arrived
+// earlier.
 //
-// A call goes before all else: its parent holds a slot while it waits, and if it
-// comes too late, the parent has worked in vain. At targets that are full of longer
-// requests calls would come last, and take their parents with them.
-func (a Request) before(b Request) bool {
+// A nested request goes before all others: its parent holds a slot while it
+// waits, and the parent's work is wasted if the nested request is late. Queued
+// behind the longer requests of a full target, nested requests would be the
+// last, and their parents would fail with them.
+func (a Request) precedes(b Request) bool {
 	if a.Nested != b.Nested {
 		return a.Nested
 	}
 	return a.Priority < b.Priority
 }
 
-// place is where in the queue a request belongs.
-func (g *Gate) place(ask Request) int {
+// insertPosition is the index at which a request joins the queue.
+func (g *Gate) insertPosition(req Request) int {
 	i := len(g.waiting)
-	for i > 0 && ask.before(g.waiting[i-1].ask) {
+	for i > 0 && req.precedes(g.waiting[i-1].request) {
 		i--
 	}
 	return i
 }
 
-// wait estimates the time until a request with so many before it has a slot: the work
-// that is before it, shared by the slots.
-func (g *Gate) wait(now crid.Instant, ahead int) time.Duration {
+// estimateWait estimates the time until a request with the given number of
+// waiting ones before it gets a slot: the work before it, divided by the number
+// of slots.
+func (g *Gate) estimateWait(now crid.Instant, ahead int) time.Duration {
 	if ahead == 0 && len(g.running) < g.slots {
 		return 0
 	}
 	work := time.Duration(0)
 	for t := range g.running {
-		usual := g.paces.Typical(t.ask.Kind)
-		work += max(usual-now.Sub(t.began), time.Duration(remaining*float64(usual)))
+		mean := g.serviceTimes.Typical(t.request.Kind)
+		work += max(mean-now.Sub(t.startedAt), time.Duration(minRemainingShare*float64(mean)))
 	}
 	for _, t := range g.waiting[:ahead] {
-		work += g.paces.Typical(t.ask.Kind)
+		work += g.serviceTimes.Typical(t.request.Kind)
 	}
 	return work / time.Duration(g.slots)
 }
 
-// dispatch gives free slots to what waits.
+// dispatch assigns free slots to waiting requests.
 func (g *Gate) dispatch(now crid.Instant) {
 	for len(g.running) < g.slots && len(g.waiting) > 0 {
 		t := g.waiting[0]
 		g.waiting = slices.Delete(g.waiting, 0, 1)
-		if now > t.ask.LatestStart {
-			g.refuse(t, ReasonFull, g.wait(now, len(g.waiting)))
+		if now > t.request.LatestStart {
+			g.refuse(t, ReasonFull, g.estimateWait(now, len(g.waiting)))
 			continue
 		}
-		t.granted, t.began = true, now
+		t.granted, t.startedAt = true, now
 		g.running[t] = true
 		close(t.decided)
 	}
 }
 
-// displace refuses waiting requests whose start has moved out of reach, since
-// more urgent ones came. Told at once, they can still go to another target.
+// displace refuses waiting requests that can no longer start in time because
+// more urgent ones have arrived. Refused at once, they can still go to another
+// target.
 func (g *Gate) displace(now crid.Instant) {
 	for i := len(g.waiting) - 1; i >= 0; i-- {
 		t := g.waiting[i]
-		if now.Add(g.wait(now, i)/2) <= t.ask.LatestStart {
+		if now.Add(g.estimateWait(now, i)/2) <= t.request.LatestStart {
 			continue
 		}
 		g.waiting = slices.Delete(g.waiting, i, i+1)
-		g.refuse(t, ReasonDisplaced, g.wait(now, len(g.waiting)))
+		g.refuse(t, ReasonDisplaced, g.estimateWait(now, len(g.waiting)))
 	}
 }
 
-// sweep refuses what has waited in vain.
+// sweep refuses waiting requests whose latest start has passed.
 func (g *Gate) sweep(now crid.Instant) {
 	g.waiting = slices.DeleteFunc(g.waiting, func(t *Ticket) bool {
-		if now <= t.ask.LatestStart {
+		if now <= t.request.LatestStart {
 			return false
 		}
-		g.refuse(t, ReasonFull, g.paces.Typical(t.ask.Kind))
+		g.refuse(t, ReasonFull, g.serviceTimes.Typical(t.request.Kind))
 		return true
 	})
 }
 
-// free gives a request's slot back.
-func (g *Gate) free(t *Ticket) {
+// release frees a request's slot.
+func (g *Gate) release(t *Ticket) {
 	t.ended = true
 	delete(g.running, t)
 }
 
-func (g *Gate) refuse(t *Ticket, r Reason, retry time.Duration) {
+func (g *Gate) refuse(t *Ticket, r Reason, retryAfter time.Duration) {
 	t.ended = true
-	t.refusal = &Refusal{reason: r, retryAfter: retry}
+	t.refusal = &Refusal{reason: r, retryAfter: retryAfter}
 	close(t.decided)
 }
--- /dev/null
+++ b/core/crgate/timing.go
@@ -0,0 +1,44 @@
+package crgate
+
+import (
+	"time"
+
+	"camphorroad/core/crid"
+	"camphorroad/core/crpace"
+)
+
+const (
+	// minTimeShare is the share of its kind's mean time that must be left for a
+	// request to be started although it will miss its objective.
+	minTimeShare = 0.8
+	// responseMargin is the part of the time left that is reserved for the
+	// transfer of the response.
+	responseMargin = 12 * time.Millisecond
+)
+
+// Timing tells until when a response is of use to the caller.
+type Timing struct {
+	Kind      crpace.Kind
+	Nested    bool          // a running request, which holds a slot in the fleet, waits for this one
+	Objective time.Duration // remaining time of the latency objective; zero or less: missed
+	TimeLeft  time.Duration // remaining time until the caller gets a response in any case
+}
+
+// LatestStart returns the latest useful start of a request. A request that can
+// meet its objective must start early enough to be likely to meet it. If it
+// were started at the last moment, every other request of a full target would
+// end too late and take the slot of one that would not. Refused earlier, it may
+// be served in time by another target.
+//
+// A request that cannot meet its objective may wait as long as a response is of
+// any use. So may a nested request: its own objective says nothing of the time
+// that its parent has left, and its refusal would fail the parent.
+func (g *Gate) LatestStart(now crid.Instant, t Timing) crid.Instant {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if most := g.serviceTimes.Most(t.Kind); t.Objective > most && !t.Nested {
+		return now.Add(min(t.Objective, t.TimeLeft) - most)
+	}
+	need := time.Duration(minTimeShare * float64(g.serviceTimes.Typical(t.Kind)))
+	return now.Add(max(t.TimeLeft-need-responseMargin, 0))
+}
