--- a/core/crview/crview.go
+++ b/core/crview/crview.go
@@ -22,8 +22,8 @@
 	"camphorroad/core/crroute"
 )
 
-// Steer is the health side's word on one target.
-type Steer struct {
+// TargetHealth is the health side's word on one target.
+type TargetHealth struct {
 	Ejected bool
 	Weight  int // slow-start weight, up to crroute.FullWeight
 }
@@ -65,7 +65,7 @@
 	Snapshot *crpolicy.Snapshot
 	List     crinstance.List
 	Peers    []crmember.Peer
-	Steers   map[crid.Target]Steer
+	Steers   map[crid.Target]TargetHealth
 	Loads    *Loads
 }
 
--- a/io/crdaemon/steer.go
+++ b/io/crdaemon/steer.go
@@ -30,11 +30,11 @@
 }
 
 // steerTargets is the word on every target that has one.
-func (s *shell) steerTargets() map[crid.Target]crview.Steer {
-	targets := make(map[crid.Target]crview.Steer)
+func (s *shell) steerTargets() map[crid.Target]crview.TargetHealth {
+	targets := make(map[crid.Target]crview.TargetHealth)
 	for _, eff := range s.steers {
 		for _, t := range eff.Targets {
-			targets[t.Target] = crview.Steer{Ejected: t.Ejected, Weight: t.Weight}
+			targets[t.Target] = crview.TargetHealth{Ejected: t.Ejected, Weight: t.Weight}
 		}
 	}
 	return targets
