--- a/core/crview/crview.go
+++ b/core/crview/crview.go
@@ -65,7 +65,7 @@
 	Snapshot *crpolicy.Snapshot
 	List     crinstance.List
 	Peers    []crmember.Peer
-	Steers   map[crid.Target]TargetHealth
+	Health   map[crid.Target]TargetHealth
 	Loads    *Loads
 }
 
@@ -149,7 +149,7 @@
 
 func (in Input) target(t crinstance.Target, inst crinstance.Instance, status crroute.Status) *crroute.Target {
 	weight := crroute.FullWeight
-	if steer, ok := in.Steers[t.Name]; ok {
+	if steer, ok := in.Health[t.Name]; ok {
 		weight = steer.Weight
 		if steer.Ejected && status == crroute.StatusReady {
 			status = crroute.StatusEjected
