--- a/core/crview/crview.go
+++ b/core/crview/crview.go
@@ -28,18 +28,18 @@
 	Weight  int // slow-start weight, up to crroute.FullWeight
 }
 
-// Loads keeps each target's load from view to view. It is safe for concurrent
+// LoadRegistry keeps each target's load from view to view. It is safe for concurrent
 // use.
-type Loads struct {
+type LoadRegistry struct {
 	mu    sync.Mutex
 	loads map[crid.Target]*crroute.Load
 }
 
 // NewLoads returns an empty registry.
-func NewLoads() *Loads { return &Loads{loads: make(map[crid.Target]*crroute.Load)} }
+func NewLoads() *LoadRegistry { return &LoadRegistry{loads: make(map[crid.Target]*crroute.Load)} }
 
 // Get returns the load of a target, the same one each time.
-func (l *Loads) Get(name crid.Target) *crroute.Load {
+func (l *LoadRegistry) Get(name crid.Target) *crroute.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	load, ok := l.loads[name]
@@ -51,7 +51,7 @@
 }
 
 // keep forgets targets that are no longer listed.
-func (l *Loads) keep(listed map[crid.Target]bool) {
+func (l *LoadRegistry) keep(listed map[crid.Target]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	maps.DeleteFunc(l.loads, func(name crid.Target, _ *crroute.Load) bool { return !listed[name] })
@@ -66,7 +66,7 @@
 	List     crinstance.List
 	Peers    []crmember.Peer
 	Health   map[crid.Target]TargetHealth
-	Loads    *Loads
+	Loads    *LoadRegistry
 }
 
 // View is one state of the fleet for the traffic side. It is immutable.
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -32,7 +32,7 @@
 	clock  func() crid.Instant
 	pulse  *crforward.PauseDetector
 	exit   *crexit.Exit
-	loads  *crview.Loads
+	loads  *crview.LoadRegistry
 	peers  *crpeer.Transport
 	loop   *crcontrol.Loop
 	reader *reader
