--- a/core/crview/bench_test.go
+++ b/core/crview/bench_test.go
@@ -48,7 +48,7 @@
 	}
 	return crview.Input{
 		Self: "instance-00000", Domain: "domain-0", Snapshot: s.snapshot(),
-		List: crinstance.NewList(1, instances), Peers: peers, Loads: crview.NewLoads(),
+		List: crinstance.NewList(1, instances), Peers: peers, Loads: crview.NewLoadRegistry(),
 	}
 }
 
--- a/core/crview/crview.go
+++ b/core/crview/crview.go
@@ -35,8 +35,8 @@
 	loads map[crid.Target]*crroute.Load
 }
 
-// NewLoads returns an empty registry.
-func NewLoads() *LoadRegistry { return &LoadRegistry{loads: make(map[crid.Target]*crroute.Load)} }
+// NewLoadRegistry returns an empty registry.
+func NewLoadRegistry() *LoadRegistry { return &LoadRegistry{loads: make(map[crid.Target]*crroute.Load)} }
 
 // Get returns the load of a target, the same one each time.
 func (l *LoadRegistry) Get(name crid.Target) *crroute.Load {
--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -145,7 +145,7 @@
 		clock: crclock.Now,
 		pulse: pulse,
 		exit:  exit,
-		loads: crview.NewLoads(),
+		loads: crview.NewLoadRegistry(),
 	}
 	s.in = crview.Input{Self: s.self, Domain: crid.Domain(cfg.Domain), Loads: s.loads}
 	s.wallet = craccount.NewWallet()
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -110,7 +110,7 @@
 		Idle:    bodyIdle,
 	})
 	p.Expect(p.exit.Apply(snap)).To(gomega.BeEmpty())
-	view, err := crview.Build(crview.Input{Self: "entry", Snapshot: snap, Loads: crview.NewLoads(), List: crinstance.NewList(1, []crinstance.Instance{
+	view, err := crview.Build(crview.Input{Self: "entry", Snapshot: snap, Loads: crview.NewLoadRegistry(), List: crinstance.NewList(1, []crinstance.Instance{
 		{Daemon: "exit", State: crinstance.StateLive, Targets: []crinstance.Target{{Name: "t", Service: "s"}}},
 	})})
 	p.Expect(err).NotTo(gomega.HaveOccurred())
