--- a/core/crview/crview.go
+++ b/core/crview/crview.go
@@ -38,8 +38,8 @@
 // NewLoadRegistry returns an empty registry.
 func NewLoadRegistry() *LoadRegistry { return &LoadRegistry{loads: make(map[crid.Target]*crroute.Load)} }
 
-// Get returns the load of a target, the same one each time.
-func (l *LoadRegistry) Get(name crid.Target) *crroute.Load {
+// Load returns the load of a target, the same one each time.
+func (l *LoadRegistry) Load(name crid.Target) *crroute.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	load, ok := l.loads[name]
@@ -155,5 +155,5 @@
 			status = crroute.StatusEjected
 		}
 	}
-	return crroute.NewTarget(t.Name, inst.Daemon, inst.Domain, status, weight, in.Loads.Get(t.Name))
+	return crroute.NewTarget(t.Name, inst.Daemon, inst.Domain, status, weight, in.Loads.Load(t.Name))
 }
