--- a/core/crview/bench_test.go
+++ b/core/crview/bench_test.go
@@ -85,7 +85,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				view = view.With(in)
+				view = view.WithPools(in)
 			}
 			runtime.KeepAlive(view)
 		})
--- a/core/crview/crview.go
+++ b/core/crview/crview.go
@@ -87,9 +87,9 @@
 	return v, nil
 }
 
-// With returns a view with the same configuration and newly built pools; the
+// WithPools returns a view with the same configuration and newly built pools; the
 // input's snapshot must be the view's own.
-func (v *View) With(in Input) *View {
+func (v *View) WithPools(in Input) *View {
 	return &View{snapshot: v.snapshot, table: v.table, pools: pools(in)}
 }
 
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -154,7 +154,7 @@
 	s.expireSteers(now)
 	if view := s.view.Load(); s.dirty && view != nil {
 		s.in.Health = s.steerTargets()
-		s.view.Store(view.With(s.in))
+		s.view.Store(view.WithPools(s.in))
 		s.dirty = false
 	}
 	s.trust(now)
