--- a/core/crview/bench_test.go
+++ b/core/crview/bench_test.go
@@ -13,7 +13,7 @@
 	"camphorroad/core/crview"
 )
 
-// size is the fleet's, for a measurement.
+// size is the size of the fleet in a benchmark.
 type size struct{ daemons, targets, services, routes int }
 
 func (s size) snapshot() *crpolicy.Snapshot {
@@ -58,7 +58,7 @@
 	return fmt.Sprintf("targets=%d/routes=%d", s.targets, s.routes)
 }
 
-// BenchmarkBuild tells what a new configuration costs the traffic side's view.
+// BenchmarkBuild measures the cost of a view after a new configuration.
 func BenchmarkBuild(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.String(), func(b *testing.B) {
@@ -73,9 +73,9 @@
 	}
 }
 
-// BenchmarkWith tells what a change of the list, a peer or a steer costs: the
-// pools are built anew.
-func BenchmarkWith(b *testing.B) {
+// BenchmarkWithPools measures the cost of a view after a change of the list, of
+// a peer or of a target's health, which rebuilds the pools only.
+func BenchmarkWithPools(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.String(), func(b *testing.B) {
 			in := s.input()
@@ -92,8 +92,8 @@
 	}
 }
 
-// BenchmarkMemory tells what stays in memory: services and routes in the
-// snapshot, targets and the route table in the view with the load of each target.
+// BenchmarkMemory measures the memory of the services and routes in the
+// snapshot, and of the targets, their loads and the route table in the view.
 func BenchmarkMemory(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.String(), func(b *testing.B) {
--- a/core/crview/crview.go
+++ b/core/crview/crview.go
@@ -1,9 +1,13 @@
-// Package crview is what the traffic side sees of the control side's decisions:
-// an immutable view that request goroutines read behind an atomic pointer.
+// Package crview builds the immutable snapshot of routes and targets with which
+// io/crentry handles requests. io/crdaemon rebuilds it from the effects of the
+// control reducers and stores it behind an atomic pointer.
+//
+// A [View] holds the configuration and the target pools of one instant. Package
+// crroute chooses among the targets of a pool.
 //
 // # Usage
 //
-//	view, err := crview.Build(crview.Input{Self: self, Domain: domain, Snapshot: snap, List: list})
+//	view, err := crview.Build(crview.Input{Self: self, Domain: domain, Snapshot: snap, List: list, Loads: loads})
 //	holder.Store(view)
 //	...
 //	service, route, ok := holder.Load().Table().Match(host, method, path)
@@ -22,46 +26,49 @@
 	"camphorroad/core/crroute"
 )
 
-// TargetHealth is the health side's word on one target.
+// TargetHealth is what core/crhealth decided for one target.
 type TargetHealth struct {
 	Ejected bool
 	Weight  int // slow-start weight, up to crroute.FullWeight
 }
 
-// LoadRegistry keeps each target's load from view to view. It is safe for concurrent
-// use.
+// LoadRegistry keeps the load of each target across views. It is safe for
+// concurrent use.
 type LoadRegistry struct {
 	mu    sync.Mutex
 	loads map[crid.Target]*crroute.Load
 }
 
 // NewLoadRegistry returns an empty registry.
-func NewLoadRegistry() *LoadRegistry { return &LoadRegistry{loads: make(map[crid.Target]*crroute.Load)} }
+func NewLoadRegistry() *LoadRegistry {
+	return &LoadRegistry{loads: make(map[crid.Target]*crroute.Load)}
+}
 
-// Load returns the load of a target, the same one each time.
-func (l *LoadRegistry) Load(name crid.Target) *crroute.Load {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	load, ok := l.loads[name]
+// Load returns the load of a target. It is the same one on each call, as long
+// as the target is listed.
+func (r *LoadRegistry) Load(name crid.Target) *crroute.Load {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	load, ok := r.loads[name]
 	if !ok {
 		load = &crroute.Load{}
-		l.loads[name] = load
+		r.loads[name] = load
 	}
 	return load
 }
 
-// keep forgets targets that are no longer listed.
-func (l *LoadRegistry) keep(listed map[crid.Target]bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	maps.DeleteFunc(l.loads, func(name crid.Target, _ *crroute.Load) bool { return !listed[name] })
+// retain deletes the loads of targets that are not listed.
+func (r *LoadRegistry) retain(listed map[crid.Target]bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	maps.DeleteFunc(r.loads, func(name crid.Target, _ *crroute.Load) bool { return !listed[name] })
 }
 
-// Input is what a view is made of.
+// Input is what a View is built from.
 type Input struct {
 	Self     crid.Daemon
 	Domain   crid.Domain
-	Stopping bool // this daemon is leaving
+	Stopping bool // this daemon is stopping
 	Snapshot *crpolicy.Snapshot
 	List     crinstance.List
 	Peers    []crmember.Peer
@@ -69,43 +76,43 @@
 	Loads    *LoadRegistry
 }
 
-// View is one state of the fleet for the traffic side. It is immutable.
+// View is the state of the fleet as requests see it. It is immutable.
 type View struct {
 	snapshot *crpolicy.Snapshot
 	table    *crroute.Table
 	pools    map[crid.Service]*crroute.Pool[*crroute.Target]
 }
 
-// Build makes a view; the error is the route table's.
+// Build returns a View. The error is that of [crroute.NewTable].
 func Build(in Input) (*View, error) {
 	table, err := crroute.NewTable(in.Snapshot)
 	if err != nil {
 		return nil, err
 	}
 	v := &View{snapshot: in.Snapshot, table: table}
-	v.pools = pools(in)
+	v.pools = buildPools(in)
 	return v, nil
 }
 
-// WithPools returns a view with the same configuration and newly built pools; the
-// input's snapshot must be the view's own.
+// WithPools returns a view with the same configuration and new pools. The
+// snapshot of the input must be the view's own.
 func (v *View) WithPools(in Input) *View {
-	return &View{snapshot: v.snapshot, table: v.table, pools: pools(in)}
+	return &View{snapshot: v.snapshot, table: v.table, pools: buildPools(in)}
 }
 
-// Snapshot is the configuration in force.
+// Snapshot returns the configuration of the view.
 func (v *View) Snapshot() *crpolicy.Snapshot { return v.snapshot }
 
-// Table finds routes.
+// Table returns the route table.
 func (v *View) Table() *crroute.Table { return v.table }
 
-// Pool returns a service's targets; nil where it has none.
+// Pool returns the targets of a service, or nil if it has none.
 func (v *View) Pool(s crid.Service) *crroute.Pool[*crroute.Target] { return v.pools[s] }
 
 // Services returns the services that have targets, sorted.
 func (v *View) Services() []crid.Service { return slices.Sorted(maps.Keys(v.pools)) }
 
-func pools(in Input) map[crid.Service]*crroute.Pool[*crroute.Target] {
+func buildPools(in Input) map[crid.Service]*crroute.Pool[*crroute.Target] {
 	peers := make(map[crid.Daemon]crmember.Peer, len(in.Peers))
 	for _, p := range in.Peers {
 		peers[p.Daemon] = p
@@ -113,13 +120,13 @@
 	byService := make(map[crid.Service][]*crroute.Target)
 	listed := make(map[crid.Target]bool)
 	for _, inst := range in.List.Instances() {
-		status := in.status(inst, peers)
+		status := in.instanceStatus(inst, peers)
 		for _, t := range inst.Targets {
 			listed[t.Name] = true
-			byService[t.Service] = append(byService[t.Service], in.target(t, inst, status))
+			byService[t.Service] = append(byService[t.Service], in.newTarget(t, inst, status))
 		}
 	}
-	in.Loads.keep(listed)
+	in.Loads.retain(listed)
 	out := make(map[crid.Service]*crroute.Pool[*crroute.Target], len(byService))
 	for service, targets := range byService {
 		out[service] = crroute.NewPool(in.Domain, targets)
@@ -127,10 +134,11 @@
 	return out
 }
 
-// status is the instance's part of its targets' status. A peer that is not
-// heard both ways is avoided on this daemon's own view alone, like a target that
-// can not be reached; nothing is ejected for the others.
-func (in Input) status(inst crinstance.Instance, peers map[crid.Daemon]crmember.Peer) crroute.Status {
+// instanceStatus is the status that an instance gives to its targets. The
+// targets of a peer that is not heard in both directions are avoided by this
+// daemon only, like targets that refuse connections; no other daemon ejects
+// them because of it.
+func (in Input) instanceStatus(inst crinstance.Instance, peers map[crid.Daemon]crmember.Peer) crroute.Status {
 	if inst.Daemon == in.Self {
 		if in.Stopping || inst.Leaving() {
 			return crroute.StatusLeaving
@@ -147,11 +155,11 @@
 	return crroute.StatusReady
 }
 
-func (in Input) target(t crinstance.Target, inst crinstance.Instance, status crroute.Status) *crroute.Target {
+func (in Input) newTarget(t crinstance.Target, inst crinstance.Instance, status crroute.Status) *crroute.Target {
 	weight := crroute.FullWeight
-	if steer, ok := in.Health[t.Name]; ok {
-		weight = steer.Weight
-		if steer.Ejected && status == crroute.StatusReady {
+	if health, ok := in.Health[t.Name]; ok {
+		weight = health.Weight
+		if health.Ejected && status == crroute.StatusReady {
 			status = crroute.StatusEjected
 		}
 	}
--- a/core/crview/view_test.go
+++ b/core/crview/view_test.go
@@ -10,10 +10,11 @@
 	"camphorroad/core/crview"
 )
 
-// A peer that should answer each beat and does not is avoided; one that is only
-// sampled says nothing by its silence. In a fleet above the number of voters
-// almost every target would be avoided otherwise, and a few would take all work.
-func TestOnlyLostPeersAreAvoided(t *testing.T) {
+// A peer that should answer each heartbeat and does not is avoided; the silence
+// of one that is only sampled means nothing. Otherwise, in a fleet with more
+// daemons than voters, almost every target would be avoided and a few would get
+// all requests.
+func TestUnreachablePeersAreAvoidedUnlessSampled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := size{daemons: 3, targets: 3, services: 1, routes: 1}
 	in := s.input()
