--- a/core/crid/crid.go
+++ b/core/crid/crid.go
@@ -1,10 +1,10 @@
-// Package crid holds the identifiers that every part of camphorroad shares,
-// and the clock reading that decisions are made on.
+// Package crid defines the identifiers that all packages of camphorroad share,
+// and the clock reading on which their decisions are based.
 //
-// Identifiers are distinct string types, so that an account can not be passed
-// where a service is wanted. An [Instant] is one process's own reading of a
-// clock that never steps and that keeps counting while the machine or the
-// process is suspended; readings of two processes must never be compared.
+// The names are distinct string types, so that an account cannot be passed as a
+// service. An [Instant] is a reading of one process's own clock. The clock
+// never steps, and it keeps counting while the machine or the process is
+// suspended. Readings of two processes must never be compared.
 //
 // # Usage
 //
@@ -18,7 +18,7 @@
 )
 
 type (
-	// Daemon names one daemon; it equals the name of the instance it runs on.
+	// Daemon names a daemon; it is the name of the instance that it runs on.
 	Daemon string
 	// Domain names a failure domain.
 	Domain string
@@ -26,27 +26,29 @@
 	Account string
 	// Service names a service: a set of interchangeable targets.
 	Service string
-	// Target names one routable upstream of a service, unique in the fleet.
+	// Target names a routable upstream of a service; it is unique in the fleet.
 	Target string
-	// Route names a route within its service's policy.
+	// Route names a route within the policy of its service.
 	Route string
 )
 
-// Incarnation numbers the lives of one daemon name. It is drawn at random at
-// start, and never zero; two lives of one name never share it.
+// Incarnation identifies one run of a daemon. It is drawn at random at the
+// start of the process, is never zero, and is never shared by two runs of one
+// daemon.
 type Incarnation uint64
 
-// Revision is the platform's revision of a published value. It only grows.
+// Revision is the platform's revision of a published value. It only increases.
 type Revision uint64
 
-// Request identifies one forwarded request across the fleet.
+// Request identifies a request in the fleet or, at the exits, one attempt at
+// forwarding it.
 type Request [16]byte
 
 // String returns the identifier in hexadecimal.
 func (r Request) String() string { return hex.EncodeToString(r[:]) }
 
-// Instant is a reading, in nanoseconds, of the owning process's
-// suspend-counting monotonic clock.
+// Instant is a reading, in nanoseconds, of the monotonic clock of its process.
+// The clock counts suspended time, too.
 type Instant int64
 
 // Add returns the instant d later.
@@ -55,5 +57,5 @@
 // Sub returns the time from earlier to i.
 func (i Instant) Sub(earlier Instant) time.Duration { return time.Duration(i - earlier) }
 
-// Before reports whether i lies before other.
+// Before reports whether i is earlier than other.
 func (i Instant) Before(other Instant) bool { return i < other }
