--- a/core/crdaemon/control.go
+++ b/core/crdaemon/control.go
@@ -28,7 +28,7 @@
 // Control is the root over all reducers of a daemon, with those that the shell
 // asks beside.
 type Control struct {
-	Root    *State
+	Root    *Root
 	Config  *crconfig.State
 	Account *craccount.State
 }
--- a/core/crdaemon/crdaemon.go
+++ b/core/crdaemon/crdaemon.go
@@ -30,14 +30,14 @@
 	Reducer Reducer
 }
 
-// State is the whole control state of a daemon. It is not safe for concurrent
+// Root is the whole control state of a daemon. It is not safe for concurrent
 // use: one goroutine owns it.
-type State struct {
+type Root struct {
 	parts []Part
 }
 
 // New returns a root over its parts, which get each event in this order.
-func New(parts ...Part) *State { return &State{parts: parts} }
+func New(parts ...Part) *Root { return &Root{parts: parts} }
 
 // pending is an event on its way to the parts, and the part it came from.
 type pending struct {
@@ -49,7 +49,7 @@
 
 // Step applies an event to all parts, and every notice that comes of it to all
 // parts but its own. It returns all effects in order, the notices among them.
-func (s *State) Step(ev crevent.Event) []crevent.Effect {
+func (s *Root) Step(ev crevent.Event) []crevent.Effect {
 	var effects []crevent.Effect
 	queue := []pending{{ev: ev, from: fromShell}}
 	for len(queue) > 0 {
@@ -77,7 +77,7 @@
 }
 
 // Dump collects the parts' dumps.
-func (s *State) Dump(now crid.Instant) Dump {
+func (s *Root) Dump(now crid.Instant) Dump {
 	d := Dump{Now: now, Parts: make(map[string]any, len(s.parts))}
 	for _, p := range s.parts {
 		d.Parts[p.Name] = p.Reducer.Dump()
--- a/io/crcontrol/crcontrol.go
+++ b/io/crcontrol/crcontrol.go
@@ -57,7 +57,7 @@
 
 // Loop owns the control state.
 type Loop struct {
-	root    *crdaemon.State
+	root    *crdaemon.Root
 	opts    Options
 	events  chan crevent.Event
 	asks    chan chan crdaemon.Dump
@@ -65,7 +65,7 @@
 }
 
 // New returns a loop that does nothing until Run.
-func New(root *crdaemon.State, opts Options) *Loop {
+func New(root *crdaemon.Root, opts Options) *Loop {
 	return &Loop{
 		root:   root,
 		opts:   opts,
--- a/io/crtrace/replay.go
+++ b/io/crtrace/replay.go
@@ -61,7 +61,7 @@
 type player struct {
 	codec  *codec
 	r      *reader
-	root   *crdaemon.State
+	root   *crdaemon.Root
 	inv    invariants
 	report Report
 
