--- a/core/crdaemon/control.go
+++ b/core/crdaemon/control.go
@@ -37,7 +37,7 @@
 // trace are both made here, so that they can not come to differ.
 func NewControl(p Params, parse crconfig.Parser, load crconfig.Loader) Control {
 	c := Control{Config: crconfig.New(p.Config, parse, load), Account: craccount.New(p.Account)}
-	c.Root = New(
+	c.Root = NewRoot(
 		Part{Name: "member", Reducer: crmember.New(p.Member)},
 		Part{Name: "config", Reducer: c.Config},
 		Part{Name: "account", Reducer: c.Account},
--- a/core/crdaemon/crdaemon.go
+++ b/core/crdaemon/crdaemon.go
@@ -36,8 +36,8 @@
 	parts []Part
 }
 
-// New returns a root over its parts, which get each event in this order.
-func New(parts ...Part) *Root { return &Root{parts: parts} }
+// NewRoot returns a root over its parts, which get each event in this order.
+func NewRoot(parts ...Part) *Root { return &Root{parts: parts} }
 
 // pending is an event on its way to the parts, and the part it came from.
 type pending struct {
