--- a/core/crdaemon/control.go
+++ b/core/crdaemon/control.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// Control is the root over all reducers of a daemon, with those that the shell
+// Reducers is the root over all reducers of a daemon, with those that the shell
 // asks beside.
-type Control struct {
+type Reducers struct {
 	Root    *Root
 	Config  *crconfig.State
 	Account *craccount.State
@@ -35,8 +35,8 @@
 
 // NewControl returns all reducers of a daemon. A daemon and the replay of its
 // trace are both made here, so that they can not come to differ.
-func NewControl(p Params, parse crconfig.Parser, load crconfig.Loader) Control {
-	c := Control{Config: crconfig.New(p.Config, parse, load), Account: craccount.New(p.Account)}
+func NewControl(p Params, parse crconfig.Parser, load crconfig.Loader) Reducers {
+	c := Reducers{Config: crconfig.New(p.Config, parse, load), Account: craccount.New(p.Account)}
 	c.Root = NewRoot(
 		Part{Name: "member", Reducer: crmember.New(p.Member)},
 		Part{Name: "config", Reducer: c.Config},
