--- a/core/crdaemon/control.go
+++ b/core/crdaemon/control.go
@@ -33,9 +33,9 @@
 	Account *craccount.State
 }
 
-// NewControl returns all reducers of a daemon. A daemon and the replay of its
+// NewReducers returns all reducers of a daemon. A daemon and the replay of its
 // trace are both made here, so that they can not come to differ.
-func NewControl(p Params, parse crconfig.Parser, load crconfig.Loader) Reducers {
+func NewReducers(p Params, parse crconfig.Parser, load crconfig.Loader) Reducers {
 	c := Reducers{Config: crconfig.New(p.Config, parse, load), Account: craccount.New(p.Account)}
 	c.Root = NewRoot(
 		Part{Name: "member", Reducer: crmember.New(p.Member)},
--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -167,7 +167,7 @@
 		opts.Recorder = rec
 		parse, load = rec.Parse(parse), rec.Load(load)
 	}
-	control := crdaemon.NewControl(params, parse, load)
+	control := crdaemon.NewReducers(params, parse, load)
 	s.config, s.account = control.Config, control.Account
 	s.loop = crcontrol.New(control.Root, opts)
 	return s, nil
--- a/io/crtrace/replay.go
+++ b/io/crtrace/replay.go
@@ -100,7 +100,7 @@
 	if err := rec.decode(&h); err != nil {
 		return p.r.fail(err)
 	}
-	control := crdaemon.NewControl(h.Params, p.parse, p.load)
+	control := crdaemon.NewReducers(h.Params, p.parse, p.load)
 	control.Config.UseDigests(digestOf)
 	p.root = control.Root
 	return nil
--- a/io/crtrace/trace_test.go
+++ b/io/crtrace/trace_test.go
@@ -262,7 +262,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	root := crdaemon.NewControl(crdaemon.DefaultParams(), nil, nil).Root
+	root := crdaemon.NewReducers(crdaemon.DefaultParams(), nil, nil).Root
 	for now := crid.Instant(1); now < 1000; now++ {
 		ev := crevent.Tick{Now: now}
 		rec.Event(ev)
