--- a/core/crevent/crevent.go
+++ b/core/crevent/crevent.go
@@ -1,14 +1,16 @@
-// Package crevent defines what goes into and comes out of the reducers: events,
-// effects, and the messages that daemons send one another.
+// Package crevent defines the inputs and outputs of the reducers in core:
+// events, effects, and the control messages between daemons. Package crdaemon
+// combines several reducers under one root, and the packages in io perform the
+// effects.
 //
-// Every reducer in core has the method
+// A reducer has the method
 //
 //	Step(ev crevent.Event) []crevent.Effect
 //
-// and reads no clock, draws no random number and does no I/O: the instant of an
-// event comes with it, and randomness comes as the seed in [Started]. One
-// goroutine owns all reducers of a daemon. An effect that also is an event (a
-// [Notice]) is handed back to the sibling reducers by the root reducer.
+// It reads no clock, draws no random numbers and does no I/O: the instant of an
+// event is part of it, and the seed of random numbers is in [Started]. One
+// goroutine runs all reducers of a daemon. An effect that is also an event (a
+// [Notice]) is passed by the root reducer to the other reducers.
 //
 // # Usage
 //
@@ -23,32 +25,33 @@
 
 import "camphorroad/core/crid"
 
-// Event is a fact that a reducer is told.
+// Event is an input of a reducer.
 type Event interface {
-	// At is the instant, on this daemon's clock, of the event.
+	// At is the instant of the event on this daemon's clock.
 	At() crid.Instant
 }
 
-// Effect is something a reducer wants done; it is data, and the shell does it.
+// Effect is an action that a reducer requests. It is data; the I/O layer
+// performs it.
 type Effect interface {
-	// EffectName is a short fixed name, for traces and dumps.
+	// EffectName is a short constant name, for traces and dumps.
 	EffectName() string
 }
 
-// Notice is an effect that sibling reducers receive as an event.
+// Notice is an effect that the other reducers receive as an event.
 type Notice interface {
 	Event
 	Effect
 }
 
 // Message is a control message between two daemons. Messages are plain structs
-// with cbor tags; the shell encodes them with the kind as discriminator.
+// with cbor tags. The I/O layer encodes them with their kind.
 type Message interface {
-	// MessageKind is a short fixed word, unique among all messages.
+	// MessageKind is a short constant word, unique among all messages.
 	MessageKind() string
 }
 
-// Started is the first event of a daemon's life.
+// Started is the first event after the start of a daemon.
 type Started struct {
 	Now         crid.Instant
 	Self        crid.Daemon
@@ -60,7 +63,7 @@
 // At implements Event.
 func (e Started) At() crid.Instant { return e.Now }
 
-// Tick tells that time has passed; the shell sends one every 50 ms.
+// Tick reports that time has passed. The I/O layer sends one every 50 ms.
 type Tick struct {
 	Now crid.Instant
 }
@@ -79,7 +82,7 @@
 // At implements Event.
 func (e Received) At() crid.Instant { return e.Now }
 
-// Stopping tells that this daemon has been asked to stop gracefully.
+// Stopping reports that this daemon has been asked to stop gracefully.
 type Stopping struct {
 	Now crid.Instant
 }
@@ -87,7 +90,7 @@
 // At implements Event.
 func (e Stopping) At() crid.Instant { return e.Now }
 
-// Send asks the shell to send a message, at most once and without a promise of
+// Send requests that a message be sent, at most once and with no guarantee of
 // delivery or order.
 type Send struct {
 	To  crid.Daemon
@@ -97,7 +100,8 @@
 // EffectName implements Effect.
 func (Send) EffectName() string { return "send" }
 
-// Report asks the shell to log a numbered event of the catalogue.
+// Report requests a log entry of the numbered event from the catalogue in
+// io/crlog.
 type Report struct {
 	Number int
 	Fields map[string]string
