--- a/core/crdaemon/control.go
+++ b/core/crdaemon/control.go
@@ -25,23 +25,23 @@
 	}
 }
 
-// Reducers is the root over all reducers of a daemon, with those that the shell
-// asks beside.
+// Reducers is the root reducer of a daemon, and those of its parts that the I/O
+// layer queries directly.
 type Reducers struct {
 	Root    *Root
 	Config  *crconfig.State
 	Account *craccount.State
 }
 
-// NewReducers returns all reducers of a daemon. A daemon and the replay of its
-// trace are both made here, so that they can not come to differ.
+// NewReducers returns the reducers of a daemon. Both a daemon and the replay of
+// its trace use it, so that they cannot differ.
 func NewReducers(p Params, parse crconfig.Parser, load crconfig.Loader) Reducers {
-	c := Reducers{Config: crconfig.New(p.Config, parse, load), Account: craccount.New(p.Account)}
-	c.Root = NewRoot(
+	r := Reducers{Config: crconfig.New(p.Config, parse, load), Account: craccount.New(p.Account)}
+	r.Root = NewRoot(
 		Part{Name: "member", Reducer: crmember.New(p.Member)},
-		Part{Name: "config", Reducer: c.Config},
-		Part{Name: "account", Reducer: c.Account},
+		Part{Name: "config", Reducer: r.Config},
+		Part{Name: "account", Reducer: r.Account},
 		Part{Name: "health", Reducer: crhealth.New(p.Health)},
 	)
-	return c
+	return r
 }
--- a/io/crtrace/crtrace.go
+++ b/io/crtrace/crtrace.go
@@ -16,7 +16,7 @@
 // # Usage
 //
 //	rec, err := crtrace.Create("daemon.trace", crtrace.Options{Params: params, Size: 64 << 20})
-//	root := crdaemon.NewControl(params, rec.Parse(parse), rec.Load(load)).Root
+//	root := crdaemon.NewReducers(params, rec.Parse(parse), rec.Load(load)).Root
 //	rec.Event(ev)
 //	rec.Effects(root.Step(ev))
 //
