--- a/core/crevent/crevent.go
+++ b/core/crevent/crevent.go
@@ -47,7 +47,7 @@
 // Message is a control message between two daemons. Messages are plain structs
 // with cbor tags. The I/O layer encodes them with their kind.
 type Message interface {
-	// MessageKind is a short constant word, unique among all messages.
+	// MessageKind is a short constant text, unique among all messages.
 	MessageKind() string
 }
 
--- a/core/crforward/doc.go
+++ b/core/crforward/doc.go
@@ -16,7 +16,7 @@
 // that was delayed on its way is caught by a revocation, by [PauseDetector] or
 // by the end of the session.
 //
-// The offers between daemons in io/croffer do not use this package; their
+// Requests from io/cringress to io/cregress do not use this package; their
 // retries are limited for the whole fleet by core/crbudget.
 //
 // # Usage
--- a/core/crforward/ledger.go
+++ b/core/crforward/ledger.go
@@ -155,9 +155,9 @@
 func (l *Ledger) Revoke(id crid.Request, sentOn SessionID, now crid.Instant) RevokeResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// After a restart the exit no longer knows what it ran before. If it
-	// accepted revocations of forwards of an earlier session, it would report
-	// "fenced" for a forward that had run.
+	// A restarted exit does not know what it ran before. If it accepted
+	// revocations of forwards of an earlier session, it would report "fenced"
+	// for a forward that had run.
 	if sentOn != l.session && !l.disabled.session {
 		return RevokeResultUnknown
 	}
--- a/core/crgate/queue.go
+++ b/core/crgate/queue.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// displace refuses waiting requests that can no longer start in time because
+// displace refuses waiting requests that cannot start in time any more because
 // more urgent ones have arrived. Refused at once, they can still go to another
 // target.
 func (g *Gate) displace(now crid.Instant) {
--- a/core/crslot/flow.go
+++ b/core/crslot/flow.go
@@ -308,7 +308,7 @@
 	return time.Duration((work + running + surplus) / float64(slots))
 }
 
-// sweep refuses waiters that can no longer meet their deadline, because the
+// sweep refuses waiters that cannot meet their deadline any more, because the
 // target became slower or lost slots since they arrived. Refused only at the
 // deadline, the caller would have no time left for another target.
 func (q *Queue) sweep(now crid.Instant) {
