--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -76,18 +76,18 @@
 // another upstream although the first has run it.
 func TestRevokeResult(t *testing.T) {
 	id := attemptID(1)
-	offer := func(l *Ledger) { _ = l.Register(id, crpolicy.ClassOnce, opened, deadline) }
-	start := func(l *Ledger) { offer(l); _ = l.Start(id, opened) }
+	register := func(l *Ledger) { _ = l.Register(id, crpolicy.ClassOnce, opened, deadline) }
+	start := func(l *Ledger) { register(l); _ = l.Start(id, opened) }
 	cases := map[string]struct {
 		before func(l *Ledger)
 		sentOn SessionID
 		want   RevokeResult
 	}{
 		"before the arrival":          {func(*Ledger) {}, session, RevokeResultFenced},
-		"while pending":               {offer, session, RevokeResultFenced},
+		"while pending":               {register, session, RevokeResultFenced},
 		"while running":               {start, session, RevokeResultStarted},
 		"after the finish":            {func(l *Ledger) { start(l); l.Finish(id, opened) }, session, RevokeResultStarted},
-		"after a drain":               {func(l *Ledger) { l.Drain(); offer(l) }, session, RevokeResultFenced},
+		"after a drain":               {func(l *Ledger) { l.Drain(); register(l) }, session, RevokeResultFenced},
 		"over a session opened later": {func(*Ledger) {}, session + 1, RevokeResultUnknown},
 	}
 	for title, c := range cases {
@@ -97,7 +97,7 @@
 			c.before(l)
 			g.Expect(l.Revoke(id, c.sentOn, opened)).To(gomega.Equal(c.want))
 			if c.want == RevokeResultFenced {
-				offer(l)
+				register(l)
 				g.Expect(l.Start(id, opened)).NotTo(gomega.Succeed())
 			}
 		})
