--- a/core/crforward/bench_test.go
+++ b/core/crforward/bench_test.go
@@ -10,30 +10,30 @@
 	"camphorroad/core/crpolicy"
 )
 
-// BenchmarkLedger measures the whole course of a forward at the exit, with a
-// ledger that is full of ended ones.
+// BenchmarkLedger measures a forward from Register to Finish, with a ledger
+// that is full of ended ones.
 func BenchmarkLedger(b *testing.B) {
-	const rate = 800 // a second, the most that the defaults are for
-	l := NewLedger(DefaultParams(), 1, 0, nil)
+	const rate = 800 // a second, the highest rate that the defaults are for
+	l := NewLedger(DefaultLedgerParams(), 1, 0, nil)
 	now := crid.Instant(0)
 	id := uint64(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		id++
 		now = now.Add(time.Second / rate)
-		runForward(b, l, numbered(id), now)
+		runForward(b, l, benchID(id), now)
 	}
 }
 
-// BenchmarkBytesPerForward measures what a remembered forward takes.
+// BenchmarkBytesPerForward measures the memory of the record of a forward.
 func BenchmarkBytesPerForward(b *testing.B) {
 	const forwards = 60_000
 	var bytes float64
 	for b.Loop() {
 		before := heapInUse()
-		l := NewLedger(DefaultParams(), 1, 0, nil)
+		l := NewLedger(DefaultLedgerParams(), 1, 0, nil)
 		for id := range uint64(forwards) {
-			runForward(b, l, numbered(id), crid.Instant(id))
+			runForward(b, l, benchID(id), crid.Instant(id))
 		}
 		bytes = (heapInUse() - before) / forwards
 		runtime.KeepAlive(l)
@@ -42,7 +42,7 @@
 }
 
 func runForward(b *testing.B, l *Ledger, id crid.Request, now crid.Instant) {
-	if err := l.Offer(id, crpolicy.ClassOnce, now, now.Add(time.Second)); err != nil {
+	if err := l.Register(id, crpolicy.ClassOnce, now, now.Add(time.Second)); err != nil {
 		b.Fatal(err)
 	}
 	if err := l.Start(id, now); err != nil {
@@ -58,7 +58,7 @@
 	return float64(m.HeapAlloc)
 }
 
-func numbered(n uint64) crid.Request {
+func benchID(n uint64) crid.Request {
 	var id crid.Request
 	binary.BigEndian.PutUint64(id[:], n)
 	return id
--- a/core/crforward/budget.go
+++ b/core/crforward/budget.go
@@ -7,50 +7,53 @@
 	"camphorroad/core/crid"
 )
 
-// BudgetParams bound the retries of one entry.
-type BudgetParams struct {
-	// Ratio is the retries allowed for each request.
+// RetryBudgetParams limit the retries of one entry.
+type RetryBudgetParams struct {
+	// Ratio is the number of retries that each request adds to the budget.
 	Ratio float64
-	// Floor is the retries a second that are allowed at any load.
-	Floor float64
-	// Burst is the retries that may be saved up.
+	// MinPerSecond is the number of retries a second that are allowed at any
+	// load.
+	MinPerSecond float64
+	// Burst is the number of unused retries that the budget holds at most.
 	Burst float64
 }
 
-// DefaultBudgetParams allow retries of a tenth of the requests.
-func DefaultBudgetParams() BudgetParams {
-	return BudgetParams{Ratio: 0.1, Floor: 1, Burst: 10}
+// DefaultRetryBudgetParams allow retries of a tenth of the requests.
+func DefaultRetryBudgetParams() RetryBudgetParams {
+	return RetryBudgetParams{Ratio: 0.1, MinPerSecond: 1, Burst: 10}
 }
 
-// Budget bounds retries to a share of the requests. Without it a service that is
-// too slow for its load would get every request several times, and an overload
-// that ends by itself would feed itself. It is safe for concurrent use.
-type Budget struct {
-	mu     sync.Mutex
-	params BudgetParams
-	tokens float64
-	last   crid.Instant
+// RetryBudget is a token bucket that limits retries to a share of the requests.
+// Without it, a service that is too slow for its load would receive each
+// request several times, and a short overload would sustain itself. It is safe
+// for concurrent use.
+type RetryBudget struct {
+	mu         sync.Mutex
+	params     RetryBudgetParams
+	tokens     float64
+	refilledAt crid.Instant
 }
 
-// NewBudget returns a Budget that starts with a burst.
-func NewBudget(params BudgetParams, now crid.Instant) *Budget {
-	return &Budget{params: params, tokens: params.Burst, last: now}
+// NewRetryBudget returns a full RetryBudget.
+func NewRetryBudget(params RetryBudgetParams, now crid.Instant) *RetryBudget {
+	return &RetryBudget{params: params, tokens: params.Burst, refilledAt: now}
 }
 
-// Request counts one caller's request.
-func (b *Budget) Request() {
+// RecordRequest adds Ratio to the budget. It is called once for each caller's
+// request.
+func (b *RetryBudget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.add(b.params.Ratio)
 }
 
-// Take takes one retry out of the budget, and reports whether there was one.
-func (b *Budget) Take(now crid.Instant) bool {
+// Take removes one retry from the budget and reports whether there was one.
+func (b *RetryBudget) Take(now crid.Instant) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.last.Before(now) {
-		b.add(b.params.Floor * float64(now.Sub(b.last)) / float64(time.Second))
-		b.last = now
+	if b.refilledAt.Before(now) {
+		b.add(b.params.MinPerSecond * float64(now.Sub(b.refilledAt)) / float64(time.Second))
+		b.refilledAt = now
 	}
 	if b.tokens < 1 {
 		return false
@@ -59,6 +62,6 @@
 	return true
 }
 
-func (b *Budget) add(tokens float64) {
+func (b *RetryBudget) add(tokens float64) {
 	b.tokens = min(b.tokens+tokens, b.params.Burst)
 }
--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -70,7 +70,7 @@
 		fx.Supply(cfg),
 		fx.Provide(
 			func() *crlog.Logger { return crlog.New(logTo, cfg.Log.Level, cfg.Name) },
-			func() *crforward.Pulse { return crforward.NewPulse(crforward.DefaultPulseLimit, crclock.Now()) },
+			func() *crforward.PauseDetector { return crforward.NewPauseDetector(crforward.DefaultPauseThreshold, crclock.Now()) },
 			metrics.NewRegistry,
 			crhealth.NewRecorder,
 			newMeters,
@@ -121,7 +121,7 @@
 	return crplatform.NewClient(cfg.Platform.URL)
 }
 
-func newExit(cfg crsettings.Settings, pulse *crforward.Pulse, m *meters, rec *crhealth.Recorder) *crexit.Exit {
+func newExit(cfg crsettings.Settings, pulse *crforward.PauseDetector, m *meters, rec *crhealth.Recorder) *crexit.Exit {
 	specs := make([]crexit.Spec, 0, len(cfg.Targets))
 	for _, t := range cfg.Targets {
 		specs = append(specs, crexit.Spec{Name: crid.Target(t.Name), Service: crid.Service(t.Service), Addr: t.Addr})
@@ -136,7 +136,7 @@
 }
 
 func newShell(
-	lc fx.Lifecycle, cfg crsettings.Settings, log *crlog.Logger, pulse *crforward.Pulse, exit *crexit.Exit, m *meters,
+	lc fx.Lifecycle, cfg crsettings.Settings, log *crlog.Logger, pulse *crforward.PauseDetector, exit *crexit.Exit, m *meters,
 	rec *crhealth.Recorder,
 ) (*shell, error) {
 	s := &shell{
@@ -145,7 +145,7 @@
 		clock: crclock.Now,
 		pulse: pulse,
 		exit:  exit,
-		loads: crview.NewLoads(),
+		loads: crview.NewLoadRegistry(),
 	}
 	s.in = crview.Input{Self: s.self, Domain: crid.Domain(cfg.Domain), Loads: s.loads}
 	s.wallet = craccount.NewTokenPool()
@@ -167,7 +167,7 @@
 		opts.Recorder = rec
 		parse, load = rec.Parse(parse), rec.Load(load)
 	}
-	control := crdaemon.NewControl(params, parse, load)
+	control := crdaemon.NewReducers(params, parse, load)
 	s.config, s.account = control.Config, control.Account
 	s.loop = crcontrol.New(control.Root, opts)
 	return s, nil
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -30,9 +30,9 @@
 	self   crid.Daemon
 	log    *crlog.Logger
 	clock  func() crid.Instant
-	pulse  *crforward.Pulse
+	pulse  *crforward.PauseDetector
 	exit   *crexit.Exit
-	loads  *crview.Loads
+	loads  *crview.LoadRegistry
 	peers  *crpeer.Transport
 	loop   *crcontrol.Loop
 	reader *reader
@@ -148,13 +148,13 @@
 // before runs at each tick: it notices pauses and renews the view, so that many
 // changes of one moment make one view.
 func (s *shell) before(now crid.Instant) []crevent.Event {
-	if s.pulse.Beat(now) {
+	if s.pulse.Tick(now) {
 		s.log.Event(crlog.DaemonPaused, nil)
 	}
 	s.expireSteers(now)
 	if view := s.view.Load(); s.dirty && view != nil {
-		s.in.Steers = s.steerTargets()
-		s.view.Store(view.With(s.in))
+		s.in.Health = s.steerTargets()
+		s.view.Store(view.WithPools(s.in))
 		s.dirty = false
 	}
 	s.trust(now)
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -146,7 +146,7 @@
 		return 0
 	}
 	longest := o.Left
-	if slow := x.gate.Slow(o.Kind()); slow > 0 {
+	if slow := x.gate.SlowThreshold(o.Kind()); slow > 0 {
 		longest = min(longest, slow)
 	}
 	return crid.Instant(end).Add(-longest)
@@ -184,7 +184,7 @@
 	l := x.gate.Load()
 	r := x.target.Load()
 	return crplace.LoadReport{
-		Load: l.Running + l.Waiting, Slots: l.Slots, UnhealthyProb: sick, Typical: l.Typical,
+		Load: l.Running + l.Waiting, Slots: l.Slots, UnhealthyProb: sick, Typical: l.MeanTime,
 		Closed: r == nil || r.Leaving || x.stopping.Load(),
 	}
 }
@@ -203,14 +203,14 @@
 	if !x.fit(now, o) {
 		return x.refuse(now, o, refusal{reason: "sick"})
 	}
-	latest := x.gate.Latest(now, crgate.Terms{Kind: o.Kind(), Call: o.Call, Objective: o.Objective, Left: o.Left})
+	latest := x.gate.LatestStart(now, crgate.Timing{Kind: o.Kind(), Nested: o.Call, Objective: o.Objective, TimeLeft: o.Left})
 	if before != 0 {
 		latest = min(latest, before)
 	}
-	ticket, full := x.gate.Admit(now, crgate.Ask{Kind: o.Kind(), Call: o.Call, Priority: o.Priority, Start: latest})
+	ticket, full := x.gate.Admit(now, crgate.Request{Kind: o.Kind(), Nested: o.Call, Priority: o.Priority, LatestStart: latest})
 	if full != nil {
 		return x.refuse(now, o, refusal{
-			reason: full.Reason().String(), after: full.RetryAfter(), wait: full.Wait(), patience: full.Patience(),
+			reason: full.Reason().String(), after: full.RetryAfter(), wait: full.Wait(), patience: full.MaxWait(),
 		})
 	}
 	return croffer.Reply{Taken: true, Ticket: x.claim(now, o, ticket), Told: x.Told()}
--- a/io/cregress/stop_test.go
+++ b/io/cregress/stop_test.go
@@ -31,8 +31,8 @@
 		Target: "t1", Service: "s1", Class: crpolicy.ClassOnce, Left: 10 * time.Second, Objective: 2 * time.Second, Aim: 2 * time.Second,
 	}
 	for range 20 {
-		ticket, _ := x.gate.Admit(now, crgate.Ask{Kind: offer.Kind(), Start: now})
-		x.gate.Done(now, ticket, 500*time.Millisecond)
+		ticket, _ := x.gate.Admit(now, crgate.Request{Kind: offer.Kind(), LatestStart: now})
+		x.gate.Release(now, ticket, 500*time.Millisecond)
 	}
 	x.Finish(now.Add(5 * time.Second))
 	g.Expect(x.Offer(now, offer).Taken).To(gomega.BeTrue())
--- a/io/crentry/answer.go
+++ b/io/crentry/answer.go
@@ -20,18 +20,18 @@
 	defer s.end()
 	defer s.opening.release()
 	defer ex.Body.Close()
-	s.tracker.Passed()
+	s.tracker.RelayStarted()
 	if !s.body.reusable() {
 		w.Header().Set("Connection", "close")
 	}
 	writeHead(w, &ex.Answer)
 	if err := e.copyBody(w, r, ex, &s.opening); err != nil {
 		s.broke(err)
-		e.count(crforward.Cut)
+		e.count(crforward.OutcomeCut)
 		panic(http.ErrAbortHandler)
 	}
-	s.tracker.Complete()
-	e.count(crforward.Answered)
+	s.tracker.RelayCompleted()
+	e.count(crforward.OutcomeAnswered)
 }
 
 // broke takes an answer that broke off at its source as evidence; a caller
@@ -54,7 +54,7 @@
 	if a.Status == http.StatusNoContent {
 		delete(h, "Content-Length") // an HTTP/2 caller would wait for the body
 	}
-	h.Set(HeaderOutcome, crforward.Answered.String())
+	h.Set(HeaderOutcome, crforward.OutcomeAnswered.String())
 	w.WriteHeader(a.Status)
 }
 
@@ -160,7 +160,7 @@
 	}
 	s.opening.release()
 	s.broke(err)
-	s.tracker.Lost(n)
+	s.tracker.Failed(n)
 	s.reason = "the answer broke off"
 	return false
 }
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -34,7 +34,7 @@
 
 // Revoker asks the exit to say whether a forward was started.
 type Revoker interface {
-	Revoke(ctx context.Context) crforward.Verdict
+	Revoke(ctx context.Context) crforward.RevokeResult
 }
 
 // Admitter takes one request from an account's fleet-wide limit. It never waits
@@ -79,7 +79,7 @@
 type Entry struct {
 	opts     Options
 	chooser  crroute.Picker[*crroute.Target]
-	budget   *crforward.Budget
+	budget   *crforward.RetryBudget
 	inflight atomic.Int64
 	stopping atomic.Bool
 	counters Counters
@@ -93,7 +93,7 @@
 	return &Entry{
 		opts:    opts,
 		chooser: opts.Chooser,
-		budget:  crforward.NewBudget(crforward.DefaultBudgetParams(), opts.Clock()),
+		budget:  crforward.NewRetryBudget(crforward.DefaultRetryBudgetParams(), opts.Clock()),
 	}
 }
 
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -79,7 +79,7 @@
 	handle *crhop.Handle
 }
 
-func (r revoker) Revoke(ctx context.Context) crforward.Verdict { return r.client.Revoke(ctx, r.handle) }
+func (r revoker) Revoke(ctx context.Context) crforward.RevokeResult { return r.client.Revoke(ctx, r.handle) }
 
 func testService() crpolicy.Service {
 	route := func(name, prefix string, class crpolicy.Class) crpolicy.Route {
@@ -104,13 +104,13 @@
 	snap := crpolicy.NewSnapshot(1, []crpolicy.Service{svc}, []crpolicy.Account{account("alpha", alphaKey), account("beta", betaKey)})
 	p.exit = crexit.New(crexit.Options{
 		Targets: []crexit.Spec{{Name: "t", Service: "s", Addr: upstream}},
-		Pulse:   crforward.NewPulse(time.Hour, crclock.Now()),
+		Pulse:   crforward.NewPauseDetector(time.Hour, crclock.Now()),
 		Clock:   crclock.Now,
 		Observe: p.fault,
 		Idle:    bodyIdle,
 	})
 	p.Expect(p.exit.Apply(snap)).To(gomega.BeEmpty())
-	view, err := crview.Build(crview.Input{Self: "entry", Snapshot: snap, Loads: crview.NewLoads(), List: crinstance.NewList(1, []crinstance.Instance{
+	view, err := crview.Build(crview.Input{Self: "entry", Snapshot: snap, Loads: crview.NewLoadRegistry(), List: crinstance.NewList(1, []crinstance.Instance{
 		{Daemon: "exit", State: crinstance.StateLive, Targets: []crinstance.Target{{Name: "t", Service: "s"}}},
 	})})
 	p.Expect(err).NotTo(gomega.HaveOccurred())
--- a/io/crentry/refusal.go
+++ b/io/crentry/refusal.go
@@ -37,7 +37,7 @@
 func (e *Entry) refuse(w http.ResponseWriter, b *body, r *refusal) {
 	outcome := r.outcome
 	if outcome == 0 {
-		outcome = crforward.NotRun
+		outcome = crforward.OutcomeNotRun
 	}
 	e.count(outcome)
 	body := refusalBody{Outcome: outcome.String(), Reason: r.reason}
@@ -60,13 +60,13 @@
 
 func (e *Entry) count(o crforward.Outcome) {
 	switch o {
-	case crforward.Answered:
+	case crforward.OutcomeAnswered:
 		e.counters.Answered.Add(1)
-	case crforward.NotRun:
+	case crforward.OutcomeNotRun:
 		e.counters.NotRun.Add(1)
-	case crforward.Unknown:
+	case crforward.OutcomeUnknown:
 		e.counters.Unknown.Add(1)
-	case crforward.Cut:
+	case crforward.OutcomeCut:
 		e.counters.Cut.Add(1)
 	}
 }
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -18,7 +18,7 @@
 // any more, or the time is up; then the caller gets its final answer at once.
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request, req *accepted, b *body) {
 	w.Header().Set(HeaderRequest, req.id.String())
-	e.budget.Request()
+	e.budget.RecordRequest()
 	s := &serving{
 		entry:    e,
 		req:      req,
@@ -196,7 +196,7 @@
 	target.Load().SetReportedInFlight(ex.Answer.InFlight, now)
 	switch ex.Answer.Kind {
 	case crhop.KindAnswer:
-		s.tracker.Head(n)
+		s.tracker.ResponseStarted(n)
 		return s.answered(n, target, ex, took)
 	case crhop.KindRefusal:
 		s.tracker.Refused(n, ex.Answer.NotRun, ex.Answer.RetryAfter)
@@ -219,8 +219,8 @@
 			s.observe(target, OutcomeShed, took)
 		}
 	case crhop.KindFailure:
-		s.tracker.Head(n)
-		s.tracker.Lost(n)
+		s.tracker.ResponseStarted(n)
+		s.tracker.Failed(n)
 		s.reason = ex.Answer.Reason
 		if ex.Answer.Fault == crhop.FaultBody {
 			return false
@@ -272,7 +272,7 @@
 	if len(s.tried) >= s.req.view.Pool(s.req.service).Len() {
 		return false
 	}
-	s.tracker.Lost(n)
+	s.tracker.Failed(n)
 	return s.tracker.MayRetry()
 }
 
@@ -284,7 +284,7 @@
 	took := now.Sub(started)
 	s.reason = "no answer from the target's daemon"
 	if errors.Is(err, crhop.ErrNotSent) {
-		s.tracker.Lost(n)
+		s.tracker.Failed(n)
 		target.Load().RecordUnreachable(now)
 		s.observe(target, OutcomeUnreached, took)
 		return
@@ -294,12 +294,12 @@
 		s.observe(target, lostOutcome(inTime), took)
 	}
 	if rv == nil || s.req.route.Class == crpolicy.ClassRepeat || !s.tracker.NeedsRevoke(n) {
-		s.tracker.Lost(n)
+		s.tracker.Failed(n)
 		return
 	}
 	ask, cancel := context.WithTimeout(context.WithoutCancel(ctx), crhop.RevokeTimeout)
 	defer cancel()
-	s.tracker.Verdict(n, rv.Revoke(ask), s.entry.opts.Clock())
+	s.tracker.RevokeResult(n, rv.Revoke(ask), s.entry.opts.Clock())
 }
 
 func lostOutcome(inTime bool) Outcome {
@@ -317,7 +317,7 @@
 func (s *serving) giveUp() *refusal {
 	r := &refusal{outcome: s.tracker.Outcome(), reason: s.reason, retry: max(soon, s.tracker.RetryAfter())}
 	switch {
-	case r.outcome == crforward.NotRun:
+	case r.outcome == crforward.OutcomeNotRun:
 		r.status = http.StatusServiceUnavailable
 	case s.wrong:
 		r.status = http.StatusBadGateway
--- a/io/crexit/crexit.go
+++ b/io/crexit/crexit.go
@@ -37,7 +37,7 @@
 // Options configure an Exit.
 type Options struct {
 	Targets []Spec
-	Pulse   *crforward.Pulse
+	Pulse   *crforward.PauseDetector
 	Clock   func() crid.Instant
 	Idle    time.Duration // longest silence of an upstream within its answer; zero: no bound
 	// Observe is told of each finished run; it must not block.
@@ -85,7 +85,7 @@
 // pauses, so the ledger has no pulse: a request that waited through a pause is
 // caught by its deadline.
 func (x *Exit) newOwn() *crforward.Ledger {
-	return crforward.NewLedger(crforward.DefaultParams(), 0, x.opts.Clock(), nil)
+	return crforward.NewLedger(crforward.DefaultLedgerParams(), 0, x.opts.Clock(), nil)
 }
 
 // Own is the ledger for a forward of the daemon's own entry, which must also
@@ -94,7 +94,7 @@
 func (x *Exit) Own() *crforward.Ledger {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.own.Worn() {
+	if !x.own.ShouldRenew() {
 		return x.own
 	}
 	delete(x.ledgers, x.former)
@@ -166,13 +166,13 @@
 
 	mu     sync.Mutex
 	ledger *crforward.Ledger
-	number crforward.Session
+	number crforward.SessionID
 	closed bool
 }
 
 // ledgerFor returns the session's ledger, or nil for a number that is not the
 // session's: the forward belongs to another session and must not start here.
-func (s *session) ledgerFor(number crforward.Session) *crforward.Ledger {
+func (s *session) ledgerFor(number crforward.SessionID) *crforward.Ledger {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -180,7 +180,7 @@
 	}
 	if s.ledger == nil {
 		s.number = number
-		s.ledger = crforward.NewLedger(crforward.DefaultParams(), number, s.openedAt, s.exit.opts.Pulse)
+		s.ledger = crforward.NewLedger(crforward.DefaultLedgerParams(), number, s.openedAt, s.exit.opts.Pulse)
 		s.exit.track(s.ledger)
 	}
 	if s.number != number {
@@ -245,7 +245,7 @@
 		ex.Answer.Renew = true
 	} else {
 		ex = s.exit.Run(ctx, ledger, &f, r)
-		ex.Answer.Renew = ledger.Worn()
+		ex.Answer.Renew = ledger.ShouldRenew()
 	}
 	if f.Length == 0 {
 		r.Release() // with a body, net/http may read on after its answer
@@ -289,7 +289,7 @@
 		stream.CancelWrite(crhop.CodeCancelled)
 		return
 	}
-	verdict := crforward.VerdictUnknown
+	verdict := crforward.RevokeResultUnknown
 	if ledger := s.ledgerFor(rv.Session); ledger != nil {
 		verdict = ledger.Revoke(rv.ID, rv.Session, s.exit.opts.Clock())
 	}
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -40,14 +40,14 @@
 	}
 	now := x.opts.Clock()
 	if f.Class != crpolicy.ClassRepeat {
-		if left := t.holdoff.Left(f.Account, now); left > 0 {
+		if left := t.holdoff.Remaining(f.Account, now); left > 0 {
 			ex := refusal("target sheds", true, max(refusedRetry, left))
 			ex.Answer.Fault = crhop.FaultShed
 			return ex
 		}
 	}
 	deadline := now.Add(f.Left)
-	if err := ledger.Offer(f.ID, f.Class, now, deadline); err != nil {
+	if err := ledger.Register(f.ID, f.Class, now, deadline); err != nil {
 		return refused(err)
 	}
 	t.inflight.Add(1)
@@ -209,13 +209,13 @@
 // noteShed takes an answer as word on whether its target takes work.
 func (r *run) noteShed(resp *http.Response) {
 	if shed(resp) {
-		r.target.queue.Load().Shed()
+		r.target.queue.Load().RecordOverload()
 	}
 	if isShed(resp.StatusCode) {
-		r.target.holdoff.Shed(r.forward.Account, r.exit.opts.Clock())
+		r.target.holdoff.RecordOverload(r.forward.Account, r.exit.opts.Clock())
 		return
 	}
-	r.target.holdoff.Answered()
+	r.target.holdoff.RecordAccepted()
 }
 
 // shed reports whether the upstream asks for less load.
--- a/io/crexit/target.go
+++ b/io/crexit/target.go
@@ -16,7 +16,7 @@
 	policy    atomic.Pointer[crpolicy.Service]
 	inflight  atomic.Int64
 	leaving   atomic.Bool // the upstream says that it is draining
-	holdoff   crslot.Holdoff
+	holdoff   crslot.OverloadBackoff
 }
 
 func newTarget(spec Spec) *target { return &target{spec: spec} }
@@ -27,11 +27,11 @@
 	t.policy.Store(&svc)
 	t.bound(svc.Connections)
 	if q := t.queue.Load(); q != nil {
-		q.SetLimit(svc.Slots)
-		q.SetRoom(svc.Queue)
+		q.SetSlots(svc.Slots)
+		q.SetMaxWaiting(svc.Queue)
 		return
 	}
-	t.queue.Store(crslot.New(crslot.Params{Slots: svc.Slots, Queue: svc.Queue}, clock))
+	t.queue.Store(crslot.New(crslot.Params{Slots: svc.Slots, MaxWaiting: svc.Queue}, clock))
 }
 
 // bound sets the number of connections. A transport's bound can not be changed
--- a/io/crtrace/replay.go
+++ b/io/crtrace/replay.go
@@ -61,7 +61,7 @@
 type player struct {
 	codec  *codec
 	r      *reader
-	root   *crdaemon.State
+	root   *crdaemon.Root
 	inv    invariants
 	report Report
 
@@ -100,7 +100,7 @@
 	if err := rec.decode(&h); err != nil {
 		return p.r.fail(err)
 	}
-	control := crdaemon.NewControl(h.Params, p.parse, p.load)
+	control := crdaemon.NewReducers(h.Params, p.parse, p.load)
 	control.Config.SetDigestFunc(digestOf)
 	p.root = control.Root
 	return nil
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -90,12 +90,12 @@
 
 func (s *send) offer() {
 	x, w := s.exit, s.exit.world
-	terms := crgate.Terms{
-		Kind: s.kind.pace(), Call: s.call, Objective: time.Duration(s.kind.Objective) - w.now.Sub(s.started), Left: s.deadline.Sub(w.now),
+	terms := crgate.Timing{
+		Kind: s.kind.pace(), Nested: s.call, Objective: time.Duration(s.kind.Objective) - w.now.Sub(s.started), TimeLeft: s.deadline.Sub(w.now),
 	}
 	if s.fit() {
-		ticket, refusal := x.gate.Admit(w.now, crgate.Ask{
-			Kind: terms.Kind, Call: s.call, Priority: s.kind.Priority, Start: x.gate.Latest(w.now, terms),
+		ticket, refusal := x.gate.Admit(w.now, crgate.Request{
+			Kind: terms.Kind, Nested: s.call, Priority: s.kind.Priority, LatestStart: x.gate.LatestStart(w.now, terms),
 		})
 		if refusal == nil {
 			s.ticket = ticket
@@ -178,7 +178,7 @@
 	if ok {
 		took = w.now.Sub(began)
 	}
-	x.gate.Done(w.now, s.ticket, took)
+	x.gate.Release(w.now, s.ticket, took)
 	if ok || fault {
 		x.note(sign(ok))
 	}
