--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -70,7 +70,9 @@
 		fx.Supply(cfg),
 		fx.Provide(
 			func() *crlog.Logger { return crlog.New(logTo, cfg.Log.Level, cfg.Name) },
-			func() *crforward.PauseDetector { return crforward.NewPauseDetector(crforward.DefaultPauseThreshold, crclock.Now()) },
+			func() *crforward.PauseDetector {
+				return crforward.NewPauseDetector(crforward.DefaultPauseThreshold, crclock.Now())
+			},
 			metrics.NewRegistry,
 			crhealth.NewRecorder,
 			newMeters,
--- a/io/crdaemon/state.go
+++ b/io/crdaemon/state.go
@@ -35,7 +35,7 @@
 
 // accountDump is the part of client accounts.
 type accountDump struct {
-	Control any                    `json:"control"`
+	Control any                  `json:"control"`
 	Wallet  []craccount.PoolDump `json:"wallet"`
 }
 
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -79,7 +79,9 @@
 	handle *crhop.Handle
 }
 
-func (r revoker) Revoke(ctx context.Context) crforward.RevokeResult { return r.client.Revoke(ctx, r.handle) }
+func (r revoker) Revoke(ctx context.Context) crforward.RevokeResult {
+	return r.client.Revoke(ctx, r.handle)
+}
 
 func testService() crpolicy.Service {
 	route := func(name, prefix string, class crpolicy.Class) crpolicy.Route {
--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -44,7 +44,7 @@
 
 // Forward is the head of a forwarded request.
 type Forward struct {
-	Session crforward.SessionID   `cbor:"x"`
+	Session crforward.SessionID `cbor:"x"`
 	ID      crid.Request        `cbor:"i"`
 	Service crid.Service        `cbor:"s"`
 	Target  crid.Target         `cbor:"t"`
@@ -103,8 +103,8 @@
 // Revoke asks whether a forward was started, and that it never be if not.
 type Revoke struct {
 	Session crforward.SessionID `cbor:"x"`
-	ID      crid.Request      `cbor:"i"`
-	Target  crid.Target       `cbor:"t"`
+	ID      crid.Request        `cbor:"i"`
+	Target  crid.Target         `cbor:"t"`
 }
 
 // Revoked answers a Revoke.
