--- a/core/crmember/bench_test.go
+++ b/core/crmember/bench_test.go
@@ -12,7 +12,7 @@
 	"camphorroad/core/crid"
 )
 
-func manyNames(n int) []crid.Daemon {
+func daemonNames(n int) []crid.Daemon {
 	var names []crid.Daemon
 	for i := range n {
 		names = append(names, crid.Daemon(fmt.Sprintf("instance-%05d", i)))
@@ -29,14 +29,14 @@
 }
 
 // voterOf is a voter of n daemons, which has standing once it is answered.
-func voterOf(n int) (*world, *node) {
-	w := newWorld(0, 1)
-	list := roll(1_000_000, manyNames(n)...)
+func newVoter(n int) (*cluster, *node) {
+	w := newCluster(0, 1)
+	list := newList(1_000_000, daemonNames(n)...)
 	self := Voters(list, 0, w.params.MaxVoters)[0]
 	node := w.start(self)
-	w.read(self, list)
-	node.state.fresh = false
-	node.state.raiseFloor(list.Revision())
+	w.deliverList(self, list)
+	node.state.recovering = false
+	node.state.advanceActive(list.Revision())
 	return w, node
 }
 
@@ -50,21 +50,21 @@
 }
 
 func benchSecond(b *testing.B, n int) {
-	w, node := voterOf(n)
+	w, node := newVoter(n)
 	told := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		told += len(secondOf(w, node))
+		told += len(runSecond(w, node))
 	}
 	b.ReportMetric(float64(told)/float64(b.N), "peers-told/s")
-	if node.state.tenure.Until == 0 {
+	if node.state.lease.Until == 0 {
 		b.Fatal("the daemon measured has no standing")
 	}
 }
 
 // secondOf lets a second pass in which each beat is answered, and returns what
 // is told of peers.
-func secondOf(w *world, node *node) (told []Peers) {
+func runSecond(w *cluster, node *node) (told []Peers) {
 	const tick = 50 * time.Millisecond
 	s := node.state
 	for range time.Second / tick {
@@ -74,7 +74,7 @@
 			case Peers:
 				told = append(told, effect)
 			case crevent.Send:
-				told = append(told, answer(s, effect, node.clock(w.now+3*time.Millisecond))...)
+				told = append(told, deliverReply(s, effect, node.clock(w.now+3*time.Millisecond))...)
 			}
 		}
 	}
@@ -82,9 +82,9 @@
 }
 
 // answer lets the peer answer a beat.
-func answer(s *State, send crevent.Send, at crid.Instant) (told []Peers) {
+func deliverReply(s *State, send crevent.Send, at crid.Instant) (told []Peers) {
 	beat := send.Msg.(Beat)
-	beat.Echo = Echo{Inc: s.inc, Seq: s.seq}
+	beat.Echo = Echo{Inc: s.incarnation, Seq: s.seq}
 	beat.Inc = 1 << 62
 	beat.Reply = true
 	for _, effect := range s.Step(crevent.Received{Now: at, From: send.To, Msg: beat}) {
@@ -102,9 +102,9 @@
 	var bytes float64
 	for b.Loop() {
 		before := heapInUse()
-		w, node := voterOf(peers)
+		w, node := newVoter(peers)
 		for range 2 {
-			secondOf(w, node)
+			runSecond(w, node)
 		}
 		w.packets = nil
 		bytes = (heapInUse() - before) / peers
@@ -121,7 +121,7 @@
 }
 
 func benchRound(b *testing.B, n int) {
-	w, node := voterOf(n)
+	w, node := newVoter(n)
 	s := node.state
 	seqs := uint64(0)
 	beats, size := 0, 0
@@ -136,7 +136,7 @@
 			}
 			seqs++
 			beat := send.Msg.(Beat)
-			beat.Echo = Echo{Inc: s.inc, Seq: s.seq}
+			beat.Echo = Echo{Inc: s.incarnation, Seq: s.seq}
 			beat.Inc = 1 << 62
 			beat.Seq = seqs
 			beat.Reply = true
@@ -151,7 +151,7 @@
 	b.ReportMetric(float64(size), "B/beat")
 	b.ReportMetric(float64(beats)/float64(b.N), "beats/round")
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(beats), "ns/beat")
-	if s.tenure.Until == 0 {
+	if s.lease.Until == 0 {
 		b.Fatal("the daemon measured has no standing")
 	}
 }
--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -35,60 +35,60 @@
 type State struct {
 	params Params
 
-	started   bool
-	startedAt crid.Instant
-	now       crid.Instant
-	self      crid.Daemon
-	inc       crid.Incarnation
-	seed      uint64
+	started     bool
+	startedAt   crid.Instant
+	now         crid.Instant
+	self        crid.Daemon
+	incarnation crid.Incarnation
+	seed        uint64
 
-	lists     map[crid.Revision]known
-	revs      []crid.Revision // revisions of lists, sorted
-	cur       crid.Revision   // newest of revs
-	floor     crid.Revision   // newest list known to have been active
-	wantFloor crid.Revision   // a later floor whose list has not come yet
-	pending   crinstance.List // read, and waiting for the handover to end
-	fresh     bool
-	coldRev   crid.Revision          // newest list at the moment of a cold start
-	forgotten map[crid.Revision]bool // lists whose voters were fresh in their majority
-	ackSince  crid.Instant           // since when this daemon itself answers for cur
+	lists            map[crid.Revision]heldList
+	revs             []crid.Revision // revisions of lists, sorted
+	newest           crid.Revision   // newest of revs
+	lastActive       crid.Revision   // newest list known to have been active
+	missingActive    crid.Revision   // a later floor whose list has not come yet
+	deferred         crinstance.List // read, and waiting for the handover to end
+	recovering       bool
+	coldStartRev     crid.Revision          // newest list at the moment of a cold start
+	recoveringQuorum map[crid.Revision]bool // lists whose voters were fresh in their majority
+	ackSince         crid.Instant           // since when this daemon itself answers for cur
 
-	peers map[crid.Daemon]*peer
-	order []crid.Daemon // keys of peers, sorted
-	known []*peer       // peers in that order
+	peers      map[crid.Daemon]*peer
+	peerNames  []crid.Daemon // keys of peers, sorted
+	peerStates []*peer       // peers in that order
 
-	conf      uint64
-	leaving   bool
-	seq       uint64
-	sent      [sentSlots]sending
-	roundAt   crid.Instant // latest round
-	nextRound crid.Instant // where something is under way
-	nextRest  crid.Instant // where nothing is
-	sampled   []crid.Daemon
-	sampledTo crid.Instant // until which the sample stays
-	beatNow   bool
-	tellAll   bool          // the next round goes to all peers
-	fullAt    crid.Revision // newest list refused for want of room
+	configRev     uint64
+	leaving       bool
+	seq           uint64
+	sentBeats     [sentRingSize]sentBeat
+	lastRound     crid.Instant // latest round
+	nextRound     crid.Instant // where something is under way
+	nextIdleRound crid.Instant // where nothing is
+	sample        []crid.Daemon
+	sampleUntil   crid.Instant // until which the sample stays
+	roundNow      bool
+	broadcast     bool          // the next round goes to all peers
+	fullReported  crid.Revision // newest list refused for want of room
 
-	tenure       Tenure
-	peersChanged bool
-	toldAt       crid.Instant // latest Peers
-	passing      bool         // sampled peers have become reachable, or no longer are
-	out          []crevent.Effect
+	lease          Tenure
+	peersChanged   bool
+	peersEmittedAt crid.Instant // latest Peers
+	sampledChanged bool         // sampled peers have become reachable, or no longer are
+	effects        []crevent.Effect
 
-	askedStranger bool
-	strangerAt    crid.Instant
+	requestedLists   bool
+	listsRequestedAt crid.Instant
 }
 
 // New returns a reducer that waits for [crevent.Started].
 func New(params Params) *State {
 	return &State{
-		params: params,
-		lists:  make(map[crid.Revision]known),
-		peers:  make(map[crid.Daemon]*peer),
-		fresh:  true,
+		params:     params,
+		lists:      make(map[crid.Revision]heldList),
+		peers:      make(map[crid.Daemon]*peer),
+		recovering: true,
 
-		forgotten: make(map[crid.Revision]bool),
+		recoveringQuorum: make(map[crid.Revision]bool),
 	}
 }
 
@@ -104,21 +104,21 @@
 	s.now = max(s.now, ev.At())
 	switch ev := ev.(type) {
 	case crevent.Tick:
-		s.refreshPeers()
+		s.updatePeers()
 	case crevent.Received:
 		s.receive(ev)
 	case crinstance.Listed:
-		s.readList(ev.List)
+		s.handleListUpdate(ev.List)
 	case Advertise:
-		s.conf = ev.Conf
+		s.configRev = ev.Conf
 	case crevent.Stopping:
-		s.tellAll = s.tellAll || !s.leaving
+		s.broadcast = s.broadcast || !s.leaving
 		s.leaving = true
 	}
-	s.conclude()
-	s.answer(ev)
-	out := s.out
-	s.out = nil
+	s.afterEvent()
+	s.replyTo(ev)
+	out := s.effects
+	s.effects = nil
 	return out
 }
 
@@ -129,7 +129,7 @@
 	s.started = true
 	s.startedAt = ev.Now
 	s.self = ev.Self
-	s.inc = ev.Incarnation
+	s.incarnation = ev.Incarnation
 	s.seed = ev.Seed
 }
 
@@ -138,41 +138,41 @@
 func (s *State) receive(ev crevent.Received) {
 	p := s.peers[ev.From]
 	if p == nil {
-		s.fromStranger(ev.From, ev.Msg)
+		s.handleUnlisted(ev.From, ev.Msg)
 		return
 	}
 	switch m := ev.Msg.(type) {
 	case Beat:
-		s.onBeat(ev.From, p, m)
+		s.handleHeartbeat(ev.From, p, m)
 		if p := s.peers[ev.From]; p != nil {
-			s.refreshPeer(ev.From, p)
+			s.updatePeer(ev.From, p)
 		}
 	case Fetch:
-		s.onFetch(ev.From, p, m)
+		s.handleListRequest(ev.From, p, m)
 	case Lists:
-		s.onLists(m)
+		s.handleListResponse(m)
 	}
 }
 
-// conclude draws the consequences of the event.
-func (s *State) conclude() {
-	s.takePending()
-	s.recoverState()
-	s.settleTenure()
-	if s.cur != 0 && s.roundDue() {
-		s.round()
+// afterEvent draws the consequences of the event.
+func (s *State) afterEvent() {
+	s.applyDeferred()
+	s.updateRecovery()
+	s.updateLease()
+	if s.newest != 0 && s.roundDue() {
+		s.sendRound()
 	}
-	if s.peersChanged || s.passing && s.now.Sub(s.toldAt) >= s.params.Interval {
-		s.tellPeers()
+	if s.peersChanged || s.sampledChanged && s.now.Sub(s.peersEmittedAt) >= s.params.Interval {
+		s.emitPeers()
 	}
 }
 
 func (s *State) emit(effect crevent.Effect) {
-	s.out = append(s.out, effect)
+	s.effects = append(s.effects, effect)
 }
 
-// draw returns a number that depends on the seed and the arguments only.
-func (s *State) draw(a, b uint64) uint64 {
+// hash returns a number that depends on the seed and the arguments only.
+func (s *State) hash(a, b uint64) uint64 {
 	var buf [24]byte
 	binary.LittleEndian.PutUint64(buf[0:], s.seed)
 	binary.LittleEndian.PutUint64(buf[8:], a)
@@ -180,23 +180,23 @@
 	return xxhash.Sum64(buf[:])
 }
 
-func (s *State) refreshPeers() {
-	for i, d := range s.order {
-		s.refreshPeer(d, s.known[i])
+func (s *State) updatePeers() {
+	for i, d := range s.peerNames {
+		s.updatePeer(d, s.peerStates[i])
 	}
 }
 
-// refreshPeer notices that a peer became reachable, or no longer is. Sampled
+// updatePeer notices that a peer became reachable, or no longer is. Sampled
 // peers come and go with every beat; they are told of once an interval, since in a
 // large fleet each notice costs its receivers a walk through all peers.
-func (s *State) refreshPeer(d crid.Daemon, p *peer) {
-	alive := s.alive(p)
+func (s *State) updatePeer(d crid.Daemon, p *peer) {
+	alive := s.inContact(p)
 	if alive == p.reachable {
 		return
 	}
 	p.reachable = alive
-	s.noteComing(p)
-	if p.sampled || !s.lists[s.cur].hasVoter(d) {
+	s.markPeerChanged(p)
+	if p.sampled || !s.lists[s.newest].hasVoter(d) {
 		return
 	}
 	if alive {
@@ -206,28 +206,28 @@
 	s.reportPeer(EventPeerLost, d)
 }
 
-// noteComing has Peers told: at once, or of a sampled peer once an interval.
-func (s *State) noteComing(p *peer) {
-	s.passing = s.passing || p.sampled
+// markPeerChanged has Peers told: at once, or of a sampled peer once an interval.
+func (s *State) markPeerChanged(p *peer) {
+	s.sampledChanged = s.sampledChanged || p.sampled
 	s.peersChanged = s.peersChanged || !p.sampled
 }
 
-func (s *State) tellPeers() {
-	s.emit(Peers{Now: s.now, Peers: s.view(), Passing: !s.peersChanged})
+func (s *State) emitPeers() {
+	s.emit(Peers{Now: s.now, Peers: s.peerList(), Passing: !s.peersChanged})
 	s.peersChanged = false
-	s.passing = false
-	s.toldAt = s.now
+	s.sampledChanged = false
+	s.peersEmittedAt = s.now
 }
 
-// view is the content of Peers.
-func (s *State) view() []Peer {
-	peers := make([]Peer, 0, len(s.order))
-	for i, d := range s.order {
-		p := s.known[i]
+// peerList is the content of Peers.
+func (s *State) peerList() []Peer {
+	peers := make([]Peer, 0, len(s.peerNames))
+	for i, d := range s.peerNames {
+		p := s.peerStates[i]
 		peers = append(peers, Peer{
 			Daemon:      d,
 			Domain:      p.domain,
-			Incarnation: p.inc,
+			Incarnation: p.incarnation,
 			Reachable:   p.reachable,
 			Sampled:     p.sampled,
 			Leaving:     p.leaving || p.listedLeaving,
@@ -264,26 +264,26 @@
 // Dump returns a [Dump].
 func (s *State) Dump() any {
 	dump := Dump{
-		Incarnation: s.inc,
-		Current:     s.cur,
-		Floor:       s.floor,
+		Incarnation: s.incarnation,
+		Current:     s.newest,
+		Floor:       s.lastActive,
 		Lists:       slices.Clone(s.revs),
-		Fresh:       s.fresh,
+		Fresh:       s.recovering,
 		Leaving:     s.leaving,
-		Active:      s.tenure.Active,
-		Until:       s.tenure.Until,
+		Active:      s.lease.Active,
+		Until:       s.lease.Until,
 		Now:         s.now,
 	}
-	for _, d := range s.order {
+	for _, d := range s.peerNames {
 		p := s.peers[d]
 		dump.Peers = append(dump.Peers, PeerDump{
 			Daemon:    d,
-			Current:   p.cur,
-			Floor:     p.floor,
-			Fresh:     p.fresh,
+			Current:   p.newest,
+			Floor:     p.lastActive,
+			Fresh:     p.recovering,
 			Leaving:   p.leaving || p.listedLeaving,
 			Reachable: p.reachable,
-			Evidence:  p.evidence,
+			Evidence:  p.lastContact,
 		})
 	}
 	return dump
--- a/core/crmember/list.go
+++ b/core/crmember/list.go
@@ -9,61 +9,61 @@
 	"camphorroad/core/crinstance"
 )
 
-// maxFreshLists bounds the lists that a fresh daemon takes from the platform.
-const maxFreshLists = 4
+// maxRecoveringLists bounds the lists that a fresh daemon takes from the platform.
+const maxRecoveringLists = 4
 
-// known is a list this daemon holds, with what follows from it.
-type known struct {
+// heldList is a list this daemon holds, with what follows from it.
+type heldList struct {
 	list    crinstance.List
 	voters  []crid.Daemon
 	daemons []crid.Daemon
 }
 
-func (k known) hasVoter(d crid.Daemon) bool {
+func (k heldList) hasVoter(d crid.Daemon) bool {
 	_, ok := slices.BinarySearch(k.voters, d)
 	return ok
 }
 
-// readList takes a list from the platform, or keeps it until the lists held
+// handleListUpdate takes a list from the platform, or keeps it until the lists held
 // have been handed over.
 //
 // Each list held has to hand over before the newest can become active, so that a
 // newer one never helps while that is under way. Taken at once, lists that come
 // fast would start the wait anew each time and fill the tables of the daemons
 // with different lists; nobody would get standing again.
-func (s *State) readList(list crinstance.List) {
+func (s *State) handleListUpdate(list crinstance.List) {
 	rev := list.Revision()
 	switch {
-	case rev < s.cur:
+	case rev < s.newest:
 		s.reportList(EventListIgnored, rev)
-	case s.handingOver():
-		if rev > s.pending.Revision() {
-			s.pending = list
+	case s.mustDefer():
+		if rev > s.deferred.Revision() {
+			s.deferred = list
 		}
 	default:
 		s.addList(list)
 	}
 }
 
-// handingOver reports whether a list read now has to wait. A fresh daemon takes
+// mustDefer reports whether a list read now has to wait. A fresh daemon takes
 // a few, as it can not hand over before it has found peers.
-func (s *State) handingOver() bool {
-	if s.fresh {
-		return len(s.lists) >= maxFreshLists
+func (s *State) mustDefer() bool {
+	if s.recovering {
+		return len(s.lists) >= maxRecoveringLists
 	}
-	return s.floor < s.cur
+	return s.lastActive < s.newest
 }
 
-// takePending goes on to the list that waited.
-func (s *State) takePending() {
-	rev := s.pending.Revision()
-	if rev == 0 || s.handingOver() {
+// applyDeferred goes on to the list that waited.
+func (s *State) applyDeferred() {
+	rev := s.deferred.Revision()
+	if rev == 0 || s.mustDefer() {
 		return
 	}
-	if rev > s.cur {
-		s.addList(s.pending)
+	if rev > s.newest {
+		s.addList(s.deferred)
 	}
-	s.pending = crinstance.List{}
+	s.deferred = crinstance.List{}
 }
 
 // addList takes a list from the platform or a peer.
@@ -72,61 +72,61 @@
 	if _, ok := s.lists[rev]; ok || rev == 0 {
 		return
 	}
-	if rev < s.floor {
+	if rev < s.lastActive {
 		s.reportList(EventListIgnored, rev)
 		return
 	}
-	if len(s.lists) >= s.params.MaxLists && rev != s.wantFloor {
-		s.refuseFull(rev)
+	if len(s.lists) >= s.params.MaxLists && rev != s.missingActive {
+		s.reportFull(rev)
 		return
 	}
-	s.lists[rev] = known{
+	s.lists[rev] = heldList{
 		list:    list,
 		voters:  Voters(list, 0, s.params.MaxVoters),
 		daemons: list.Daemons(),
 	}
 	s.emit(crinstance.Listed{Now: s.now, List: list})
 	s.indexLists()
-	if rev == s.cur {
-		s.startCurrent()
+	if rev == s.newest {
+		s.startHandover()
 	}
-	s.raiseFloor(s.wantFloor)
+	s.advanceActive(s.missingActive)
 }
 
-// refuseFull reports, once for each list, that there is no room. The lists held
+// reportFull reports, once for each list, that there is no room. The lists held
 // can not be dropped for it: each may be the one under which somebody acts.
-func (s *State) refuseFull(rev crid.Revision) {
-	if rev > s.fullAt {
-		s.fullAt = rev
+func (s *State) reportFull(rev crid.Revision) {
+	if rev > s.fullReported {
+		s.fullReported = rev
 		s.reportList(EventListsFull, rev)
 	}
 }
 
-// startCurrent begins to gather acknowledgements for a new newest list.
-func (s *State) startCurrent() {
-	s.reportList(EventListAdopted, s.cur)
+// startHandover begins to gather acknowledgements for a new newest list.
+func (s *State) startHandover() {
+	s.reportList(EventListAdopted, s.newest)
 	s.ackSince = s.now
 	for _, p := range s.peers {
 		p.acked = false
 	}
-	if _, ok := s.lists[s.cur].list.Find(s.self); !ok {
-		s.reportList(EventNotListed, s.cur)
+	if _, ok := s.lists[s.newest].list.Find(s.self); !ok {
+		s.reportList(EventNotListed, s.newest)
 	}
-	s.beatNow = true
+	s.roundNow = true
 }
 
-// raiseFloor drops the lists before one that is known to have been active. All
+// advanceActive drops the lists before one that is known to have been active. All
 // of them had handed over before it became active, for good.
-func (s *State) raiseFloor(rev crid.Revision) {
-	if rev <= s.floor {
+func (s *State) advanceActive(rev crid.Revision) {
+	if rev <= s.lastActive {
 		return
 	}
 	if _, ok := s.lists[rev]; !ok {
-		s.wantFloor = max(s.wantFloor, rev)
+		s.missingActive = max(s.missingActive, rev)
 		return
 	}
-	s.floor = rev
-	maps.DeleteFunc(s.lists, func(r crid.Revision, _ known) bool { return r < rev })
+	s.lastActive = rev
+	maps.DeleteFunc(s.lists, func(r crid.Revision, _ heldList) bool { return r < rev })
 	s.indexLists()
 }
 
@@ -134,7 +134,7 @@
 // revision, the revisions in order and the peers.
 func (s *State) indexLists() {
 	s.revs = slices.Sorted(maps.Keys(s.lists))
-	s.cur = s.revs[len(s.revs)-1]
+	s.newest = s.revs[len(s.revs)-1]
 	wanted := make(map[crid.Daemon]bool)
 	for _, rev := range s.revs {
 		for _, d := range s.lists[rev].daemons {
@@ -148,24 +148,24 @@
 			s.peers[d] = &peer{}
 		}
 	}
-	s.order = slices.Sorted(maps.Keys(s.peers))
-	s.known = s.known[:0]
-	for _, d := range s.order {
+	s.peerNames = slices.Sorted(maps.Keys(s.peers))
+	s.peerStates = s.peerStates[:0]
+	for _, d := range s.peerNames {
 		p := s.peers[d]
-		s.known = append(s.known, p)
-		p.sampled = len(s.order) > s.params.MaxVoters && !s.votes(d)
-		s.describe(d, p)
+		s.peerStates = append(s.peerStates, p)
+		p.sampled = len(s.peerNames) > s.params.MaxVoters && !s.isVoter(d)
+		s.applyListing(d, p)
 	}
 	s.peersChanged = true
 }
 
-// votes reports whether a list held has the daemon as a voter.
-func (s *State) votes(d crid.Daemon) bool {
+// isVoter reports whether a list held has the daemon as a voter.
+func (s *State) isVoter(d crid.Daemon) bool {
 	return slices.ContainsFunc(s.revs, func(rev crid.Revision) bool { return s.lists[rev].hasVoter(d) })
 }
 
-// describe sets what the newest list that names the peer says of it.
-func (s *State) describe(d crid.Daemon, p *peer) {
+// applyListing sets what the newest list that names the peer says of it.
+func (s *State) applyListing(d crid.Daemon, p *peer) {
 	for _, rev := range slices.Backward(s.revs) {
 		if in, ok := s.lists[rev].list.Find(d); ok {
 			p.domain = in.Domain
@@ -175,7 +175,7 @@
 	}
 }
 
-// older returns the lists that have to hand over before the newest can become
+// olderLists returns the lists that have to hand over before the newest can become
 // active.
 //
 // A list that this daemon skips could have become active elsewhere. Suppose 1
@@ -185,10 +185,10 @@
 // 3 become active while a, b and z still answer for 2. One would notice it as
 // an account that gets twice its rate. Therefore every list that an answering
 // peer holds is fetched first (see holdsAll) and has to hand over too.
-func (s *State) older() []known {
-	var older []known
+func (s *State) olderLists() []heldList {
+	var older []heldList
 	for _, rev := range s.revs[:len(s.revs)-1] {
-		if !s.params.has(guardChain) && rev != s.revs[0] {
+		if !s.params.enforces(guardIntermediateLists) && rev != s.revs[0] {
 			continue
 		}
 		older = append(older, s.lists[rev])
@@ -196,11 +196,11 @@
 	return older
 }
 
-// held lists the revisions strictly between floor and newest.
-func (s *State) held() []crid.Revision {
+// intermediateRevs lists the revisions strictly between floor and newest.
+func (s *State) intermediateRevs() []crid.Revision {
 	var held []crid.Revision
 	for _, rev := range s.revs {
-		if rev > s.floor && rev < s.cur {
+		if rev > s.lastActive && rev < s.newest {
 			held = append(held, rev)
 		}
 	}
@@ -210,28 +210,28 @@
 // holdsAll reports whether this daemon holds each list the peer named that can
 // still matter.
 func (s *State) holdsAll(p *peer) bool {
-	if !s.params.has(guardChain) {
-		return s.holds(p.cur)
+	if !s.params.enforces(guardIntermediateLists) {
+		return s.holds(p.newest)
 	}
-	for _, rev := range p.held {
+	for _, rev := range p.intermediate {
 		if !s.holds(rev) {
 			return false
 		}
 	}
-	return s.holds(p.cur) && s.holds(p.floor)
+	return s.holds(p.newest) && s.holds(p.lastActive)
 }
 
 // holds reports whether a list is held or need not be.
 func (s *State) holds(rev crid.Revision) bool {
 	_, ok := s.lists[rev]
-	return ok || rev < s.floor || rev == 0
+	return ok || rev < s.lastActive || rev == 0
 }
 
-// onFetch answers with the lists the peer lacks. Lists are the largest messages
+// handleListRequest answers with the lists the peer lacks. Lists are the largest messages
 // by far, so that a peer which asks without pause would take the whole allowance
 // of control traffic; peers ask once an interval.
-func (s *State) onFetch(from crid.Daemon, p *peer, m Fetch) {
-	if p.answered && s.now.Sub(p.answeredAt) < s.params.Interval/2 {
+func (s *State) handleListRequest(from crid.Daemon, p *peer, m Fetch) {
+	if p.listsSent && s.now.Sub(p.listsSentAt) < s.params.Interval/2 {
 		return
 	}
 	var rolls []Roll
@@ -241,15 +241,15 @@
 		}
 	}
 	if len(rolls) > 0 {
-		p.answered = true
-		p.answeredAt = s.now
+		p.listsSent = true
+		p.listsSentAt = s.now
 		s.emit(crevent.Send{To: from, Msg: Lists{Rolls: rolls}})
 	}
 }
 
-// onLists takes the lists in order, so that a full table keeps the oldest,
+// handleListResponse takes the lists in order, so that a full table keeps the oldest,
 // which are the ones that have to hand over.
-func (s *State) onLists(m Lists) {
+func (s *State) handleListResponse(m Lists) {
 	if len(m.Rolls) > s.params.MaxLists {
 		return
 	}
--- a/core/crmember/params.go
+++ b/core/crmember/params.go
@@ -29,7 +29,7 @@
 	// MaxLists bounds the lists kept at one time.
 	MaxLists int
 
-	without guard // guards switched off; set by tests only
+	disabled guard // guards switched off; set by tests only
 }
 
 // guard is a set of safety rules, each of which a test can switch off to show
@@ -37,15 +37,15 @@
 type guard uint8
 
 const (
-	guardSent    guard = 1 << iota // evidence counts from sending
-	guardChain                     // lists between the floor and the newest must agree too
-	guardFresh                     // a restarted daemon recovers before it vouches
-	guardSilence                   // wait for the old evidence to run out
-	guardConfirm                   // the early end of the wait needs a second round
+	guardSendTime          guard = 1 << iota // evidence counts from sending
+	guardIntermediateLists                   // lists between the floor and the newest must agree too
+	guardRecovery                            // a restarted daemon recovers before it vouches
+	guardExpiryWait                          // wait for the old evidence to run out
+	guardReconfirm                           // the early end of the wait needs a second round
 )
 
-// has reports whether the rule is in force.
-func (p Params) has(g guard) bool { return p.without&g == 0 }
+// enforces reports whether the rule is in force.
+func (p Params) enforces(g guard) bool { return p.disabled&g == 0 }
 
 // DefaultParams returns the parameters for links of a few milliseconds.
 func DefaultParams() Params {
@@ -71,6 +71,6 @@
 	return time.Duration(float64(p.Horizon)*factor) + p.Margin
 }
 
-// rest is the mean time between two beats to one peer while nothing is under
+// idleInterval is the mean time between two beats to one peer while nothing is under
 // way.
-func (p Params) rest() time.Duration { return max(p.Rest, p.Interval) }
+func (p Params) idleInterval() time.Duration { return max(p.Rest, p.Interval) }
--- a/core/crmember/rapid_test.go
+++ b/core/crmember/rapid_test.go
@@ -30,30 +30,30 @@
 // clocks that drift. At no true instant may two of them have standing under
 // different lists; else an account gets more than its rate. At most one daemon
 // is unrecovered at a time: the known limit of recovery without a disk.
-func TestStandingUnderOneListOnly(t *testing.T) {
+func TestLeasesUnderOneListOnly(t *testing.T) {
 	standings := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(0, rapid.Uint64().Draw(rt, "network"))
-		names := ds("a", "b", "c", "d", "e", "f")
-		lists := []crinstance.List{roll(1, names...)}
+		w := newCluster(0, rapid.Uint64().Draw(rt, "network"))
+		names := daemons("a", "b", "c", "d", "e", "f")
+		lists := []crinstance.List{newList(1, names...)}
 		w.startAll(lists[0])
 		for _, d := range names {
-			w.nodes[d].rate = rapid.Float64Range(0.99, 1.01).Draw(rt, "rate")
+			w.nodes[d].clockRate = rapid.Float64Range(0.99, 1.01).Draw(rt, "rate")
 		}
 		w.run(4 * time.Second)
-		w.chaos = true
-		m := &machine{w: w, names: names, lists: lists}
+		w.faulty = true
+		m := &faultMachine{w: w, names: names, lists: lists}
 		rt.Repeat(map[string]func(*rapid.T){
 			"publish": m.publish,
 			"read":    m.read,
 			"readAll": m.readAll,
-			"cut":     m.cut,
+			"cut":     m.cutLink,
 			"split":   m.split,
-			"defect":  m.defect,
-			"slow":    m.slow,
+			"defect":  m.moveDaemons,
+			"slow":    m.delayLink,
 			"heal":    m.heal,
 			"pause":   func(rt *rapid.T) { w.nodes[m.pick(rt)].paused = true },
-			"wake":    func(rt *rapid.T) { w.wake(m.pick(rt)) },
+			"wake":    func(rt *rapid.T) { w.resume(m.pick(rt)) },
 			"restart": m.restart,
 			"run":     m.run,
 			"runLong": func(*rapid.T) { w.run(3 * time.Second) },
@@ -61,17 +61,17 @@
 				if len(w.overlaps) > 0 {
 					rt.Fatalf("two lists at once: %s", w.overlaps[0])
 				}
-				if len(w.apart) > 0 {
-					rt.Fatalf("no list in common: %s", w.apart[0])
+				if len(w.disjoint) > 0 {
+					rt.Fatalf("no list in common: %s", w.disjoint[0])
 				}
 			},
 		})
 		for _, n := range w.nodes {
-			if n.tenure.Active > 1 {
+			if n.lease.Active > 1 {
 				standings++
 			}
 		}
-		m.expectRecovery(rt)
+		m.expectLeases(rt)
 	})
 	if standings == 0 {
 		t.Fatal("no run got beyond its first list; the check proves nothing")
@@ -81,16 +81,16 @@
 
 // expectRecovery ends all faults. A rule so strict that nobody gets standing again
 // would be safe, and users would be refused for ever.
-func (m *machine) expectRecovery(rt *rapid.T) {
-	m.w.chaos = false
+func (m *faultMachine) expectLeases(rt *rapid.T) {
+	m.w.faulty = false
 	m.heal(rt)
 	for _, d := range m.names {
-		m.w.wake(d)
+		m.w.resume(d)
 	}
-	m.lists = append(m.lists, roll(crid.Revision(len(m.lists)+1), m.names...))
+	m.lists = append(m.lists, newList(crid.Revision(len(m.lists)+1), m.names...))
 	m.readAll(rt)
 	m.w.run(8 * time.Second)
-	if held := len(m.w.holders()); held != len(m.names) {
+	if held := len(m.w.leaseHolders()); held != len(m.names) {
 		rt.Fatalf("%d of %d daemons have standing after all faults are over", held, len(m.names))
 	}
 	if len(m.w.overlaps) > 0 {
@@ -98,40 +98,40 @@
 	}
 }
 
-type machine struct {
-	w     *world
+type faultMachine struct {
+	w     *cluster
 	names []crid.Daemon
 	lists []crinstance.List
 	left  []crid.Daemon // the sides of the latest split
 	right []crid.Daemon
 }
 
-func (m *machine) pick(rt *rapid.T) crid.Daemon {
+func (m *faultMachine) pick(rt *rapid.T) crid.Daemon {
 	return rapid.SampledFrom(m.names).Draw(rt, "daemon")
 }
 
-func (m *machine) publish(rt *rapid.T) {
+func (m *faultMachine) publish(rt *rapid.T) {
 	members := rapid.Permutation(m.names).Draw(rt, "members")
 	n := rapid.IntRange(3, len(members)).Draw(rt, "n")
-	m.lists = append(m.lists, roll(crid.Revision(len(m.lists)+1), members[:n]...))
+	m.lists = append(m.lists, newList(crid.Revision(len(m.lists)+1), members[:n]...))
 }
 
-func (m *machine) read(rt *rapid.T) {
+func (m *faultMachine) read(rt *rapid.T) {
 	d := m.pick(rt)
 	if !m.w.nodes[d].paused {
-		m.w.read(d, rapid.SampledFrom(m.lists).Draw(rt, "list"))
+		m.w.deliverList(d, rapid.SampledFrom(m.lists).Draw(rt, "list"))
 	}
 }
 
-func (m *machine) readAll(*rapid.T) {
+func (m *faultMachine) readAll(*rapid.T) {
 	for _, d := range m.names {
 		if !m.w.nodes[d].paused {
-			m.w.read(d, m.lists[len(m.lists)-1])
+			m.w.deliverList(d, m.lists[len(m.lists)-1])
 		}
 	}
 }
 
-func (m *machine) cut(rt *rapid.T) {
+func (m *faultMachine) cutLink(rt *rapid.T) {
 	from, to := m.pick(rt), m.pick(rt)
 	m.w.cuts[link{from, to}] = true
 	if rapid.Bool().Draw(rt, "both") {
@@ -140,18 +140,18 @@
 }
 
 // split cuts the fleet in two, and one side reads a list of that side.
-func (m *machine) split(rt *rapid.T) {
+func (m *faultMachine) split(rt *rapid.T) {
 	order := rapid.Permutation(m.names).Draw(rt, "order")
 	n := rapid.IntRange(3, len(order)-1).Draw(rt, "n")
 	m.left, m.right = order[:n], order[n:]
-	m.w.cut(m.left, m.right)
+	m.w.partition(m.left, m.right)
 	m.publishTo(m.left)
 	m.w.run(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
 }
 
 // defect moves daemons of the side with the newer list to the other, which may
 // then read a list of its own; one of them may restart with a former list.
-func (m *machine) defect(rt *rapid.T) {
+func (m *faultMachine) moveDaemons(rt *rapid.T) {
 	if len(m.left) < 2 {
 		return
 	}
@@ -159,7 +159,7 @@
 	movers, stay := m.left[:n], m.left[n:]
 	side := append(slices.Clone(m.right), movers...)
 	m.heal(rt)
-	m.w.cut(side, stay)
+	m.w.partition(side, stay)
 	m.left, m.right = side, stay
 	if rapid.Bool().Draw(rt, "restart") {
 		m.restartOne(rt, movers[0])
@@ -170,40 +170,40 @@
 	m.w.run(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
 }
 
-func (m *machine) publishTo(side []crid.Daemon) {
-	list := roll(crid.Revision(len(m.lists)+1), side...)
+func (m *faultMachine) publishTo(side []crid.Daemon) {
+	list := newList(crid.Revision(len(m.lists)+1), side...)
 	m.lists = append(m.lists, list)
 	for _, d := range side {
 		if !m.w.nodes[d].paused {
-			m.w.read(d, list)
+			m.w.deliverList(d, list)
 		}
 	}
 }
 
 // slow lets a link deliver seconds late.
-func (m *machine) slow(rt *rapid.T) {
+func (m *faultMachine) delayLink(rt *rapid.T) {
 	ms := rapid.IntRange(500, 6000).Draw(rt, "ms")
-	m.w.slow[link{m.pick(rt), m.pick(rt)}] = time.Duration(ms) * time.Millisecond
+	m.w.delays[link{m.pick(rt), m.pick(rt)}] = time.Duration(ms) * time.Millisecond
 }
 
-func (m *machine) heal(*rapid.T) {
+func (m *faultMachine) heal(*rapid.T) {
 	clear(m.w.cuts)
-	clear(m.w.slow)
+	clear(m.w.delays)
 }
 
-func (m *machine) restart(rt *rapid.T) { m.restartOne(rt, m.pick(rt)) }
+func (m *faultMachine) restart(rt *rapid.T) { m.restartOne(rt, m.pick(rt)) }
 
-func (m *machine) restartOne(rt *rapid.T, d crid.Daemon) {
+func (m *faultMachine) restartOne(rt *rapid.T, d crid.Daemon) {
 	for _, n := range m.w.nodes {
-		if n.state.fresh {
+		if n.state.recovering {
 			return
 		}
 	}
 	m.w.start(d)
-	m.w.read(d, rapid.SampledFrom(m.lists).Draw(rt, "list"))
+	m.w.deliverList(d, rapid.SampledFrom(m.lists).Draw(rt, "list"))
 }
 
-func (m *machine) run(rt *rapid.T) {
+func (m *faultMachine) run(rt *rapid.T) {
 	ms := rapid.IntRange(10, 1500).Draw(rt, "ms")
 	m.w.run(time.Duration(ms) * time.Millisecond)
 }
--- a/core/crmember/recover.go
+++ b/core/crmember/recover.go
@@ -2,29 +2,29 @@
 
 import "camphorroad/core/crid"
 
-// recoverState ends the time in which a new incarnation vouches for nobody.
+// updateRecovery ends the time in which a new incarnation vouches for nobody.
 //
 // A daemon that restarts has forgotten which lists it had acknowledged. If it
 // read a stale list and vouched for it, it could complete a majority under
 // which somebody acts, though it had already let a newer list become active.
-func (s *State) recoverState() {
-	if !s.fresh || s.cur == 0 {
+func (s *State) updateRecovery() {
+	if !s.recovering || s.newest == 0 {
 		return
 	}
-	s.noteForgotten()
+	s.noteRecoveringQuorums()
 	switch {
 	case s.recoveredFromPeers():
-		s.reportList(EventRecovered, s.cur)
-	case s.coldStarted():
-		s.reportList(EventColdStart, s.cur)
-		s.raiseFloor(s.coldRev)
+		s.reportList(EventRecovered, s.newest)
+	case s.coldStartDone():
+		s.reportList(EventColdStart, s.newest)
+		s.advanceActive(s.coldStartRev)
 	default:
 		return
 	}
-	s.fresh = false
-	clear(s.forgotten)
+	s.recovering = false
+	clear(s.recoveringQuorum)
 	s.ackSince = s.now
-	s.beatNow = true
+	s.roundNow = true
 }
 
 // recoveredFromPeers reports whether, for each list held, so many other voters
@@ -32,68 +32,68 @@
 // forgotten acknowledgement contains one of them. A list whose voters are new
 // in their majority has nobody to ask.
 func (s *State) recoveredFromPeers() bool {
-	if s.floor == 0 || s.wantFloor > s.floor {
+	if s.lastActive == 0 || s.missingActive > s.lastActive {
 		return false
 	}
 	for _, rev := range s.revs {
 		voters := s.lists[rev].voters
-		need := max(1, len(voters)-majority(len(voters))+1)
-		if !s.forgotten[rev] && s.count(voters, s.knowsNoMore) < need {
+		need := max(1, len(voters)-quorum(len(voters))+1)
+		if !s.recoveringQuorum[rev] && s.countVoters(voters, s.upToDate) < need {
 			return false
 		}
 	}
 	return true
 }
 
-// knowsNoMore reports whether a recovered peer answers and everything it holds
+// upToDate reports whether a recovered peer answers and everything it holds
 // has been fetched.
-func (s *State) knowsNoMore(p *peer) bool {
-	return s.alive(p) && !p.fresh && p.cur <= s.cur && s.holdsAll(p)
+func (s *State) upToDate(p *peer) bool {
+	return s.inContact(p) && !p.recovering && p.newest <= s.newest && s.holdsAll(p)
 }
 
-// noteForgotten remembers each list of which, at one moment, a majority of the
+// noteRecoveringQuorums remembers each list of which, at one moment, a majority of the
 // voters had not recovered, so that nobody can recover from the others. It is
 // kept, because the first of them to go on would spoil the count for the rest.
-func (s *State) noteForgotten() {
+func (s *State) noteRecoveringQuorums() {
 	for _, rev := range s.revs {
 		k := s.lists[rev]
-		n := s.count(k.voters, func(p *peer) bool {
-			return s.alive(p) && p.fresh && p.cur == s.cur
+		n := s.countVoters(k.voters, func(p *peer) bool {
+			return s.inContact(p) && p.recovering && p.newest == s.newest
 		})
 		if k.hasVoter(s.self) {
 			n++
 		}
-		if n < majority(len(k.voters)) {
+		if n < quorum(len(k.voters)) {
 			continue
 		}
-		s.forgotten[rev] = true
-		if rev == s.cur && s.floor == 0 && s.coldRev == 0 {
-			s.coldRev = rev
+		s.recoveringQuorum[rev] = true
+		if rev == s.newest && s.lastActive == 0 && s.coldStartRev == 0 {
+			s.coldStartRev = rev
 		}
 	}
 }
 
-// coldStarted reports whether a cold start is over. The wait lets standing of
+// coldStartDone reports whether a cold start is over. The wait lets standing of
 // the former lives run out, and peers that do remember show up.
-func (s *State) coldStarted() bool {
-	if s.coldRev == 0 || s.now.Sub(s.startedAt) < s.params.Silence() {
+func (s *State) coldStartDone() bool {
+	if s.coldStartRev == 0 || s.now.Sub(s.startedAt) < s.params.Silence() {
 		return false
 	}
 	for _, p := range s.peers {
-		if s.alive(p) && (p.cur > s.cur || !s.holdsAll(p)) {
+		if s.inContact(p) && (p.newest > s.newest || !s.holdsAll(p)) {
 			return false
 		}
 	}
-	voters := s.lists[s.cur].voters
-	n := s.count(voters, s.alive)
-	if s.lists[s.cur].hasVoter(s.self) {
+	voters := s.lists[s.newest].voters
+	n := s.countVoters(voters, s.inContact)
+	if s.lists[s.newest].hasVoter(s.self) {
 		n++
 	}
-	return n >= majority(len(voters))
+	return n >= quorum(len(voters))
 }
 
-// count counts the other daemons of a list of voters that satisfy ok.
-func (s *State) count(voters []crid.Daemon, ok func(*peer) bool) int {
+// countVoters counts the other daemons of a list of voters that satisfy ok.
+func (s *State) countVoters(voters []crid.Daemon, ok func(*peer) bool) int {
 	n := 0
 	for _, d := range voters {
 		if p := s.peers[d]; p != nil && ok(p) {
--- a/core/crmember/rest_test.go
+++ b/core/crmember/rest_test.go
@@ -9,9 +9,9 @@
 
 // Nothing happens for hours. Beats at the pace of a handover would take three
 // times the allowance of control from every daemon, for nothing.
-func TestFleetAtRestBeatsSlowly(t *testing.T) {
+func TestIdleFleetSendsHeartbeatsSlowly(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := settled(0, roll(1, manyNames(25)...))
+	w := startedCluster(0, newList(1, daemonNames(25)...))
 	w.run(5 * time.Second)
 	for _, n := range w.nodes {
 		n.sent = nil
@@ -22,24 +22,24 @@
 		perPeer := float64(len(n.sent)) / (24 * seconds)
 		g.Expect(perPeer).To(gomega.BeNumerically("~", 2, 0.5), string(d))
 	}
-	g.Expect(w.holders()).To(gomega.HaveLen(25))
+	g.Expect(w.leaseHolders()).To(gomega.HaveLen(25))
 }
 
 // A switch drops everything between two daemons for most of a second. At rest
 // evidence is a second old by then, and a peer taken for lost for that would have
 // its targets avoided and its tokens out of reach.
-func TestAMomentOfSilenceAtRestIsNotLoss(t *testing.T) {
+func TestShortOutageWhileIdleTakesNoPeerDown(t *testing.T) {
 	for phase := range 10 {
 		g := gomega.NewWithT(t)
-		w := settled(0, roll(1, "a", "b", "c"))
+		w := startedCluster(0, newList(1, "a", "b", "c"))
 		w.run(5*time.Second + time.Duration(phase)*50*time.Millisecond)
-		w.cut(ds("a"), ds("b"))
+		w.partition(daemons("a"), daemons("b"))
 		w.run(700 * time.Millisecond)
 		clear(w.cuts)
 		for range 40 {
 			w.run(50 * time.Millisecond)
-			g.Expect(w.lost("a")).To(gomega.BeEmpty())
-			g.Expect(w.lost("b")).To(gomega.BeEmpty())
+			g.Expect(w.down("a")).To(gomega.BeEmpty())
+			g.Expect(w.down("b")).To(gomega.BeEmpty())
 		}
 	}
 }
--- a/core/crmember/voter.go
+++ b/core/crmember/voter.go
@@ -59,5 +59,5 @@
 	return xxhash.Sum64String(strconv.FormatUint(uint64(shard), 10) + "/" + string(d))
 }
 
-// majority is the least number of n voters that any other majority must meet.
-func majority(n int) int { return n/2 + 1 }
+// quorum is the least number of n voters that any other quorum must meet.
+func quorum(n int) int { return n/2 + 1 }
--- a/core/crmember/watermark_test.go
+++ b/core/crmember/watermark_test.go
@@ -10,19 +10,19 @@
 // A mark of what has surely been seen may be the minimum over all sources, or
 // what a majority has passed. One daemon of five dies. Under the minimum nobody
 // could act any more, and every caller would be refused for one lost machine.
-func TestStandingIsAMajoritysMarkAndNotAMinimum(t *testing.T) {
+func TestLeaseExpiryFollowsQuorumNotMinimum(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := settled(0, roll(1, "a", "b", "c", "d", "e"))
+	w := startedCluster(0, newList(1, "a", "b", "c", "d", "e"))
 	delete(w.nodes, "e")
 	w.run(w.params.Horizon + time.Second)
 	s := w.nodes["a"].state
 	now := w.nodes["a"].clock(w.now)
 	minimum := now
 	for _, p := range s.peers {
-		minimum = min(minimum, p.evidence.Add(s.params.Horizon))
+		minimum = min(minimum, p.lastContact.Add(s.params.Horizon))
 	}
 	t.Logf("one of five is dead for %v: majority's mark ends in %v, minimum's in %v",
-		w.params.Horizon+time.Second, s.tenure.Until.Sub(now), minimum.Sub(now))
+		w.params.Horizon+time.Second, s.lease.Until.Sub(now), minimum.Sub(now))
 	g.Expect(minimum).To(gomega.BeNumerically("<", now))
-	g.Expect(s.tenure.Until).To(gomega.BeNumerically(">", now))
+	g.Expect(s.lease.Until).To(gomega.BeNumerically(">", now))
 }
--- a/core/crmember/world_test.go
+++ b/core/crmember/world_test.go
@@ -13,19 +13,19 @@
 
 // node is a daemon in the test network, with a clock of its own.
 type node struct {
-	state  *State
-	inc    crid.Incarnation
-	base   crid.Instant
-	rate   float64
-	paused bool
-	queue  []packet // arrived while paused
-	tenure Tenure
-	peers  map[crid.Daemon]Peer
-	sent   []crevent.Message
+	state     *State
+	inc       crid.Incarnation
+	clockBase crid.Instant
+	clockRate float64
+	paused    bool
+	queue     []packet // arrived while paused
+	lease     Tenure
+	peers     map[crid.Daemon]Peer
+	sent      []crevent.Message
 }
 
 func (n *node) clock(now time.Duration) crid.Instant {
-	return n.base + crid.Instant(float64(now)*n.rate)
+	return n.clockBase + crid.Instant(float64(now)*n.clockRate)
 }
 
 type packet struct {
@@ -37,64 +37,64 @@
 type link struct{ from, to crid.Daemon }
 
 // world is a network of real reducers in simulated time.
-type world struct {
+type cluster struct {
 	params   Params
 	now      time.Duration
 	nodes    map[crid.Daemon]*node
 	packets  []packet
 	cuts     map[link]bool
-	slow     map[link]time.Duration // extra delay
+	delays   map[link]time.Duration // extra delay
 	rng      *rand.Rand
-	chaos    bool     // random delay, loss and duplicates
-	apart    []string // daemons that acted without a list in common
+	faulty   bool     // random delay, loss and duplicates
+	disjoint []string // daemons that acted without a list in common
 	overlaps []string
-	lives    uint64
+	starts   uint64
 }
 
-func newWorld(without guard, seed uint64) *world {
+func newCluster(without guard, seed uint64) *cluster {
 	params := DefaultParams()
-	params.without = without
-	return &world{
+	params.disabled = without
+	return &cluster{
 		params: params,
 		nodes:  make(map[crid.Daemon]*node),
 		cuts:   make(map[link]bool),
-		slow:   make(map[link]time.Duration),
+		delays: make(map[link]time.Duration),
 		rng:    rand.New(rand.NewPCG(seed, 1)),
 	}
 }
 
 // start begins a new life of a daemon; its clock rate stays.
-func (w *world) start(d crid.Daemon) *node {
-	w.lives++
+func (w *cluster) start(d crid.Daemon) *node {
+	w.starts++
 	n := &node{
-		state: New(w.params),
-		inc:   crid.Incarnation(w.lives),
-		base:  crid.Instant(1e9 * float64(1+w.lives)),
-		rate:  1,
+		state:     New(w.params),
+		inc:       crid.Incarnation(w.starts),
+		clockBase: crid.Instant(1e9 * float64(1+w.starts)),
+		clockRate: 1,
 	}
 	if old := w.nodes[d]; old != nil {
-		n.rate = old.rate
+		n.clockRate = old.clockRate
 	}
 	w.nodes[d] = n
-	w.step(d, crevent.Started{Now: n.clock(w.now), Self: d, Incarnation: n.inc, Seed: w.lives})
+	w.step(d, crevent.Started{Now: n.clock(w.now), Self: d, Incarnation: n.inc, Seed: w.starts})
 	return n
 }
 
-func (w *world) startAll(list crinstance.List) {
+func (w *cluster) startAll(list crinstance.List) {
 	for _, d := range list.Daemons() {
 		w.start(d)
 	}
 	for _, d := range list.Daemons() {
-		w.read(d, list)
+		w.deliverList(d, list)
 	}
 }
 
 // read hands a daemon a list from the platform.
-func (w *world) read(d crid.Daemon, list crinstance.List) {
+func (w *cluster) deliverList(d crid.Daemon, list crinstance.List) {
 	w.step(d, crinstance.Listed{Now: w.nodes[d].clock(w.now), List: list})
 }
 
-func (w *world) step(d crid.Daemon, ev crevent.Event) {
+func (w *cluster) step(d crid.Daemon, ev crevent.Event) {
 	n := w.nodes[d]
 	for _, effect := range n.state.Step(ev) {
 		switch e := effect.(type) {
@@ -102,8 +102,8 @@
 			n.sent = append(n.sent, e.Msg)
 			w.send(packet{from: d, to: e.To, msg: e.Msg})
 		case Tenure:
-			n.tenure = e
-			w.check()
+			n.lease = e
+			w.checkLeases()
 		case Peers:
 			n.peers = make(map[crid.Daemon]Peer)
 			for _, p := range e.Peers {
@@ -113,12 +113,12 @@
 	}
 }
 
-func (w *world) send(p packet) {
+func (w *cluster) send(p packet) {
 	if w.cuts[link{p.from, p.to}] {
 		return
 	}
-	p.at = w.now + 2*time.Millisecond + w.slow[link{p.from, p.to}]
-	if w.chaos {
+	p.at = w.now + 2*time.Millisecond + w.delays[link{p.from, p.to}]
+	if w.faulty {
 		if w.rng.IntN(10) == 0 {
 			return
 		}
@@ -133,36 +133,36 @@
 }
 
 // holds reports whether a daemon has standing now, by its own clock.
-func (w *world) holds(d crid.Daemon) bool {
+func (w *cluster) hasLease(d crid.Daemon) bool {
 	n := w.nodes[d]
-	return n.tenure.Until > n.clock(w.now)
+	return n.lease.Until > n.clock(w.now)
 }
 
 // check notes two daemons that have standing under different lists now.
-func (w *world) check() {
+func (w *cluster) checkLeases() {
 	active := make(map[crid.Revision]crid.Daemon)
 	for d, n := range w.nodes {
-		if w.holds(d) {
-			active[n.tenure.Active] = d
+		if w.hasLease(d) {
+			active[n.lease.Active] = d
 		}
 	}
 	if len(active) > 1 {
 		w.overlaps = append(w.overlaps, fmt.Sprintf("%v: %v", w.now, active))
 	}
-	w.checkBridges()
+	w.checkJointLeases()
 }
 
 // lists returns the lists under all of which a daemon acts now.
-func (w *world) lists(d crid.Daemon) []crid.Revision {
+func (w *cluster) leasedLists(d crid.Daemon) []crid.Revision {
 	n := w.nodes[d]
-	if w.holds(d) {
-		return []crid.Revision{n.tenure.Active}
+	if w.hasLease(d) {
+		return []crid.Revision{n.lease.Active}
 	}
-	if n.tenure.Bridge <= n.clock(w.now) {
+	if n.lease.Bridge <= n.clock(w.now) {
 		return nil
 	}
 	var revs []crid.Revision
-	for _, m := range n.tenure.Over {
+	for _, m := range n.lease.Over {
 		revs = append(revs, m.Rev)
 	}
 	return revs
@@ -170,21 +170,21 @@
 
 // checkBridges notes two daemons that act now without a list in common: each
 // could mint the same share under a list of its own.
-func (w *world) checkBridges() {
+func (w *cluster) checkJointLeases() {
 	names := w.names()
 	for i, a := range names {
 		for _, b := range names[i+1:] {
-			ra, rb := w.lists(a), w.lists(b)
+			ra, rb := w.leasedLists(a), w.leasedLists(b)
 			common := slices.ContainsFunc(ra, func(r crid.Revision) bool { return slices.Contains(rb, r) })
 			if len(ra) > 0 && len(rb) > 0 && !common {
-				w.apart = append(w.apart, fmt.Sprintf("%v: %s acts under %v, %s under %v", w.now, a, ra, b, rb))
+				w.disjoint = append(w.disjoint, fmt.Sprintf("%v: %s acts under %v, %s under %v", w.now, a, ra, b, rb))
 			}
 		}
 	}
 }
 
 // run lets time pass in steps of 10 ms; a tick comes every 50 ms.
-func (w *world) run(d time.Duration) {
+func (w *cluster) run(d time.Duration) {
 	const quantum = 10 * time.Millisecond
 	for end := w.now + d; w.now < end; {
 		w.now += quantum
@@ -196,11 +196,11 @@
 				}
 			}
 		}
-		w.check()
+		w.checkLeases()
 	}
 }
 
-func (w *world) names() []crid.Daemon {
+func (w *cluster) names() []crid.Daemon {
 	var names []crid.Daemon
 	for d := range w.nodes {
 		names = append(names, d)
@@ -209,7 +209,7 @@
 	return names
 }
 
-func (w *world) deliver() {
+func (w *cluster) deliver() {
 	var due, later []packet
 	for _, p := range w.packets {
 		if p.at <= w.now {
@@ -223,7 +223,7 @@
 	for _, p := range due {
 		n := w.nodes[p.to]
 		switch {
-		case n == nil || w.cuts[link{p.from, p.to}] && w.slow[link{p.from, p.to}] == 0:
+		case n == nil || w.cuts[link{p.from, p.to}] && w.delays[link{p.from, p.to}] == 0:
 		case n.paused:
 			n.queue = append(n.queue, p)
 		default:
@@ -233,7 +233,7 @@
 }
 
 // wake resumes a daemon; what queued up arrives before its first tick.
-func (w *world) wake(d crid.Daemon) {
+func (w *cluster) resume(d crid.Daemon) {
 	n := w.nodes[d]
 	n.paused = false
 	queue := n.queue
@@ -244,7 +244,7 @@
 }
 
 // cut severs the links between two groups, both ways.
-func (w *world) cut(a, b []crid.Daemon) {
+func (w *cluster) partition(a, b []crid.Daemon) {
 	for _, x := range a {
 		for _, y := range b {
 			w.cuts[link{x, y}] = true
@@ -253,11 +253,11 @@
 	}
 }
 
-func (w *world) holders() []crid.Daemon {
-	return slices.DeleteFunc(w.names(), func(d crid.Daemon) bool { return !w.holds(d) })
+func (w *cluster) leaseHolders() []crid.Daemon {
+	return slices.DeleteFunc(w.names(), func(d crid.Daemon) bool { return !w.hasLease(d) })
 }
 
-func roll(rev crid.Revision, names ...crid.Daemon) crinstance.List {
+func newList(rev crid.Revision, names ...crid.Daemon) crinstance.List {
 	var instances []crinstance.Instance
 	for i, d := range names {
 		domain := crid.Domain(fmt.Sprintf("domain-%d", i%4))
@@ -266,4 +266,4 @@
 	return crinstance.NewList(rev, instances)
 }
 
-func ds(names ...crid.Daemon) []crid.Daemon { return names }
+func daemons(names ...crid.Daemon) []crid.Daemon { return names }
