--- a/core/crmember/bench_test.go
+++ b/core/crmember/bench_test.go
@@ -20,15 +20,15 @@
 	return names
 }
 
-// BenchmarkRound measures one beat sent to and one received from each peer, at
-// a daemon that has standing, and the encoded size of the beat.
+// BenchmarkRound measures one heartbeat sent to and one received from each peer, at
+// a daemon that holds a lease, and the encoded size of the heartbeat.
 func BenchmarkRound(b *testing.B) {
 	for _, n := range []int{15, 25, 31, 1000, 5500} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) { benchRound(b, n) })
 	}
 }
 
-// voterOf is a voter of n daemons, which has standing once it is answered.
+// newVoter starts a voter of n daemons, which gets a lease once it is answered.
 func newVoter(n int) (*cluster, *node) {
 	w := newCluster(0, 1)
 	list := newList(1_000_000, daemonNames(n)...)
@@ -40,9 +40,9 @@
 	return w, node
 }
 
-// BenchmarkSecond measures a second of a daemon with nothing to do but its
-// beats, each of which is answered: ticks as the shell gives them, and what the
-// other reducers and the traffic side are told of peers.
+// BenchmarkSecond measures a second of a daemon that only sends heartbeats, each of
+// which is answered: ticks at the rate of the shell, and the notices about peers to
+// the other reducers and the traffic side.
 func BenchmarkSecond(b *testing.B) {
 	for _, n := range []int{25, 1000, 5500} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) { benchSecond(b, n) })
@@ -62,8 +62,8 @@
 	}
 }
 
-// secondOf lets a second pass in which each beat is answered, and returns what
-// is told of peers.
+// runSecond runs a second in which each heartbeat is answered, and returns the
+// notices about peers.
 func runSecond(w *cluster, node *node) (told []Peers) {
 	const tick = 50 * time.Millisecond
 	s := node.state
@@ -81,7 +81,7 @@
 	return told
 }
 
-// answer lets the peer answer a beat.
+// deliverReply delivers the peer's answer to a heartbeat.
 func deliverReply(s *State, send crevent.Send, at crid.Instant) (told []Peers) {
 	beat := send.Msg.(Beat)
 	beat.Echo = Echo{Inc: s.incarnation, Seq: s.seq}
@@ -95,8 +95,8 @@
 	return told
 }
 
-// BenchmarkBytesPerPeer measures what a peer takes, the list of instances
-// without targets included.
+// BenchmarkBytesPerPeer measures the memory of a peer, with the instance list but
+// without targets.
 func BenchmarkBytesPerPeer(b *testing.B) {
 	const peers = 5500
 	var bytes float64
--- a/core/crmember/bridge.go
+++ b/core/crmember/bridge.go
@@ -2,13 +2,13 @@
 
 import "camphorroad/core/crid"
 
-// contactUntil is the end of the newest horizon in which a majority of the newest
-// list's voters was heard both ways, whatever list they answer for.
+// contactUntil returns the end of the contact timeout of the newest contact with a
+// majority of the newest list's voters, whichever list they acknowledge.
 //
-// A daemon that hands over from one list to the next has no tenure, but it is
-// not cut off: what it knows of keys and policy is as new as what the others
-// know. Were trust to hang on tenure, each change of the list would have every
-// caller of every service refused for as long as the handover takes.
+// A daemon has no lease during a handover, but it is not isolated: its keys and
+// policy are as new as those of the others. If they counted only under a lease,
+// each change of the list would have every request of every service refused for
+// the duration of the handover.
 func (s *State) contactUntil() crid.Instant {
 	if s.newest == 0 {
 		return 0
@@ -16,16 +16,16 @@
 	return s.quorumContact(s.lists[s.newest].voters, func(*peer) bool { return true })
 }
 
-// jointUntil is the instant up to which no list beyond those held here can become
-// active anywhere. Until then a daemon may go on with whatever each of the lists
-// held gives to it, since whichever of them is the active one gives it the same.
+// jointUntil returns the instant until which no list beyond those held here can
+// become active anywhere. Until then a daemon may act on what all lists held assign
+// to it alike, since one of them is the active one.
 //
-// A list beyond those held becomes active a silence after a majority of the
-// voters of one of them has answered for it. A voter in that majority and in
-// ours answered us before that, so that its evidence here has run out by then.
-// Where the silence is skipped, since every daemon of the lists before has moved
-// on, this one has too; but only if each of them names it. One that some list
-// does not name is given nothing by that list anyway.
+// A list beyond those held becomes active an expiry wait after a majority of the
+// voters of one of them has acknowledged it. A voter in both that majority and this
+// daemon's answered this daemon before that, so that its contact here has expired
+// by then. The wait is skipped once every daemon of the older lists has moved on.
+// That includes this daemon if each of the lists names it. A list that does not
+// name this daemon assigns nothing to it, so jointUntil returns zero then.
 func (s *State) jointUntil() crid.Instant {
 	if s.newest == 0 || s.lastActive == 0 || s.recovering {
 		return 0
@@ -43,8 +43,8 @@
 	return end
 }
 
-// quorumContact is the horizon that a majority of the voters gives, of those that
-// count.
+// quorumContact returns until when a majority of the voters is in contact, where
+// only peers that satisfy counts are counted.
 func (s *State) quorumContact(voters []crid.Daemon, counts func(*peer) bool) crid.Instant {
 	var evidence []crid.Instant
 	for _, d := range voters {
--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -46,34 +46,34 @@
 	revs             []crid.Revision // revisions of lists, sorted
 	newest           crid.Revision   // newest of revs
 	lastActive       crid.Revision   // newest list known to have been active
-	missingActive    crid.Revision   // a later floor whose list has not come yet
-	deferred         crinstance.List // read, and waiting for the handover to end
+	missingActive    crid.Revision   // a later active list that has not been received yet
+	deferred         crinstance.List // latest list read during a handover
 	recovering       bool
-	coldStartRev     crid.Revision          // newest list at the moment of a cold start
-	recoveringQuorum map[crid.Revision]bool // lists whose voters were fresh in their majority
-	ackSince         crid.Instant           // since when this daemon itself answers for cur
+	coldStartRev     crid.Revision          // newest list at the start of a cold start
+	recoveringQuorum map[crid.Revision]bool // lists of which a majority of the voters was recovering at one moment
+	ackSince         crid.Instant           // since when this daemon acknowledges newest
 
 	peers      map[crid.Daemon]*peer
 	peerNames  []crid.Daemon // keys of peers, sorted
-	peerStates []*peer       // peers in that order
+	peerStates []*peer       // peers in the order of peerNames
 
 	configRev     uint64
 	leaving       bool
 	seq           uint64
 	sentBeats     [sentRingSize]sentBeat
 	lastRound     crid.Instant // latest round
-	nextRound     crid.Instant // where something is under way
-	nextIdleRound crid.Instant // where nothing is
+	nextRound     crid.Instant // if not idle
+	nextIdleRound crid.Instant // if idle
 	sample        []crid.Daemon
-	sampleUntil   crid.Instant // until which the sample stays
+	sampleUntil   crid.Instant // until which the sample is kept
 	roundNow      bool
 	broadcast     bool          // the next round goes to all peers
-	fullReported  crid.Revision // newest list refused for want of room
+	fullReported  crid.Revision // newest list rejected because the table was full
 
 	lease          Tenure
 	peersChanged   bool
-	peersEmittedAt crid.Instant // latest Peers
-	sampledChanged bool         // sampled peers have become reachable, or no longer are
+	peersEmittedAt crid.Instant // latest PeersChanged
+	sampledChanged bool         // sampled peers have become reachable or unreachable
 	effects        []crevent.Effect
 
 	requestedLists   bool
@@ -92,8 +92,8 @@
 	}
 }
 
-// Step takes an event and returns what is to be done. Instants that go back are
-// taken as the latest one seen.
+// Step handles an event and returns the effects. An instant before the latest one
+// seen counts as the latest.
 func (s *State) Step(ev crevent.Event) []crevent.Effect {
 	if start, ok := ev.(crevent.Started); ok {
 		s.start(start)
@@ -133,8 +133,8 @@
 	s.seed = ev.Seed
 }
 
-// receive drops messages of daemons that no held list names: they can neither
-// vouch nor make this daemon send anything.
+// receive handles a message. A daemon that no held list names can neither
+// acknowledge a list nor make this daemon send anything.
 func (s *State) receive(ev crevent.Received) {
 	p := s.peers[ev.From]
 	if p == nil {
@@ -154,7 +154,7 @@
 	}
 }
 
-// afterEvent draws the consequences of the event.
+// afterEvent recomputes the derived state, and sends what is due.
 func (s *State) afterEvent() {
 	s.applyDeferred()
 	s.updateRecovery()
@@ -171,7 +171,7 @@
 	s.effects = append(s.effects, effect)
 }
 
-// hash returns a number that depends on the seed and the arguments only.
+// hash returns a number that depends only on the seed and the arguments.
 func (s *State) hash(a, b uint64) uint64 {
 	var buf [24]byte
 	binary.LittleEndian.PutUint64(buf[0:], s.seed)
@@ -186,9 +186,9 @@
 	}
 }
 
-// updatePeer notices that a peer became reachable, or no longer is. Sampled
-// peers come and go with every beat; they are told of once an interval, since in a
-// large fleet each notice costs its receivers a walk through all peers.
+// updatePeer notes that a peer became reachable or unreachable. Sampled peers change
+// with every heartbeat. Their changes are reported once an interval, since in a large
+// fleet each notice costs its receivers a pass over all peers.
 func (s *State) updatePeer(d crid.Daemon, p *peer) {
 	alive := s.inContact(p)
 	if alive == p.reachable {
@@ -206,7 +206,8 @@
 	s.reportPeer(EventPeerLost, d)
 }
 
-// markPeerChanged has Peers told: at once, or of a sampled peer once an interval.
+// markPeerChanged schedules PeersChanged: at once, or within an interval for a
+// sampled peer.
 func (s *State) markPeerChanged(p *peer) {
 	s.sampledChanged = s.sampledChanged || p.sampled
 	s.peersChanged = s.peersChanged || !p.sampled
@@ -219,7 +220,7 @@
 	s.peersEmittedAt = s.now
 }
 
-// peerList is the content of Peers.
+// peerList returns the content of PeersChanged.
 func (s *State) peerList() []Peer {
 	peers := make([]Peer, 0, len(s.peerNames))
 	for i, d := range s.peerNames {
@@ -236,7 +237,7 @@
 	return peers
 }
 
-// Dump is the state for the dump of a process.
+// Dump is the reducer's part of the state dump.
 type Dump struct {
 	Incarnation crid.Incarnation `json:"incarnation"`
 	Current     crid.Revision    `json:"current"`
--- a/core/crmember/list.go
+++ b/core/crmember/list.go
@@ -9,10 +9,10 @@
 	"camphorroad/core/crinstance"
 )
 
-// maxRecoveringLists bounds the lists that a fresh daemon takes from the platform.
+// maxRecoveringLists bounds the lists that a recovering daemon takes from the platform.
 const maxRecoveringLists = 4
 
-// heldList is a list this daemon holds, with what follows from it.
+// heldList is a list that this daemon holds, with the values derived from it.
 type heldList struct {
 	list    crinstance.List
 	voters  []crid.Daemon
@@ -24,13 +24,13 @@
 	return ok
 }
 
-// handleListUpdate takes a list from the platform, or keeps it until the lists held
-// have been handed over.
+// handleListUpdate adds a list from the platform, or defers it until the handover
+// of the lists held is complete.
 //
-// Each list held has to hand over before the newest can become active, so that a
-// newer one never helps while that is under way. Taken at once, lists that come
-// fast would start the wait anew each time and fill the tables of the daemons
-// with different lists; nobody would get standing again.
+// Each list held has to hand over before the newest can become active, so a newer
+// one does not help during a handover. If lists that follow each other quickly
+// were added at once, each would restart the wait and the daemons would hold
+// different sets of lists; no daemon would get a lease again.
 func (s *State) handleListUpdate(list crinstance.List) {
 	rev := list.Revision()
 	switch {
@@ -45,8 +45,8 @@
 	}
 }
 
-// mustDefer reports whether a list read now has to wait. A fresh daemon takes
-// a few, as it can not hand over before it has found peers.
+// mustDefer reports whether a list read now has to wait. A recovering daemon takes
+// a few, as it cannot hand over before it has found peers.
 func (s *State) mustDefer() bool {
 	if s.recovering {
 		return len(s.lists) >= maxRecoveringLists
@@ -54,7 +54,7 @@
 	return s.lastActive < s.newest
 }
 
-// applyDeferred goes on to the list that waited.
+// applyDeferred adds the deferred list once the handover is complete.
 func (s *State) applyDeferred() {
 	rev := s.deferred.Revision()
 	if rev == 0 || s.mustDefer() {
@@ -66,7 +66,7 @@
 	s.deferred = crinstance.List{}
 }
 
-// addList takes a list from the platform or a peer.
+// addList adds a list from the platform or a peer.
 func (s *State) addList(list crinstance.List) {
 	rev := list.Revision()
 	if _, ok := s.lists[rev]; ok || rev == 0 {
@@ -93,8 +93,8 @@
 	s.advanceActive(s.missingActive)
 }
 
-// reportFull reports, once for each list, that there is no room. The lists held
-// can not be dropped for it: each may be the one under which somebody acts.
+// reportFull reports, once for each list, that the table is full. No list held can
+// be dropped instead: some daemon may act under it.
 func (s *State) reportFull(rev crid.Revision) {
 	if rev > s.fullReported {
 		s.fullReported = rev
@@ -102,7 +102,7 @@
 	}
 }
 
-// startHandover begins to gather acknowledgements for a new newest list.
+// startHandover starts to collect acknowledgements for a new newest list.
 func (s *State) startHandover() {
 	s.reportList(EventListAdopted, s.newest)
 	s.ackSince = s.now
@@ -116,7 +116,7 @@
 }
 
 // advanceActive drops the lists before one that is known to have been active. All
-// of them had handed over before it became active, for good.
+// of them had handed over for good before it became active.
 func (s *State) advanceActive(rev crid.Revision) {
 	if rev <= s.lastActive {
 		return
@@ -130,7 +130,7 @@
 	s.indexLists()
 }
 
-// indexLists recomputes what follows from the set of lists: the newest
+// indexLists recomputes what is derived from the set of lists: the newest
 // revision, the revisions in order and the peers.
 func (s *State) indexLists() {
 	s.revs = slices.Sorted(maps.Keys(s.lists))
@@ -159,12 +159,12 @@
 	s.peersChanged = true
 }
 
-// isVoter reports whether a list held has the daemon as a voter.
+// isVoter reports whether the daemon is a voter of a list held.
 func (s *State) isVoter(d crid.Daemon) bool {
 	return slices.ContainsFunc(s.revs, func(rev crid.Revision) bool { return s.lists[rev].hasVoter(d) })
 }
 
-// applyListing sets what the newest list that names the peer says of it.
+// applyListing sets what the newest list that names the peer says about it.
 func (s *State) applyListing(d crid.Daemon, p *peer) {
 	for _, rev := range slices.Backward(s.revs) {
 		if in, ok := s.lists[rev].list.Find(d); ok {
@@ -175,16 +175,17 @@
 	}
 }
 
-// olderLists returns the lists that have to hand over before the newest can become
-// active.
+// olderLists returns the lists that have to hand over before the newest can
+// become active.
 //
-// A list that this daemon skips could have become active elsewhere. Suppose 1
-// is {a b c d e}, 2 is {a b x y z} and 3 is {x y z v w}. A majority of 1 lets 2
-// become active, and later x, y and z move on to 3. A daemon that asks only the
-// floor, list 1, finds a majority c, d, e that never heard of 2, and would let
-// 3 become active while a, b and z still answer for 2. One would notice it as
-// an account that gets twice its rate. Therefore every list that an answering
-// peer holds is fetched first (see holdsAll) and has to hand over too.
+// A list that this daemon skips could have become active elsewhere. Suppose list 1
+// is {a b c d e}, list 2 is {a b x y z} and list 3 is {x y z v w}. A majority of
+// list 1 lets list 2 become active, and later x, y and z move on to list 3. A daemon
+// that asks only the voters of list 1, its last active one, finds a majority c, d, e
+// that never received list 2, and would let list 3 become active while a, b and z
+// still acknowledge list 2. An account would then get twice its rate. Therefore
+// every list that an answering peer holds is fetched first (see holdsAll) and has to
+// hand over too.
 func (s *State) olderLists() []heldList {
 	var older []heldList
 	for _, rev := range s.revs[:len(s.revs)-1] {
@@ -196,7 +197,7 @@
 	return older
 }
 
-// intermediateRevs lists the revisions strictly between floor and newest.
+// intermediateRevs returns the revisions between the last active and the newest list.
 func (s *State) intermediateRevs() []crid.Revision {
 	var held []crid.Revision
 	for _, rev := range s.revs {
@@ -207,8 +208,8 @@
 	return held
 }
 
-// holdsAll reports whether this daemon holds each list the peer named that can
-// still matter.
+// holdsAll reports whether this daemon holds each list that the peer named and
+// that can still matter.
 func (s *State) holdsAll(p *peer) bool {
 	if !s.params.enforces(guardIntermediateLists) {
 		return s.holds(p.newest)
@@ -221,15 +222,15 @@
 	return s.holds(p.newest) && s.holds(p.lastActive)
 }
 
-// holds reports whether a list is held or need not be.
+// holds reports whether a list is held or need not be held.
 func (s *State) holds(rev crid.Revision) bool {
 	_, ok := s.lists[rev]
 	return ok || rev < s.lastActive || rev == 0
 }
 
-// handleListRequest answers with the lists the peer lacks. Lists are the largest messages
-// by far, so that a peer which asks without pause would take the whole allowance
-// of control traffic; peers ask once an interval.
+// handleListRequest answers with the lists that the peer lacks. Lists are by far the
+// largest messages, so that a peer that asks without pause would use up the allowance
+// of control traffic. Correct peers ask at most once an interval.
 func (s *State) handleListRequest(from crid.Daemon, p *peer, m Fetch) {
 	if p.listsSent && s.now.Sub(p.listsSentAt) < s.params.Interval/2 {
 		return
@@ -247,8 +248,8 @@
 	}
 }
 
-// handleListResponse takes the lists in order, so that a full table keeps the oldest,
-// which are the ones that have to hand over.
+// handleListResponse adds the lists in order, so that a full table holds the oldest
+// ones, which have to hand over.
 func (s *State) handleListResponse(m Lists) {
 	if len(m.Rolls) > s.params.MaxLists {
 		return
--- a/core/crmember/message.go
+++ b/core/crmember/message.go
@@ -6,31 +6,31 @@
 	"camphorroad/core/crinstance"
 )
 
-// Echo names the latest beat that the sender has heard of the receiver.
+// Echo names the latest heartbeat that the sender has received from the receiver.
 type Echo struct {
 	Inc crid.Incarnation `cbor:"i"`
 	Seq uint64           `cbor:"s"`
 }
 
-// Beat is the heartbeat between two daemons. All but Echo is the same for every
-// receiver of one round.
+// Heartbeat is the heartbeat between two daemons. Within one round all fields but
+// Echo and Reply are the same for every receiver.
 type Beat struct {
 	Seq     uint64           `cbor:"s"` // grows with each round of one incarnation
 	Inc     crid.Incarnation `cbor:"i"`
 	Cur     crid.Revision    `cbor:"c"`           // newest list held
 	Floor   crid.Revision    `cbor:"f"`           // newest list known to have been active; zero: not known
-	Held    []crid.Revision  `cbor:"h,omitempty"` // lists held between Floor and Cur, both excluded
-	Conf    uint64           `cbor:"v,omitempty"` // revision of the configuration in force
+	Held    []crid.Revision  `cbor:"h,omitempty"` // lists held between LastActive and Newest, both excluded
+	Conf    uint64           `cbor:"v,omitempty"` // configuration in force
 	Leaving bool             `cbor:"l,omitempty"`
-	Fresh   bool             `cbor:"n,omitempty"` // not yet recovered; the sender vouches for nobody
-	Reply   bool             `cbor:"r,omitempty"` // answers a beat, and wants no answer itself
+	Fresh   bool             `cbor:"n,omitempty"` // the sender has not recovered yet and acknowledges no list
+	Reply   bool             `cbor:"r,omitempty"` // answers a heartbeat and needs no answer itself
 	Echo    Echo             `cbor:"e"`
 }
 
 // MessageKind implements crevent.Message.
 func (Beat) MessageKind() string { return "beat" }
 
-// Fetch asks for the lists from a revision on, but for those already held.
+// ListRequest asks for the lists from a revision on, except those already held.
 type Fetch struct {
 	From crid.Revision   `cbor:"f"`
 	Have []crid.Revision `cbor:"h"`
@@ -39,13 +39,13 @@
 // MessageKind implements crevent.Message.
 func (Fetch) MessageKind() string { return "fetch" }
 
-// Roll is a list of instances on the wire.
+// ListData is an instance list on the wire.
 type Roll struct {
 	Rev       crid.Revision         `cbor:"r"`
 	Instances []crinstance.Instance `cbor:"i"`
 }
 
-// Lists answers Fetch.
+// ListResponse answers ListRequest.
 type Lists struct {
 	Rolls []Roll `cbor:"r"`
 }
@@ -58,7 +58,7 @@
 	return []crevent.Message{Beat{}, Fetch{}, Lists{}}
 }
 
-// Advertise tells the reducer which configuration revision to name in beats.
+// AdvertiseConfig sets the configuration revision that heartbeats carry.
 type Advertise struct {
 	Now  crid.Instant
 	Conf uint64
--- a/core/crmember/notice.go
+++ b/core/crmember/notice.go
@@ -2,24 +2,24 @@
 
 import "camphorroad/core/crid"
 
-// Tenure tells the sibling reducers under which list of instances this daemon
-// may act, and until when. It is renewed as peers answer. Active stays while
-// tenure is lost (Until zero), and is zero during a handover.
+// Lease tells the sibling reducers under which instance list this daemon may act,
+// and until when. Contacts with peers renew it. Active keeps its value while the
+// lease is lost (Until is zero), and is zero during a handover.
 //
-// At no true instant do two daemons act without a list in common: one acts under
-// {Active} up to Until, and one that hands over under all lists of Over up to
-// Bridge.
+// At no true instant do two daemons act without a list in common. A daemon acts
+// either under {Active} up to Until, or, during a handover, under all lists of
+// JointLists up to JointUntil.
 type Tenure struct {
 	Now     crid.Instant
 	Active  crid.Revision // revision of the active list; zero: none
 	Members []crid.Daemon // all daemons of the active list, sorted
-	Until   crid.Instant  // zero: no tenure
-	Contact crid.Instant  // up to which a majority is heard both ways; what is known may be trusted
-	Bridge  crid.Instant  // up to which what every list of Over gives this daemon is still its own
-	Over    []Membership  // the lists from the last active one to the newest; not to be changed
+	Until   crid.Instant  // zero: no lease
+	Contact crid.Instant  // until which a majority is reachable both ways, so that known keys and policy may be relied on
+	Bridge  crid.Instant  // until which this daemon keeps what every list of JointLists assigns to it
+	Over    []Membership  // the lists from the last active one to the newest; read-only
 }
 
-// Membership is who belongs to a list of instances.
+// Membership is the set of daemons in an instance list.
 type Membership struct {
 	Rev     crid.Revision
 	Members []crid.Daemon // sorted
@@ -36,24 +36,24 @@
 	Daemon      crid.Daemon
 	Domain      crid.Domain
 	Incarnation crid.Incarnation
-	Reachable   bool // heard both ways within the horizon
-	Sampled     bool // gets a beat only now and then, so that not being reachable tells nothing
+	Reachable   bool // two-way contact within the contact timeout
+	Sampled     bool // gets a heartbeat only occasionally, so that being unreachable says nothing
 	Leaving     bool
 }
 
-// Lost reports whether the peer should have been heard and was not. In a fleet
-// with more than MaxVoters daemons most peers are sampled, and hardly ever
-// reachable for as long as a horizon; who took them for lost would send work
-// to, and ask tokens of, a handful of daemons only.
+// Down reports whether the peer is unreachable though it gets a heartbeat each
+// round. In a fleet with more than MaxVoters daemons most peers are sampled and
+// reachable only for short times. If they counted as down, this daemon would send
+// requests to, and ask for tokens from, a handful of daemons only.
 func (p Peer) Lost() bool { return !p.Reachable && !p.Sampled }
 
-// Peers tells the sibling reducers of a change among the peers.
+// PeersChanged tells the sibling reducers of a change among the peers.
 type Peers struct {
 	Now   crid.Instant
 	Peers []Peer // sorted by daemon, without this daemon
 
-	// Passing tells that since the last notice nothing has changed but which
-	// sampled peers are reachable, or have been heard at all.
+	// SampledOnly tells that since the last notice only sampled peers have changed:
+	// whether they are reachable, or have been heard at all.
 	Passing bool
 }
 
--- a/core/crmember/params.go
+++ b/core/crmember/params.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Params are the constants of the reducer. They must be the same in the whole
-// fleet: a daemon with a longer horizon than its peers believe would act on
-// standing that they hold expired.
+// Params are the parameters of the reducer. They must be equal in the whole fleet:
+// a daemon with a longer ContactTimeout than its peers assume would act under a
+// lease that they consider expired.
 type Params struct {
-	// Interval is the mean time between two beats to one peer while anything
-	// is under way.
+	// Interval is the mean time between two heartbeats to one peer while the
+	// daemon is not idle.
 	Interval time.Duration
-	// Rest is the same while nothing is; zero: Interval.
+	// IdleInterval is the same while the daemon is idle; zero: Interval.
 	Rest time.Duration
-	// Jitter is the share of Interval by which a beat may come early or late.
+	// Jitter is the fraction of Interval by which a heartbeat may come early or late.
 	Jitter float64
-	// Horizon is how long evidence that a peer was there keeps counting.
+	// ContactTimeout is how long a contact with a peer counts.
 	Horizon time.Duration
 	// Drift bounds the relative error of each daemon's clock.
 	Drift float64
@@ -21,27 +21,27 @@
 	Margin time.Duration
 	// MaxVoters bounds the voters of a list.
 	MaxVoters int
-	// Sample is how many other daemons get a beat each round besides the
-	// voters, where there are more daemons than MaxVoters.
+	// SampleSize is the number of other daemons that get a heartbeat each round
+	// besides the voters, in a fleet of more daemons than MaxVoters.
 	Sample int
-	// SampleFor is how long they stay the same; zero: for one round.
+	// SampleDuration is how long a sample is kept; zero: for one round.
 	SampleFor time.Duration
-	// MaxLists bounds the lists kept at one time.
+	// MaxLists bounds the lists held at one time.
 	MaxLists int
 
-	disabled guard // guards switched off; set by tests only
+	disabled guard // safety rules that are switched off; set by tests only
 }
 
-// guard is a set of safety rules, each of which a test can switch off to show
-// what goes wrong without it.
+// guard is a set of safety rules. A test switches one off to show the fault that
+// it prevents.
 type guard uint8
 
 const (
-	guardSendTime          guard = 1 << iota // evidence counts from sending
-	guardIntermediateLists                   // lists between the floor and the newest must agree too
-	guardRecovery                            // a restarted daemon recovers before it vouches
-	guardExpiryWait                          // wait for the old evidence to run out
-	guardReconfirm                           // the early end of the wait needs a second round
+	guardSendTime          guard = 1 << iota // a contact counts from the sending of the heartbeat
+	guardIntermediateLists                   // lists between the last active and the newest one hand over too
+	guardRecovery                            // a restarted daemon recovers before it acknowledges a list
+	guardExpiryWait                          // a handover waits until contacts under the old list have expired
+	guardReconfirm                           // the early end of that wait needs a second round
 )
 
 // enforces reports whether the rule is in force.
@@ -63,14 +63,14 @@
 	}
 }
 
-// Silence is how long a daemon waits, on its own clock, for a horizon on any
-// other clock to have passed. One clock may run slow and the other fast, so
+// ExpiryWait is how long a daemon waits, on its own clock, until a contact timeout
+// has passed on any other clock. One clock may run slow and the other fast, so
 // the drift counts twice.
 func (p Params) Silence() time.Duration {
 	factor := (1 + p.Drift) / (1 - p.Drift)
 	return time.Duration(float64(p.Horizon)*factor) + p.Margin
 }
 
-// idleInterval is the mean time between two beats to one peer while nothing is under
-// way.
+// idleInterval is the mean time between two heartbeats to one peer while the
+// daemon is idle.
 func (p Params) idleInterval() time.Duration { return max(p.Rest, p.Interval) }
--- a/core/crmember/peer.go
+++ b/core/crmember/peer.go
@@ -5,13 +5,13 @@
 	"camphorroad/core/crid"
 )
 
-// peer is what this daemon knows of another.
+// peer is the state that this daemon keeps for another one.
 type peer struct {
 	domain        crid.Domain
-	sampled       bool // no voter of a list held, in a fleet where others get beats by chance
+	sampled       bool // voter of no list held, in a fleet where other daemons are sampled
 	listedLeaving bool
 
-	// What the latest beat said.
+	// Content of its latest heartbeat.
 	incarnation  crid.Incarnation
 	seq          uint64
 	newest       crid.Revision
@@ -20,25 +20,26 @@
 	recovering   bool
 	leaving      bool
 
-	contacted   bool         // a beat has echoed one of ours
-	lastContact crid.Instant // sending of the newest beat of ours that it echoed
+	contacted   bool         // it has echoed a heartbeat of this daemon
+	lastContact crid.Instant // when the newest heartbeat that it echoed was sent
 	echoSeq     uint64
-	acked       bool         // it answers for our newest list since ackSince
-	ackSince    crid.Instant // arrival of the first such beat
+	acked       bool         // it acknowledges this daemon's newest list, since ackSince
+	ackSince    crid.Instant // arrival of the first heartbeat that did
 	requestedAt crid.Instant
 	requested   bool
-	listsSentAt crid.Instant // our latest Lists to it
+	listsSentAt crid.Instant // latest ListResponse to it
 	listsSent   bool
-	replyDue    bool // it sent a beat that has not been answered
+	replyDue    bool // its latest heartbeat has not been answered
 	sentSeq     uint64
-	sentAt      crid.Instant // our latest beat to it
-	repliedAt   crid.Instant // our latest answer outside of a round
-	reachable   bool         // as last told in Peers
+	sentAt      crid.Instant // latest heartbeat to it
+	repliedAt   crid.Instant // latest answer to it outside a round
+	reachable   bool         // as in the latest PeersChanged
 }
 
-// sentRingSize bounds the sendings remembered. Numbers are used up no faster than
-// sentSpan and the answers to one peer allow, so that a horizon holds less than
-// a hundred; a beat whose slot was reused is no evidence, as if it were late.
+// sentRingSize bounds the heartbeats remembered. seqReuseWindow and the rate of
+// replies to one peer limit the sequence numbers, so that less than a hundred are
+// used within a contact timeout. The echo of a heartbeat whose slot was reused
+// counts as too late.
 const sentRingSize = 256
 
 type sentBeat struct {
@@ -46,15 +47,15 @@
 	at  crid.Instant
 }
 
-// inContact reports two-way reachability: the peer has echoed a beat that was sent
-// less than a horizon ago.
+// inContact reports two-way reachability: the peer has echoed a heartbeat that was
+// sent less than a contact timeout ago.
 func (s *State) inContact(p *peer) bool {
 	return p.contacted && s.now.Sub(p.lastContact) < s.params.Horizon
 }
 
-// acknowledges reports whether the peer answers for our newest list. A peer that
-// knows a newer list has moved on; one that has not recovered may have
-// forgotten that it had.
+// acknowledges reports whether the peer acknowledges this daemon's newest list. A
+// peer with a newer list has moved on. A peer that has not recovered may have
+// forgotten that it had moved on.
 func (s *State) acknowledges(p *peer) bool {
 	if p.recovering && s.params.enforces(guardRecovery) {
 		return false
@@ -91,10 +92,10 @@
 	s.requestMissing(from, p)
 }
 
-// acceptHeartbeat refuses beats that are older than one already heard. Incarnations
-// have no order, so that a beat of another incarnation counts as a new life
-// only if it echoes a later beat of ours: a late beat of the former life, which
-// would bring back its leaving mark or its lists, can not.
+// acceptHeartbeat rejects heartbeats older than one already received. Incarnations
+// have no order. A heartbeat of another incarnation therefore counts as a restart
+// only if it echoes a later heartbeat of this daemon. A delayed one of the former
+// incarnation cannot, and so does not bring back its leaving mark or its lists.
 func (s *State) acceptHeartbeat(from crid.Daemon, p *peer, b Beat, echoed bool) bool {
 	if p.incarnation == b.Inc {
 		return b.Seq > p.seq
@@ -105,7 +106,7 @@
 		return true
 	}
 	if !echoed || b.Echo.Seq <= p.echoSeq {
-		p.replyDue = p.replyDue || !b.Reply // a new life has to hear of us before it can echo anything
+		p.replyDue = p.replyDue || !b.Reply // the new incarnation must be answered before it can echo anything
 		return false
 	}
 	p.incarnation = b.Inc
@@ -115,8 +116,8 @@
 	return true
 }
 
-// echoSentAt returns when the echoed beat was sent; nil if it is none of this
-// incarnation, or forgotten.
+// echoSentAt returns when the echoed heartbeat was sent; nil if this incarnation
+// did not send it, or no longer remembers it.
 func (s *State) echoSentAt(e Echo) *crid.Instant {
 	slot := s.sentBeats[e.Seq%sentRingSize]
 	if e.Inc != s.incarnation || slot.seq != e.Seq || e.Seq == 0 {
@@ -125,10 +126,10 @@
 	return &slot.at
 }
 
-// recordContact counts from the sending of our beat. A beat that lay in a queue,
-// or in a process that was suspended, arrives as if new; counted from arrival
-// it would renew standing with an old fact, and two daemons would act under
-// two lists.
+// recordContact counts a contact from the sending of this daemon's heartbeat. An
+// answer may have been delayed in a queue or in a suspended process. If contact
+// counted from its arrival, the answer would renew a lease after its true end, and
+// two daemons would act under two lists.
 func (s *State) recordContact(p *peer, seq uint64, sentAt crid.Instant) {
 	p.contacted = true
 	p.echoSeq = max(p.echoSeq, seq)
@@ -138,8 +139,8 @@
 	p.lastContact = max(p.lastContact, sentAt)
 }
 
-// updateAck records since when the peer has answered for our newest list without
-// a break. A restart starts it anew: what the former life said may be forgotten.
+// updateAck records since when the peer has acknowledged the newest list without a
+// break. A restart of the peer resets it, as the peer may have forgotten.
 func (s *State) updateAck(p *peer) {
 	if !s.inContact(p) || !s.acknowledges(p) {
 		p.acked = false
@@ -151,8 +152,8 @@
 	}
 }
 
-// requestMissing asks the peer for lists it has and we lack, at most once an
-// interval.
+// requestMissing asks the peer for lists that it has and this daemon lacks, at most
+// once an interval.
 func (s *State) requestMissing(from crid.Daemon, p *peer) {
 	if s.holdsAll(p) {
 		return
--- a/core/crmember/rapid_test.go
+++ b/core/crmember/rapid_test.go
@@ -13,8 +13,8 @@
 	"camphorroad/core/crinstance"
 )
 
-// TestMain fixes the seed, so that CI repeats one run; another seed or number
-// of checks may be given with -rapid.seed and -rapid.checks.
+// TestMain fixes the seed, so that CI repeats one run. The flags -rapid.seed and
+// -rapid.checks set another seed or number of checks.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "60", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -25,11 +25,9 @@
 	os.Exit(m.Run())
 }
 
-// Several daemons live through loss, reordering, duplicates, pauses, restarts
-// and one-way cuts while they read different lists, new and stale ones, by
-// clocks that drift. At no true instant may two of them have standing under
-// different lists; else an account gets more than its rate. At most one daemon
-// is unrecovered at a time: the known limit of recovery without a disk.
+// Under loss, reordering, duplicates, pauses, restarts, one-way cuts, clock drift and
+// stale lists, no two daemons may hold leases under different lists, or an account gets
+// more than its rate. At most one daemon recovers at a time, the limit without a disk.
 func TestLeasesUnderOneListOnly(t *testing.T) {
 	standings := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -79,8 +77,8 @@
 	t.Logf("daemons with a later list active at the end of a run: %d", standings)
 }
 
-// expectRecovery ends all faults. A rule so strict that nobody gets standing again
-// would be safe, and users would be refused for ever.
+// expectLeases ends all faults and expects leases again. A rule too strict for any
+// lease would be safe, but every request would be refused.
 func (m *faultMachine) expectLeases(rt *rapid.T) {
 	m.w.faulty = false
 	m.heal(rt)
@@ -102,7 +100,7 @@
 	w     *cluster
 	names []crid.Daemon
 	lists []crinstance.List
-	left  []crid.Daemon // the sides of the latest split
+	left  []crid.Daemon // the sides of the latest partition
 	right []crid.Daemon
 }
 
@@ -139,7 +137,7 @@
 	}
 }
 
-// split cuts the fleet in two, and one side reads a list of that side.
+// split partitions the fleet in two, and one side reads a list of that side.
 func (m *faultMachine) split(rt *rapid.T) {
 	order := rapid.Permutation(m.names).Draw(rt, "order")
 	n := rapid.IntRange(3, len(order)-1).Draw(rt, "n")
@@ -149,8 +147,8 @@
 	m.w.run(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
 }
 
-// defect moves daemons of the side with the newer list to the other, which may
-// then read a list of its own; one of them may restart with a former list.
+// moveDaemons moves daemons of the side with the newer list to the other, which may
+// then read a list of its own. One of them may restart with an earlier list.
 func (m *faultMachine) moveDaemons(rt *rapid.T) {
 	if len(m.left) < 2 {
 		return
@@ -180,7 +178,7 @@
 	}
 }
 
-// slow lets a link deliver seconds late.
+// delayLink adds seconds of delay to a link.
 func (m *faultMachine) delayLink(rt *rapid.T) {
 	ms := rapid.IntRange(500, 6000).Draw(rt, "ms")
 	m.w.delays[link{m.pick(rt), m.pick(rt)}] = time.Duration(ms) * time.Millisecond
--- a/core/crmember/recover.go
+++ b/core/crmember/recover.go
@@ -2,11 +2,11 @@
 
 import "camphorroad/core/crid"
 
-// updateRecovery ends the time in which a new incarnation vouches for nobody.
+// updateRecovery ends the period in which a new incarnation acknowledges no list.
 //
-// A daemon that restarts has forgotten which lists it had acknowledged. If it
-// read a stale list and vouched for it, it could complete a majority under
-// which somebody acts, though it had already let a newer list become active.
+// A restarted daemon has forgotten which lists it had acknowledged. If it read a
+// stale list and acknowledged that, it could complete a majority for a lease under
+// the stale list, though it had already let a newer list become active.
 func (s *State) updateRecovery() {
 	if !s.recovering || s.newest == 0 {
 		return
@@ -27,10 +27,10 @@
 	s.roundNow = true
 }
 
-// recoveredFromPeers reports whether, for each list held, so many other voters
-// have answered that every majority that could have counted this daemon's
-// forgotten acknowledgement contains one of them. A list whose voters are new
-// in their majority has nobody to ask.
+// recoveredFromPeers reports whether enough other voters of each list held have
+// answered: every majority that could include this daemon's forgotten
+// acknowledgement contains one of them. A list of which a majority of the voters is
+// recovering is exempt, since none of them could recover from the others.
 func (s *State) recoveredFromPeers() bool {
 	if s.lastActive == 0 || s.missingActive > s.lastActive {
 		return false
@@ -45,15 +45,15 @@
 	return true
 }
 
-// upToDate reports whether a recovered peer answers and everything it holds
-// has been fetched.
+// upToDate reports whether a recovered peer is in contact and this daemon holds
+// every list that the peer holds.
 func (s *State) upToDate(p *peer) bool {
 	return s.inContact(p) && !p.recovering && p.newest <= s.newest && s.holdsAll(p)
 }
 
-// noteRecoveringQuorums remembers each list of which, at one moment, a majority of the
-// voters had not recovered, so that nobody can recover from the others. It is
-// kept, because the first of them to go on would spoil the count for the rest.
+// noteRecoveringQuorums records each list of which, at one moment, a majority of the
+// voters was recovering. The record stays, because the first of them to recover
+// would lower the count for the others.
 func (s *State) noteRecoveringQuorums() {
 	for _, rev := range s.revs {
 		k := s.lists[rev]
@@ -73,8 +73,9 @@
 	}
 }
 
-// coldStartDone reports whether a cold start is over. The wait lets standing of
-// the former lives run out, and peers that do remember show up.
+// coldStartDone reports whether a cold start is complete. By the end of the wait all
+// leases of former incarnations have expired, and peers that did not restart have
+// been heard.
 func (s *State) coldStartDone() bool {
 	if s.coldStartRev == 0 || s.now.Sub(s.startedAt) < s.params.Silence() {
 		return false
@@ -92,7 +93,7 @@
 	return n >= quorum(len(voters))
 }
 
-// countVoters counts the other daemons of a list of voters that satisfy ok.
+// countVoters counts the voters, without this daemon, that satisfy ok.
 func (s *State) countVoters(voters []crid.Daemon, ok func(*peer) bool) int {
 	n := 0
 	for _, d := range voters {
--- a/core/crmember/report.go
+++ b/core/crmember/report.go
@@ -7,7 +7,7 @@
 	"camphorroad/core/crid"
 )
 
-// Numbers of the reported events; docs/events.md describes each.
+// Numbers of the reported events. docs/events.md describes each.
 const (
 	EventStandingGained = 200
 	EventStandingLost   = 201
--- a/core/crmember/rest_test.go
+++ b/core/crmember/rest_test.go
@@ -7,8 +7,8 @@
 	"github.com/onsi/gomega"
 )
 
-// Nothing happens for hours. Beats at the pace of a handover would take three
-// times the allowance of control from every daemon, for nothing.
+// Heartbeats at the pace of a handover would cost each idle daemon three times its
+// allowance of control traffic.
 func TestIdleFleetSendsHeartbeatsSlowly(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, daemonNames(25)...))
@@ -25,9 +25,8 @@
 	g.Expect(w.leaseHolders()).To(gomega.HaveLen(25))
 }
 
-// A switch drops everything between two daemons for most of a second. At rest
-// evidence is a second old by then, and a peer taken for lost for that would have
-// its targets avoided and its tokens out of reach.
+// A link drops everything for 0.7 s while its last contact is already a second old. If
+// the peer counted as down, its targets would be avoided and its tokens unavailable.
 func TestShortOutageWhileIdleTakesNoPeerDown(t *testing.T) {
 	for phase := range 10 {
 		g := gomega.NewWithT(t)
--- a/core/crmember/round.go
+++ b/core/crmember/round.go
@@ -7,15 +7,15 @@
 	"camphorroad/core/crid"
 )
 
-// seqReuseWindow is how long one number serves for beats to different peers. Its
-// evidence counts from the first of them, which is too early for the others and
-// so never too long.
+// seqReuseWindow is how long one sequence number serves for heartbeats to different
+// peers. A contact counts from the first of them, which is too early for the others
+// and so never extends a lease.
 const seqReuseWindow = 50 * time.Millisecond
 
-// sendRound sends one beat to each peer that is due one: those chosen, and those
-// that have sent one that waits for its answer. An answer wants none, or each
-// sampled pair would go on for ever and the sample would grow into beats among
-// all daemons.
+// sendRound sends a heartbeat to each peer that is due: the recipients of this
+// round, and peers whose heartbeat has not been answered. An answer is not answered
+// again. Otherwise each sampled pair would go on for ever, and in the end all
+// daemons would exchange heartbeats with all others.
 func (s *State) sendRound() {
 	spare := s.idle() && !s.roundNow && !s.broadcast
 	s.lastRound = s.now
@@ -42,7 +42,7 @@
 	return !s.now.Before(s.nextRound) && !s.idle()
 }
 
-// sendHeartbeat sends one sendHeartbeat, with what is true now.
+// sendHeartbeat sends one heartbeat with the current state.
 func (s *State) sendHeartbeat(d crid.Daemon, p *peer, reply bool) {
 	if p.sentSeq == s.seq || s.now.Sub(s.sentBeats[s.seq%sentRingSize].at) > seqReuseWindow {
 		s.nextSeq()
@@ -64,16 +64,16 @@
 	}})
 }
 
-// nextSeq begins a new nextSeq for the beats that follow.
+// nextSeq starts a new sequence number for the heartbeats that follow.
 func (s *State) nextSeq() {
 	s.seq++
 	s.sentBeats[s.seq%sentRingSize] = sentBeat{seq: s.seq, at: s.now}
 }
 
-// replyTo answers the beat that was received at once, where the round has not.
-// Left to the next round of a daemon that rests, answers would come so late that
-// two lost packets in a row made a peer look lost. A peer that beats without
-// pause is answered no faster than twice an interval.
+// replyTo answers a received heartbeat at once unless the round has answered it. If
+// answers waited for the next round of an idle daemon, they would come so late that
+// two lost packets in a row make a peer look down. A peer that sends heartbeats
+// without pause is answered at most twice an interval.
 func (s *State) replyTo(ev crevent.Event) {
 	in, ok := ev.(crevent.Received)
 	if !ok || s.params.Rest == 0 || s.newest == 0 {
@@ -87,10 +87,10 @@
 	s.sendHeartbeat(in.From, p, true)
 }
 
-// idle reports whether nothing is under way: this daemon has standing, no list
-// is being handed over here or at a voter, nobody recovers, and no voter is
-// suspected. Voters that are lost do not count, or one that stays dead would
-// keep the fleet busy.
+// idle reports whether heartbeats may go at the slower pace: this daemon holds a
+// lease, no list is being handed over here or at a voter, no voter is recovering, and
+// none is suspected. Voters out of contact do not count, or one failed voter would
+// keep the fleet at the faster pace.
 func (s *State) idle() bool {
 	if s.params.Rest == 0 || s.lease.Until == 0 || s.leaving || s.lastActive != s.newest || s.missingActive > s.lastActive {
 		return false
@@ -107,32 +107,34 @@
 	return true
 }
 
-// suspected reports that a peer's evidence is older than it gets where no beat
-// is lost: one Rest until the other end beats again, and one that its echo is
-// old already. What is left of the horizon is for beats at the faster pace.
+// suspected reports that the last contact with a peer is older than it gets without
+// packet loss: one idle interval until the peer's next heartbeat, and another since
+// its echo may be that old. The remaining contact timeout is for heartbeats at the
+// faster pace.
 func (s *State) suspected(p *peer) bool {
 	const rests = 5
 	return s.now.Sub(p.lastContact) > rests*s.params.idleInterval()/2
 }
 
-// skippable reports that a peer needs no beat in this round of a daemon at rest: it
-// has just been answered, and goes on beating by itself. So each pair
-// has one end that beats and one that answers.
+// skippable reports that a peer needs no heartbeat in this round of an idle daemon:
+// it has just been answered, and sends heartbeats itself. So one end of each pair
+// sends and the other answers.
 func (s *State) skippable(p *peer) bool {
 	const part = 5
 	return s.inContact(p) && !s.suspected(p) && s.now.Sub(p.sentAt) < s.params.idleInterval()*(part-1)/part
 }
 
-// jitter is the time to the next round. Daemons that start at once would
-// otherwise beat at once for ever.
+// jitter returns the time to the next round. Without jitter, daemons that start at
+// one time would send their heartbeats at one time for ever.
 func (s *State) jitter(mean time.Duration) time.Duration {
 	const steps = 1 << 20
 	share := float64(s.hash(s.seq, 0)%steps)/steps*2 - 1
 	return time.Duration(float64(mean) * (1 + s.params.Jitter*share))
 }
 
-// recipients returns who gets a beat in this round unasked: everybody in a small
-// fleet, and once when leaving; else the voters of each held list, and a sample.
+// recipients returns the daemons that get a heartbeat in this round unasked: all in a
+// small fleet and once when leaving; otherwise the voters of each list held, and a
+// sample.
 func (s *State) recipients() map[crid.Daemon]bool {
 	chosen := make(map[crid.Daemon]bool)
 	if len(s.peerNames) <= s.params.MaxVoters || s.broadcast {
@@ -152,9 +154,9 @@
 	return chosen
 }
 
-// currentSample returns the other daemons that get beats besides the voters. They stay
-// for a while: each peer that is new to the currentSample costs a handshake, and a new
-// currentSample in every round took a sixth of a core for them.
+// currentSample returns the daemons that get heartbeats besides the voters. It is
+// kept for SampleDuration: each peer that is new to the sample costs a handshake,
+// and a new sample in every round costs a sixth of a core.
 func (s *State) currentSample() []crid.Daemon {
 	if s.now.Before(s.sampleUntil) {
 		return s.sample
--- a/core/crmember/sample_test.go
+++ b/core/crmember/sample_test.go
@@ -11,7 +11,7 @@
 	"camphorroad/core/crinstance"
 )
 
-// lost returns whom a daemon takes for lost.
+// down returns the peers that a daemon considers down.
 func (w *cluster) down(d crid.Daemon) []crid.Daemon {
 	var lost []crid.Daemon
 	for _, p := range w.nodes[d].peers {
@@ -36,10 +36,8 @@
 	return w, list
 }
 
-// With more daemons than voters, most peers get a beat only now and then, and
-// are not heard for a horizon though nothing is wrong with them. Were they taken
-// for lost, each entry would send all its requests to a handful of targets and
-// find hardly any owner to ask for tokens.
+// Most peers of a large fleet are sampled and out of contact for most of the time. If
+// they counted as down, each entry would use a handful of targets and token owners.
 func TestUnreachableSampledPeersAreNotDown(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w, node := newVoter(1000)
@@ -59,8 +57,7 @@
 	g.Expect(lost).To(gomega.BeZero())
 }
 
-// A voter that dies gets a beat in each round, so that everybody notices within
-// a horizon and turns to others.
+// A voter that fails is detected by all daemons within the contact timeout.
 func TestFailedVoterIsDetectedInLargeFleet(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w, list := largeCluster()
@@ -72,13 +69,12 @@
 	}
 }
 
-// What sampling brings about is told once an interval, while the death of a voter
-// is told at once. A daemon that told of each sampled peer by itself would spend
-// its allowance of processor time on lists of peers.
+// If each change of a sampled peer caused a notice, a daemon would spend its allowance
+// of processor time on lists of peers. A failed voter is still reported at once.
 func TestSampledPeerChangesAreReportedOncePerInterval(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w, node := newVoter(1000)
-	node.state.params.SampleFor = 0 // the samples change with each round
+	node.state.params.SampleFor = 0 // a new sample in each round
 	node.state.sampleUntil = 0
 	runSecond(w, node)
 	told := runSecond(w, node)
@@ -86,8 +82,8 @@
 	g.Expect(len(told)).To(gomega.BeNumerically("<=", time.Second/w.params.Interval))
 }
 
-// Each peer that a daemon has not beaten with lately costs a handshake. With a new
-// sample in every round they take a sixth of a core, and sessions by the thousand.
+// Each peer that is new to the sample costs a handshake. A new sample in every round
+// costs a sixth of a core, and thousands of sessions.
 func TestSampleIsKeptAcrossRounds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w, node := newVoter(1000)
--- a/core/crmember/standing_test.go
+++ b/core/crmember/standing_test.go
@@ -18,9 +18,9 @@
 	return w
 }
 
-// Each case lets a daemon act under a former list while others act under a
-// newer one, unless one rule prevents it. A user would notice an account that
-// gets more than its rate, since two sets of daemons mint for it.
+// Each case lets a daemon act under an old list while others act under a newer one,
+// unless one rule prevents it. An account would get more than its rate, since two sets
+// of daemons grant tokens for it.
 func TestEachGuardPreventsAnOverlap(t *testing.T) {
 	cases := map[string]struct {
 		without guard
@@ -50,8 +50,8 @@
 	}
 }
 
-// The beats of c, d and e to a lie in a queue for some seconds, while all but a
-// move on to a list without it. They then arrive at a, which takes them for new.
+// The heartbeats of c, d and e to a are delayed for some seconds, while all but a move
+// on to a list without a. They must not renew the lease of a when they arrive.
 func delayedHeartbeats(w *cluster) {
 	for _, d := range daemons("c", "d", "e") {
 		w.delays[link{d, "a"}] = 6 * time.Second
@@ -65,8 +65,8 @@
 	w.run(10 * time.Second)
 }
 
-// The process a is suspended, the others replace it, and a wakes up with a
-// queue of beats from before the change.
+// Daemon a is suspended and the others replace it. It resumes with a queue of
+// heartbeats from before the change.
 func resumedProcess(w *cluster) {
 	w.nodes["a"].paused = true
 	w.run(time.Second)
@@ -79,9 +79,9 @@
 	w.run(time.Second)
 }
 
-// List 2 became active with the voices of a, b and c. Later c goes on to list 3
-// together with d and e, which never saw list 2 and are a majority of list 1.
-// Meanwhile a, b and the rest of list 2 are cut off and still answer for it.
+// List 2 becomes active with the acknowledgements of a, b and c. Then c moves on to
+// list 3 with d and e, which never received list 2 and are a majority of list 1. The
+// rest of list 2 is cut off and still acknowledges it.
 func chainedLists(w *cluster) {
 	fresh := daemons("x", "y", "z")
 	for _, d := range fresh {
@@ -103,8 +103,8 @@
 	w.run(10 * time.Second)
 }
 
-// While a and e are cut off, the others make list 2 active. Then b restarts, is
-// fed with list 1 and reaches a and e only: it would complete their majority.
+// The others make list 2 active while a and e are cut off. Then b restarts with list 1
+// and reaches only a and e, whose majority it would complete.
 func forgottenAcknowledgement(w *cluster) {
 	w.partition(daemons("a", "e"), daemons("b", "c", "d"))
 	for _, d := range daemons("b", "c", "d") {
@@ -118,7 +118,7 @@
 	w.run(5 * time.Second)
 }
 
-// All but a move on to list 2 while a has just heard them answer for list 1.
+// All but a move on to list 2 just after they acknowledged list 1 to a.
 func handoverWithoutWait(w *cluster) {
 	w.partition(daemons("a"), daemons("b", "c", "d", "e"))
 	for _, d := range daemons("b", "c", "d", "e") {
@@ -127,8 +127,8 @@
 	w.run(5 * time.Second)
 }
 
-// The daemon a acknowledges list 2 to e, restarts with list 1, and recovers from
-// b, c and d, which move on only then. To e it seems that everybody has moved on.
+// Daemon a acknowledges list 2 to e, restarts with list 1, and recovers from b, c and d,
+// which move on only then. To e it looks as if all daemons had moved on.
 func unconfirmedAcknowledgements(w *cluster) {
 	second := newList(2, "a", "b", "c", "d", "e")
 	w.partition(daemons("a", "e"), daemons("b", "c", "d"))
@@ -149,8 +149,8 @@
 	w.run(5 * time.Second)
 }
 
-// A link carries beats from b to a but not back. Only b is deaf, yet a must know
-// as well, or it would go on sending requests whose answers never come.
+// A link is cut from a to b only. Without detection at a, it would go on sending
+// requests whose answers never come.
 func TestOneWayCutIsDetectedOnBothSides(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, "a", "b", "c"))
@@ -162,8 +162,8 @@
 	g.Expect(w.leaseHolders()).To(gomega.HaveLen(3))
 }
 
-// All daemons start at once, as after a power cut, and nobody remembers
-// anything. Users are refused until the wait is over, and then no longer.
+// After a power failure no daemon remembers any list. Requests are refused until the
+// wait is over, and served from then on.
 func TestColdStartOfAllAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := newCluster(0, 1)
@@ -174,7 +174,7 @@
 	g.Expect(w.leaseHolders()).To(gomega.HaveLen(5))
 }
 
-// The platform is away for ten minutes: no list comes. Users notice nothing.
+// The platform is down for ten minutes, and no list comes.
 func TestPlatformOutageKeepsLeases(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, "a", "b", "c"))
@@ -184,8 +184,8 @@
 	}
 }
 
-// One daemon is cut off from all others. It has to refuse within the horizon,
-// as it no longer learns which keys were withdrawn; the others go on.
+// A daemon that is cut off does not learn which keys were withdrawn. It has to refuse
+// requests within the contact timeout, while the others go on.
 func TestIsolatedDaemonLosesLease(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, "a", "b", "c"))
@@ -197,8 +197,8 @@
 	g.Expect(w.leaseHolders()).To(gomega.HaveLen(3))
 }
 
-// A daemon is asked to stop. The platform's list lags by minutes, so the daemon
-// says so itself; until the peers know, they send it work that it refuses.
+// The platform's list lags by minutes. Until the peers know that a daemon is leaving,
+// they send it requests that it refuses.
 func TestLeavingIsAnnouncedImmediately(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, "a", "b", "c"))
@@ -212,9 +212,8 @@
 	g.Expect(w.hasLease("a")).To(gomega.BeTrue())
 }
 
-// A list is replaced. While it is handed over nobody has standing and users are
-// refused: for a few beats where every daemon answers, and for the silence
-// where one is dead, which might as well be cut off and still act.
+// No daemon has a lease during a handover. It takes a few heartbeats if every daemon
+// answers, and the expiry wait if one is dead, which might be cut off and still act.
 func TestHandoverGap(t *testing.T) {
 	cases := map[string]struct {
 		dead  bool
@@ -245,8 +244,8 @@
 	}
 }
 
-// A daemon that is cut off reads list after list and can hand over none. Its
-// memory must not grow, and once healed it must get on with the others.
+// A daemon that is cut off reads many lists and can hand over none. Its memory must not
+// grow.
 func TestListsAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, "a", "b", "c"))
@@ -266,8 +265,8 @@
 	g.Expect(w.nodes["a"].state.revs).To(gomega.HaveLen(w.params.MaxLists))
 }
 
-// A daemon that was cut off while many lists went by gets on with the others
-// once healed, without having seen the lists between.
+// A daemon that was cut off during many list changes hands over to the newest one
+// without the lists between.
 func TestReconnectedDaemonSkipsLists(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, "a", "b", "c"))
@@ -285,8 +284,8 @@
 	g.Expect(w.overlaps).To(gomega.BeEmpty())
 }
 
-// A new list replaces most daemons at once, so that most of its voters have
-// nobody of their own list to recover from; they must not wait for ever.
+// Most voters of the new list have no voter of their own list to recover from. They must
+// not wait for ever.
 func TestMostVotersReplacedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, "a", "b", "c", "d", "e"))
@@ -302,7 +301,7 @@
 	g.Expect(w.overlaps).To(gomega.BeEmpty())
 }
 
-// A daemon that no list names sends beats, say an instance of another fleet.
+// A daemon that no list names sends heartbeats, for example one of another fleet.
 func TestUnknownSenderIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, "a", "b", "c"))
@@ -315,8 +314,8 @@
 	g.Expect(s.newest).To(gomega.Equal(crid.Revision(1)))
 }
 
-// In a large fleet only voters and a sample get beats. If answers were answered,
-// the pairs would add up until control traffic took a daemon's whole allowance.
+// If answers were answered, sampled pairs would add up until control traffic used up a
+// daemon's allowance.
 func TestHeartbeatsStayBoundedInLargeFleet(t *testing.T) {
 	g := gomega.NewWithT(t)
 	names := daemonNames(48)
@@ -338,7 +337,7 @@
 	}
 }
 
-// A faulty peer asks for the lists again and again.
+// A faulty peer requests the lists repeatedly.
 func TestListRequestIsAnsweredOncePerInterval(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, "a", "b", "c"))
@@ -348,8 +347,7 @@
 	g.Expect(s.Step(ask)).To(gomega.BeEmpty())
 }
 
-// A large list has a bounded set of voters, spread over the domains, of which a
-// small change of the list replaces few.
+// A large list has a bounded set of voters. A small change of the list replaces few.
 func TestVotersAreBoundedAndStable(t *testing.T) {
 	g := gomega.NewWithT(t)
 	names := daemonNames(500)
--- a/core/crmember/stranger.go
+++ b/core/crmember/stranger.go
@@ -5,13 +5,13 @@
 	"camphorroad/core/crid"
 )
 
-// handleUnlisted takes what a daemon says that no held list names.
+// handleUnlisted handles a message of a daemon that no held list names.
 //
-// A daemon that starts while the platform is away has no list, so that every
-// peer is a stranger to it; were it to ignore them it would never be ready, and
-// a fleet that is replaced piece by piece through a long outage would go dark.
-// The transport has verified the stranger's certificate, and a daemon that holds
-// any list asks only the peers named there.
+// A daemon that starts while the platform is down holds no list, and so no list
+// names its peers. If it ignored them it would never become ready, and a fleet that
+// is replaced step by step during a long outage would stop serving. The transport
+// has verified the sender's certificate. A daemon that holds a list asks only the
+// peers named in it.
 func (s *State) handleUnlisted(from crid.Daemon, msg crevent.Message) {
 	if len(s.lists) > 0 {
 		return
--- a/core/crmember/tenure.go
+++ b/core/crmember/tenure.go
@@ -6,7 +6,7 @@
 	"camphorroad/core/crid"
 )
 
-// updateLease recomputes until when this daemon may act, and tells it.
+// updateLease recomputes the lease and emits it.
 func (s *State) updateLease() {
 	next := Tenure{Now: s.now, Contact: s.contactUntil(), Bridge: s.jointUntil()}
 	if s.mayActivate() {
@@ -38,7 +38,7 @@
 	s.emit(next)
 }
 
-// mayActivate reports whether the newest list is, or may now become, active,
+// mayActivate reports whether the newest list is active or may become active now,
 // and names this daemon.
 func (s *State) mayActivate() bool {
 	if s.newest == 0 || (s.recovering && s.params.enforces(guardRecovery)) {
@@ -57,12 +57,12 @@
 	return !slices.ContainsFunc(older, func(k heldList) bool { return !s.handoverDone(k) })
 }
 
-// handoverDone reports whether a majority of an older list's voters has answered
-// for the newest one for a whole silence, without a break.
+// handoverDone reports whether a majority of an older list's voters has acknowledged
+// the newest one for a whole expiry wait, without a break.
 //
-// The daemon that acted under the older list may hold evidence that a voter
-// gave just before it moved on, and that evidence runs a horizon. Starting at
-// the acknowledgement would let both act at once.
+// The daemon that acted under the older list may count a contact that a voter gave
+// just before it moved on, until the contact timeout. If the new lease began with
+// the acknowledgement, both daemons would act at once.
 func (s *State) handoverDone(k heldList) bool {
 	wait := s.params.Silence()
 	if !s.params.enforces(guardExpiryWait) {
@@ -78,7 +78,7 @@
 	return settled >= quorum(len(k.voters))
 }
 
-// ackTime returns since when a daemon has answered for the newest list.
+// ackTime returns since when a daemon has acknowledged the newest list.
 func (s *State) ackTime(d crid.Daemon) (crid.Instant, bool) {
 	if d == s.self {
 		return s.ackSince, true
@@ -90,12 +90,12 @@
 	return p.ackSince, true
 }
 
-// allConfirmed reports whether the wait can end early: every daemon that could
-// act under an older list has moved on, so that there is nobody to wait for.
+// allConfirmed reports whether the wait can end early: every daemon that could act
+// under an older list has moved on.
 //
-// Each has to confirm it by answering a beat sent after the last of them had
-// acknowledged. Otherwise one that acknowledged, restarted, and recovered from
-// peers that had not yet moved on could act under the older list again.
+// Each has to confirm it by answering a heartbeat that was sent after the last of
+// them had acknowledged. Otherwise a daemon that acknowledged, restarted, and
+// recovered from peers that had not moved on could act under the older list again.
 func (s *State) allConfirmed(older []heldList) bool {
 	last := s.ackSince
 	var daemons []crid.Daemon
@@ -117,9 +117,9 @@
 	})
 }
 
-// leaseUntil is the end of the newest horizon for which a majority of the newest
-// list's voters vouch; zero if it has passed, or if a reachable peer knows a
-// newer list that has not come yet.
+// leaseUntil returns the end of the contact timeout of the newest contact with a
+// majority of the newest list's voters that acknowledge it; zero if it has passed,
+// or if a reachable peer names a newer list that has not been received yet.
 func (s *State) leaseUntil() crid.Instant {
 	k := s.lists[s.newest]
 	var evidence []crid.Instant
@@ -137,8 +137,8 @@
 	return s.quorumUntil(evidence, len(k.voters))
 }
 
-// quorumUntil is the end of the horizon of the newest evidence that a majority of
-// so many voters gives; zero if it has passed or there is none.
+// quorumUntil returns the end of the contact timeout of the newest contact that a
+// majority of so many voters gives; zero if it has passed or there is none.
 func (s *State) quorumUntil(evidence []crid.Instant, voters int) crid.Instant {
 	need := quorum(voters)
 	if len(evidence) < need {
--- a/core/crmember/voter.go
+++ b/core/crmember/voter.go
@@ -11,10 +11,10 @@
 	"camphorroad/core/crinstance"
 )
 
-// Voters returns the daemons whose majority decides for a shard of a list,
-// sorted: all of them up to limit, and else limit of them, taken from the
-// domains in turn by rendezvous rank. The rank depends on shard and name only,
-// so that a small change of the list changes few voters.
+// Voters returns the daemons whose majority decides for a shard of a list, sorted:
+// all of them up to limit, otherwise limit of them, taken from the domains in turn
+// by rendezvous hashing. The rank depends only on shard and name, so that a small
+// change of the list changes few voters.
 func Voters(list crinstance.List, shard uint32, limit int) []crid.Daemon {
 	if list.Len() <= limit {
 		return list.Daemons()
@@ -32,8 +32,8 @@
 	return voters
 }
 
-// rankByDomain returns each domain's daemons by falling rank; domains are
-// sorted by name.
+// rankByDomain returns each domain's daemons by descending rank. Domains are sorted
+// by name.
 func rankByDomain(list crinstance.List, shard uint32) [][]crid.Daemon {
 	byDomain := make(map[crid.Domain][]crid.Daemon)
 	for _, in := range list.Instances() {
@@ -59,5 +59,5 @@
 	return xxhash.Sum64String(strconv.FormatUint(uint64(shard), 10) + "/" + string(d))
 }
 
-// quorum is the least number of n voters that any other quorum must meet.
+// quorum returns the smallest number of n voters that forms a majority.
 func quorum(n int) int { return n/2 + 1 }
--- a/core/crmember/watermark_test.go
+++ b/core/crmember/watermark_test.go
@@ -7,9 +7,8 @@
 	"github.com/onsi/gomega"
 )
 
-// A mark of what has surely been seen may be the minimum over all sources, or
-// what a majority has passed. One daemon of five dies. Under the minimum nobody
-// could act any more, and every caller would be refused for one lost machine.
+// One daemon of five fails. If a lease ended with the oldest contact of any peer, no
+// daemon could act, and every request would be refused because of one failed machine.
 func TestLeaseExpiryFollowsQuorumNotMinimum(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, "a", "b", "c", "d", "e"))
--- a/core/crmember/world_test.go
+++ b/core/crmember/world_test.go
@@ -11,7 +11,7 @@
 	"camphorroad/core/crinstance"
 )
 
-// node is a daemon in the test network, with a clock of its own.
+// node is a daemon of the simulated cluster, with its own clock.
 type node struct {
 	state     *State
 	inc       crid.Incarnation
@@ -36,7 +36,7 @@
 
 type link struct{ from, to crid.Daemon }
 
-// world is a network of real reducers in simulated time.
+// cluster is a network of real reducers in simulated time.
 type cluster struct {
 	params   Params
 	now      time.Duration
@@ -63,7 +63,7 @@
 	}
 }
 
-// start begins a new life of a daemon; its clock rate stays.
+// start starts or restarts a daemon. Its clock rate stays.
 func (w *cluster) start(d crid.Daemon) *node {
 	w.starts++
 	n := &node{
@@ -89,7 +89,7 @@
 	}
 }
 
-// read hands a daemon a list from the platform.
+// deliverList delivers a list of the platform to a daemon.
 func (w *cluster) deliverList(d crid.Daemon, list crinstance.List) {
 	w.step(d, crinstance.Listed{Now: w.nodes[d].clock(w.now), List: list})
 }
@@ -132,13 +132,13 @@
 	w.packets = append(w.packets, p)
 }
 
-// holds reports whether a daemon has standing now, by its own clock.
+// hasLease reports whether a daemon holds a lease now, by its own clock.
 func (w *cluster) hasLease(d crid.Daemon) bool {
 	n := w.nodes[d]
 	return n.lease.Until > n.clock(w.now)
 }
 
-// check notes two daemons that have standing under different lists now.
+// checkLeases records daemons that hold leases under different lists now.
 func (w *cluster) checkLeases() {
 	active := make(map[crid.Revision]crid.Daemon)
 	for d, n := range w.nodes {
@@ -152,7 +152,7 @@
 	w.checkJointLeases()
 }
 
-// lists returns the lists under all of which a daemon acts now.
+// leasedLists returns the lists under all of which a daemon may act now.
 func (w *cluster) leasedLists(d crid.Daemon) []crid.Revision {
 	n := w.nodes[d]
 	if w.hasLease(d) {
@@ -168,8 +168,8 @@
 	return revs
 }
 
-// checkBridges notes two daemons that act now without a list in common: each
-// could mint the same share under a list of its own.
+// checkJointLeases records two daemons that may act now without a list in common:
+// each could grant the same share under its own list.
 func (w *cluster) checkJointLeases() {
 	names := w.names()
 	for i, a := range names {
@@ -183,7 +183,7 @@
 	}
 }
 
-// run lets time pass in steps of 10 ms; a tick comes every 50 ms.
+// run advances the time in steps of 10 ms, with a tick every 50 ms.
 func (w *cluster) run(d time.Duration) {
 	const quantum = 10 * time.Millisecond
 	for end := w.now + d; w.now < end; {
@@ -232,7 +232,7 @@
 	}
 }
 
-// wake resumes a daemon; what queued up arrives before its first tick.
+// resume resumes a daemon. Queued packets arrive before its first tick.
 func (w *cluster) resume(d crid.Daemon) {
 	n := w.nodes[d]
 	n.paused = false
@@ -243,7 +243,7 @@
 	}
 }
 
-// cut severs the links between two groups, both ways.
+// partition cuts the links between two groups, both ways.
 func (w *cluster) partition(a, b []crid.Daemon) {
 	for _, x := range a {
 		for _, y := range b {
