--- a/core/crmember/params.go
+++ b/core/crmember/params.go
@@ -10,7 +10,7 @@
 	// daemon is not idle.
 	Interval time.Duration
 	// IdleInterval is the same while the daemon is idle; zero: Interval.
-	Rest time.Duration
+	IdleInterval time.Duration `cbor:"Rest" json:"Rest"`
 	// Jitter is the fraction of Interval by which a heartbeat may come early or late.
 	Jitter float64
 	// ContactTimeout is how long a contact with a peer counts.
@@ -50,16 +50,16 @@
 // DefaultParams returns the parameters for links of a few milliseconds.
 func DefaultParams() Params {
 	return Params{
-		Interval:  200 * time.Millisecond,
-		Rest:      500 * time.Millisecond,
-		Jitter:    0.1,
-		Horizon:   2 * time.Second,
-		Drift:     0.01,
-		Margin:    100 * time.Millisecond,
-		MaxVoters: 31,
-		Sample:    8,
-		SampleFor: time.Minute,
-		MaxLists:  32,
+		Interval:     200 * time.Millisecond,
+		IdleInterval: 500 * time.Millisecond,
+		Jitter:       0.1,
+		Horizon:      2 * time.Second,
+		Drift:        0.01,
+		Margin:       100 * time.Millisecond,
+		MaxVoters:    31,
+		Sample:       8,
+		SampleFor:    time.Minute,
+		MaxLists:     32,
 	}
 }
 
@@ -73,4 +73,4 @@
 
 // idleInterval is the mean time between two heartbeats to one peer while the
 // daemon is idle.
-func (p Params) idleInterval() time.Duration { return max(p.Rest, p.Interval) }
+func (p Params) idleInterval() time.Duration { return max(p.IdleInterval, p.Interval) }
--- a/core/crmember/round.go
+++ b/core/crmember/round.go
@@ -76,7 +76,7 @@
 // without pause is answered at most twice an interval.
 func (s *State) replyTo(ev crevent.Event) {
 	in, ok := ev.(crevent.Received)
-	if !ok || s.params.Rest == 0 || s.newest == 0 {
+	if !ok || s.params.IdleInterval == 0 || s.newest == 0 {
 		return
 	}
 	p := s.peers[in.From]
@@ -92,7 +92,7 @@
 // none is suspected. Voters out of contact do not count, or one failed voter would
 // keep the fleet at the faster pace.
 func (s *State) idle() bool {
-	if s.params.Rest == 0 || s.lease.Until == 0 || s.leaving || s.lastActive != s.newest || s.missingActive > s.lastActive {
+	if s.params.IdleInterval == 0 || s.lease.Until == 0 || s.leaving || s.lastActive != s.newest || s.missingActive > s.lastActive {
 		return false
 	}
 	for _, d := range s.lists[s.newest].voters {
--- a/io/crtrace/replay.go
+++ b/io/crtrace/replay.go
@@ -93,7 +93,7 @@
 		return err
 	}
 	h := header{Params: crdaemon.DefaultParams()}
-	h.Params.Member.Rest = 0 // a trace that does not name it is from before daemons rested
+	h.Params.Member.IdleInterval = 0 // a trace that does not name it is from before daemons rested
 	if rec.Kind != kindHeader {
 		return p.r.fail(fmt.Errorf("%w: %q where the parameters should be", ErrRecord, rec.Kind))
 	}
