--- a/core/crmember/params.go
+++ b/core/crmember/params.go
@@ -14,7 +14,7 @@
 	// Jitter is the fraction of Interval by which a heartbeat may come early or late.
 	Jitter float64
 	// ContactTimeout is how long a contact with a peer counts.
-	Horizon time.Duration
+	ContactTimeout time.Duration `cbor:"Horizon" json:"Horizon"`
 	// Drift bounds the relative error of each daemon's clock.
 	Drift float64
 	// Margin is added to each wait that relies on another clock.
@@ -50,16 +50,16 @@
 // DefaultParams returns the parameters for links of a few milliseconds.
 func DefaultParams() Params {
 	return Params{
-		Interval:     200 * time.Millisecond,
-		IdleInterval: 500 * time.Millisecond,
-		Jitter:       0.1,
-		Horizon:      2 * time.Second,
-		Drift:        0.01,
-		Margin:       100 * time.Millisecond,
-		MaxVoters:    31,
-		Sample:       8,
-		SampleFor:    time.Minute,
-		MaxLists:     32,
+		Interval:       200 * time.Millisecond,
+		IdleInterval:   500 * time.Millisecond,
+		Jitter:         0.1,
+		ContactTimeout: 2 * time.Second,
+		Drift:          0.01,
+		Margin:         100 * time.Millisecond,
+		MaxVoters:      31,
+		Sample:         8,
+		SampleFor:      time.Minute,
+		MaxLists:       32,
 	}
 }
 
@@ -68,7 +68,7 @@
 // the drift counts twice.
 func (p Params) Silence() time.Duration {
 	factor := (1 + p.Drift) / (1 - p.Drift)
-	return time.Duration(float64(p.Horizon)*factor) + p.Margin
+	return time.Duration(float64(p.ContactTimeout)*factor) + p.Margin
 }
 
 // idleInterval is the mean time between two heartbeats to one peer while the
--- a/core/crmember/peer.go
+++ b/core/crmember/peer.go
@@ -50,7 +50,7 @@
 // inContact reports two-way reachability: the peer has echoed a heartbeat that was
 // sent less than a contact timeout ago.
 func (s *State) inContact(p *peer) bool {
-	return p.contacted && s.now.Sub(p.lastContact) < s.params.Horizon
+	return p.contacted && s.now.Sub(p.lastContact) < s.params.ContactTimeout
 }
 
 // acknowledges reports whether the peer acknowledges this daemon's newest list. A
--- a/core/crmember/sample_test.go
+++ b/core/crmember/sample_test.go
@@ -63,7 +63,7 @@
 	w, list := largeCluster()
 	voter := Voters(list, 0, w.params.MaxVoters)[3]
 	delete(w.nodes, voter)
-	w.run(w.params.Horizon + 2*w.params.Interval)
+	w.run(w.params.ContactTimeout + 2*w.params.Interval)
 	for _, d := range w.names() {
 		g.Expect(w.down(d)).To(gomega.Equal([]crid.Daemon{voter}), string(d))
 	}
--- a/core/crmember/standing_test.go
+++ b/core/crmember/standing_test.go
@@ -190,7 +190,7 @@
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, "a", "b", "c"))
 	w.partition(daemons("a"), daemons("b", "c"))
-	w.run(w.params.Horizon)
+	w.run(w.params.ContactTimeout)
 	g.Expect(w.leaseHolders()).To(gomega.Equal(daemons("b", "c")))
 	clear(w.cuts)
 	w.run(500 * time.Millisecond)
--- a/core/crmember/tenure.go
+++ b/core/crmember/tenure.go
@@ -145,7 +145,7 @@
 		return 0
 	}
 	slices.Sort(evidence)
-	until := evidence[len(evidence)-need].Add(s.params.Horizon)
+	until := evidence[len(evidence)-need].Add(s.params.ContactTimeout)
 	if until <= s.now {
 		return 0
 	}
--- a/core/crmember/watermark_test.go
+++ b/core/crmember/watermark_test.go
@@ -13,15 +13,15 @@
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, "a", "b", "c", "d", "e"))
 	delete(w.nodes, "e")
-	w.run(w.params.Horizon + time.Second)
+	w.run(w.params.ContactTimeout + time.Second)
 	s := w.nodes["a"].state
 	now := w.nodes["a"].clock(w.now)
 	minimum := now
 	for _, p := range s.peers {
-		minimum = min(minimum, p.lastContact.Add(s.params.Horizon))
+		minimum = min(minimum, p.lastContact.Add(s.params.ContactTimeout))
 	}
 	t.Logf("one of five is dead for %v: majority's mark ends in %v, minimum's in %v",
-		w.params.Horizon+time.Second, s.lease.Until.Sub(now), minimum.Sub(now))
+		w.params.ContactTimeout+time.Second, s.lease.Until.Sub(now), minimum.Sub(now))
 	g.Expect(minimum).To(gomega.BeNumerically("<", now))
 	g.Expect(s.lease.Until).To(gomega.BeNumerically(">", now))
 }
