--- a/core/crconfig/fleet_test.go
+++ b/core/crconfig/fleet_test.go
@@ -193,7 +193,7 @@
 	n := len(f.names)
 	near := make([]bool, n*n)
 	for i := range f.names {
-		for range params.Sample * int(params.ContactTimeout/params.Interval) {
+		for range params.SampleSize * int(params.ContactTimeout/params.Interval) {
 			j := f.rng.IntN(n)
 			near[i*n+j], near[j*n+i] = true, true
 		}
--- a/core/crmember/params.go
+++ b/core/crmember/params.go
@@ -23,7 +23,7 @@
 	MaxVoters int
 	// SampleSize is the number of other daemons that get a heartbeat each round
 	// besides the voters, in a fleet of more daemons than MaxVoters.
-	Sample int
+	SampleSize int `cbor:"Sample" json:"Sample"`
 	// SampleDuration is how long a sample is kept; zero: for one round.
 	SampleFor time.Duration
 	// MaxLists bounds the lists held at one time.
@@ -57,7 +57,7 @@
 		Drift:          0.01,
 		Margin:         100 * time.Millisecond,
 		MaxVoters:      31,
-		Sample:         8,
+		SampleSize:     8,
 		SampleFor:      time.Minute,
 		MaxLists:       32,
 	}
--- a/core/crmember/round.go
+++ b/core/crmember/round.go
@@ -163,7 +163,7 @@
 	}
 	s.sampleUntil = s.now.Add(s.jitter(s.params.SampleFor))
 	s.sample = s.sample[:0]
-	for i := range s.params.Sample {
+	for i := range s.params.SampleSize {
 		pick := s.hash(s.seq, uint64(i)+1) % uint64(len(s.peerNames))
 		s.sample = append(s.sample, s.peerNames[pick])
 	}
--- a/core/crmember/sample_test.go
+++ b/core/crmember/sample_test.go
@@ -98,6 +98,6 @@
 			}
 		}
 	}
-	g.Expect(len(met)).To(gomega.BeNumerically("<=", 2*w.params.Sample))
+	g.Expect(len(met)).To(gomega.BeNumerically("<=", 2*w.params.SampleSize))
 	g.Expect(met).NotTo(gomega.BeEmpty())
 }
--- a/core/crmember/standing_test.go
+++ b/core/crmember/standing_test.go
@@ -331,7 +331,7 @@
 		}
 		w.nodes[d].sent = nil
 		w.run(2 * time.Second)
-		perRound := w.params.MaxVoters + 3*w.params.Sample
+		perRound := w.params.MaxVoters + 3*w.params.SampleSize
 		g.Expect(len(w.nodes[d].sent)).To(gomega.BeNumerically("<", 11*perRound))
 		return
 	}
