--- a/core/crmember/params.go
+++ b/core/crmember/params.go
@@ -25,7 +25,7 @@
 	// besides the voters, in a fleet of more daemons than MaxVoters.
 	SampleSize int `cbor:"Sample" json:"Sample"`
 	// SampleDuration is how long a sample is kept; zero: for one round.
-	SampleFor time.Duration
+	SampleDuration time.Duration `cbor:"SampleFor" json:"SampleFor"`
 	// MaxLists bounds the lists held at one time.
 	MaxLists int
 
@@ -58,7 +58,7 @@
 		Margin:         100 * time.Millisecond,
 		MaxVoters:      31,
 		SampleSize:     8,
-		SampleFor:      time.Minute,
+		SampleDuration: time.Minute,
 		MaxLists:       32,
 	}
 }
--- a/core/crmember/round.go
+++ b/core/crmember/round.go
@@ -161,7 +161,7 @@
 	if s.now.Before(s.sampleUntil) {
 		return s.sample
 	}
-	s.sampleUntil = s.now.Add(s.jitter(s.params.SampleFor))
+	s.sampleUntil = s.now.Add(s.jitter(s.params.SampleDuration))
 	s.sample = s.sample[:0]
 	for i := range s.params.SampleSize {
 		pick := s.hash(s.seq, uint64(i)+1) % uint64(len(s.peerNames))
--- a/core/crmember/sample_test.go
+++ b/core/crmember/sample_test.go
@@ -74,7 +74,7 @@
 func TestSampledPeerChangesAreReportedOncePerInterval(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w, node := newVoter(1000)
-	node.state.params.SampleFor = 0 // a new sample in each round
+	node.state.params.SampleDuration = 0 // a new sample in each round
 	node.state.sampleUntil = 0
 	runSecond(w, node)
 	told := runSecond(w, node)
