--- a/core/crmember/params.go
+++ b/core/crmember/params.go
@@ -66,7 +66,7 @@
 // ExpiryWait is how long a daemon waits, on its own clock, until a contact timeout
 // has passed on any other clock. One clock may run slow and the other fast, so
 // the drift counts twice.
-func (p Params) Silence() time.Duration {
+func (p Params) ExpiryWait() time.Duration {
 	factor := (1 + p.Drift) / (1 - p.Drift)
 	return time.Duration(float64(p.ContactTimeout)*factor) + p.Margin
 }
--- a/core/crmember/recover.go
+++ b/core/crmember/recover.go
@@ -77,7 +77,7 @@
 // leases of former incarnations have expired, and peers that did not restart have
 // been heard.
 func (s *State) coldStartDone() bool {
-	if s.coldStartRev == 0 || s.now.Sub(s.startedAt) < s.params.Silence() {
+	if s.coldStartRev == 0 || s.now.Sub(s.startedAt) < s.params.ExpiryWait() {
 		return false
 	}
 	for _, p := range s.peers {
--- a/core/crmember/tenure.go
+++ b/core/crmember/tenure.go
@@ -64,7 +64,7 @@
 // just before it moved on, until the contact timeout. If the new lease began with
 // the acknowledgement, both daemons would act at once.
 func (s *State) handoverDone(k heldList) bool {
-	wait := s.params.Silence()
+	wait := s.params.ExpiryWait()
 	if !s.params.enforces(guardExpiryWait) {
 		wait = 0
 	}
