--- a/core/crmember/bench_test.go
+++ b/core/crmember/bench_test.go
@@ -84,7 +84,7 @@
 // deliverReply delivers the peer's answer to a heartbeat.
 func deliverReply(s *State, send crevent.Send, at crid.Instant) (told []Peers) {
 	beat := send.Msg.(Beat)
-	beat.Echo = Echo{Inc: s.incarnation, Seq: s.seq}
+	beat.Echo = Echo{Incarnation: s.incarnation, Seq: s.seq}
 	beat.Inc = 1 << 62
 	beat.Reply = true
 	for _, effect := range s.Step(crevent.Received{Now: at, From: send.To, Msg: beat}) {
@@ -136,7 +136,7 @@
 			}
 			seqs++
 			beat := send.Msg.(Beat)
-			beat.Echo = Echo{Inc: s.incarnation, Seq: s.seq}
+			beat.Echo = Echo{Incarnation: s.incarnation, Seq: s.seq}
 			beat.Inc = 1 << 62
 			beat.Seq = seqs
 			beat.Reply = true
@@ -158,7 +158,7 @@
 
 func encodedSize(b *testing.B, beat Beat) int {
 	beat.Inc = 1<<63 + 1
-	beat.Echo.Inc = 1<<63 + 1
+	beat.Echo.Incarnation = 1<<63 + 1
 	beat.Seq = 1 << 24
 	beat.Echo.Seq = 1 << 24
 	beat.Conf = 1 << 24
--- a/core/crmember/message.go
+++ b/core/crmember/message.go
@@ -8,8 +8,8 @@
 
 // Echo names the latest heartbeat that the sender has received from the receiver.
 type Echo struct {
-	Inc crid.Incarnation `cbor:"i"`
-	Seq uint64           `cbor:"s"`
+	Incarnation crid.Incarnation `cbor:"i"`
+	Seq         uint64           `cbor:"s"`
 }
 
 // Heartbeat is the heartbeat between two daemons. Within one round all fields but
--- a/core/crmember/peer.go
+++ b/core/crmember/peer.go
@@ -120,7 +120,7 @@
 // did not send it, or no longer remembers it.
 func (s *State) echoSentAt(e Echo) *crid.Instant {
 	slot := s.sentBeats[e.Seq%sentRingSize]
-	if e.Inc != s.incarnation || slot.seq != e.Seq || e.Seq == 0 {
+	if e.Incarnation != s.incarnation || slot.seq != e.Seq || e.Seq == 0 {
 		return nil
 	}
 	return &slot.at
--- a/core/crmember/round.go
+++ b/core/crmember/round.go
@@ -60,7 +60,7 @@
 		Leaving: s.leaving,
 		Fresh:   s.recovering && s.params.enforces(guardRecovery),
 		Reply:   reply,
-		Echo:    Echo{Inc: p.incarnation, Seq: p.seq},
+		Echo:    Echo{Incarnation: p.incarnation, Seq: p.seq},
 	}})
 }
 
