--- a/core/crmember/bench_test.go
+++ b/core/crmember/bench_test.go
@@ -85,7 +85,7 @@
 func deliverReply(s *State, send crevent.Send, at crid.Instant) (told []Peers) {
 	beat := send.Msg.(Beat)
 	beat.Echo = Echo{Incarnation: s.incarnation, Seq: s.seq}
-	beat.Inc = 1 << 62
+	beat.Incarnation = 1 << 62
 	beat.Reply = true
 	for _, effect := range s.Step(crevent.Received{Now: at, From: send.To, Msg: beat}) {
 		if peers, ok := effect.(Peers); ok {
@@ -137,7 +137,7 @@
 			seqs++
 			beat := send.Msg.(Beat)
 			beat.Echo = Echo{Incarnation: s.incarnation, Seq: s.seq}
-			beat.Inc = 1 << 62
+			beat.Incarnation = 1 << 62
 			beat.Seq = seqs
 			beat.Reply = true
 			at := node.clock(w.now + 3*time.Millisecond)
@@ -157,7 +157,7 @@
 }
 
 func encodedSize(b *testing.B, beat Beat) int {
-	beat.Inc = 1<<63 + 1
+	beat.Incarnation = 1<<63 + 1
 	beat.Echo.Incarnation = 1<<63 + 1
 	beat.Seq = 1 << 24
 	beat.Echo.Seq = 1 << 24
--- a/core/crmember/peer.go
+++ b/core/crmember/peer.go
@@ -97,11 +97,11 @@
 // only if it echoes a later heartbeat of this daemon. A delayed one of the former
 // incarnation cannot, and so does not bring back its leaving mark or its lists.
 func (s *State) acceptHeartbeat(from crid.Daemon, p *peer, b Beat, echoed bool) bool {
-	if p.incarnation == b.Inc {
+	if p.incarnation == b.Incarnation {
 		return b.Seq > p.seq
 	}
 	if p.incarnation == 0 {
-		p.incarnation = b.Inc
+		p.incarnation = b.Incarnation
 		s.markPeerChanged(p)
 		return true
 	}
@@ -109,7 +109,7 @@
 		p.replyDue = p.replyDue || !b.Reply // the new incarnation must be answered before it can echo anything
 		return false
 	}
-	p.incarnation = b.Inc
+	p.incarnation = b.Incarnation
 	p.acked = false
 	s.peersChanged = true
 	s.reportPeer(EventPeerRestarted, from)
