--- a/core/crmember/message.go
+++ b/core/crmember/message.go
@@ -17,7 +17,7 @@
 type Beat struct {
 	Seq         uint64           `cbor:"s"` // grows with each round of one incarnation
 	Incarnation crid.Incarnation `cbor:"i"`
-	Cur         crid.Revision    `cbor:"c"`           // newest list held
+	Newest      crid.Revision    `cbor:"c"`           // newest list held
 	Floor       crid.Revision    `cbor:"f"`           // newest list known to have been active; zero: not known
 	Held        []crid.Revision  `cbor:"h,omitempty"` // lists held between LastActive and Newest, both excluded
 	Conf        uint64           `cbor:"v,omitempty"` // configuration in force
--- a/core/crmember/peer.go
+++ b/core/crmember/peer.go
@@ -76,7 +76,7 @@
 		s.reportPeer(EventPeerLeaving, from)
 	}
 	p.seq = b.Seq
-	p.newest = b.Cur
+	p.newest = b.Newest
 	p.lastActive = b.Floor
 	p.intermediate = b.Held
 	p.recovering = b.Fresh
--- a/core/crmember/round.go
+++ b/core/crmember/round.go
@@ -53,7 +53,7 @@
 	s.emit(crevent.Send{To: d, Msg: Beat{
 		Seq:         s.seq,
 		Incarnation: s.incarnation,
-		Cur:         s.newest,
+		Newest:      s.newest,
 		Floor:       s.lastActive,
 		Held:        s.intermediateRevs(),
 		Conf:        s.configRev,
