--- a/core/crmember/message.go
+++ b/core/crmember/message.go
@@ -18,7 +18,7 @@
 	Seq         uint64           `cbor:"s"` // grows with each round of one incarnation
 	Incarnation crid.Incarnation `cbor:"i"`
 	Newest      crid.Revision    `cbor:"c"`           // newest list held
-	Floor       crid.Revision    `cbor:"f"`           // newest list known to have been active; zero: not known
+	LastActive  crid.Revision    `cbor:"f"`           // newest list known to have been active; zero: not known
 	Held        []crid.Revision  `cbor:"h,omitempty"` // lists held between LastActive and Newest, both excluded
 	Conf        uint64           `cbor:"v,omitempty"` // configuration in force
 	Leaving     bool             `cbor:"l,omitempty"`
--- a/core/crmember/peer.go
+++ b/core/crmember/peer.go
@@ -77,7 +77,7 @@
 	}
 	p.seq = b.Seq
 	p.newest = b.Newest
-	p.lastActive = b.Floor
+	p.lastActive = b.LastActive
 	p.intermediate = b.Held
 	p.recovering = b.Fresh
 	p.leaving = b.Leaving
@@ -86,7 +86,7 @@
 		s.recordContact(p, b.Echo.Seq, *echoed)
 	}
 	if !b.Fresh {
-		s.advanceActive(b.Floor)
+		s.advanceActive(b.LastActive)
 	}
 	s.updateAck(p)
 	s.requestMissing(from, p)
--- a/core/crmember/round.go
+++ b/core/crmember/round.go
@@ -54,7 +54,7 @@
 		Seq:         s.seq,
 		Incarnation: s.incarnation,
 		Newest:      s.newest,
-		Floor:       s.lastActive,
+		LastActive:  s.lastActive,
 		Held:        s.intermediateRevs(),
 		Conf:        s.configRev,
 		Leaving:     s.leaving,
