--- a/core/crmember/peer.go
+++ b/core/crmember/peer.go
@@ -64,7 +64,7 @@
 }
 
 func (s *State) handleHeartbeat(from crid.Daemon, p *peer, b Beat) {
-	if len(b.Held) > s.params.MaxLists {
+	if len(b.Intermediate) > s.params.MaxLists {
 		return
 	}
 	echoed := s.echoSentAt(b.Echo)
@@ -78,7 +78,7 @@
 	p.seq = b.Seq
 	p.newest = b.Newest
 	p.lastActive = b.LastActive
-	p.intermediate = b.Held
+	p.intermediate = b.Intermediate
 	p.recovering = b.Fresh
 	p.leaving = b.Leaving
 	p.replyDue = !b.Reply
