--- a/core/crmember/bench_test.go
+++ b/core/crmember/bench_test.go
@@ -161,7 +161,7 @@
 	beat.Echo.Incarnation = 1<<63 + 1
 	beat.Seq = 1 << 24
 	beat.Echo.Seq = 1 << 24
-	beat.Conf = 1 << 24
+	beat.ConfigRevision = 1 << 24
 	data, err := cbor.Marshal(beat)
 	if err != nil {
 		b.Fatal(err)
--- a/core/crmember/message.go
+++ b/core/crmember/message.go
@@ -15,16 +15,16 @@
 // Heartbeat is the heartbeat between two daemons. Within one round all fields but
 // Echo and Reply are the same for every receiver.
 type Beat struct {
-	Seq          uint64           `cbor:"s"` // grows with each round of one incarnation
-	Incarnation  crid.Incarnation `cbor:"i"`
-	Newest       crid.Revision    `cbor:"c"`           // newest list held
-	LastActive   crid.Revision    `cbor:"f"`           // newest list known to have been active; zero: not known
-	Intermediate []crid.Revision  `cbor:"h,omitempty"` // lists held between LastActive and Newest, both excluded
-	Conf         uint64           `cbor:"v,omitempty"` // configuration in force
-	Leaving      bool             `cbor:"l,omitempty"`
-	Fresh        bool             `cbor:"n,omitempty"` // the sender has not recovered yet and acknowledges no list
-	Reply        bool             `cbor:"r,omitempty"` // answers a heartbeat and needs no answer itself
-	Echo         Echo             `cbor:"e"`
+	Seq            uint64           `cbor:"s"` // grows with each round of one incarnation
+	Incarnation    crid.Incarnation `cbor:"i"`
+	Newest         crid.Revision    `cbor:"c"`           // newest list held
+	LastActive     crid.Revision    `cbor:"f"`           // newest list known to have been active; zero: not known
+	Intermediate   []crid.Revision  `cbor:"h,omitempty"` // lists held between LastActive and Newest, both excluded
+	ConfigRevision uint64           `cbor:"v,omitempty"` // configuration in force
+	Leaving        bool             `cbor:"l,omitempty"`
+	Fresh          bool             `cbor:"n,omitempty"` // the sender has not recovered yet and acknowledges no list
+	Reply          bool             `cbor:"r,omitempty"` // answers a heartbeat and needs no answer itself
+	Echo           Echo             `cbor:"e"`
 }
 
 // MessageKind implements crevent.Message.
--- a/core/crmember/round.go
+++ b/core/crmember/round.go
@@ -51,16 +51,16 @@
 	p.sentSeq = s.seq
 	p.sentAt = s.now
 	s.emit(crevent.Send{To: d, Msg: Beat{
-		Seq:          s.seq,
-		Incarnation:  s.incarnation,
-		Newest:       s.newest,
-		LastActive:   s.lastActive,
-		Intermediate: s.intermediateRevs(),
-		Conf:         s.configRev,
-		Leaving:      s.leaving,
-		Fresh:        s.recovering && s.params.enforces(guardRecovery),
-		Reply:        reply,
-		Echo:         Echo{Incarnation: p.incarnation, Seq: p.seq},
+		Seq:            s.seq,
+		Incarnation:    s.incarnation,
+		Newest:         s.newest,
+		LastActive:     s.lastActive,
+		Intermediate:   s.intermediateRevs(),
+		ConfigRevision: s.configRev,
+		Leaving:        s.leaving,
+		Fresh:          s.recovering && s.params.enforces(guardRecovery),
+		Reply:          reply,
+		Echo:           Echo{Incarnation: p.incarnation, Seq: p.seq},
 	}})
 }
 
