--- a/core/crmember/peer.go
+++ b/core/crmember/peer.go
@@ -79,13 +79,13 @@
 	p.newest = b.Newest
 	p.lastActive = b.LastActive
 	p.intermediate = b.Intermediate
-	p.recovering = b.Fresh
+	p.recovering = b.Recovering
 	p.leaving = b.Leaving
 	p.replyDue = !b.Reply
 	if echoed != nil {
 		s.recordContact(p, b.Echo.Seq, *echoed)
 	}
-	if !b.Fresh {
+	if !b.Recovering {
 		s.advanceActive(b.LastActive)
 	}
 	s.updateAck(p)
--- a/core/crmember/round.go
+++ b/core/crmember/round.go
@@ -58,7 +58,7 @@
 		Intermediate:   s.intermediateRevs(),
 		ConfigRevision: s.configRev,
 		Leaving:        s.leaving,
-		Fresh:          s.recovering && s.params.enforces(guardRecovery),
+		Recovering:     s.recovering && s.params.enforces(guardRecovery),
 		Reply:          reply,
 		Echo:           Echo{Incarnation: p.incarnation, Seq: p.seq},
 	}})
