--- a/core/crmember/bench_test.go
+++ b/core/crmember/bench_test.go
@@ -83,7 +83,7 @@
 
 // deliverReply delivers the peer's answer to a heartbeat.
 func deliverReply(s *State, send crevent.Send, at crid.Instant) (told []Peers) {
-	beat := send.Msg.(Beat)
+	beat := send.Msg.(Heartbeat)
 	beat.Echo = Echo{Incarnation: s.incarnation, Seq: s.seq}
 	beat.Incarnation = 1 << 62
 	beat.Reply = true
@@ -135,7 +135,7 @@
 				continue
 			}
 			seqs++
-			beat := send.Msg.(Beat)
+			beat := send.Msg.(Heartbeat)
 			beat.Echo = Echo{Incarnation: s.incarnation, Seq: s.seq}
 			beat.Incarnation = 1 << 62
 			beat.Seq = seqs
@@ -156,7 +156,7 @@
 	}
 }
 
-func encodedSize(b *testing.B, beat Beat) int {
+func encodedSize(b *testing.B, beat Heartbeat) int {
 	beat.Incarnation = 1<<63 + 1
 	beat.Echo.Incarnation = 1<<63 + 1
 	beat.Seq = 1 << 24
--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -2,7 +2,7 @@
 // is reachable both ways, who is leaving, which list of instances is active,
 // and whether this daemon has standing, which means it may act on what it knows.
 //
-// Daemons exchange heartbeats ([Beat]). A beat echoes the receiver's latest
+// Daemons exchange heartbeats ([Heartbeat]). A beat echoes the receiver's latest
 // beat, and counts as evidence from the instant at which that one was sent. A
 // daemon has standing under a list while a majority of the list's voters has
 // answered within a horizon and holds that list as its newest. At no time do
@@ -142,7 +142,7 @@
 		return
 	}
 	switch m := ev.Msg.(type) {
-	case Beat:
+	case Heartbeat:
 		s.handleHeartbeat(ev.From, p, m)
 		if p := s.peers[ev.From]; p != nil {
 			s.updatePeer(ev.From, p)
--- a/core/crmember/message.go
+++ b/core/crmember/message.go
@@ -14,7 +14,7 @@
 
 // Heartbeat is the heartbeat between two daemons. Within one round all fields but
 // Echo and Reply are the same for every receiver.
-type Beat struct {
+type Heartbeat struct {
 	Seq            uint64           `cbor:"s"` // grows with each round of one incarnation
 	Incarnation    crid.Incarnation `cbor:"i"`
 	Newest         crid.Revision    `cbor:"c"`           // newest list held
@@ -28,7 +28,7 @@
 }
 
 // MessageKind implements crevent.Message.
-func (Beat) MessageKind() string { return "beat" }
+func (Heartbeat) MessageKind() string { return "beat" }
 
 // ListRequest asks for the lists from a revision on, except those already held.
 type Fetch struct {
@@ -55,7 +55,7 @@
 
 // Messages returns a zero value of each message, for the codec's registry.
 func Messages() []crevent.Message {
-	return []crevent.Message{Beat{}, Fetch{}, Lists{}}
+	return []crevent.Message{Heartbeat{}, Fetch{}, Lists{}}
 }
 
 // AdvertiseConfig sets the configuration revision that heartbeats carry.
--- a/core/crmember/peer.go
+++ b/core/crmember/peer.go
@@ -63,7 +63,7 @@
 	return p.newest == s.newest && s.holdsAll(p)
 }
 
-func (s *State) handleHeartbeat(from crid.Daemon, p *peer, b Beat) {
+func (s *State) handleHeartbeat(from crid.Daemon, p *peer, b Heartbeat) {
 	if len(b.Intermediate) > s.params.MaxLists {
 		return
 	}
@@ -96,7 +96,7 @@
 // have no order. A heartbeat of another incarnation therefore counts as a restart
 // only if it echoes a later heartbeat of this daemon. A delayed one of the former
 // incarnation cannot, and so does not bring back its leaving mark or its lists.
-func (s *State) acceptHeartbeat(from crid.Daemon, p *peer, b Beat, echoed bool) bool {
+func (s *State) acceptHeartbeat(from crid.Daemon, p *peer, b Heartbeat, echoed bool) bool {
 	if p.incarnation == b.Incarnation {
 		return b.Seq > p.seq
 	}
--- a/core/crmember/round.go
+++ b/core/crmember/round.go
@@ -50,7 +50,7 @@
 	p.replyDue = false
 	p.sentSeq = s.seq
 	p.sentAt = s.now
-	s.emit(crevent.Send{To: d, Msg: Beat{
+	s.emit(crevent.Send{To: d, Msg: Heartbeat{
 		Seq:            s.seq,
 		Incarnation:    s.incarnation,
 		Newest:         s.newest,
--- a/core/crmember/standing_test.go
+++ b/core/crmember/standing_test.go
@@ -306,7 +306,7 @@
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, "a", "b", "c"))
 	s := w.nodes["a"].state
-	beat := Beat{Seq: 1, Incarnation: 9, Newest: 7, LastActive: 7}
+	beat := Heartbeat{Seq: 1, Incarnation: 9, Newest: 7, LastActive: 7}
 	for _, msg := range []crevent.Message{beat, Fetch{}, Lists{Rolls: []Roll{{Rev: 9}}}} {
 		ev := crevent.Received{Now: s.now, From: "stranger", Msg: msg}
 		g.Expect(s.Step(ev)).To(gomega.BeEmpty())
--- a/core/crmember/stranger.go
+++ b/core/crmember/stranger.go
@@ -17,7 +17,7 @@
 		return
 	}
 	switch m := msg.(type) {
-	case Beat:
+	case Heartbeat:
 		if s.requestedLists && s.now.Sub(s.listsRequestedAt) < s.params.Interval {
 			return
 		}
--- a/io/crpeer/bench_test.go
+++ b/io/crpeer/bench_test.go
@@ -122,7 +122,7 @@
 func BenchmarkBeat(b *testing.B) {
 	hub, peers := star(b, 20)
 	sessions := dialAll(b, hub, peers)
-	beat := crmember.Beat{Seq: 1 << 24, Incarnation: 1 << 62, Newest: 1 << 24, LastActive: 1 << 24, ConfigRevision: 1 << 24, Echo: crmember.Echo{Incarnation: 1 << 62, Seq: 1 << 24}}
+	beat := crmember.Heartbeat{Seq: 1 << 24, Incarnation: 1 << 62, Newest: 1 << 24, LastActive: 1 << 24, ConfigRevision: 1 << 24, Echo: crmember.Echo{Incarnation: 1 << 62, Seq: 1 << 24}}
 	round := func() {
 		for _, peer := range peers {
 			_ = hub.Send(peer, beat)
