--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -147,7 +147,7 @@
 		if p := s.peers[ev.From]; p != nil {
 			s.updatePeer(ev.From, p)
 		}
-	case Fetch:
+	case ListRequest:
 		s.handleListRequest(ev.From, p, m)
 	case Lists:
 		s.handleListResponse(m)
--- a/core/crmember/list.go
+++ b/core/crmember/list.go
@@ -231,7 +231,7 @@
 // handleListRequest answers with the lists that the peer lacks. Lists are by far the
 // largest messages, so that a peer that asks without pause would use up the allowance
 // of control traffic. Correct peers ask at most once an interval.
-func (s *State) handleListRequest(from crid.Daemon, p *peer, m Fetch) {
+func (s *State) handleListRequest(from crid.Daemon, p *peer, m ListRequest) {
 	if p.listsSent && s.now.Sub(p.listsSentAt) < s.params.Interval/2 {
 		return
 	}
--- a/core/crmember/message.go
+++ b/core/crmember/message.go
@@ -31,13 +31,13 @@
 func (Heartbeat) MessageKind() string { return "beat" }
 
 // ListRequest asks for the lists from a revision on, except those already held.
-type Fetch struct {
+type ListRequest struct {
 	From crid.Revision   `cbor:"f"`
 	Have []crid.Revision `cbor:"h"`
 }
 
 // MessageKind implements crevent.Message.
-func (Fetch) MessageKind() string { return "fetch" }
+func (ListRequest) MessageKind() string { return "fetch" }
 
 // ListData is an instance list on the wire.
 type Roll struct {
@@ -55,7 +55,7 @@
 
 // Messages returns a zero value of each message, for the codec's registry.
 func Messages() []crevent.Message {
-	return []crevent.Message{Heartbeat{}, Fetch{}, Lists{}}
+	return []crevent.Message{Heartbeat{}, ListRequest{}, Lists{}}
 }
 
 // AdvertiseConfig sets the configuration revision that heartbeats carry.
--- a/core/crmember/peer.go
+++ b/core/crmember/peer.go
@@ -163,5 +163,5 @@
 	}
 	p.requested = true
 	p.requestedAt = s.now
-	s.emit(crevent.Send{To: from, Msg: Fetch{From: s.lastActive, Have: s.revs}})
+	s.emit(crevent.Send{To: from, Msg: ListRequest{From: s.lastActive, Have: s.revs}})
 }
--- a/core/crmember/standing_test.go
+++ b/core/crmember/standing_test.go
@@ -307,7 +307,7 @@
 	w := startedCluster(0, newList(1, "a", "b", "c"))
 	s := w.nodes["a"].state
 	beat := Heartbeat{Seq: 1, Incarnation: 9, Newest: 7, LastActive: 7}
-	for _, msg := range []crevent.Message{beat, Fetch{}, Lists{Rolls: []Roll{{Rev: 9}}}} {
+	for _, msg := range []crevent.Message{beat, ListRequest{}, Lists{Rolls: []Roll{{Rev: 9}}}} {
 		ev := crevent.Received{Now: s.now, From: "stranger", Msg: msg}
 		g.Expect(s.Step(ev)).To(gomega.BeEmpty())
 	}
@@ -342,7 +342,7 @@
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, "a", "b", "c"))
 	s := w.nodes["a"].state
-	ask := crevent.Received{Now: s.now, From: "b", Msg: Fetch{}}
+	ask := crevent.Received{Now: s.now, From: "b", Msg: ListRequest{}}
 	g.Expect(s.Step(ask)).To(gomega.HaveLen(1))
 	g.Expect(s.Step(ask)).To(gomega.BeEmpty())
 }
