--- a/core/crmember/list.go
+++ b/core/crmember/list.go
@@ -244,17 +244,17 @@
 	if len(rolls) > 0 {
 		p.listsSent = true
 		p.listsSentAt = s.now
-		s.emit(crevent.Send{To: from, Msg: Lists{Rolls: rolls}})
+		s.emit(crevent.Send{To: from, Msg: Lists{Lists: rolls}})
 	}
 }
 
 // handleListResponse adds the lists in order, so that a full table holds the oldest
 // ones, which have to hand over.
 func (s *State) handleListResponse(m Lists) {
-	if len(m.Rolls) > s.params.MaxLists {
+	if len(m.Lists) > s.params.MaxLists {
 		return
 	}
-	for _, roll := range m.Rolls {
+	for _, roll := range m.Lists {
 		s.addList(crinstance.NewList(roll.Rev, roll.Instances))
 	}
 }
--- a/core/crmember/message.go
+++ b/core/crmember/message.go
@@ -47,7 +47,7 @@
 
 // ListResponse answers ListRequest.
 type Lists struct {
-	Rolls []Roll `cbor:"r"`
+	Lists []Roll `cbor:"r"`
 }
 
 // MessageKind implements crevent.Message.
