--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -149,7 +149,7 @@
 		}
 	case ListRequest:
 		s.handleListRequest(ev.From, p, m)
-	case Lists:
+	case ListResponse:
 		s.handleListResponse(m)
 	}
 }
--- a/core/crmember/list.go
+++ b/core/crmember/list.go
@@ -244,13 +244,13 @@
 	if len(rolls) > 0 {
 		p.listsSent = true
 		p.listsSentAt = s.now
-		s.emit(crevent.Send{To: from, Msg: Lists{Lists: rolls}})
+		s.emit(crevent.Send{To: from, Msg: ListResponse{Lists: rolls}})
 	}
 }
 
 // handleListResponse adds the lists in order, so that a full table holds the oldest
 // ones, which have to hand over.
-func (s *State) handleListResponse(m Lists) {
+func (s *State) handleListResponse(m ListResponse) {
 	if len(m.Lists) > s.params.MaxLists {
 		return
 	}
--- a/core/crmember/message.go
+++ b/core/crmember/message.go
@@ -46,16 +46,16 @@
 }
 
 // ListResponse answers ListRequest.
-type Lists struct {
+type ListResponse struct {
 	Lists []Roll `cbor:"r"`
 }
 
 // MessageKind implements crevent.Message.
-func (Lists) MessageKind() string { return "lists" }
+func (ListResponse) MessageKind() string { return "lists" }
 
 // Messages returns a zero value of each message, for the codec's registry.
 func Messages() []crevent.Message {
-	return []crevent.Message{Heartbeat{}, ListRequest{}, Lists{}}
+	return []crevent.Message{Heartbeat{}, ListRequest{}, ListResponse{}}
 }
 
 // AdvertiseConfig sets the configuration revision that heartbeats carry.
--- a/core/crmember/stranger.go
+++ b/core/crmember/stranger.go
@@ -24,7 +24,7 @@
 		s.requestedLists = true
 		s.listsRequestedAt = s.now
 		s.emit(crevent.Send{To: from, Msg: ListRequest{}})
-	case Lists:
+	case ListResponse:
 		s.handleListResponse(m)
 	}
 }
