--- a/core/crmember/list.go
+++ b/core/crmember/list.go
@@ -235,10 +235,10 @@
 	if p.listsSent && s.now.Sub(p.listsSentAt) < s.params.Interval/2 {
 		return
 	}
-	var rolls []Roll
+	var rolls []ListData
 	for _, rev := range s.revs {
 		if rev >= m.From && !slices.Contains(m.Have, rev) {
-			rolls = append(rolls, Roll{Rev: rev, Instances: s.lists[rev].list.Instances()})
+			rolls = append(rolls, ListData{Rev: rev, Instances: s.lists[rev].list.Instances()})
 		}
 	}
 	if len(rolls) > 0 {
--- a/core/crmember/message.go
+++ b/core/crmember/message.go
@@ -40,14 +40,14 @@
 func (ListRequest) MessageKind() string { return "fetch" }
 
 // ListData is an instance list on the wire.
-type Roll struct {
+type ListData struct {
 	Rev       crid.Revision         `cbor:"r"`
 	Instances []crinstance.Instance `cbor:"i"`
 }
 
 // ListResponse answers ListRequest.
 type ListResponse struct {
-	Lists []Roll `cbor:"r"`
+	Lists []ListData `cbor:"r"`
 }
 
 // MessageKind implements crevent.Message.
--- a/core/crmember/standing_test.go
+++ b/core/crmember/standing_test.go
@@ -258,7 +258,7 @@
 	}
 	g.Expect(len(w.nodes["a"].state.revs)).To(gomega.BeNumerically("<=", 2))
 	for rev := range crid.Revision(100) {
-		rolls := []Roll{{Rev: rev + 100}}
+		rolls := []ListData{{Rev: rev + 100}}
 		ev := crevent.Received{Now: w.nodes["a"].state.now, From: "b", Msg: ListResponse{Lists: rolls}}
 		w.nodes["a"].state.Step(ev)
 	}
@@ -307,7 +307,7 @@
 	w := startedCluster(0, newList(1, "a", "b", "c"))
 	s := w.nodes["a"].state
 	beat := Heartbeat{Seq: 1, Incarnation: 9, Newest: 7, LastActive: 7}
-	for _, msg := range []crevent.Message{beat, ListRequest{}, ListResponse{Lists: []Roll{{Rev: 9}}}} {
+	for _, msg := range []crevent.Message{beat, ListRequest{}, ListResponse{Lists: []ListData{{Rev: 9}}}} {
 		ev := crevent.Received{Now: s.now, From: "stranger", Msg: msg}
 		g.Expect(s.Step(ev)).To(gomega.BeEmpty())
 	}
