--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -110,7 +110,7 @@
 	case crinstance.Listed:
 		s.handleListUpdate(ev.List)
 	case Advertise:
-		s.configRev = ev.Conf
+		s.configRev = ev.ConfigRevision
 	case crevent.Stopping:
 		s.broadcast = s.broadcast || !s.leaving
 		s.leaving = true
--- a/core/crmember/message.go
+++ b/core/crmember/message.go
@@ -60,8 +60,8 @@
 
 // AdvertiseConfig sets the configuration revision that heartbeats carry.
 type Advertise struct {
-	Now  crid.Instant
-	Conf uint64
+	Now            crid.Instant
+	ConfigRevision uint64 `cbor:"Conf" json:"Conf"`
 }
 
 // At implements crevent.Event.
