--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -109,7 +109,7 @@
 		s.receive(ev)
 	case crinstance.Listed:
 		s.handleListUpdate(ev.List)
-	case Advertise:
+	case AdvertiseConfig:
 		s.configRev = ev.ConfigRevision
 	case crevent.Stopping:
 		s.broadcast = s.broadcast || !s.leaving
--- a/core/crmember/message.go
+++ b/core/crmember/message.go
@@ -59,13 +59,13 @@
 }
 
 // AdvertiseConfig sets the configuration revision that heartbeats carry.
-type Advertise struct {
+type AdvertiseConfig struct {
 	Now            crid.Instant
 	ConfigRevision uint64 `cbor:"Conf" json:"Conf"`
 }
 
 // At implements crevent.Event.
-func (e Advertise) At() crid.Instant { return e.Now }
+func (e AdvertiseConfig) At() crid.Instant { return e.Now }
 
 // EffectName implements crevent.Effect.
-func (Advertise) EffectName() string { return "advertise" }
+func (AdvertiseConfig) EffectName() string { return "advertise" }
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -126,7 +126,7 @@
 }
 
 func (s *shell) inForce(eff crconfig.InForce) {
-	_ = s.loop.Post(crmember.Advertise{Now: eff.Now, ConfigRevision: uint64(eff.Snapshot.Revision())})
+	_ = s.loop.Post(crmember.AdvertiseConfig{Now: eff.Now, ConfigRevision: uint64(eff.Snapshot.Revision())})
 	first := s.view.Load() == nil
 	in := s.in
 	in.Snapshot = eff.Snapshot
--- a/io/crtrace/event.go
+++ b/io/crtrace/event.go
@@ -30,7 +30,7 @@
 		"started":   reflect.TypeFor[crevent.Started](),
 		"tick":      reflect.TypeFor[crevent.Tick](),
 		"stopping":  reflect.TypeFor[crevent.Stopping](),
-		"advertise": reflect.TypeFor[crmember.Advertise](),
+		"advertise": reflect.TypeFor[crmember.AdvertiseConfig](),
 		"watched":   reflect.TypeFor[crconfig.WatchResult](),
 		"used":      reflect.TypeFor[craccount.Used](),
 		"observed":  reflect.TypeFor[crhealth.Observed](),
