--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -218,14 +218,14 @@
 // tenure, is what trust hangs on: during a handover to a new list of instances
 // nobody has tenure, while all go on telling one another of configurations.
 func (s *State) tenure(now crid.Instant, ev crmember.Tenure) {
-	if s.until != 0 && (ev.Contact == 0 || !now.Before(s.until)) {
+	if s.until != 0 && (ev.ContactUntil == 0 || !now.Before(s.until)) {
 		s.lapsed = true
 	}
-	if s.lapsed && now.Before(ev.Contact) {
+	if s.lapsed && now.Before(ev.ContactUntil) {
 		s.lapsed = false
 		s.forget(now)
 	}
-	s.until = ev.Contact
+	s.until = ev.ContactUntil
 	if len(ev.Members) > 0 {
 		s.members = len(ev.Members)
 	}
--- a/core/crmember/notice.go
+++ b/core/crmember/notice.go
@@ -10,13 +10,13 @@
 // either under {Active} up to Until, or, during a handover, under all lists of
 // JointLists up to JointUntil.
 type Tenure struct {
-	Now     crid.Instant
-	Active  crid.Revision // revision of the active list; zero: none
-	Members []crid.Daemon // all daemons of the active list, sorted
-	Until   crid.Instant  // zero: no lease
-	Contact crid.Instant  // until which a majority is reachable both ways, so that known keys and policy may be relied on
-	Bridge  crid.Instant  // until which this daemon keeps what every list of JointLists assigns to it
-	Over    []Membership  // the lists from the last active one to the newest; read-only
+	Now          crid.Instant
+	Active       crid.Revision // revision of the active list; zero: none
+	Members      []crid.Daemon // all daemons of the active list, sorted
+	Until        crid.Instant  // zero: no lease
+	ContactUntil crid.Instant  `cbor:"Contact" json:"Contact"` // until which a majority is reachable both ways, so that known keys and policy may be relied on
+	Bridge       crid.Instant  // until which this daemon keeps what every list of JointLists assigns to it
+	Over         []Membership  // the lists from the last active one to the newest; read-only
 }
 
 // Membership is the set of daemons in an instance list.
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -80,7 +80,7 @@
 	case crinstance.Listed:
 		s.listed(eff.List)
 	case crmember.Tenure:
-		s.contact = eff.Contact
+		s.contact = eff.ContactUntil
 		s.trust(eff.Now)
 	case crmember.Peers:
 		s.in.Peers = eff.Peers
