--- a/core/craccount/bridge.go
+++ b/core/craccount/bridge.go
@@ -15,12 +15,12 @@
 // is done, and every account would be refused once its entries' tokens are
 // spent, though most shares stay where they are.
 func (s *State) takeBridge(ev crmember.Tenure, kept bool) {
-	if !kept || len(s.owner.epochs) == 0 || !s.now.Before(ev.Bridge) {
+	if !kept || len(s.owner.epochs) == 0 || !s.now.Before(ev.JointUntil) {
 		s.tenure.Until = 0
 		s.noteLapse()
 		return
 	}
-	s.tenure.Until = ev.Bridge
+	s.tenure.Until = ev.JointUntil
 	s.owner.heldTo = s.now
 	changed := false
 	for _, m := range ev.Over {
--- a/core/craccount/net_test.go
+++ b/core/craccount/net_test.go
@@ -237,7 +237,7 @@
 		if len(over) < len(w.over) {
 			w.tenureTo = w.now + horizon + horizon/50
 		}
-		w.tellTenure(nd, crmember.Tenure{Bridge: w.clock(nd).Add(horizon), Over: over})
+		w.tellTenure(nd, crmember.Tenure{JointUntil: w.clock(nd).Add(horizon), Over: over})
 	}
 }
 
--- a/core/crhealth/standing.go
+++ b/core/crhealth/standing.go
@@ -46,8 +46,8 @@
 		return
 	}
 	st.tenure.Until = 0
-	if unbroken && s.now.Before(t.Bridge) {
-		s.setBridge(t.Bridge, t.Over)
+	if unbroken && s.now.Before(t.JointUntil) {
+		s.setBridge(t.JointUntil, t.Over)
 		return
 	}
 	s.setBridge(0, nil)
--- a/core/crhealth/world_test.go
+++ b/core/crhealth/world_test.go
@@ -272,7 +272,7 @@
 	now := n.clock(w.now)
 	ev := crmember.Tenure{Now: now}
 	if slices.Contains(w.members, n.name) && slices.Contains(w.next, n.name) {
-		ev.Bridge = now.Add(horizon)
+		ev.JointUntil = now.Add(horizon)
 		ev.Over = []crmember.Membership{{Rev: w.rev, Members: w.members}, {Rev: w.rev + 1, Members: w.next}}
 	}
 	w.step(n, ev)
--- a/core/crmember/notice.go
+++ b/core/crmember/notice.go
@@ -15,7 +15,7 @@
 	Members      []crid.Daemon // all daemons of the active list, sorted
 	Until        crid.Instant  // zero: no lease
 	ContactUntil crid.Instant  `cbor:"Contact" json:"Contact"` // until which a majority is reachable both ways, so that known keys and policy may be relied on
-	Bridge       crid.Instant  // until which this daemon keeps what every list of JointLists assigns to it
+	JointUntil   crid.Instant  `cbor:"Bridge" json:"Bridge"`   // until which this daemon keeps what every list of JointLists assigns to it
 	Over         []Membership  // the lists from the last active one to the newest; read-only
 }
 
--- a/core/crmember/tenure.go
+++ b/core/crmember/tenure.go
@@ -8,7 +8,7 @@
 
 // updateLease recomputes the lease and emits it.
 func (s *State) updateLease() {
-	next := Tenure{Now: s.now, ContactUntil: s.contactUntil(), Bridge: s.jointUntil()}
+	next := Tenure{Now: s.now, ContactUntil: s.contactUntil(), JointUntil: s.jointUntil()}
 	if s.mayActivate() {
 		next.Active = s.newest
 		next.Until = s.leaseUntil()
@@ -23,7 +23,7 @@
 
 func (s *State) emitLease(next Tenure) {
 	last := s.lease
-	if next.Until == last.Until && next.Active == last.Active && next.ContactUntil == last.ContactUntil && next.Bridge == last.Bridge {
+	if next.Until == last.Until && next.Active == last.Active && next.ContactUntil == last.ContactUntil && next.JointUntil == last.JointUntil {
 		return
 	}
 	s.lease = next
--- a/core/crmember/world_test.go
+++ b/core/crmember/world_test.go
@@ -158,7 +158,7 @@
 	if w.hasLease(d) {
 		return []crid.Revision{n.lease.Active}
 	}
-	if n.lease.Bridge <= n.clock(w.now) {
+	if n.lease.JointUntil <= n.clock(w.now) {
 		return nil
 	}
 	var revs []crid.Revision
--- a/io/crtrace/invariant.go
+++ b/io/crtrace/invariant.go
@@ -91,7 +91,7 @@
 // bridge leaves to this daemon is not looked at.
 func (inv *invariants) grant(now crid.Instant, to crid.Daemon, g craccount.Grant) error {
 	t := inv.tenure
-	until := t.Bridge
+	until := t.JointUntil
 	if t.Active != 0 && t.Now.Before(t.Until) {
 		until = t.Until
 	}
