--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -219,7 +219,7 @@
 func (r *rig) bridged(from, until int, first, second crid.Daemon) {
 	over := []crmember.Membership{{Rev: 1, Members: []crid.Daemon{first}}, {Rev: 2, Members: []crid.Daemon{second}}}
 	for at := from; at < until; at += 500 {
-		r.Step(crmember.Tenure{Now: ms(at), JointUntil: ms(at + 600), Over: over})
+		r.Step(crmember.Tenure{Now: ms(at), JointUntil: ms(at + 600), JointLists: over})
 	}
 }
 
--- a/core/craccount/bridge.go
+++ b/core/craccount/bridge.go
@@ -23,7 +23,7 @@
 	s.tenure.Until = ev.JointUntil
 	s.owner.heldTo = s.now
 	changed := false
-	for _, m := range ev.Over {
+	for _, m := range ev.JointLists {
 		if !s.hasEpoch(m.Rev) {
 			s.addEpoch(epoch{rev: m.Rev, members: newRoster(m.Members), start: s.owner.clock, bridged: true})
 			changed = true
--- a/core/craccount/net_test.go
+++ b/core/craccount/net_test.go
@@ -210,7 +210,7 @@
 	}
 	w.tenureTo = w.now + horizon + horizon/50
 	for _, nd := range w.nodes {
-		ev := crmember.Tenure{Members: w.members, Over: w.over}
+		ev := crmember.Tenure{Members: w.members, JointLists: w.over}
 		if slices.Contains(w.members, nd.name) {
 			ev.Active, ev.Until = w.rev, w.clock(nd).Add(horizon)
 		}
@@ -237,7 +237,7 @@
 		if len(over) < len(w.over) {
 			w.tenureTo = w.now + horizon + horizon/50
 		}
-		w.tellTenure(nd, crmember.Tenure{JointUntil: w.clock(nd).Add(horizon), Over: over})
+		w.tellTenure(nd, crmember.Tenure{JointUntil: w.clock(nd).Add(horizon), JointLists: over})
 	}
 }
 
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -94,7 +94,7 @@
 	acts := ev.Active != 0 && s.now.Before(ev.Until)
 	s.tenure = ev
 	s.tenure.Members = nil
-	s.tenure.Over = nil
+	s.tenure.JointLists = nil
 	if !acts {
 		s.takeBridge(ev, kept)
 		return
--- a/core/crhealth/standing.go
+++ b/core/crhealth/standing.go
@@ -39,7 +39,7 @@
 			clear(st.ranked)
 		}
 		st.tenure = t
-		st.tenure.Over = nil
+		st.tenure.JointLists = nil
 	}
 	if t.Active != 0 && s.now.Before(t.Until) {
 		s.setBridge(0, nil)
@@ -47,7 +47,7 @@
 	}
 	st.tenure.Until = 0
 	if unbroken && s.now.Before(t.JointUntil) {
-		s.setBridge(t.JointUntil, t.Over)
+		s.setBridge(t.JointUntil, t.JointLists)
 		return
 	}
 	s.setBridge(0, nil)
--- a/core/crhealth/world_test.go
+++ b/core/crhealth/world_test.go
@@ -273,7 +273,7 @@
 	ev := crmember.Tenure{Now: now}
 	if slices.Contains(w.members, n.name) && slices.Contains(w.next, n.name) {
 		ev.JointUntil = now.Add(horizon)
-		ev.Over = []crmember.Membership{{Rev: w.rev, Members: w.members}, {Rev: w.rev + 1, Members: w.next}}
+		ev.JointLists = []crmember.Membership{{Rev: w.rev, Members: w.members}, {Rev: w.rev + 1, Members: w.next}}
 	}
 	w.step(n, ev)
 }
--- a/core/crmember/notice.go
+++ b/core/crmember/notice.go
@@ -16,7 +16,7 @@
 	Until        crid.Instant  // zero: no lease
 	ContactUntil crid.Instant  `cbor:"Contact" json:"Contact"` // until which a majority is reachable both ways, so that known keys and policy may be relied on
 	JointUntil   crid.Instant  `cbor:"Bridge" json:"Bridge"`   // until which this daemon keeps what every list of JointLists assigns to it
-	Over         []Membership  // the lists from the last active one to the newest; read-only
+	JointLists   []Membership  `cbor:"Over" json:"Over"`       // the lists from the last active one to the newest; read-only
 }
 
 // Membership is the set of daemons in an instance list.
--- a/core/crmember/tenure.go
+++ b/core/crmember/tenure.go
@@ -34,7 +34,7 @@
 		s.reportList(EventStandingLost, last.Active)
 	}
 	next.Members = slices.Clone(next.Members)
-	next.Over = s.memberships()
+	next.JointLists = s.memberships()
 	s.emit(next)
 }
 
--- a/core/crmember/world_test.go
+++ b/core/crmember/world_test.go
@@ -162,7 +162,7 @@
 		return nil
 	}
 	var revs []crid.Revision
-	for _, m := range n.lease.Over {
+	for _, m := range n.lease.JointLists {
 		revs = append(revs, m.Rev)
 	}
 	return revs
