--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -51,7 +51,7 @@
 }
 
 func (r *rig) tenured(rev crid.Revision, from, until int, members ...crid.Daemon) {
-	r.Step(crmember.Tenure{Now: ms(from), Active: rev, Members: members, Until: ms(until)})
+	r.Step(crmember.Lease{Now: ms(from), Active: rev, Members: members, Until: ms(until)})
 }
 
 // ask has the entry "e" ask for tokens, and returns the item it is answered with.
@@ -73,7 +73,7 @@
 // asker returns an entry that has asked the owner "x", and the Ask's number.
 func asker(g Gomega, at crid.Instant) (*rig, uint64) {
 	e := newRig("e", flaws{})
-	e.Step(crmember.Tenure{Now: 1, Members: []crid.Daemon{"x"}})
+	e.Step(crmember.Lease{Now: 1, Members: []crid.Daemon{"x"}})
 	e.Step(crmember.Peers{Now: 1, Peers: []crmember.Peer{{Daemon: "x", Reachable: true}}})
 	for _, eff := range e.Step(Used{Now: at, Usage: []Usage{{Account: acct, Cold: 5}}}) {
 		if send, ok := eff.(crevent.Send); ok {
@@ -219,7 +219,7 @@
 func (r *rig) bridged(from, until int, first, second crid.Daemon) {
 	over := []crmember.Membership{{Rev: 1, Members: []crid.Daemon{first}}, {Rev: 2, Members: []crid.Daemon{second}}}
 	for at := from; at < until; at += 500 {
-		r.Step(crmember.Tenure{Now: ms(at), JointUntil: ms(at + 600), JointLists: over})
+		r.Step(crmember.Lease{Now: ms(at), JointUntil: ms(at + 600), JointLists: over})
 	}
 }
 
--- a/core/craccount/bridge.go
+++ b/core/craccount/bridge.go
@@ -14,7 +14,7 @@
 // Without it each change of the list would stop all minting until the handover
 // is done, and every account would be refused once its entries' tokens are
 // spent, though most shares stay where they are.
-func (s *State) takeBridge(ev crmember.Tenure, kept bool) {
+func (s *State) takeBridge(ev crmember.Lease, kept bool) {
 	if !kept || len(s.owner.epochs) == 0 || !s.now.Before(ev.JointUntil) {
 		s.tenure.Until = 0
 		s.noteLapse()
--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -110,8 +110,8 @@
 	inc      crid.Incarnation
 	now      crid.Instant
 	snap     *crpolicy.Snapshot
-	tenure   crmember.Tenure // its Members are nil: see members
-	members  roster          // of the list last known
+	tenure   crmember.Lease // its Members are nil: see members
+	members  roster         // of the list last known
 	peers    map[crid.Daemon]crmember.Peer
 	reported map[int]crid.Instant
 	stopping bool
@@ -142,7 +142,7 @@
 	case crevent.Tick:
 		s.tickOwner()
 		s.tickEntry()
-	case crmember.Tenure:
+	case crmember.Lease:
 		s.takeTenure(ev)
 	case crmember.Peers:
 		s.takePeers(ev)
--- a/core/craccount/net_test.go
+++ b/core/craccount/net_test.go
@@ -161,7 +161,7 @@
 	w.step(nd, crevent.Started{Now: now, Self: nd.name, Incarnation: nd.inc})
 	w.step(nd, crconfig.InForce{Now: now, Snapshot: w.snap})
 	w.tellPeers()
-	w.tellTenure(nd, crmember.Tenure{Members: w.members})
+	w.tellTenure(nd, crmember.Lease{Members: w.members})
 }
 
 func (w *testNet) kill(nd *node) {
@@ -210,7 +210,7 @@
 	}
 	w.tenureTo = w.now + horizon + horizon/50
 	for _, nd := range w.nodes {
-		ev := crmember.Tenure{Members: w.members, JointLists: w.over}
+		ev := crmember.Lease{Members: w.members, JointLists: w.over}
 		if slices.Contains(w.members, nd.name) {
 			ev.Active, ev.Until = w.rev, w.clock(nd).Add(horizon)
 		}
@@ -231,17 +231,17 @@
 		})
 		named := !slices.ContainsFunc(over, func(m crmember.Membership) bool { return !slices.Contains(m.Members, nd.name) })
 		if w.rng.IntN(3) == 0 || !named {
-			w.tellTenure(nd, crmember.Tenure{})
+			w.tellTenure(nd, crmember.Lease{})
 			continue
 		}
 		if len(over) < len(w.over) {
 			w.tenureTo = w.now + horizon + horizon/50
 		}
-		w.tellTenure(nd, crmember.Tenure{JointUntil: w.clock(nd).Add(horizon), JointLists: over})
+		w.tellTenure(nd, crmember.Lease{JointUntil: w.clock(nd).Add(horizon), JointLists: over})
 	}
 }
 
-func (w *testNet) tellTenure(nd *node, ev crmember.Tenure) {
+func (w *testNet) tellTenure(nd *node, ev crmember.Lease) {
 	w.deliver(nd, func() {
 		ev.Now = w.clock(nd)
 		w.step(nd, ev)
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -85,7 +85,7 @@
 
 // takeTenure begins a new epoch when the active list has changed, or when this
 // daemon was without tenure for so long that another may have minted.
-func (s *State) takeTenure(ev crmember.Tenure) {
+func (s *State) takeTenure(ev crmember.Lease) {
 	if len(ev.Members) > 0 && !slices.Equal(ev.Members, s.members.names) {
 		s.members = newRoster(ev.Members)
 		s.entry.reroute()
@@ -109,7 +109,7 @@
 // beginEpoch drops the shares that another daemon may have minted since. A new
 // owner mints nothing for one lifetime of tenure, so after a gap no longer than
 // that nobody can have taken over; after a longer one this daemon is new, too.
-func (s *State) beginEpoch(ev crmember.Tenure, kept bool) {
+func (s *State) beginEpoch(ev crmember.Lease, kept bool) {
 	if !kept {
 		s.owner.epochs = nil
 	}
--- a/core/crconfig/fleet_test.go
+++ b/core/crconfig/fleet_test.go
@@ -359,7 +359,7 @@
 		life := f.daemons[d]
 		if life.peersAt > 0 {
 			now := f.clock(d)
-			f.step(d, crmember.Tenure{Now: now, Active: 1, Members: f.names, ContactUntil: now.Add(lease)})
+			f.step(d, crmember.Lease{Now: now, Active: 1, Members: f.names, ContactUntil: now.Add(lease)})
 		}
 		f.step(d, crevent.Tick{Now: f.clock(d)})
 		f.wake(d)
--- a/core/crconfig/push_test.go
+++ b/core/crconfig/push_test.go
@@ -181,7 +181,7 @@
 // replacement of a daemon would bring back what had been withdrawn there.
 func TestFreshDaemonWaitsForEnoughPeers(t *testing.T) {
 	p := newPuller("a", "b", "c", "d")
-	p.Step(crmember.Tenure{Now: p.now, Members: []crid.Daemon{"a", "b", "c", "d", "e", "f", "self"}, ContactUntil: p.now.Add(lease)})
+	p.Step(crmember.Lease{Now: p.now, Members: []crid.Daemon{"a", "b", "c", "d", "e", "f", "self"}, ContactUntil: p.now.Add(lease)})
 	older, newer := makeBundle(content{Keys: []string{"k"}}), makeBundle(content{})
 	for _, d := range []crid.Daemon{"a", "b"} {
 		if to, _ := pulled(p.hear(d, crconfig.Have{Conf: 3, Manifest: older.digest()})); to != "" {
@@ -218,14 +218,14 @@
 // the key until the next telling; callers could act with it for that time.
 func TestWokenDaemonTrustsOnlyFreshAnswers(t *testing.T) {
 	p := newPuller("a", "b", "c")
-	p.Step(crmember.Tenure{Now: p.now, ContactUntil: p.now.Add(lease)})
+	p.Step(crmember.Lease{Now: p.now, ContactUntil: p.now.Add(lease)})
 	p.hear("b", crconfig.Have{})
 	p.bring(t, "a", 3, makeBundle(content{Keys: []string{"k"}}))
 	if !p.Trusted(p.now) {
 		t.Fatalf("not trusted before: %+v", p.Dump())
 	}
 	p.now = p.now.Add(time.Minute)
-	p.Step(crmember.Tenure{Now: p.now, ContactUntil: p.now.Add(lease)})
+	p.Step(crmember.Lease{Now: p.now, ContactUntil: p.now.Add(lease)})
 	for _, d := range []crid.Daemon{"a", "b"} {
 		p.hear(d, crconfig.Have{Conf: 3, Manifest: makeBundle(content{Keys: []string{"k"}}).digest()})
 	}
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -128,7 +128,7 @@
 		s.receive(now, ev)
 	case crmember.Peers:
 		s.setPeers(now, ev.Peers)
-	case crmember.Tenure:
+	case crmember.Lease:
 		s.tenure(now, ev)
 	case crinstance.Listed:
 		if ev.List.Revision() > s.list.Revision() {
@@ -217,7 +217,7 @@
 // tenure takes news of this daemon's contact with the others. Contact, not
 // tenure, is what trust hangs on: during a handover to a new list of instances
 // nobody has tenure, while all go on telling one another of configurations.
-func (s *State) tenure(now crid.Instant, ev crmember.Tenure) {
+func (s *State) tenure(now crid.Instant, ev crmember.Lease) {
 	if s.until != 0 && (ev.ContactUntil == 0 || !now.Before(s.until)) {
 		s.lapsed = true
 	}
--- a/core/crhealth/crhealth.go
+++ b/core/crhealth/crhealth.go
@@ -104,7 +104,7 @@
 		s.snapshot = ev.Snapshot
 	case crmember.Peers:
 		s.takePeers(ev.Peers)
-	case crmember.Tenure:
+	case crmember.Lease:
 		s.takeTenure(ev)
 	case Observed:
 		s.observe(ev.Samples)
--- a/core/crhealth/standing.go
+++ b/core/crhealth/standing.go
@@ -11,7 +11,7 @@
 
 // standing is what this daemon may do as an arbiter, and since when.
 type standing struct {
-	tenure crmember.Tenure
+	tenure crmember.Lease
 	bridge crid.Instant          // up to which it may go on during a handover
 	over   []crmember.Membership // the lists of the handover, while bridge holds
 	since  crid.Instant          // when the tenure under its list was first heard
@@ -29,7 +29,7 @@
 // takeTenure notes the standing. Under another list another daemon may have
 // been arbiter in between, so the wait for its silence starts anew; except for a
 // service that was this daemon's all through the handover.
-func (s *State) takeTenure(t crmember.Tenure) {
+func (s *State) takeTenure(t crmember.Lease) {
 	st := &s.standing
 	unbroken := s.mayAct()
 	if t.Active != 0 {
--- a/core/crhealth/world_test.go
+++ b/core/crhealth/world_test.go
@@ -247,7 +247,7 @@
 		}
 		now := n.clock(w.now)
 		n.held = w.rev
-		w.step(n, crmember.Tenure{Now: now, Active: w.rev, Members: w.members, Until: now.Add(horizon)})
+		w.step(n, crmember.Lease{Now: now, Active: w.rev, Members: w.members, Until: now.Add(horizon)})
 	}
 }
 
@@ -270,7 +270,7 @@
 // it, it may go on with.
 func (w *world) bridge(n *node) {
 	now := n.clock(w.now)
-	ev := crmember.Tenure{Now: now}
+	ev := crmember.Lease{Now: now}
 	if slices.Contains(w.members, n.name) && slices.Contains(w.next, n.name) {
 		ev.JointUntil = now.Add(horizon)
 		ev.JointLists = []crmember.Membership{{Rev: w.rev, Members: w.members}, {Rev: w.rev + 1, Members: w.next}}
--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -70,7 +70,7 @@
 	broadcast     bool          // the next round goes to all peers
 	fullReported  crid.Revision // newest list rejected because the table was full
 
-	lease          Tenure
+	lease          Lease
 	peersChanged   bool
 	peersEmittedAt crid.Instant // latest PeersChanged
 	sampledChanged bool         // sampled peers have become reachable or unreachable
--- a/core/crmember/notice.go
+++ b/core/crmember/notice.go
@@ -9,7 +9,7 @@
 // At no true instant do two daemons act without a list in common. A daemon acts
 // either under {Active} up to Until, or, during a handover, under all lists of
 // JointLists up to JointUntil.
-type Tenure struct {
+type Lease struct {
 	Now          crid.Instant
 	Active       crid.Revision // revision of the active list; zero: none
 	Members      []crid.Daemon // all daemons of the active list, sorted
@@ -26,10 +26,10 @@
 }
 
 // At implements crevent.Event.
-func (e Tenure) At() crid.Instant { return e.Now }
+func (e Lease) At() crid.Instant { return e.Now }
 
 // EffectName implements crevent.Effect.
-func (Tenure) EffectName() string { return "tenure" }
+func (Lease) EffectName() string { return "tenure" }
 
 // Peer is another daemon as this one sees it.
 type Peer struct {
--- a/core/crmember/tenure.go
+++ b/core/crmember/tenure.go
@@ -8,7 +8,7 @@
 
 // updateLease recomputes the lease and emits it.
 func (s *State) updateLease() {
-	next := Tenure{Now: s.now, ContactUntil: s.contactUntil(), JointUntil: s.jointUntil()}
+	next := Lease{Now: s.now, ContactUntil: s.contactUntil(), JointUntil: s.jointUntil()}
 	if s.mayActivate() {
 		next.Active = s.newest
 		next.Until = s.leaseUntil()
@@ -21,7 +21,7 @@
 	s.emitLease(next)
 }
 
-func (s *State) emitLease(next Tenure) {
+func (s *State) emitLease(next Lease) {
 	last := s.lease
 	if next.Until == last.Until && next.Active == last.Active && next.ContactUntil == last.ContactUntil && next.JointUntil == last.JointUntil {
 		return
--- a/core/crmember/world_test.go
+++ b/core/crmember/world_test.go
@@ -19,7 +19,7 @@
 	clockRate float64
 	paused    bool
 	queue     []packet // arrived while paused
-	lease     Tenure
+	lease     Lease
 	peers     map[crid.Daemon]Peer
 	sent      []crevent.Message
 }
@@ -101,7 +101,7 @@
 		case crevent.Send:
 			n.sent = append(n.sent, e.Msg)
 			w.send(packet{from: d, to: e.To, msg: e.Msg})
-		case Tenure:
+		case Lease:
 			n.lease = e
 			w.checkLeases()
 		case Peers:
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -79,7 +79,7 @@
 		s.log.Event(eff.Number, crlog.Fields(eff.Fields))
 	case crinstance.Listed:
 		s.listed(eff.List)
-	case crmember.Tenure:
+	case crmember.Lease:
 		s.contact = eff.ContactUntil
 		s.trust(eff.Now)
 	case crmember.Peers:
--- a/io/crtrace/invariant.go
+++ b/io/crtrace/invariant.go
@@ -16,7 +16,7 @@
 // effects alone and share no code with the reducers that they check.
 type invariants struct {
 	inForce crid.Revision // newest configuration
-	tenure  crmember.Tenure
+	tenure  crmember.Lease
 	highest crid.Revision // newest list that this daemon had tenure under
 	floor   floor
 }
@@ -54,7 +54,7 @@
 		inv.floor.takePeers(eff.Peers)
 	case crhealth.Steer:
 		inv.floor.takeSteer(eff)
-	case crmember.Tenure:
+	case crmember.Lease:
 		return inv.hold(eff)
 	case crevent.Send:
 		if grant, ok := eff.Msg.(craccount.Grant); ok {
@@ -75,7 +75,7 @@
 
 // hold: who had tenure under a list has none under an older one, where others
 // have handed over.
-func (inv *invariants) hold(t crmember.Tenure) error {
+func (inv *invariants) hold(t crmember.Lease) error {
 	inv.tenure = t
 	if t.Until == 0 {
 		return nil
--- a/io/crtrace/note.go
+++ b/io/crtrace/note.go
@@ -23,14 +23,14 @@
 			p.report.Reported[eff.Number]++
 		case crconfig.InForce:
 			p.report.Revisions = append(p.report.Revisions, eff.Snapshot.Revision())
-		case crmember.Tenure:
+		case crmember.Lease:
 			p.report.tenure(eff)
 		}
 	}
 }
 
 // tenure notes changes only; renewals come with every beat.
-func (r *Report) tenure(t crmember.Tenure) {
+func (r *Report) tenure(t crmember.Lease) {
 	list := t.Active
 	if t.Until == 0 {
 		list = 0
--- a/io/crtrace/trace_test.go
+++ b/io/crtrace/trace_test.go
@@ -180,7 +180,7 @@
 		return crconfig.InForce{Snapshot: crpolicy.NewSnapshot(rev, nil, nil)}
 	}
 	tenure := func(list crid.Revision, until crid.Instant) crevent.Effect {
-		return crmember.Tenure{Active: list, Until: until}
+		return crmember.Lease{Active: list, Until: until}
 	}
 	grant := crevent.Send{To: "b", Msg: craccount.Grant{Items: []craccount.GrantItem{{Account: "a", Tokens: 1}}}}
 	for _, tt := range []struct {
@@ -194,9 +194,9 @@
 		{"tenure comes back", []crevent.Effect{tenure(2, 9), tenure(2, 0), tenure(2, 20)}, false},
 		{"tenure under an older list", []crevent.Effect{tenure(2, 9), tenure(0, 0), tenure(1, 20)}, true},
 		{"grant with tenure", []crevent.Effect{tenure(2, 11), grant}, false},
-		{"grant in a handover", []crevent.Effect{tenure(2, 9), crmember.Tenure{Now: 9, JointUntil: 11}, grant}, false},
-		{"grant after the bridge", []crevent.Effect{crmember.Tenure{Now: 9, JointUntil: 10}, grant}, true},
-		{"grant on a bridge that tenure ended", []crevent.Effect{crmember.Tenure{Active: 2, Until: 10, JointUntil: 20}, grant}, true},
+		{"grant in a handover", []crevent.Effect{tenure(2, 9), crmember.Lease{Now: 9, JointUntil: 11}, grant}, false},
+		{"grant after the bridge", []crevent.Effect{crmember.Lease{Now: 9, JointUntil: 10}, grant}, true},
+		{"grant on a bridge that tenure ended", []crevent.Effect{crmember.Lease{Active: 2, Until: 10, JointUntil: 20}, grant}, true},
 		{"grant after tenure", []crevent.Effect{tenure(2, 10), grant}, true},
 		{"grant without tenure", []crevent.Effect{grant}, true},
 	} {
