--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -175,7 +175,7 @@
 		return true
 	}
 	p, ok := s.peers[d]
-	return ok && !p.Lost() && !p.Leaving
+	return ok && !p.Down() && !p.Leaving
 }
 
 // limits returns an account's rate and burst; zeros for an unknown account.
--- a/core/craccount/leave.go
+++ b/core/craccount/leave.go
@@ -13,7 +13,7 @@
 	var left []crid.Daemon
 	for _, p := range ev.Peers {
 		before, known := s.peers[p.Daemon]
-		if known && p.Leaving && !before.Leaving && !p.Lost() {
+		if known && p.Leaving && !before.Leaving && !p.Down() {
 			left = append(left, p.Daemon)
 		}
 	}
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -203,7 +203,7 @@
 			s.peers = append(s.peers, p)
 			reachable[p.Daemon] = true
 		}
-		if p.Domain == s.domain && !p.Lost() {
+		if p.Domain == s.domain && !p.Down() {
 			s.domains = append(s.domains, p)
 		}
 	}
--- a/core/crmember/notice.go
+++ b/core/crmember/notice.go
@@ -45,7 +45,7 @@
 // round. In a fleet with more than MaxVoters daemons most peers are sampled and
 // reachable only for short times. If they counted as down, this daemon would send
 // requests to, and ask for tokens from, a handful of daemons only.
-func (p Peer) Lost() bool { return !p.Reachable && !p.Sampled }
+func (p Peer) Down() bool { return !p.Reachable && !p.Sampled }
 
 // PeersChanged tells the sibling reducers of a change among the peers.
 type Peers struct {
--- a/core/crmember/sample_test.go
+++ b/core/crmember/sample_test.go
@@ -15,7 +15,7 @@
 func (w *cluster) down(d crid.Daemon) []crid.Daemon {
 	var lost []crid.Daemon
 	for _, p := range w.nodes[d].peers {
-		if p.Lost() {
+		if p.Down() {
 			lost = append(lost, p.Daemon)
 		}
 	}
@@ -49,7 +49,7 @@
 		if !p.Reachable {
 			silent++
 		}
-		if p.Lost() {
+		if p.Down() {
 			lost++
 		}
 	}
--- a/core/crview/crview.go
+++ b/core/crview/crview.go
@@ -141,7 +141,7 @@
 	switch {
 	case inst.Leaving() || (ok && peer.Leaving):
 		return crroute.StatusLeaving
-	case ok && peer.Lost():
+	case ok && peer.Down():
 		return crroute.StatusEjected
 	}
 	return crroute.StatusReady
