--- a/core/crmember/notice.go
+++ b/core/crmember/notice.go
@@ -54,7 +54,7 @@
 
 	// SampledOnly tells that since the last notice only sampled peers have changed:
 	// whether they are reachable, or have been heard at all.
-	Passing bool
+	SampledOnly bool `cbor:"Passing" json:"Passing"`
 }
 
 // At implements crevent.Event.
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -84,7 +84,7 @@
 		s.trust(eff.Now)
 	case crmember.Peers:
 		s.in.Peers = eff.Peers
-		s.dirty = s.dirty || !eff.Passing // sampled peers are never lost, so the view is the same
+		s.dirty = s.dirty || !eff.SampledOnly // sampled peers are never lost, so the view is the same
 	case crconfig.InForce:
 		s.inForce(eff)
 	case crconfig.WatchPlatform, crconfig.ReadPlatform, crconfig.ReadList:
