--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -74,7 +74,7 @@
 func asker(g Gomega, at crid.Instant) (*rig, uint64) {
 	e := newRig("e", flaws{})
 	e.Step(crmember.Lease{Now: 1, Members: []crid.Daemon{"x"}})
-	e.Step(crmember.Peers{Now: 1, Peers: []crmember.Peer{{Daemon: "x", Reachable: true}}})
+	e.Step(crmember.PeersChanged{Now: 1, Peers: []crmember.Peer{{Daemon: "x", Reachable: true}}})
 	for _, eff := range e.Step(Used{Now: at, Usage: []Usage{{Account: acct, Cold: 5}}}) {
 		if send, ok := eff.(crevent.Send); ok {
 			return e, send.Msg.(Ask).Seq
--- a/core/craccount/asking_test.go
+++ b/core/craccount/asking_test.go
@@ -77,7 +77,7 @@
 	a.demand = 6
 	leaving := []crmember.Peer{{Daemon: "x", Reachable: true, Leaving: true}}
 	asked := crevent.Send{To: "x", Msg: Ask{Inc: 5, Seq: 2, Items: []AskItem{{Account: acct, Want: 12, Keep: true}}}}
-	g.Expect(e.Step(crmember.Peers{Now: ms(4002), Peers: leaving})).To(ContainElement(asked))
+	g.Expect(e.Step(crmember.PeersChanged{Now: ms(4002), Peers: leaving})).To(ContainElement(asked))
 	a.sources[0].want = 0
-	g.Expect(e.Step(crmember.Peers{Now: ms(4003), Peers: leaving})).To(BeEmpty(), "once only")
+	g.Expect(e.Step(crmember.PeersChanged{Now: ms(4003), Peers: leaving})).To(BeEmpty(), "once only")
 }
--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -144,7 +144,7 @@
 		s.tickEntry()
 	case crmember.Lease:
 		s.takeTenure(ev)
-	case crmember.Peers:
+	case crmember.PeersChanged:
 		s.takePeers(ev)
 	case crconfig.InForce:
 		s.takeConfig(ev.Snapshot)
--- a/core/craccount/leave.go
+++ b/core/craccount/leave.go
@@ -9,7 +9,7 @@
 
 // takePeers notes who can be asked, and stocks up from owners that are about
 // to stop.
-func (s *State) takePeers(ev crmember.Peers) {
+func (s *State) takePeers(ev crmember.PeersChanged) {
 	var left []crid.Daemon
 	for _, p := range ev.Peers {
 		before, known := s.peers[p.Daemon]
--- a/core/craccount/net_test.go
+++ b/core/craccount/net_test.go
@@ -175,7 +175,7 @@
 		peers = append(peers, crmember.Peer{Daemon: nd.name, Incarnation: nd.inc, Reachable: !nd.dead, Leaving: nd.leaving})
 	}
 	for _, nd := range w.nodes {
-		w.deliver(nd, func() { w.step(nd, crmember.Peers{Now: w.clock(nd), Peers: peers}) })
+		w.deliver(nd, func() { w.step(nd, crmember.PeersChanged{Now: w.clock(nd), Peers: peers}) })
 	}
 }
 
--- a/core/crconfig/fleet_test.go
+++ b/core/crconfig/fleet_test.go
@@ -180,7 +180,7 @@
 			}
 		}
 		f.daemons[d].peersAt = len(peers)
-		f.step(d, crmember.Peers{Now: f.clock(d), Peers: peers})
+		f.step(d, crmember.PeersChanged{Now: f.clock(d), Peers: peers})
 	}
 }
 
@@ -217,7 +217,7 @@
 			}
 		}
 		f.daemons[d].peersAt = max(0, heard-len(voters)/2) // a majority of the voters
-		f.step(d, crmember.Peers{Now: f.clock(d), Peers: peers})
+		f.step(d, crmember.PeersChanged{Now: f.clock(d), Peers: peers})
 	}
 }
 
--- a/core/crconfig/push_test.go
+++ b/core/crconfig/push_test.go
@@ -25,7 +25,7 @@
 	for _, d := range peers {
 		list = append(list, crmember.Peer{Daemon: d, Domain: "m", Reachable: true})
 	}
-	p.Step(crmember.Peers{Peers: list})
+	p.Step(crmember.PeersChanged{Peers: list})
 	p.after(600 * time.Millisecond) // the asking of peers
 	return p
 }
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -126,7 +126,7 @@
 		s.tick(now)
 	case crevent.Received:
 		s.receive(now, ev)
-	case crmember.Peers:
+	case crmember.PeersChanged:
 		s.setPeers(now, ev.Peers)
 	case crmember.Lease:
 		s.tenure(now, ev)
--- a/core/crhealth/bench_test.go
+++ b/core/crhealth/bench_test.go
@@ -80,6 +80,6 @@
 	}
 	s.Step(crinstance.Listed{List: crinstance.NewList(1, instances)})
 	for b.Loop() {
-		s.Step(crmember.Peers{Peers: peers})
+		s.Step(crmember.PeersChanged{Peers: peers})
 	}
 }
--- a/core/crhealth/crhealth.go
+++ b/core/crhealth/crhealth.go
@@ -102,7 +102,7 @@
 		s.takeList(ev.List)
 	case crconfig.InForce:
 		s.snapshot = ev.Snapshot
-	case crmember.Peers:
+	case crmember.PeersChanged:
 		s.takePeers(ev.Peers)
 	case crmember.Lease:
 		s.takeTenure(ev)
--- a/core/crhealth/entry.go
+++ b/core/crhealth/entry.go
@@ -215,7 +215,7 @@
 // in a large fleet, cost nothing then.
 func (s *State) steerAfter(ev crevent.Event) {
 	switch ev := ev.(type) {
-	case crevent.Tick, crmember.Peers:
+	case crevent.Tick, crmember.PeersChanged:
 		for _, service := range sortedServices(s.hot) {
 			s.steer(service)
 		}
--- a/core/crhealth/fault_test.go
+++ b/core/crhealth/fault_test.go
@@ -297,8 +297,8 @@
 	w.run(5 * time.Second)
 	g.Expect(n.steer[booking].Targets).To(gomega.BeEmpty())
 
-	w.step(n, crmember.Peers{Now: n.clock(w.now), Peers: []crmember.Peer{{Daemon: "d01", Reachable: true, Incarnation: 1}}})
-	w.step(n, crmember.Peers{Now: n.clock(w.now), Peers: []crmember.Peer{{Daemon: "d01", Reachable: true, Incarnation: 2}}})
+	w.step(n, crmember.PeersChanged{Now: n.clock(w.now), Peers: []crmember.Peer{{Daemon: "d01", Reachable: true, Incarnation: 1}}})
+	w.step(n, crmember.PeersChanged{Now: n.clock(w.now), Peers: []crmember.Peer{{Daemon: "d01", Reachable: true, Incarnation: 2}}})
 	g.Expect(n.steer[booking].Targets).To(gomega.Equal([]TargetState{{Target: "t01", Weight: 100}}))
 }
 
--- a/core/crmember/bench_test.go
+++ b/core/crmember/bench_test.go
@@ -64,14 +64,14 @@
 
 // runSecond runs a second in which each heartbeat is answered, and returns the
 // notices about peers.
-func runSecond(w *cluster, node *node) (told []Peers) {
+func runSecond(w *cluster, node *node) (told []PeersChanged) {
 	const tick = 50 * time.Millisecond
 	s := node.state
 	for range time.Second / tick {
 		w.now += tick
 		for _, effect := range s.Step(crevent.Tick{Now: node.clock(w.now)}) {
 			switch effect := effect.(type) {
-			case Peers:
+			case PeersChanged:
 				told = append(told, effect)
 			case crevent.Send:
 				told = append(told, deliverReply(s, effect, node.clock(w.now+3*time.Millisecond))...)
@@ -82,13 +82,13 @@
 }
 
 // deliverReply delivers the peer's answer to a heartbeat.
-func deliverReply(s *State, send crevent.Send, at crid.Instant) (told []Peers) {
+func deliverReply(s *State, send crevent.Send, at crid.Instant) (told []PeersChanged) {
 	beat := send.Msg.(Heartbeat)
 	beat.Echo = Echo{Incarnation: s.incarnation, Seq: s.seq}
 	beat.Incarnation = 1 << 62
 	beat.Reply = true
 	for _, effect := range s.Step(crevent.Received{Now: at, From: send.To, Msg: beat}) {
-		if peers, ok := effect.(Peers); ok {
+		if peers, ok := effect.(PeersChanged); ok {
 			told = append(told, peers)
 		}
 	}
--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -214,7 +214,7 @@
 }
 
 func (s *State) emitPeers() {
-	s.emit(Peers{Now: s.now, Peers: s.peerList(), SampledOnly: !s.peersChanged})
+	s.emit(PeersChanged{Now: s.now, Peers: s.peerList(), SampledOnly: !s.peersChanged})
 	s.peersChanged = false
 	s.sampledChanged = false
 	s.peersEmittedAt = s.now
--- a/core/crmember/notice.go
+++ b/core/crmember/notice.go
@@ -48,7 +48,7 @@
 func (p Peer) Down() bool { return !p.Reachable && !p.Sampled }
 
 // PeersChanged tells the sibling reducers of a change among the peers.
-type Peers struct {
+type PeersChanged struct {
 	Now   crid.Instant
 	Peers []Peer // sorted by daemon, without this daemon
 
@@ -58,7 +58,7 @@
 }
 
 // At implements crevent.Event.
-func (e Peers) At() crid.Instant { return e.Now }
+func (e PeersChanged) At() crid.Instant { return e.Now }
 
 // EffectName implements crevent.Effect.
-func (Peers) EffectName() string { return "peers" }
+func (PeersChanged) EffectName() string { return "peers" }
--- a/core/crmember/world_test.go
+++ b/core/crmember/world_test.go
@@ -104,7 +104,7 @@
 		case Lease:
 			n.lease = e
 			w.checkLeases()
-		case Peers:
+		case PeersChanged:
 			n.peers = make(map[crid.Daemon]Peer)
 			for _, p := range e.Peers {
 				n.peers[p.Daemon] = p
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -82,7 +82,7 @@
 	case crmember.Lease:
 		s.contact = eff.ContactUntil
 		s.trust(eff.Now)
-	case crmember.Peers:
+	case crmember.PeersChanged:
 		s.in.Peers = eff.Peers
 		s.dirty = s.dirty || !eff.SampledOnly // sampled peers are never lost, so the view is the same
 	case crconfig.InForce:
--- a/io/crtrace/invariant.go
+++ b/io/crtrace/invariant.go
@@ -50,7 +50,7 @@
 		if eff.List.Revision() > inv.floor.list.Revision() {
 			inv.floor.list = eff.List
 		}
-	case crmember.Peers:
+	case crmember.PeersChanged:
 		inv.floor.takePeers(eff.Peers)
 	case crhealth.Steer:
 		inv.floor.takeSteer(eff)
--- a/io/crtrace/trace_test.go
+++ b/io/crtrace/trace_test.go
@@ -220,9 +220,9 @@
 	start := []crevent.Effect{
 		crinstance.Listed{List: crinstance.NewList(1, instances)},
 		crconfig.InForce{Snapshot: policy},
-		crmember.Peers{Peers: []crmember.Peer{{Daemon: "b", Reachable: true}, {Daemon: "c", Reachable: true}}},
+		crmember.PeersChanged{Peers: []crmember.Peer{{Daemon: "b", Reachable: true}, {Daemon: "c", Reachable: true}}},
 	}
-	lost := crmember.Peers{Peers: []crmember.Peer{{Daemon: "b", Reachable: true}, {Daemon: "c"}}}
+	lost := crmember.PeersChanged{Peers: []crmember.Peer{{Daemon: "b", Reachable: true}, {Daemon: "c"}}}
 	steer := func(weight int, ejected ...crid.Target) crevent.Effect {
 		s := crhealth.Steer{Service: "booking"}
 		for _, target := range ejected {
