--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -240,7 +240,7 @@
 // Dump is the reducer's part of the state dump.
 type Dump struct {
 	Incarnation crid.Incarnation `json:"incarnation"`
-	Current     crid.Revision    `json:"current"`
+	Newest      crid.Revision    `json:"current"`
 	Floor       crid.Revision    `json:"floor"`
 	Lists       []crid.Revision  `json:"lists"`
 	Fresh       bool             `json:"fresh"`
@@ -266,7 +266,7 @@
 func (s *State) Dump() any {
 	dump := Dump{
 		Incarnation: s.incarnation,
-		Current:     s.newest,
+		Newest:      s.newest,
 		Floor:       s.lastActive,
 		Lists:       slices.Clone(s.revs),
 		Fresh:       s.recovering,
