--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -241,7 +241,7 @@
 type Dump struct {
 	Incarnation crid.Incarnation `json:"incarnation"`
 	Newest      crid.Revision    `json:"current"`
-	Floor       crid.Revision    `json:"floor"`
+	LastActive  crid.Revision    `json:"floor"`
 	Lists       []crid.Revision  `json:"lists"`
 	Fresh       bool             `json:"fresh"`
 	Leaving     bool             `json:"leaving"`
@@ -267,7 +267,7 @@
 	dump := Dump{
 		Incarnation: s.incarnation,
 		Newest:      s.newest,
-		Floor:       s.lastActive,
+		LastActive:  s.lastActive,
 		Lists:       slices.Clone(s.revs),
 		Fresh:       s.recovering,
 		Leaving:     s.leaving,
