--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -243,7 +243,7 @@
 	Newest      crid.Revision    `json:"current"`
 	LastActive  crid.Revision    `json:"floor"`
 	Lists       []crid.Revision  `json:"lists"`
-	Fresh       bool             `json:"fresh"`
+	Recovering  bool             `json:"fresh"`
 	Leaving     bool             `json:"leaving"`
 	Active      crid.Revision    `json:"active"`
 	Until       crid.Instant     `json:"until"`
@@ -269,7 +269,7 @@
 		Newest:      s.newest,
 		LastActive:  s.lastActive,
 		Lists:       slices.Clone(s.revs),
-		Fresh:       s.recovering,
+		Recovering:  s.recovering,
 		Leaving:     s.leaving,
 		Active:      s.lease.Active,
 		Until:       s.lease.Until,
