--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -254,7 +254,7 @@
 // PeerDump is one peer in Dump.
 type PeerDump struct {
 	Daemon    crid.Daemon   `json:"daemon"`
-	Current   crid.Revision `json:"current"`
+	Newest    crid.Revision `json:"current"`
 	Floor     crid.Revision `json:"floor"`
 	Fresh     bool          `json:"fresh"`
 	Leaving   bool          `json:"leaving"`
@@ -279,7 +279,7 @@
 		p := s.peers[d]
 		dump.Peers = append(dump.Peers, PeerDump{
 			Daemon:    d,
-			Current:   p.newest,
+			Newest:    p.newest,
 			Floor:     p.lastActive,
 			Fresh:     p.recovering,
 			Leaving:   p.leaving || p.listedLeaving,
