--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -256,7 +256,7 @@
 	Daemon     crid.Daemon   `json:"daemon"`
 	Newest     crid.Revision `json:"current"`
 	LastActive crid.Revision `json:"floor"`
-	Fresh      bool          `json:"fresh"`
+	Recovering bool          `json:"fresh"`
 	Leaving    bool          `json:"leaving"`
 	Reachable  bool          `json:"reachable"`
 	Evidence   crid.Instant  `json:"evidence"`
@@ -281,7 +281,7 @@
 			Daemon:     d,
 			Newest:     p.newest,
 			LastActive: p.lastActive,
-			Fresh:      p.recovering,
+			Recovering: p.recovering,
 			Leaving:    p.leaving || p.listedLeaving,
 			Reachable:  p.reachable,
 			Evidence:   p.lastContact,
