--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -253,13 +253,13 @@
 
 // PeerDump is one peer in Dump.
 type PeerDump struct {
-	Daemon     crid.Daemon   `json:"daemon"`
-	Newest     crid.Revision `json:"current"`
-	LastActive crid.Revision `json:"floor"`
-	Recovering bool          `json:"fresh"`
-	Leaving    bool          `json:"leaving"`
-	Reachable  bool          `json:"reachable"`
-	Evidence   crid.Instant  `json:"evidence"`
+	Daemon      crid.Daemon   `json:"daemon"`
+	Newest      crid.Revision `json:"current"`
+	LastActive  crid.Revision `json:"floor"`
+	Recovering  bool          `json:"fresh"`
+	Leaving     bool          `json:"leaving"`
+	Reachable   bool          `json:"reachable"`
+	LastContact crid.Instant  `json:"evidence"`
 }
 
 // Dump returns a [Dump].
@@ -278,13 +278,13 @@
 	for _, d := range s.peerNames {
 		p := s.peers[d]
 		dump.Peers = append(dump.Peers, PeerDump{
-			Daemon:     d,
-			Newest:     p.newest,
-			LastActive: p.lastActive,
-			Recovering: p.recovering,
-			Leaving:    p.leaving || p.listedLeaving,
-			Reachable:  p.reachable,
-			Evidence:   p.lastContact,
+			Daemon:      d,
+			Newest:      p.newest,
+			LastActive:  p.lastActive,
+			Recovering:  p.recovering,
+			Leaving:     p.leaving || p.listedLeaving,
+			Reachable:   p.reachable,
+			LastContact: p.lastContact,
 		})
 	}
 	return dump
