--- a/core/crmember/tenure.go
+++ b/core/crmember/tenure.go
@@ -28,7 +28,7 @@
 	}
 	s.lease = next
 	if last.Until == 0 && next.Until != 0 {
-		s.reportList(EventStandingGained, next.Active)
+		s.reportList(EventLeaseAcquired, next.Active)
 	}
 	if last.Until != 0 && next.Until == 0 {
 		s.reportList(EventStandingLost, last.Active)
--- a/io/crlog/catalogue_member.go
+++ b/io/crlog/catalogue_member.go
@@ -5,7 +5,7 @@
 func memberEntries() []Entry {
 	return []Entry{
 		{
-			crmember.EventStandingGained, LevelInfo, "standing gained",
+			crmember.EventLeaseAcquired, LevelInfo, "standing gained",
 			"a majority of the list's voters answers",
 			"requests are served", none,
 		},
