--- a/core/crmember/report.go
+++ b/core/crmember/report.go
@@ -10,7 +10,7 @@
 // Numbers of the reported events. docs/events.md describes each.
 const (
 	EventLeaseAcquired = 200
-	EventStandingLost  = 201
+	EventLeaseLost     = 201
 	EventListAdopted   = 202
 	EventListIgnored   = 203
 	EventListsFull     = 204
--- a/core/crmember/tenure.go
+++ b/core/crmember/tenure.go
@@ -31,7 +31,7 @@
 		s.reportList(EventLeaseAcquired, next.Active)
 	}
 	if last.Until != 0 && next.Until == 0 {
-		s.reportList(EventStandingLost, last.Active)
+		s.reportList(EventLeaseLost, last.Active)
 	}
 	next.Members = slices.Clone(next.Members)
 	next.JointLists = s.memberships()
--- a/e2e/trace_test.go
+++ b/e2e/trace_test.go
@@ -82,7 +82,7 @@
 		}
 		report := replay(f.Daemon(0), "calm")
 		Expect(report.Revisions).To(HaveLen(1))
-		Expect(report.Reported).NotTo(HaveKey(crmember.EventStandingLost))
+		Expect(report.Reported).NotTo(HaveKey(crmember.EventLeaseLost))
 	})
 
 	// A process that was frozen wakes up with old facts, and finds what the
@@ -99,7 +99,7 @@
 		Eventually(d.Ready, "10s", "20ms").ShouldNot(Succeed())
 		must(d.WaitReady(within(10 * time.Second)))
 		report := replay(d, "frozen")
-		Expect(report.Reported).To(HaveKey(crmember.EventStandingLost))
+		Expect(report.Reported).To(HaveKey(crmember.EventLeaseLost))
 		Expect(report.Tenures[len(report.Tenures)-1]).To(Equal(report.Tenures[len(report.Tenures)-3]))
 	})
 
@@ -130,7 +130,7 @@
 		report := replay(f.Daemon(0), "away")
 		Expect(report.Revisions).To(HaveLen(2))
 		Expect(report.Reported).To(HaveKey(crconfig.NumberPlatformAway))
-		Expect(report.Reported).NotTo(HaveKey(crmember.EventStandingLost))
+		Expect(report.Reported).NotTo(HaveKey(crmember.EventLeaseLost))
 	})
 
 	// A target answers wrongly, and then a second one. The floor of two leaves
--- a/io/crlog/catalogue_member.go
+++ b/io/crlog/catalogue_member.go
@@ -10,7 +10,7 @@
 			"requests are served", none,
 		},
 		{
-			crmember.EventStandingLost, LevelWarn, "standing lost",
+			crmember.EventLeaseLost, LevelWarn, "standing lost",
 			"cut off, suspended, or the list changes",
 			"this daemon refuses requests as not run", "nothing if 200 follows in seconds; else mend the network",
 		},
