--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -203,7 +203,7 @@
 		s.reportPeer(EventPeerReachable, d)
 		return
 	}
-	s.reportPeer(EventPeerLost, d)
+	s.reportPeer(EventPeerUnreachable, d)
 }
 
 // markPeerChanged schedules PeersChanged: at once, or within an interval for a
--- a/core/crmember/report.go
+++ b/core/crmember/report.go
@@ -9,18 +9,18 @@
 
 // Numbers of the reported events. docs/events.md describes each.
 const (
-	EventLeaseAcquired = 200
-	EventLeaseLost     = 201
-	EventListAdopted   = 202
-	EventListIgnored   = 203
-	EventListsFull     = 204
-	EventRecovered     = 205
-	EventColdStart     = 206
-	EventPeerReachable = 207
-	EventPeerLost      = 208
-	EventPeerLeaving   = 209
-	EventPeerRestarted = 210
-	EventNotListed     = 211
+	EventLeaseAcquired   = 200
+	EventLeaseLost       = 201
+	EventListAdopted     = 202
+	EventListIgnored     = 203
+	EventListsFull       = 204
+	EventRecovered       = 205
+	EventColdStart       = 206
+	EventPeerReachable   = 207
+	EventPeerUnreachable = 208
+	EventPeerLeaving     = 209
+	EventPeerRestarted   = 210
+	EventNotListed       = 211
 )
 
 func (s *State) report(number int, fields map[string]string) {
--- a/io/crlog/catalogue_member.go
+++ b/io/crlog/catalogue_member.go
@@ -45,7 +45,7 @@
 			none, none,
 		},
 		{
-			crmember.EventPeerLost, LevelWarn, "peer lost",
+			crmember.EventPeerUnreachable, LevelWarn, "peer lost",
 			"not heard both ways for a horizon; in fleets of more than 31 daemons told of voters only",
 			"work goes elsewhere", "look at the peer or the link",
 		},
