--- a/core/crmember/bench_test.go
+++ b/core/crmember/bench_test.go
@@ -51,20 +51,20 @@
 
 func benchSecond(b *testing.B, n int) {
 	w, node := newVoter(n)
-	told := 0
+	notices := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		told += len(runSecond(w, node))
+		notices += len(runSecond(w, node))
 	}
-	b.ReportMetric(float64(told)/float64(b.N), "peers-told/s")
+	b.ReportMetric(float64(notices)/float64(b.N), "peers-told/s")
 	if node.state.lease.Until == 0 {
-		b.Fatal("the daemon measured has no standing")
+		b.Fatal("the daemon has no lease")
 	}
 }
 
 // runSecond runs a second in which each heartbeat is answered, and returns the
 // notices about peers.
-func runSecond(w *cluster, node *node) (told []PeersChanged) {
+func runSecond(w *cluster, node *node) (notices []PeersChanged) {
 	const tick = 50 * time.Millisecond
 	s := node.state
 	for range time.Second / tick {
@@ -72,27 +72,27 @@
 		for _, effect := range s.Step(crevent.Tick{Now: node.clock(w.now)}) {
 			switch effect := effect.(type) {
 			case PeersChanged:
-				told = append(told, effect)
+				notices = append(notices, effect)
 			case crevent.Send:
-				told = append(told, deliverReply(s, effect, node.clock(w.now+3*time.Millisecond))...)
+				notices = append(notices, deliverReply(s, effect, node.clock(w.now+3*time.Millisecond))...)
 			}
 		}
 	}
-	return told
+	return notices
 }
 
 // deliverReply delivers the peer's answer to a heartbeat.
-func deliverReply(s *State, send crevent.Send, at crid.Instant) (told []PeersChanged) {
-	beat := send.Msg.(Heartbeat)
-	beat.Echo = Echo{Incarnation: s.incarnation, Seq: s.seq}
-	beat.Incarnation = 1 << 62
-	beat.Reply = true
-	for _, effect := range s.Step(crevent.Received{Now: at, From: send.To, Msg: beat}) {
+func deliverReply(s *State, send crevent.Send, at crid.Instant) (notices []PeersChanged) {
+	heartbeat := send.Msg.(Heartbeat)
+	heartbeat.Echo = Echo{Incarnation: s.incarnation, Seq: s.seq}
+	heartbeat.Incarnation = 1 << 62
+	heartbeat.Reply = true
+	for _, effect := range s.Step(crevent.Received{Now: at, From: send.To, Msg: heartbeat}) {
 		if peers, ok := effect.(PeersChanged); ok {
-			told = append(told, peers)
+			notices = append(notices, peers)
 		}
 	}
-	return told
+	return notices
 }
 
 // BenchmarkBytesPerPeer measures the memory of a peer, with the instance list but
@@ -135,16 +135,16 @@
 				continue
 			}
 			seqs++
-			beat := send.Msg.(Heartbeat)
-			beat.Echo = Echo{Incarnation: s.incarnation, Seq: s.seq}
-			beat.Incarnation = 1 << 62
-			beat.Seq = seqs
-			beat.Reply = true
+			heartbeat := send.Msg.(Heartbeat)
+			heartbeat.Echo = Echo{Incarnation: s.incarnation, Seq: s.seq}
+			heartbeat.Incarnation = 1 << 62
+			heartbeat.Seq = seqs
+			heartbeat.Reply = true
 			at := node.clock(w.now + 3*time.Millisecond)
-			s.Step(crevent.Received{Now: at, From: send.To, Msg: beat})
+			s.Step(crevent.Received{Now: at, From: send.To, Msg: heartbeat})
 			beats++
 			if size == 0 {
-				size = encodedSize(b, beat)
+				size = encodedSize(b, heartbeat)
 			}
 		}
 	}
@@ -152,17 +152,17 @@
 	b.ReportMetric(float64(beats)/float64(b.N), "beats/round")
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(beats), "ns/beat")
 	if s.lease.Until == 0 {
-		b.Fatal("the daemon measured has no standing")
+		b.Fatal("the daemon has no lease")
 	}
 }
 
-func encodedSize(b *testing.B, beat Heartbeat) int {
-	beat.Incarnation = 1<<63 + 1
-	beat.Echo.Incarnation = 1<<63 + 1
-	beat.Seq = 1 << 24
-	beat.Echo.Seq = 1 << 24
-	beat.ConfigRevision = 1 << 24
-	data, err := cbor.Marshal(beat)
+func encodedSize(b *testing.B, heartbeat Heartbeat) int {
+	heartbeat.Incarnation = 1<<63 + 1
+	heartbeat.Echo.Incarnation = 1<<63 + 1
+	heartbeat.Seq = 1 << 24
+	heartbeat.Echo.Seq = 1 << 24
+	heartbeat.ConfigRevision = 1 << 24
+	data, err := cbor.Marshal(heartbeat)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/core/crmember/bridge.go
+++ b/core/crmember/bridge.go
@@ -46,23 +46,23 @@
 // quorumContact returns until when a majority of the voters is in contact, where
 // only peers that satisfy counts are counted.
 func (s *State) quorumContact(voters []crid.Daemon, counts func(*peer) bool) crid.Instant {
-	var evidence []crid.Instant
+	var contacts []crid.Instant
 	for _, d := range voters {
 		if d == s.self {
-			evidence = append(evidence, s.lastRound)
+			contacts = append(contacts, s.lastRound)
 			continue
 		}
 		if p := s.peers[d]; p != nil && p.contacted && counts(p) {
-			evidence = append(evidence, p.lastContact)
+			contacts = append(contacts, p.lastContact)
 		}
 	}
-	return s.quorumUntil(evidence, len(voters))
+	return s.quorumUntil(contacts, len(voters))
 }
 
 func (s *State) memberships() []Membership {
-	over := make([]Membership, 0, len(s.revs))
+	lists := make([]Membership, 0, len(s.revs))
 	for _, rev := range s.revs {
-		over = append(over, Membership{Rev: rev, Members: s.lists[rev].daemons})
+		lists = append(lists, Membership{Rev: rev, Members: s.lists[rev].daemons})
 	}
-	return over
+	return lists
 }
--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -1,21 +1,26 @@
-// Package crmember decides what a daemon may believe of the other daemons: who
-// is reachable both ways, who is leaving, which list of instances is active,
-// and whether this daemon has standing, which means it may act on what it knows.
+// Package crmember tracks the membership of the fleet for one daemon: which peers
+// are reachable both ways, which are leaving, which instance list is active, and
+// whether this daemon holds a [Lease], under which it may act.
 //
-// Daemons exchange heartbeats ([Heartbeat]). A beat echoes the receiver's latest
-// beat, and counts as evidence from the instant at which that one was sent. A
-// daemon has standing under a list while a majority of the list's voters has
-// answered within a horizon and holds that list as its newest. At no time do
-// two daemons have standing under different lists; docs/design/02-standing.md
-// gives the argument and its limits.
+// Daemons exchange heartbeats ([Heartbeat]). A heartbeat echoes the receiver's latest
+// one, and counts as a contact from the instant at which that one was sent. A daemon
+// holds a lease under a list while a majority of the list's voters has made contact
+// within the contact timeout and holds that list as its newest. At no time do two
+// daemons hold leases under different lists; docs/design/02-standing.md gives the
+// argument and its limits.
+//
+// core/crdaemon runs the reducer and passes its notices to core/crconfig,
+// core/craccount and core/crhealth. core/crinstance defines the lists. core/crmesh
+// tracks peers for a daemon that reads target records from the store; it gives no
+// leases.
 //
 // # Usage
 //
 //	s := crmember.New(crmember.DefaultParams())
 //	for ev := range events {
 //		for _, effect := range s.Step(ev) {
-//			// Send and Report go to the shell, Tenure, Peers and
-//			// crinstance.Listed to the sibling reducers.
+//			// Send and Report go to the shell. Lease, PeersChanged and
+//			// crinstance.ListUpdated go to the sibling reducers.
 //		}
 //	}
 package crmember
@@ -117,9 +122,9 @@
 	}
 	s.afterEvent()
 	s.replyTo(ev)
-	out := s.effects
+	effects := s.effects
 	s.effects = nil
-	return out
+	return effects
 }
 
 func (s *State) start(ev crevent.Started) {
--- a/core/crmember/list.go
+++ b/core/crmember/list.go
@@ -199,13 +199,13 @@
 
 // intermediateRevs returns the revisions between the last active and the newest list.
 func (s *State) intermediateRevs() []crid.Revision {
-	var held []crid.Revision
+	var revs []crid.Revision
 	for _, rev := range s.revs {
 		if rev > s.lastActive && rev < s.newest {
-			held = append(held, rev)
+			revs = append(revs, rev)
 		}
 	}
-	return held
+	return revs
 }
 
 // holdsAll reports whether this daemon holds each list that the peer named and
@@ -235,16 +235,16 @@
 	if p.listsSent && s.now.Sub(p.listsSentAt) < s.params.Interval/2 {
 		return
 	}
-	var rolls []ListData
+	var lists []ListData
 	for _, rev := range s.revs {
 		if rev >= m.From && !slices.Contains(m.Have, rev) {
-			rolls = append(rolls, ListData{Rev: rev, Instances: s.lists[rev].list.Instances()})
+			lists = append(lists, ListData{Rev: rev, Instances: s.lists[rev].list.Instances()})
 		}
 	}
-	if len(rolls) > 0 {
+	if len(lists) > 0 {
 		p.listsSent = true
 		p.listsSentAt = s.now
-		s.emit(crevent.Send{To: from, Msg: ListResponse{Lists: rolls}})
+		s.emit(crevent.Send{To: from, Msg: ListResponse{Lists: lists}})
 	}
 }
 
@@ -254,7 +254,7 @@
 	if len(m.Lists) > s.params.MaxLists {
 		return
 	}
-	for _, roll := range m.Lists {
-		s.addList(crinstance.NewList(roll.Rev, roll.Instances))
+	for _, data := range m.Lists {
+		s.addList(crinstance.NewList(data.Rev, data.Instances))
 	}
 }
--- a/core/crmember/rapid_test.go
+++ b/core/crmember/rapid_test.go
@@ -29,7 +29,7 @@
 // stale lists, no two daemons may hold leases under different lists, or an account gets
 // more than its rate. At most one daemon recovers at a time, the limit without a disk.
 func TestLeasesUnderOneListOnly(t *testing.T) {
-	standings := 0
+	laterLeases := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newCluster(0, rapid.Uint64().Draw(rt, "network"))
 		names := daemons("a", "b", "c", "d", "e", "f")
@@ -57,7 +57,7 @@
 			"runLong": func(*rapid.T) { w.run(3 * time.Second) },
 			"": func(rt *rapid.T) {
 				if len(w.overlaps) > 0 {
-					rt.Fatalf("two lists at once: %s", w.overlaps[0])
+					rt.Fatalf("leases under two lists: %s", w.overlaps[0])
 				}
 				if len(w.disjoint) > 0 {
 					rt.Fatalf("no list in common: %s", w.disjoint[0])
@@ -66,15 +66,15 @@
 		})
 		for _, n := range w.nodes {
 			if n.lease.Active > 1 {
-				standings++
+				laterLeases++
 			}
 		}
 		m.expectLeases(rt)
 	})
-	if standings == 0 {
-		t.Fatal("no run got beyond its first list; the check proves nothing")
+	if laterLeases == 0 {
+		t.Fatal("no run activated a second list; the check proves nothing")
 	}
-	t.Logf("daemons with a later list active at the end of a run: %d", standings)
+	t.Logf("daemons with a later list active at the end of a run: %d", laterLeases)
 }
 
 // expectLeases ends all faults and expects leases again. A rule too strict for any
@@ -89,10 +89,10 @@
 	m.readAll(rt)
 	m.w.run(8 * time.Second)
 	if held := len(m.w.leaseHolders()); held != len(m.names) {
-		rt.Fatalf("%d of %d daemons have standing after all faults are over", held, len(m.names))
+		rt.Fatalf("%d of %d daemons hold a lease after the end of all faults", held, len(m.names))
 	}
 	if len(m.w.overlaps) > 0 {
-		rt.Fatalf("two lists at once: %s", m.w.overlaps[0])
+		rt.Fatalf("leases under two lists: %s", m.w.overlaps[0])
 	}
 }
 
--- a/core/crmember/round.go
+++ b/core/crmember/round.go
@@ -17,17 +17,17 @@
 // again. Otherwise each sampled pair would go on for ever, and in the end all
 // daemons would exchange heartbeats with all others.
 func (s *State) sendRound() {
-	spare := s.idle() && !s.roundNow && !s.broadcast
+	skip := s.idle() && !s.roundNow && !s.broadcast
 	s.lastRound = s.now
 	s.nextSeq()
 	s.nextRound = s.now.Add(s.jitter(s.params.Interval))
 	s.nextIdleRound = s.now.Add(s.jitter(s.params.idleInterval()))
-	chosen := s.recipients()
+	recipients := s.recipients()
 	s.roundNow = false
 	s.broadcast = false
 	for i, d := range s.peerNames {
 		p := s.peerStates[i]
-		due := chosen[d] && (!spare || !s.skippable(p))
+		due := recipients[d] && (!skip || !s.skippable(p))
 		if due || p.replyDue {
 			s.sendHeartbeat(d, p, !due)
 		}
@@ -112,46 +112,46 @@
 // its echo may be that old. The remaining contact timeout is for heartbeats at the
 // faster pace.
 func (s *State) suspected(p *peer) bool {
-	const rests = 5
-	return s.now.Sub(p.lastContact) > rests*s.params.idleInterval()/2
+	const halfIntervals = 5
+	return s.now.Sub(p.lastContact) > halfIntervals*s.params.idleInterval()/2
 }
 
 // skippable reports that a peer needs no heartbeat in this round of an idle daemon:
 // it has just been answered, and sends heartbeats itself. So one end of each pair
 // sends and the other answers.
 func (s *State) skippable(p *peer) bool {
-	const part = 5
-	return s.inContact(p) && !s.suspected(p) && s.now.Sub(p.sentAt) < s.params.idleInterval()*(part-1)/part
+	const parts = 5
+	return s.inContact(p) && !s.suspected(p) && s.now.Sub(p.sentAt) < s.params.idleInterval()*(parts-1)/parts
 }
 
 // jitter returns the time to the next round. Without jitter, daemons that start at
 // one time would send their heartbeats at one time for ever.
 func (s *State) jitter(mean time.Duration) time.Duration {
 	const steps = 1 << 20
-	share := float64(s.hash(s.seq, 0)%steps)/steps*2 - 1
-	return time.Duration(float64(mean) * (1 + s.params.Jitter*share))
+	offset := float64(s.hash(s.seq, 0)%steps)/steps*2 - 1
+	return time.Duration(float64(mean) * (1 + s.params.Jitter*offset))
 }
 
 // recipients returns the daemons that get a heartbeat in this round unasked: all in a
 // small fleet and once when leaving; otherwise the voters of each list held, and a
 // sample.
 func (s *State) recipients() map[crid.Daemon]bool {
-	chosen := make(map[crid.Daemon]bool)
+	to := make(map[crid.Daemon]bool)
 	if len(s.peerNames) <= s.params.MaxVoters || s.broadcast {
 		for _, d := range s.peerNames {
-			chosen[d] = true
+			to[d] = true
 		}
-		return chosen
+		return to
 	}
 	for _, rev := range s.revs {
 		for _, d := range s.lists[rev].voters {
-			chosen[d] = true
+			to[d] = true
 		}
 	}
 	for _, d := range s.currentSample() {
-		chosen[d] = true
+		to[d] = true
 	}
-	return chosen
+	return to
 }
 
 // currentSample returns the daemons that get heartbeats besides the voters. It is
--- a/core/crmember/sample_test.go
+++ b/core/crmember/sample_test.go
@@ -13,14 +13,14 @@
 
 // down returns the peers that a daemon considers down.
 func (w *cluster) down(d crid.Daemon) []crid.Daemon {
-	var lost []crid.Daemon
+	var down []crid.Daemon
 	for _, p := range w.nodes[d].peers {
 		if p.Down() {
-			lost = append(lost, p.Daemon)
+			down = append(down, p.Daemon)
 		}
 	}
-	slices.Sort(lost)
-	return lost
+	slices.Sort(down)
+	return down
 }
 
 func largeCluster() (*cluster, crinstance.List) {
@@ -44,17 +44,17 @@
 	for range 4 {
 		runSecond(w, node)
 	}
-	silent, lost := 0, 0
+	unreachable, down := 0, 0
 	for _, p := range node.state.peerList() {
 		if !p.Reachable {
-			silent++
+			unreachable++
 		}
 		if p.Down() {
-			lost++
+			down++
 		}
 	}
-	g.Expect(silent).To(gomega.BeNumerically(">", 500))
-	g.Expect(lost).To(gomega.BeZero())
+	g.Expect(unreachable).To(gomega.BeNumerically(">", 500))
+	g.Expect(down).To(gomega.BeZero())
 }
 
 // A voter that fails is detected by all daemons within the contact timeout.
@@ -77,9 +77,9 @@
 	node.state.params.SampleDuration = 0 // a new sample in each round
 	node.state.sampleUntil = 0
 	runSecond(w, node)
-	told := runSecond(w, node)
-	g.Expect(told).To(gomega.HaveEach(gomega.HaveField("Passing", true)))
-	g.Expect(len(told)).To(gomega.BeNumerically("<=", time.Second/w.params.Interval))
+	notices := runSecond(w, node)
+	g.Expect(notices).To(gomega.HaveEach(gomega.HaveField("SampledOnly", true)))
+	g.Expect(len(notices)).To(gomega.BeNumerically("<=", time.Second/w.params.Interval))
 }
 
 // Each peer that is new to the sample costs a handshake. A new sample in every round
@@ -87,17 +87,17 @@
 func TestSampleIsKeptAcrossRounds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w, node := newVoter(1000)
-	met := make(map[crid.Daemon]bool)
+	sampled := make(map[crid.Daemon]bool)
 	const seconds = 30
 	for range seconds {
 		w.packets = nil
 		runSecond(w, node)
 		for _, p := range node.state.peerList() {
 			if p.Sampled && p.Incarnation != 0 {
-				met[p.Daemon] = true
+				sampled[p.Daemon] = true
 			}
 		}
 	}
-	g.Expect(len(met)).To(gomega.BeNumerically("<=", 2*w.params.SampleSize))
-	g.Expect(met).NotTo(gomega.BeEmpty())
+	g.Expect(len(sampled)).To(gomega.BeNumerically("<=", 2*w.params.SampleSize))
+	g.Expect(sampled).NotTo(gomega.BeEmpty())
 }
--- a/core/crmember/standing_test.go
+++ b/core/crmember/standing_test.go
@@ -24,14 +24,14 @@
 func TestEachGuardPreventsAnOverlap(t *testing.T) {
 	cases := map[string]struct {
 		without guard
-		play    func(*cluster)
+		run     func(*cluster)
 	}{
-		"late evidence":             {guardSendTime, delayedHeartbeats},
-		"woken process":             {guardSendTime, resumedProcess},
-		"chained changes":           {guardIntermediateLists, chainedLists},
-		"forgotten acknowledgement": {guardRecovery, forgottenAcknowledgement},
-		"silence while waiting":     {guardExpiryWait, handoverWithoutWait},
-		"unconfirmed early end":     {guardReconfirm, unconfirmedAcknowledgements},
+		"delayed heartbeats":           {guardSendTime, delayedHeartbeats},
+		"resumed process":              {guardSendTime, resumedProcess},
+		"chained lists":                {guardIntermediateLists, chainedLists},
+		"forgotten acknowledgement":    {guardRecovery, forgottenAcknowledgement},
+		"handover without wait":        {guardExpiryWait, handoverWithoutWait},
+		"unconfirmed acknowledgements": {guardReconfirm, unconfirmedAcknowledgements},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 			for _, without := range []guard{0, c.without} {
 				w := startedCluster(without, newList(1, "a", "b", "c", "d", "e"))
 				g.Expect(w.leaseHolders()).To(gomega.HaveLen(5))
-				c.play(w)
+				c.run(w)
 				if without == 0 {
 					g.Expect(w.overlaps).To(gomega.BeEmpty())
 					continue
@@ -83,8 +83,8 @@
 // list 3 with d and e, which never received list 2 and are a majority of list 1. The
 // rest of list 2 is cut off and still acknowledges it.
 func chainedLists(w *cluster) {
-	fresh := daemons("x", "y", "z")
-	for _, d := range fresh {
+	added := daemons("x", "y", "z")
+	for _, d := range added {
 		w.start(d)
 	}
 	w.partition(daemons("d", "e"), daemons("a", "b", "c", "x", "y", "z"))
@@ -258,8 +258,8 @@
 	}
 	g.Expect(len(w.nodes["a"].state.revs)).To(gomega.BeNumerically("<=", 2))
 	for rev := range crid.Revision(100) {
-		rolls := []ListData{{Rev: rev + 100}}
-		ev := crevent.Received{Now: w.nodes["a"].state.now, From: "b", Msg: ListResponse{Lists: rolls}}
+		lists := []ListData{{Rev: rev + 100}}
+		ev := crevent.Received{Now: w.nodes["a"].state.now, From: "b", Msg: ListResponse{Lists: lists}}
 		w.nodes["a"].state.Step(ev)
 	}
 	g.Expect(w.nodes["a"].state.revs).To(gomega.HaveLen(w.params.MaxLists))
@@ -306,8 +306,8 @@
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, "a", "b", "c"))
 	s := w.nodes["a"].state
-	beat := Heartbeat{Seq: 1, Incarnation: 9, Newest: 7, LastActive: 7}
-	for _, msg := range []crevent.Message{beat, ListRequest{}, ListResponse{Lists: []ListData{{Rev: 9}}}} {
+	heartbeat := Heartbeat{Seq: 1, Incarnation: 9, Newest: 7, LastActive: 7}
+	for _, msg := range []crevent.Message{heartbeat, ListRequest{}, ListResponse{Lists: []ListData{{Rev: 9}}}} {
 		ev := crevent.Received{Now: s.now, From: "stranger", Msg: msg}
 		g.Expect(s.Step(ev)).To(gomega.BeEmpty())
 	}
@@ -324,9 +324,9 @@
 	w.startAll(list)
 	w.run(6 * time.Second)
 	g.Expect(w.leaseHolders()).To(gomega.HaveLen(48))
-	plain := heldList{voters: Voters(list, 0, w.params.MaxVoters)}
+	voters := heldList{voters: Voters(list, 0, w.params.MaxVoters)}
 	for _, d := range names {
-		if plain.hasVoter(d) {
+		if voters.hasVoter(d) {
 			continue
 		}
 		w.nodes[d].sent = nil
@@ -342,9 +342,9 @@
 	g := gomega.NewWithT(t)
 	w := startedCluster(0, newList(1, "a", "b", "c"))
 	s := w.nodes["a"].state
-	ask := crevent.Received{Now: s.now, From: "b", Msg: ListRequest{}}
-	g.Expect(s.Step(ask)).To(gomega.HaveLen(1))
-	g.Expect(s.Step(ask)).To(gomega.BeEmpty())
+	request := crevent.Received{Now: s.now, From: "b", Msg: ListRequest{}}
+	g.Expect(s.Step(request)).To(gomega.HaveLen(1))
+	g.Expect(s.Step(request)).To(gomega.BeEmpty())
 }
 
 // A large list has a bounded set of voters. A small change of the list replaces few.
--- a/core/crmember/tenure.go
+++ b/core/crmember/tenure.go
@@ -68,14 +68,14 @@
 	if !s.params.enforces(guardExpiryWait) {
 		wait = 0
 	}
-	settled := 0
+	acked := 0
 	for _, d := range k.voters {
 		since, ok := s.ackTime(d)
 		if ok && s.now.Sub(since) >= wait {
-			settled++
+			acked++
 		}
 	}
-	return settled >= quorum(len(k.voters))
+	return acked >= quorum(len(k.voters))
 }
 
 // ackTime returns since when a daemon has acknowledged the newest list.
@@ -122,30 +122,30 @@
 // or if a reachable peer names a newer list that has not been received yet.
 func (s *State) leaseUntil() crid.Instant {
 	k := s.lists[s.newest]
-	var evidence []crid.Instant
+	var contacts []crid.Instant
 	for _, d := range k.voters {
 		p := s.peers[d]
 		switch {
 		case d == s.self:
-			evidence = append(evidence, s.lastRound)
+			contacts = append(contacts, s.lastRound)
 		case p.contacted && s.acknowledges(p):
-			evidence = append(evidence, p.lastContact)
+			contacts = append(contacts, p.lastContact)
 		case p.newest > s.newest && s.inContact(p):
 			return 0
 		}
 	}
-	return s.quorumUntil(evidence, len(k.voters))
+	return s.quorumUntil(contacts, len(k.voters))
 }
 
 // quorumUntil returns the end of the contact timeout of the newest contact that a
 // majority of so many voters gives; zero if it has passed or there is none.
-func (s *State) quorumUntil(evidence []crid.Instant, voters int) crid.Instant {
+func (s *State) quorumUntil(contacts []crid.Instant, voters int) crid.Instant {
 	need := quorum(voters)
-	if len(evidence) < need {
+	if len(contacts) < need {
 		return 0
 	}
-	slices.Sort(evidence)
-	until := evidence[len(evidence)-need].Add(s.params.ContactTimeout)
+	slices.Sort(contacts)
+	until := contacts[len(contacts)-need].Add(s.params.ContactTimeout)
 	if until <= s.now {
 		return 0
 	}
--- a/core/crmember/watermark_test.go
+++ b/core/crmember/watermark_test.go
@@ -20,7 +20,7 @@
 	for _, p := range s.peers {
 		minimum = min(minimum, p.lastContact.Add(s.params.ContactTimeout))
 	}
-	t.Logf("one of five is dead for %v: majority's mark ends in %v, minimum's in %v",
+	t.Logf("one of five daemons failed %v ago: the lease ends in %v by the majority, in %v by the minimum",
 		w.params.ContactTimeout+time.Second, s.lease.Until.Sub(now), minimum.Sub(now))
 	g.Expect(minimum).To(gomega.BeNumerically("<", now))
 	g.Expect(s.lease.Until).To(gomega.BeNumerically(">", now))
--- a/core/crmember/world_test.go
+++ b/core/crmember/world_test.go
@@ -123,9 +123,9 @@
 			return
 		}
 		if w.rng.IntN(20) == 0 {
-			again := p
-			again.at += time.Duration(w.rng.IntN(4000)) * time.Millisecond
-			w.packets = append(w.packets, again)
+			duplicate := p
+			duplicate.at += time.Duration(w.rng.IntN(4000)) * time.Millisecond
+			w.packets = append(w.packets, duplicate)
 		}
 		p.at += time.Duration(w.rng.IntN(300)) * time.Millisecond
 	}
