--- a/core/crinstance/size_bench_test.go
+++ b/core/crinstance/size_bench_test.go
@@ -11,7 +11,7 @@
 	"camphorroad/core/crinstance"
 )
 
-func fleetOf(daemons, targets int) []crinstance.Instance {
+func newInstances(daemons, targets int) []crinstance.Instance {
 	instances := make([]crinstance.Instance, daemons)
 	for i := range instances {
 		instances[i] = crinstance.Instance{
@@ -36,7 +36,7 @@
 func BenchmarkList(b *testing.B) {
 	for _, c := range []struct{ daemons, targets int }{{25, 25}, {1000, 8545}, {5500, 47_000}} {
 		b.Run(fmt.Sprintf("daemons=%d/targets=%d", c.daemons, c.targets), func(b *testing.B) {
-			data, err := cbor.Marshal(fleetOf(c.daemons, c.targets))
+			data, err := cbor.Marshal(newInstances(c.daemons, c.targets))
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -27,40 +27,40 @@
 const (
 	// silentBeats is the number of beats after whose absence a peer counts as
 	// silent: one may be lost, and two in a row rarely are.
-	silentBeats = 3
+	missedUntilSilent = 3
 	// forgetPeer is the time after which a peer is dropped that no record names.
-	forgetPeer = 20 * time.Second
+	peerRetention = 20 * time.Second
 	// pullAfter is how long a daemon may know of a newer plan or list at a peer
 	// before it fetches it there. The store's own word, gathered for half a
 	// second, comes sooner as a rule, and spares the bytes.
-	pullAfter = 600 * time.Millisecond
+	pullDelay = 600 * time.Millisecond
 	// pullEvery is the least time between two fetches.
-	pullEvery = 400 * time.Millisecond
+	pullInterval = 400 * time.Millisecond
 	// renewEvery is the least time between two renewals of the watches: each costs
 	// a reader two calls of the store.
-	renewEvery = time.Second
+	renewInterval = time.Second
 	// urgentEvery is the least time between two urgent beats. A target whose
 	// judgement trembles would else cost a beat to every peer an answer.
-	urgentEvery = 50 * time.Millisecond
+	urgentInterval = 50 * time.Millisecond
 	// idlePerPeer is the least time between beats, for each peer of the fleet, to
 	// peers elsewhere that offered nothing lately. Each daemon would else send
 	// all others a beat a second, which in a fleet of hundreds is nine tenths of all
 	// bytes between domains. What such a peer does not hear, an offer tells it.
-	idlePerPeer = 25 * time.Millisecond
+	idleIntervalPerPeer = 25 * time.Millisecond
 	// idleShort is the same where that leaves idlePause at most between two beats: a
 	// fleet of a hundred can spare them as well, and still hears of a daemon that
 	// is gone within three of them.
-	idleShort = 60 * time.Millisecond
-	idlePause = 7500 * time.Millisecond
+	shortIdleIntervalPerPeer = 60 * time.Millisecond
+	maxShortIdleInterval     = 7500 * time.Millisecond
 	// askedFor is how long a peer that made an offer counts as interested.
-	askedFor = 10 * time.Second
+	interestDuration = 10 * time.Second
 	// crowd is the number of peers above which urgent beats go only to the own
 	// domain and to interested peers. Verdicts change 20 times a second in a
 	// fleet of 300.
-	crowd = 40
+	maxUrgentToAll = 40
 	// perPeer is the least time between beats for each peer, so that a daemon
 	// of a large fleet sends no more than 250 a second.
-	perPeer = 4 * time.Millisecond
+	minIntervalPerPeer = 4 * time.Millisecond
 )
 
 // Params are a daemon's settings.
@@ -77,18 +77,18 @@
 
 // State is what a daemon believes.
 type State struct {
-	params   Params
-	plan     *crplan.Plan
-	registry *crregistry.Registry
-	listed   bool
-	lost     bool // the store does not answer this daemon
-	peers    map[crid.Daemon]*peer
-	pulled   crid.Instant
-	pulls    int
-	renewed  crid.Instant
-	urged    crid.Instant
-	nudged   bool
-	stopping bool
+	params           Params
+	plan             *crplan.Plan
+	registry         *crregistry.Registry
+	hasRecords       bool
+	storeUnavailable bool // the store does not answer this daemon
+	peers            map[crid.Daemon]*peer
+	lastPull         crid.Instant
+	pullCount        int
+	lastRenewal      crid.Instant
+	lastUrgent       crid.Instant
+	urgentPending    bool
+	stopping         bool
 }
 
 // New returns the state of a daemon that knows nothing but its seeds.
@@ -96,7 +96,7 @@
 	s := &State{params: p, registry: crregistry.New(p.Lapse), peers: make(map[crid.Daemon]*peer)}
 	for _, d := range p.Seeds {
 		if d != p.Self {
-			s.peers[d] = &peer{listed: true}
+			s.peers[d] = &peer{known: true}
 		}
 	}
 	return s
@@ -106,65 +106,65 @@
 func (s *State) Step(ev crevent.Event) []crevent.Effect {
 	switch ev := ev.(type) {
 	case PlanRead:
-		return s.planRead(ev)
+		return s.updatePlan(ev)
 	case Listed:
-		return s.list(ev)
+		return s.replaceRecords(ev)
 	case Changed:
 		s.registry.Apply(ev.Now, ev.Changes, ev.Revision)
-		return s.relisted(ev.Now)
+		return s.syncPeers(ev.Now)
 	case StoreLost:
 		s.registry.Lost()
-		return s.setLost(ev.Now, !ev.Peers)
+		return s.setStoreUnavailable(ev.Now, !ev.Peers)
 	case StoreBack:
 		s.registry.Returned(ev.Now)
-		return s.setLost(ev.Now, false)
+		return s.setStoreUnavailable(ev.Now, false)
 	case Heard:
-		return s.hear(ev)
+		return s.handleHeartbeat(ev)
 	case Asked:
 		if p := s.peers[ev.From]; p != nil {
-			p.asked = ev.Now
+			p.lastOffer = ev.Now
 		}
 	case Unanswered:
-		return s.unanswered(ev)
+		return s.handleUnanswered(ev)
 	case Nudge:
-		s.nudged = true
-		return s.beats(ev.Now)
+		s.urgentPending = true
+		return s.dueHeartbeats(ev.Now)
 	case crevent.Tick:
 		return s.tick(ev.Now)
 	case crevent.Stopping:
 		s.stopping = true
-		return append(s.beatsTo(slices.Sorted(maps.Keys(s.peers)), ev.Now), s.view(ev.Now))
+		return append(s.heartbeatsTo(slices.Sorted(maps.Keys(s.peers)), ev.Now), s.publishView(ev.Now))
 	}
 	return nil
 }
 
 // planRead takes a plan unless a newer one is in force: a store or a peer that
 // lags behind must never bring a withdrawn key back.
-func (s *State) planRead(ev PlanRead) []crevent.Effect {
+func (s *State) updatePlan(ev PlanRead) []crevent.Effect {
 	if s.plan != nil && ev.Plan.Version() <= s.plan.Version() {
 		return nil
 	}
 	s.plan = ev.Plan
-	return []crevent.Effect{s.view(ev.Now)}
+	return []crevent.Effect{s.publishView(ev.Now)}
 }
 
-func (s *State) list(ev Listed) []crevent.Effect {
-	if ev.Peer && s.listed && ev.Revision <= s.registry.Revision() {
+func (s *State) replaceRecords(ev Listed) []crevent.Effect {
+	if ev.Peer && s.hasRecords && ev.Revision <= s.registry.Revision() {
 		return nil
 	}
 	s.registry.Replace(ev.Now, ev.Changes, ev.Revision)
-	s.listed = true
-	return s.relisted(ev.Now)
+	s.hasRecords = true
+	return s.syncPeers(ev.Now)
 }
 
 // relisted brings the peers in line with the records.
-func (s *State) relisted(now crid.Instant) []crevent.Effect {
+func (s *State) syncPeers(now crid.Instant) []crevent.Effect {
 	for _, p := range s.peers {
-		p.listed, p.recorded = false, false
+		p.known, p.hasRecord = false, false
 	}
 	for _, d := range s.params.Seeds {
 		if p := s.peers[d]; p != nil {
-			p.listed = true
+			p.known = true
 		}
 	}
 	for _, r := range s.registry.Records() {
@@ -174,13 +174,13 @@
 		}
 		p := s.peers[d]
 		if p == nil {
-			p = &peer{since: now}
+			p = &peer{knownSince: now}
 			s.peers[d] = p
 		}
-		p.listed, p.recorded = true, true
+		p.known, p.hasRecord = true, true
 		p.domain = r.Domain
 	}
-	return []crevent.Effect{s.view(now)}
+	return []crevent.Effect{s.publishView(now)}
 }
 
 // DaemonOf returns the daemon beside the target with an address: it has the
@@ -190,25 +190,25 @@
 	return crid.Daemon(host)
 }
 
-func (s *State) hear(ev Heard) []crevent.Effect {
+func (s *State) handleHeartbeat(ev Heard) []crevent.Effect {
 	p := s.peers[ev.From]
 	if p == nil {
 		p = &peer{}
 		s.peers[ev.From] = p
 	}
-	fresh := p.heard == 0 || p.isSilent || !alike(p.beat, ev.Beat)
-	lost := p.heard != 0 && ev.Beat.Lost && !p.beat.Lost
-	p.heard, p.beat, p.isSilent, p.missing, p.dumb = ev.Now, ev.Beat, false, false, false
-	s.noteAhead(ev.Now, p)
+	changed := p.lastHeard == 0 || p.silent || !sameStatus(p.heartbeat, ev.Beat)
+	lost := p.lastHeard != 0 && ev.Beat.Lost && !p.heartbeat.Lost
+	p.lastHeard, p.heartbeat, p.silent, p.overdue, p.unresponsive = ev.Now, ev.Beat, false, false, false
+	s.trackNewer(ev.Now, p)
 	effects := make([]crevent.Effect, 0, 3)
 	if ev.Beat.Target != "" {
 		effects = append(effects, Tell{Target: ev.Beat.Target, Told: ev.Beat.Told()})
 	}
-	if fresh {
-		effects = append(effects, s.view(ev.Now))
+	if changed {
+		effects = append(effects, s.publishView(ev.Now))
 	}
 	if lost {
-		effects = append(effects, s.renew(ev.Now)...)
+		effects = append(effects, s.renewWatches(ev.Now)...)
 	}
 	return append(effects, s.pull(ev.Now)...)
 }
@@ -216,31 +216,31 @@
 func (s *State) tick(now crid.Instant) []crevent.Effect {
 	changed := s.registry.Sweep(now)
 	for d, p := range s.peers {
-		if !p.listed && (p.heard == 0 || now.Sub(p.heard) > forgetPeer) {
+		if !p.known && (p.lastHeard == 0 || now.Sub(p.lastHeard) > peerRetention) {
 			delete(s.peers, d)
 			changed = true
 			continue
 		}
-		if p.since == 0 {
-			p.since = now // a seed
+		if p.knownSince == 0 {
+			p.knownSince = now // a seed
 		}
-		silent, missing := p.dumb || s.silent(now, p), s.overdue(now, p)
-		if silent != p.isSilent || missing != p.missing {
-			p.isSilent, p.missing = silent, missing
+		silent, overdue := p.unresponsive || s.missesHeartbeats(now, p), s.isOverdue(now, p)
+		if silent != p.silent || overdue != p.overdue {
+			p.silent, p.overdue = silent, overdue
 			changed = true
 		}
 	}
-	effects := s.beats(now)
+	effects := s.dueHeartbeats(now)
 	if changed {
-		effects = append(effects, s.view(now))
+		effects = append(effects, s.publishView(now))
 	}
 	return append(effects, s.pull(now)...)
 }
 
-func (s *State) view(_ crid.Instant) UseView {
+func (s *State) publishView(_ crid.Instant) UseView {
 	v := &View{
 		Plan:     s.plan,
-		Listed:   s.listed,
+		Listed:   s.hasRecords,
 		Targets:  make(map[crid.Service][]crplace.Candidate),
 		Size:     1,
 		Known:    1,
@@ -248,8 +248,8 @@
 		Silent:   make(map[crid.Daemon]bool),
 		Stopping: s.stopping,
 		Readers:  s.readers(),
-		Lookers:  s.lookers(),
-		Coming:   s.coming(),
+		Lookers:  s.storeReaders(),
+		Coming:   s.readersPending(),
 	}
 	for _, r := range s.registry.Records() {
 		if r.Address == s.params.Address {
@@ -265,28 +265,28 @@
 	}
 	for _, d := range slices.Sorted(maps.Keys(s.peers)) {
 		p := s.peers[d]
-		if p.listed {
+		if p.known {
 			v.Size++
 		}
-		if s.counts(p) {
+		if s.isMember(p) {
 			v.Known++
 		}
-		if s.counts(p) && !p.isSilent && !p.missing {
+		if s.isMember(p) && !p.silent && !p.overdue {
 			v.Heard++
 		}
-		if p.isSilent {
+		if p.silent {
 			v.Silent[d] = true
 		}
-		if p.beat.Stopping {
+		if p.heartbeat.Stopping {
 			continue
 		}
-		if p.heard != 0 && !p.isSilent {
+		if p.lastHeard != 0 && !p.silent {
 			v.Daemons = append(v.Daemons, d)
 		}
 		if p.mayBeUp() {
 			v.Owners = append(v.Owners, d)
 		}
-		if p.mayBeUp() || p.recorded {
+		if p.mayBeUp() || p.hasRecord {
 			v.Members = append(v.Members, d)
 		}
 	}
--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -30,7 +30,7 @@
 	return p
 }
 
-func listed() crmesh.Listed {
+func recordsListed() crmesh.Listed {
 	ev := crmesh.Listed{Now: start, Revision: 5}
 	for i := 1; i <= 3; i++ {
 		domain := crid.Domain("a")
@@ -77,7 +77,7 @@
 	return n
 }
 
-func beats(effects []crevent.Effect) []crid.Daemon {
+func heartbeats(effects []crevent.Effect) []crid.Daemon {
 	var out []crid.Daemon
 	for _, e := range effects {
 		if b, ok := e.(crmesh.SendBeat); ok {
@@ -89,7 +89,7 @@
 
 // A daemon that lags, or a store that answers from the past, shows an older plan
 // after a newer one is in force. A key that was withdrawn would work again.
-func TestAnOlderPlanNeverComesBack(t *testing.T) {
+func TestOlderPlanIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	g.Expect(views(s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)}))).To(gomega.HaveLen(1))
@@ -99,10 +99,10 @@
 	g.Expect(v[0].Plan.Version()).To(gomega.Equal(uint64(8)))
 }
 
-func TestTheListNamesPeersAndOwnTarget(t *testing.T) {
+func TestRecordsNamePeersAndOwnTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	v := views(s.Step(listed()))[0]
+	v := views(s.Step(recordsListed()))[0]
 	g.Expect(v.Targets["booking"]).To(gomega.HaveLen(3))
 	g.Expect(v.Own.Target).To(gomega.Equal(crid.Target("t1")))
 	g.Expect(v.Size).To(gomega.Equal(4), "itself, two peers and the seed")
@@ -110,11 +110,11 @@
 
 // The store turns this daemon away while a peer reads a newer plan there, with a
 // key withdrawn. Without the peer's copy the key would work on for as long.
-func TestWhatTheStoreDoesNotGiveIsFetchedFromAPeer(t *testing.T) {
+func TestNewerPlanIsPulledFromPeer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)})
-	s.Step(listed())
+	s.Step(recordsListed())
 	s.Step(crmesh.StoreLost{Now: start})
 	newer := crmesh.Beat{Version: 9, Revision: 5}
 	g.Expect(pulls(s.Step(crmesh.Heard{Now: start, From: "10.0.0.2", Beat: newer}))).To(gomega.BeEmpty())
@@ -125,10 +125,10 @@
 }
 
 // Copies are large, and bytes between domains are dear.
-func TestACopyComesFromTheSameDomainIfItCan(t *testing.T) {
+func TestPullPrefersTheSameDomain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(listed())
+	s.Step(recordsListed())
 	newer := crmesh.Beat{Version: 9, Revision: 5}
 	s.Step(crmesh.Heard{Now: start, From: "10.0.0.3", Beat: newer})
 	s.Step(crmesh.Heard{Now: start.Add(100 * time.Millisecond), From: "10.0.0.2", Beat: newer})
@@ -138,11 +138,11 @@
 // Every change reaches the daemons a few milliseconds apart. Were each one that
 // hears of it first by a beat to fetch it from a peer, each change would cost a
 // copy of everything.
-func TestWhatTheStoreBringsIsNotFetched(t *testing.T) {
+func TestNoPullIfTheStoreCatchesUp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)})
-	s.Step(listed())
+	s.Step(recordsListed())
 	s.Step(crmesh.Heard{Now: start, From: "10.0.0.2", Beat: crmesh.Beat{Version: 9, Revision: 6}})
 	s.Step(crmesh.PlanRead{Now: start.Add(400 * time.Millisecond), Plan: plan(t, 9)})
 	s.Step(crmesh.Changed{Now: start.Add(400 * time.Millisecond), Revision: 6})
@@ -151,10 +151,10 @@
 
 // A peer's machine dies. Its target must not be offered requests for as long as
 // its record takes to run out.
-func TestAPeerThatIsNotHeardCountsAsSilent(t *testing.T) {
+func TestPeerWithoutHeartbeatsIsSilent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(listed())
+	s.Step(recordsListed())
 	v := views(s.Step(crmesh.Heard{Now: start, From: "10.0.0.3", Beat: crmesh.Beat{Target: "t3"}}))[0]
 	g.Expect(v.Daemons).To(gomega.Equal([]crid.Daemon{"10.0.0.1", "10.0.0.3"}))
 	g.Expect(views(s.Step(crevent.Tick{Now: start.Add(1100 * time.Millisecond)}))).To(gomega.BeEmpty())
@@ -163,13 +163,13 @@
 	g.Expect(v.Daemons).To(gomega.Equal([]crid.Daemon{"10.0.0.1"}))
 }
 
-func TestBeatsGoOftenNearbyAndSeldomAfar(t *testing.T) {
+func TestHeartbeatIntervalDependsOnDomain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(listed())
+	s.Step(recordsListed())
 	count := map[crid.Daemon]int{}
 	for at := time.Duration(0); at < 10*time.Second; at += 100 * time.Millisecond {
-		for _, d := range beats(s.Step(crevent.Tick{Now: start.Add(at)})) {
+		for _, d := range heartbeats(s.Step(crevent.Tick{Now: start.Add(at)})) {
 			count[d]++
 		}
 	}
@@ -179,27 +179,27 @@
 
 // A target turns sick between two beats. Peers have to know at once, or each of
 // them loses a request there first.
-func TestANudgeSendsABeatToAllAtOnce(t *testing.T) {
+func TestTargetChangeSendsUrgentHeartbeats(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(listed())
+	s.Step(recordsListed())
 	s.Step(crevent.Tick{Now: start})
-	g.Expect(beats(s.Step(crmesh.Nudge{Now: start.Add(60 * time.Millisecond)}))).To(gomega.HaveLen(3))
-	g.Expect(beats(s.Step(crmesh.Nudge{Now: start.Add(70 * time.Millisecond)}))).To(gomega.BeEmpty())
-	g.Expect(beats(s.Step(crevent.Tick{Now: start.Add(120 * time.Millisecond)}))).To(gomega.HaveLen(3), "what was held back")
+	g.Expect(heartbeats(s.Step(crmesh.Nudge{Now: start.Add(60 * time.Millisecond)}))).To(gomega.HaveLen(3))
+	g.Expect(heartbeats(s.Step(crmesh.Nudge{Now: start.Add(70 * time.Millisecond)}))).To(gomega.BeEmpty())
+	g.Expect(heartbeats(s.Step(crevent.Tick{Now: start.Add(120 * time.Millisecond)}))).To(gomega.HaveLen(3), "what was held back")
 }
 
 // A process starts while the store is away. Its seeds are all it knows; through
 // them it learns plan and list.
-func TestAFreshDaemonLearnsFromItsSeeds(t *testing.T) {
+func TestNewDaemonPullsFromSeeds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	g.Expect(beats(s.Step(crevent.Tick{Now: start}))).To(gomega.Equal([]crid.Daemon{"10.0.0.9"}))
+	g.Expect(heartbeats(s.Step(crevent.Tick{Now: start}))).To(gomega.Equal([]crid.Daemon{"10.0.0.9"}))
 	s.Step(crmesh.Heard{Now: start, From: "10.0.0.9", Beat: crmesh.Beat{Version: 3, Revision: 4}})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(700 * time.Millisecond)}))).To(gomega.Equal([]crid.Daemon{"10.0.0.9"}))
 }
 
-func large(n int) crmesh.Listed {
+func largeFleet(n int) crmesh.Listed {
 	ev := crmesh.Listed{Now: start, Revision: 2}
 	for i := range n {
 		domain := crid.Domain("a")
@@ -215,45 +215,45 @@
 
 // Peers of another domain: one that offers requests all the time, and one that does
 // nothing.
-const asking, resting = "10.1.0.2", "10.1.0.3"
+const offeringPeer, idlePeer = "10.1.0.2", "10.1.0.3"
 
 // farBeats plays half a minute of a daemon in a fleet of a size, and counts the beats that
 // the two far peers get.
-func farBeats(n int) (s *crmesh.State, asks, rests int) {
+func remoteHeartbeats(n int) (s *crmesh.State, offering, idle int) {
 	s = crmesh.New(params())
-	s.Step(large(n))
+	s.Step(largeFleet(n))
 	count := map[crid.Daemon]int{}
 	for at := time.Duration(0); at < 30*time.Second; at += 100 * time.Millisecond {
 		now := start.Add(at)
-		s.Step(crmesh.Asked{Now: now, From: asking})
-		for _, d := range beats(s.Step(crevent.Tick{Now: now})) {
+		s.Step(crmesh.Asked{Now: now, From: offeringPeer})
+		for _, d := range heartbeats(s.Step(crevent.Tick{Now: now})) {
 			count[d]++
 		}
 	}
-	return s, count[asking], count[resting]
+	return s, count[offeringPeer], count[idlePeer]
 }
 
 // Beats of each daemon to all others grow with the square of the fleet, and bytes
 // between domains are dear. In a large one, only who offers requests hears often.
-func TestFarPeersOfALargeFleetHearOftenOnlyIfTheyOffer(t *testing.T) {
+func TestLargeFleetSendsOftenOnlyToOfferingRemotePeers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s, asks, rests := farBeats(300)
-	g.Expect(asks).To(gomega.BeNumerically(">=", 23))
-	g.Expect(rests).To(gomega.BeNumerically("<=", 5))
-	g.Expect(rests).To(gomega.BeNumerically(">=", 4), "it must not count this daemon as silent")
-	urgent := beats(s.Step(crmesh.Nudge{Now: start.Add(30050 * time.Millisecond)}))
-	g.Expect(urgent).To(gomega.ContainElement(crid.Daemon(asking)))
-	g.Expect(urgent).NotTo(gomega.ContainElement(crid.Daemon(resting)))
+	s, offering, idle := remoteHeartbeats(300)
+	g.Expect(offering).To(gomega.BeNumerically(">=", 23))
+	g.Expect(idle).To(gomega.BeNumerically("<=", 5))
+	g.Expect(idle).To(gomega.BeNumerically(">=", 4), "it must not count this daemon as silent")
+	urgent := heartbeats(s.Step(crmesh.Nudge{Now: start.Add(30050 * time.Millisecond)}))
+	g.Expect(urgent).To(gomega.ContainElement(crid.Daemon(offeringPeer)))
+	g.Expect(urgent).NotTo(gomega.ContainElement(crid.Daemon(idlePeer)))
 }
 
 // A daemon of a large fleet must not spend its processor on beats.
-func TestBeatsOfALargeFleetStayBounded(t *testing.T) {
+func TestHeartbeatRateOfLargeFleetIsBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(large(1000))
+	s.Step(largeFleet(1000))
 	n := 0
 	for at := time.Duration(0); at < 20*time.Second; at += 100 * time.Millisecond {
-		n += len(beats(s.Step(crevent.Tick{Now: start.Add(at)})))
+		n += len(heartbeats(s.Step(crevent.Tick{Now: start.Add(at)})))
 	}
 	g.Expect(n).To(gomega.BeNumerically("<=", 20*250+1000))
 }
@@ -261,14 +261,14 @@
 // A change reaches one daemon of a domain first, and all others lack it. If they
 // all fetched it there at one time, its link would be full and most would get
 // nothing in time.
-func TestFetchesAreSpreadOverThePeersThatAreAhead(t *testing.T) {
+func TestPullsAreSpreadOverNewerPeers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	from := make(map[crid.Daemon]int)
 	for i := range 200 {
 		p := params()
 		p.Self, p.Seeds = crid.Daemon(fmt.Sprintf("10.9.0.%d", i)), nil
 		s := crmesh.New(p)
-		s.Step(listed())
+		s.Step(recordsListed())
 		for j := 1; j <= 3; j += 2 {
 			s.Step(crmesh.Heard{Now: start, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Beat: crmesh.Beat{Incarnation: 1, Revision: 9}})
 		}
@@ -281,59 +281,59 @@
 }
 
 // The peer asked first does not answer. The next try goes elsewhere as a rule.
-func TestAFetchThatFailsIsTriedElsewhere(t *testing.T) {
+func TestFailedPullIsRetriedAtAnotherPeer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := params()
 	p.Self = "10.0.0.7"
 	s := crmesh.New(p)
-	s.Step(listed())
+	s.Step(recordsListed())
 	for j := 1; j <= 3; j += 2 {
 		s.Step(crmesh.Heard{Now: start, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Beat: crmesh.Beat{Incarnation: 1, Revision: 9}})
 	}
-	asked := make(map[crid.Daemon]bool)
+	from := make(map[crid.Daemon]bool)
 	for now := start.Add(100 * time.Millisecond); now < start.Add(5*time.Second); now = now.Add(100 * time.Millisecond) {
 		for _, d := range pulls(s.Step(crevent.Tick{Now: now})) {
-			asked[d] = true
+			from[d] = true
 		}
 		for j := 1; j <= 3; j += 2 {
 			s.Step(crmesh.Heard{Now: now, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Beat: crmesh.Beat{Incarnation: 1, Revision: 9}})
 		}
 	}
-	g.Expect(asked).To(gomega.HaveLen(2))
+	g.Expect(from).To(gomega.HaveLen(2))
 }
 
 // A daemon starts again and lists at a later revision than its peers, though no
 // record has changed since: the configuration had. If it told that revision, every
 // daemon of the fleet would fetch the whole list from it; a rolling restart of 88
 // daemons brought 750 fetches in half a minute.
-func TestAFreshListDoesNotLookLikeNews(t *testing.T) {
+func TestListingAtLaterRevisionCausesNoPull(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := params()
 	p.Self = "10.0.0.3"
-	fresh := crmesh.New(p)
-	ev := listed()
+	restarted := crmesh.New(p)
+	ev := recordsListed()
 	ev.Revision = 60
-	fresh.Step(ev)
-	var told []crid.Revision
-	for _, eff := range fresh.Step(crevent.Tick{Now: start}) {
+	restarted.Step(ev)
+	var sent []crid.Revision
+	for _, eff := range restarted.Step(crevent.Tick{Now: start}) {
 		if b, ok := eff.(crmesh.SendBeat); ok {
-			told = append(told, b.Revision)
+			sent = append(sent, b.Revision)
 		}
 	}
-	g.Expect(told).NotTo(gomega.BeEmpty())
+	g.Expect(sent).NotTo(gomega.BeEmpty())
 	s := crmesh.New(params())
-	s.Step(listed())
-	s.Step(crmesh.Heard{Now: start, From: "10.0.0.3", Beat: crmesh.Beat{Incarnation: 2, Revision: told[0]}})
+	s.Step(recordsListed())
+	s.Step(crmesh.Heard{Now: start, From: "10.0.0.3", Beat: crmesh.Beat{Incarnation: 2, Revision: sent[0]}})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(time.Second)}))).To(gomega.BeEmpty())
 }
 
 // In a fleet of a hundred machines most bytes between domains are beats to peers that
 // have nothing to do with each other. They hear a few each minute, and those that make
 // offers as often as ever.
-func TestFarPeersOfAFleetOfAHundredHearSeldomIfTheyOfferNothing(t *testing.T) {
+func TestFleetOfHundredSendsSeldomToIdleRemotePeers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, asks, rests := farBeats(100)
-	g.Expect(asks).To(gomega.BeNumerically(">=", 23))
-	g.Expect(rests).To(gomega.BeNumerically("<=", 6))
-	g.Expect(rests).To(gomega.BeNumerically(">=", 4), "it must not count this daemon as silent")
+	_, offering, idle := remoteHeartbeats(100)
+	g.Expect(offering).To(gomega.BeNumerically(">=", 23))
+	g.Expect(idle).To(gomega.BeNumerically("<=", 6))
+	g.Expect(idle).To(gomega.BeNumerically(">=", 4), "it must not count this daemon as silent")
 }
--- a/core/crmesh/peer.go
+++ b/core/crmesh/peer.go
@@ -12,38 +12,38 @@
 
 // peer is what a daemon knows of another one.
 type peer struct {
-	heard    crid.Instant // zero: never
-	beat     Beat
-	listed   bool         // a record or a seed names it
-	recorded bool         // a record names it
-	domain   crid.Domain  // empty: not known
-	sent     crid.Instant // the last beat to it
-	asked    crid.Instant // its last offer; zero: none
-	ahead    crid.Instant // since when it is known to hold what this daemon lacks; zero: it does not
-	version  uint64       // that it held then
-	revision crid.Revision
-	isSilent bool
-	asking   crid.Instant // since when questions to it go unanswered; zero: they do not
-	since    crid.Instant // when it was first known of
-	dumb     bool         // silent since it answers no questions
-	missing  bool         // not heard for as long since then as makes others silent
+	lastHeard       crid.Instant // zero: never
+	heartbeat       Beat
+	known           bool         // a record or a seed names it
+	hasRecord       bool         // a record names it
+	domain          crid.Domain  // empty: not known
+	lastSent        crid.Instant // the last beat to it
+	lastOffer       crid.Instant // its last offer; zero: none
+	aheadSince      crid.Instant // since when it is known to hold what this daemon lacks; zero: it does not
+	version         uint64       // that it held then
+	revision        crid.Revision
+	silent          bool
+	unansweredSince crid.Instant // since when questions to it go unanswered; zero: they do not
+	knownSince      crid.Instant // when it was first known of
+	unresponsive    bool         // silent since it answers no questions
+	overdue         bool         // not heard for as long since then as makes others silent
 }
 
 // noteAhead remembers what a peer holds that this daemon lacks. What the store
 // brings in the meantime settles it.
-func (s *State) noteAhead(now crid.Instant, p *peer) {
-	if p.ahead != 0 && s.lacks(p.version, p.revision) {
+func (s *State) trackNewer(now crid.Instant, p *peer) {
+	if p.aheadSince != 0 && s.lacks(p.version, p.revision) {
 		return
 	}
-	p.ahead = 0
-	if s.lacks(p.beat.Version, p.beat.Revision) {
-		p.ahead, p.version, p.revision = now, p.beat.Version, p.beat.Revision
+	p.aheadSince = 0
+	if s.lacks(p.heartbeat.Version, p.heartbeat.Revision) {
+		p.aheadSince, p.version, p.revision = now, p.heartbeat.Version, p.heartbeat.Revision
 	}
 }
 
 func (s *State) lacks(version uint64, revision crid.Revision) bool {
 	return (version > 0 && (s.plan == nil || version > s.plan.Version())) ||
-		(revision > 0 && (!s.listed || revision > s.registry.Revision()))
+		(revision > 0 && (!s.hasRecords || revision > s.registry.Revision()))
 }
 
 // pull fetches from a peer that holds what this daemon has lacked for a while:
@@ -51,153 +51,153 @@
 // these each daemon has its own order, and another one at each try. If all took
 // the same peer, its link would be full and most of them get nothing in time.
 func (s *State) pull(now crid.Instant) []crevent.Effect {
-	if s.stopping || (s.pulled != 0 && now.Sub(s.pulled) < pullEvery) {
+	if s.stopping || (s.lastPull != 0 && now.Sub(s.lastPull) < pullInterval) {
 		return nil
 	}
 	var best crid.Daemon
 	for d, p := range s.peers {
-		if p.isSilent || p.ahead == 0 || now.Sub(p.ahead) < pullAfter || !s.lacks(p.version, p.revision) {
+		if p.silent || p.aheadSince == 0 || now.Sub(p.aheadSince) < pullDelay || !s.lacks(p.version, p.revision) {
 			continue
 		}
-		if best == "" || s.sooner(d, best) {
+		if best == "" || s.pullsBefore(d, best) {
 			best = d
 		}
 	}
 	if best == "" {
 		return nil
 	}
-	s.pulled = now
-	s.pulls++
-	return append(s.renew(now), Pull{From: best})
+	s.lastPull = now
+	s.pullCount++
+	return append(s.renewWatches(now), Pull{From: best})
 }
 
 // renew sends this daemon's own watches anew when there is reason to hold them for
 // deaf: a peer finds that the store is silent, or knows what they should have told.
 // Each of them would else find out by itself, when its wait is over.
-func (s *State) renew(now crid.Instant) []crevent.Effect {
-	if s.renewed != 0 && now.Sub(s.renewed) < renewEvery {
+func (s *State) renewWatches(now crid.Instant) []crevent.Effect {
+	if s.lastRenewal != 0 && now.Sub(s.lastRenewal) < renewInterval {
 		return nil
 	}
-	s.renewed = now
+	s.lastRenewal = now
 	return []crevent.Effect{Renew{}}
 }
 
 // sooner reports whether a peer is fetched from before another one.
-func (s *State) sooner(a, b crid.Daemon) bool {
-	if near := s.near(s.peers[a]); near != s.near(s.peers[b]) {
-		return near
+func (s *State) pullsBefore(a, b crid.Daemon) bool {
+	if same := s.sameDomain(s.peers[a]); same != s.sameDomain(s.peers[b]) {
+		return same
 	}
-	turn := strconv.Itoa(s.pulls) + string(s.params.Self)
-	return cmp.Or(cmp.Compare(rank(a, turn), rank(b, turn)), cmp.Compare(a, b)) < 0
+	salt := strconv.Itoa(s.pullCount) + string(s.params.Self)
+	return cmp.Or(cmp.Compare(rank(a, salt), rank(b, salt)), cmp.Compare(a, b)) < 0
 }
 
 // silent reports whether a peer that was heard before is not heard any more. One
 // never heard may just have started; its exit will tell.
-func (s *State) silent(now crid.Instant, p *peer) bool {
-	if p.heard == 0 {
+func (s *State) missesHeartbeats(now crid.Instant, p *peer) bool {
+	if p.lastHeard == 0 {
 		return false
 	}
-	return now.Sub(p.heard) > silentBeats*s.idle(p)
+	return now.Sub(p.lastHeard) > missedUntilSilent*s.idleInterval(p)
 }
 
 // unansweredFor is how long a peer may leave questions unanswered, and send no
 // beat, before it counts as silent. Peers of other domains send one each two
 // seconds in a fleet of a hundred, and three missing ones are six seconds in which
 // each of its accounts' requests would wait in vain and be held to a part.
-const unansweredFor = time.Second
+const unansweredTimeout = time.Second
 
 // unanswered counts a peer as silent that has answered no question for a while
 // and sent no beat meanwhile.
-func (s *State) unanswered(ev Unanswered) []crevent.Effect {
+func (s *State) handleUnanswered(ev Unanswered) []crevent.Effect {
 	p := s.peers[ev.By]
-	if p == nil || p.isSilent || p.heard == 0 {
+	if p == nil || p.silent || p.lastHeard == 0 {
 		return nil
 	}
-	if p.asking == 0 || p.heard > p.asking {
-		p.asking = ev.Now
+	if p.unansweredSince == 0 || p.lastHeard > p.unansweredSince {
+		p.unansweredSince = ev.Now
 		return nil
 	}
-	if ev.Now.Sub(p.asking) < unansweredFor {
+	if ev.Now.Sub(p.unansweredSince) < unansweredTimeout {
 		return nil
 	}
-	p.isSilent, p.dumb = true, true
-	return []crevent.Effect{s.view(ev.Now)}
+	p.silent, p.unresponsive = true, true
+	return []crevent.Effect{s.publishView(ev.Now)}
 }
 
 // counts reports whether a peer is known to be of the fleet. A seed without a record may be
 // a machine that is long gone, unless it is heard.
-func (s *State) counts(p *peer) bool {
-	return p.listed && (p.recorded || !s.listed || (p.heard != 0 && !p.isSilent))
+func (s *State) isMember(p *peer) bool {
+	return p.known && (p.hasRecord || !s.hasRecords || (p.lastHeard != 0 && !p.silent))
 }
 
 // mayBeUp reports whether a peer is heard, or a record names it and its first beat may
 // still come. A daemon that has just started would else take itself for the owner of
 // accounts whose owner it has not heard yet.
 func (p *peer) mayBeUp() bool {
-	if p.heard == 0 {
-		return p.recorded && !p.missing
+	if p.lastHeard == 0 {
+		return p.hasRecord && !p.overdue
 	}
-	return !p.isSilent
+	return !p.silent
 }
 
 // overdue reports whether a peer should have been heard by now and never was.
-func (s *State) overdue(now crid.Instant, p *peer) bool {
-	return p.heard == 0 && now.Sub(p.since) > silentBeats*s.idle(p)
+func (s *State) isOverdue(now crid.Instant, p *peer) bool {
+	return p.lastHeard == 0 && now.Sub(p.knownSince) > missedUntilSilent*s.idleInterval(p)
 }
 
-func (s *State) near(p *peer) bool { return p.domain == s.params.Domain }
+func (s *State) sameDomain(p *peer) bool { return p.domain == s.params.Domain }
 
 // interested reports whether a peer wants to know of this daemon's target.
 func (s *State) interested(now crid.Instant, p *peer) bool {
-	return s.near(p) || (p.asked != 0 && now.Sub(p.asked) < askedFor)
+	return s.sameDomain(p) || (p.lastOffer != 0 && now.Sub(p.lastOffer) < interestDuration)
 }
 
 // interval is the time between beats to a peer.
 func (s *State) interval(now crid.Instant, p *peer) time.Duration {
-	if !s.near(p) && s.interested(now, p) {
-		return max(s.params.Far, s.least())
+	if !s.sameDomain(p) && s.interested(now, p) {
+		return max(s.params.Far, s.minInterval())
 	}
-	return s.idle(p)
+	return s.idleInterval(p)
 }
 
 // idle is the time between beats to a peer that offered nothing lately, and so
 // the longest between those that it sends.
-func (s *State) idle(p *peer) time.Duration {
-	if s.near(p) {
-		return max(s.params.Beat, s.least())
+func (s *State) idleInterval(p *peer) time.Duration {
+	if s.sameDomain(p) {
+		return max(s.params.Beat, s.minInterval())
 	}
 	n := time.Duration(len(s.peers))
-	return max(s.params.Far, s.least(), idlePerPeer*n, min(idleShort*n, idlePause))
+	return max(s.params.Far, s.minInterval(), idleIntervalPerPeer*n, min(shortIdleIntervalPerPeer*n, maxShortIdleInterval))
 }
 
 // least keeps a daemon of a large fleet from spending its processor on beats.
-func (s *State) least() time.Duration { return perPeer * time.Duration(len(s.peers)) }
+func (s *State) minInterval() time.Duration { return minIntervalPerPeer * time.Duration(len(s.peers)) }
 
 // beats returns the beats that are due, or all of them after a nudge.
-func (s *State) beats(now crid.Instant) []crevent.Effect {
-	urgent := s.nudged && now.Sub(s.urged) >= urgentEvery
+func (s *State) dueHeartbeats(now crid.Instant) []crevent.Effect {
+	urgent := s.urgentPending && now.Sub(s.lastUrgent) >= urgentInterval
 	if urgent {
-		s.nudged, s.urged = false, now
+		s.urgentPending, s.lastUrgent = false, now
 	}
 	due := make([]crid.Daemon, 0, len(s.peers))
 	for d, p := range s.peers {
-		told := urgent && (len(s.peers) <= crowd || s.interested(now, p))
-		if told || p.sent == 0 || now.Sub(p.sent) >= s.interval(now, p) {
+		send := urgent && (len(s.peers) <= maxUrgentToAll || s.interested(now, p))
+		if send || p.lastSent == 0 || now.Sub(p.lastSent) >= s.interval(now, p) {
 			due = append(due, d)
 		}
 	}
 	slices.Sort(due)
-	return s.beatsTo(due, now)
+	return s.heartbeatsTo(due, now)
 }
 
-func (s *State) beatsTo(to []crid.Daemon, now crid.Instant) []crevent.Effect {
+func (s *State) heartbeatsTo(to []crid.Daemon, now crid.Instant) []crevent.Effect {
 	if len(to) == 0 {
 		return nil
 	}
 	for _, d := range to {
-		s.peers[d].sent = now
+		s.peers[d].lastSent = now
 	}
-	b := SendBeat{To: to, Stopping: s.stopping, Lost: s.lost, Revision: s.registry.Newest()}
+	b := SendBeat{To: to, Stopping: s.stopping, Lost: s.storeUnavailable, Revision: s.registry.Newest()}
 	if s.plan != nil {
 		b.Version = s.plan.Version()
 	}
--- a/core/crmesh/reader.go
+++ b/core/crmesh/reader.go
@@ -14,72 +14,72 @@
 // themselves and for the others there. The store counts each call and its rate
 // does not grow with the fleet, while bytes within a domain cost nothing. With
 // one, its loss would be noticed only by the next beat that fails to come.
-const readersADomain = 2
+const readersPerDomain = 2
 
 // readerTurn is the order of the readers, the same for all daemons.
-const readerTurn = "reader"
+const readerSalt = "reader"
 
 // readers returns the daemons of the own domain that read the store: the first by
 // rank that the store answers, or the first of all in an outage for all. All
 // daemons of a domain choose the same ones as long as they hear the same peers;
 // where they differ for a moment, one that is asked and does not read says so.
 func (s *State) readers() []crid.Daemon {
-	var able, lost []crid.Daemon
-	sort := func(d crid.Daemon, isLost bool) {
-		if isLost {
-			lost = append(lost, d)
+	var available, unavailable []crid.Daemon
+	add := func(d crid.Daemon, storeUnavailable bool) {
+		if storeUnavailable {
+			unavailable = append(unavailable, d)
 			return
 		}
-		able = append(able, d)
+		available = append(available, d)
 	}
-	if s.listed && !s.stopping {
-		sort(s.params.Self, s.lost)
+	if s.hasRecords && !s.stopping {
+		add(s.params.Self, s.storeUnavailable)
 	}
 	for d, p := range s.peers {
-		if s.near(p) && p.listed && p.heard != 0 && !p.isSilent && !p.beat.Stopping && p.beat.Revision > 0 {
-			sort(d, p.beat.Lost)
+		if s.sameDomain(p) && p.known && p.lastHeard != 0 && !p.silent && !p.heartbeat.Stopping && p.heartbeat.Revision > 0 {
+			add(d, p.heartbeat.Lost)
 		}
 	}
-	if len(able) == 0 {
-		able = lost
+	if len(available) == 0 {
+		available = unavailable
 	}
-	slices.SortFunc(able, func(a, b crid.Daemon) int {
-		return cmp.Or(cmp.Compare(rank(a, readerTurn), rank(b, readerTurn)), cmp.Compare(a, b))
+	slices.SortFunc(available, func(a, b crid.Daemon) int {
+		return cmp.Or(cmp.Compare(rank(a, readerSalt), rank(b, readerSalt)), cmp.Compare(a, b))
 	})
-	return able[:min(len(able), readersADomain)]
+	return available[:min(len(available), readersPerDomain)]
 }
 
 // setLost notes whether the store answers this daemon, and tells peers at once:
 // they read through others then.
-func (s *State) setLost(now crid.Instant, lost bool) []crevent.Effect {
-	if s.lost == lost {
+func (s *State) setStoreUnavailable(now crid.Instant, unavailable bool) []crevent.Effect {
+	if s.storeUnavailable == unavailable {
 		return nil
 	}
-	s.lost, s.nudged = lost, true
-	return append(s.beats(now), s.view(now))
+	s.storeUnavailable, s.urgentPending = unavailable, true
+	return append(s.dueHeartbeats(now), s.publishView(now))
 }
 
 // alike reports whether two beats of a peer say the same of its place in the
 // fleet.
-func alike(a, b Beat) bool {
+func sameStatus(a, b Beat) bool {
 	return a.Stopping == b.Stopping && a.Lost == b.Lost && (a.Revision > 0) == (b.Revision > 0)
 }
 
 // rank spreads work over daemons, whatever their addresses are; each turn has an
 // order of its own.
-func rank(d crid.Daemon, turn string) uint64 { return xxhash.Sum64String(string(d) + "\x00" + turn) }
+func rank(d crid.Daemon, salt string) uint64 { return xxhash.Sum64String(string(d) + "\x00" + salt) }
 
 // lookers is the number of daemons of the whole fleet that read the store.
-func (s *State) lookers() int {
+func (s *State) storeReaders() int {
 	members := map[crid.Domain]int{s.params.Domain: 1}
 	for _, p := range s.peers {
-		if p.listed && p.domain != "" {
+		if p.known && p.domain != "" {
 			members[p.domain]++
 		}
 	}
 	n := 0
 	for _, m := range members {
-		n += min(m, readersADomain)
+		n += min(m, readersPerDomain)
 	}
 	return n
 }
@@ -87,12 +87,12 @@
 // coming reports whether peers of the own domain, which may read the store for this
 // daemon, are to be heard for the first time. Without any record they may be, too: the
 // targets of a fleet that starts register a moment after its daemons.
-func (s *State) coming() bool {
+func (s *State) readersPending() bool {
 	if len(s.registry.Records()) == 0 {
 		return true
 	}
 	for _, p := range s.peers {
-		if s.near(p) && p.listed && p.heard == 0 && !p.missing {
+		if s.sameDomain(p) && p.known && p.lastHeard == 0 && !p.overdue {
 			return true
 		}
 	}
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -18,7 +18,7 @@
 
 // domainOf plays the daemons of two domains, each with its own state, and
 // delivers their beats.
-type domainOf struct {
+type cluster struct {
 	names  []crid.Daemon
 	states map[crid.Daemon]*crmesh.State
 	view   map[crid.Daemon]*crmesh.View
@@ -27,8 +27,8 @@
 	list   crmesh.Listed
 }
 
-func newDomains(n int) *domainOf {
-	f := &domainOf{states: make(map[crid.Daemon]*crmesh.State), view: make(map[crid.Daemon]*crmesh.View), dead: make(map[crid.Daemon]bool), params: make(map[crid.Daemon]crmesh.Params)}
+func newCluster(n int) *cluster {
+	f := &cluster{states: make(map[crid.Daemon]*crmesh.State), view: make(map[crid.Daemon]*crmesh.View), dead: make(map[crid.Daemon]bool), params: make(map[crid.Daemon]crmesh.Params)}
 	ev := crmesh.Listed{Now: start, Revision: 5}
 	for i := range n {
 		address := fmt.Sprintf("10.0.1.%d:80", i)
@@ -48,7 +48,7 @@
 	return f
 }
 
-func (f *domainOf) step(d crid.Daemon, ev crevent.Event) {
+func (f *cluster) step(d crid.Daemon, ev crevent.Event) {
 	for _, eff := range f.states[d].Step(ev) {
 		switch eff := eff.(type) {
 		case crmesh.UseView:
@@ -65,7 +65,7 @@
 	}
 }
 
-func (f *domainOf) run(from crid.Instant, d time.Duration) crid.Instant {
+func (f *cluster) run(from crid.Instant, d time.Duration) crid.Instant {
 	for end := from.Add(d); from < end; from = from.Add(100 * time.Millisecond) {
 		for _, name := range f.names {
 			if !f.dead[name] {
@@ -78,9 +78,9 @@
 
 // Each call of the store is paid for, and its rate does not grow with the fleet.
 // Two daemons of a domain read it, and all others there agree on which.
-func TestTwoDaemonsOfADomainReadTheStore(t *testing.T) {
+func TestTwoReadersPerDomain(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(12)
+	f := newCluster(12)
 	f.run(start, time.Second)
 	for i, d := range f.names {
 		g.Expect(f.view[d].Readers).To(gomega.HaveLen(2))
@@ -92,38 +92,38 @@
 
 // A reader dies without a word. The daemons that read through it would learn of
 // nothing more; its beats stop, and within two seconds all have another.
-func TestASilentReaderIsReplaced(t *testing.T) {
+func TestSilentReaderIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(12)
+	f := newCluster(12)
 	now := f.run(start, time.Second)
-	gone := f.view[f.names[0]].Readers[0]
-	f.dead[gone] = true
+	failed := f.view[f.names[0]].Readers[0]
+	f.dead[failed] = true
 	f.run(now, 2*time.Second)
 	for i, d := range f.names {
-		if i%2 == 0 && d != gone {
+		if i%2 == 0 && d != failed {
 			g.Expect(f.view[d].Readers).To(gomega.HaveLen(2))
-			g.Expect(slices.Contains(f.view[d].Readers, gone)).To(gomega.BeFalse())
+			g.Expect(slices.Contains(f.view[d].Readers, failed)).To(gomega.BeFalse())
 		}
 	}
 }
 
 // A reader that stops says so, and is no reader from that moment on.
-func TestAStoppingReaderHandsOver(t *testing.T) {
+func TestStoppingReaderIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(12)
+	f := newCluster(12)
 	now := f.run(start, time.Second)
-	gone := f.view[f.names[0]].Readers[0]
-	f.step(gone, crevent.Stopping{Now: now})
+	stopping := f.view[f.names[0]].Readers[0]
+	f.step(stopping, crevent.Stopping{Now: now})
 	for i, d := range f.names {
 		if i%2 == 0 {
-			g.Expect(f.view[d].Readers).NotTo(gomega.ContainElement(gone))
+			g.Expect(f.view[d].Readers).NotTo(gomega.ContainElement(stopping))
 		}
 	}
 }
 
 // A daemon that has just started knows no list yet: others must not read through
 // it, and it reads the store itself.
-func TestADaemonWithoutAListIsNoReader(t *testing.T) {
+func TestDaemonWithoutRecordsIsNoReader(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	v := views(s.Step(crmesh.Heard{Now: start, From: "10.0.0.3", Beat: crmesh.Beat{Incarnation: 1}}))
@@ -133,44 +133,44 @@
 
 // The store turns a reader away and serves its neighbours. Another daemon of the
 // domain takes its place; the others would else hear of changes late.
-func TestAReaderThatTheStoreTurnsAwayIsReplaced(t *testing.T) {
+func TestReaderWithoutStoreIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(12)
+	f := newCluster(12)
 	now := f.run(start, time.Second)
-	gone := f.view[f.names[0]].Readers[0]
-	f.step(gone, crmesh.StoreLost{Now: now})
+	rejected := f.view[f.names[0]].Readers[0]
+	f.step(rejected, crmesh.StoreLost{Now: now})
 	now = f.run(now, 200*time.Millisecond)
 	for i, d := range f.names {
 		if i%2 == 0 {
 			g.Expect(f.view[d].Readers).To(gomega.HaveLen(2))
-			g.Expect(f.view[d].Readers).NotTo(gomega.ContainElement(gone))
+			g.Expect(f.view[d].Readers).NotTo(gomega.ContainElement(rejected))
 		}
 	}
-	f.step(gone, crmesh.StoreBack{Now: now})
+	f.step(rejected, crmesh.StoreBack{Now: now})
 	f.run(now, 200*time.Millisecond)
-	g.Expect(f.view[f.names[0]].Readers).To(gomega.ContainElement(gone))
+	g.Expect(f.view[f.names[0]].Readers).To(gomega.ContainElement(rejected))
 }
 
 // A daemon hears from its readers that the store is away. It has not tried itself,
 // and does not tell others that the store does not answer it: all daemons of a
 // domain would then say so, and none would take the readers' place.
-func TestADaemonIsLostOnlyByItsOwnCalls(t *testing.T) {
+func TestStoreIsUnavailableOnlyByOwnCalls(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(12)
+	f := newCluster(12)
 	now := f.run(start, time.Second)
-	var reading crid.Daemon
+	var follower crid.Daemon
 	for _, d := range f.names {
 		if !slices.Contains(f.view[d].Readers, d) {
-			reading = d
+			follower = d
 		}
 	}
-	g.Expect(beats(f.states[reading].Step(crmesh.StoreLost{Now: now, Peers: true}))).To(gomega.BeEmpty())
+	g.Expect(heartbeats(f.states[follower].Step(crmesh.StoreLost{Now: now, Peers: true}))).To(gomega.BeEmpty())
 }
 
 // The store is away for all. Two daemons of a domain go on trying for the others.
-func TestInAnOutageForAllTheReadersStay(t *testing.T) {
+func TestReadersStayInFullStoreOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(12)
+	f := newCluster(12)
 	now := f.run(start, time.Second)
 	before := f.view[f.names[0]].Readers
 	for _, d := range f.names {
@@ -184,9 +184,9 @@
 // seconds. Each account must have one owner for all of them; if a stopping daemon
 // kept its accounts for its own callers, an account of 15 a second ran 136 requests
 // in 5 s.
-func TestStoppingDaemonsAgreeOnTheOwners(t *testing.T) {
+func TestStoppingDaemonsAgreeOnOwners(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(6)
+	f := newCluster(6)
 	now := f.run(start, 3*time.Second)
 	for _, d := range f.names[:4] {
 		f.step(d, crevent.Stopping{Now: now})
@@ -198,7 +198,7 @@
 }
 
 // The last daemon of all stops. It keeps the accounts as long as it serves.
-func TestTheLastDaemonKeepsTheAccounts(t *testing.T) {
+func TestLastStoppingDaemonKeepsAccounts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := views(crmesh.New(params()).Step(crevent.Stopping{Now: start}))
 	g.Expect(v[len(v)-1].Daemons).To(gomega.Equal([]crid.Daemon{"10.0.0.1"}))
@@ -207,10 +207,10 @@
 // A daemon has just started, and peers of other domains have not sent it a beat yet:
 // in a fleet of a hundred that takes two seconds. If it took them for cut off, the
 // accounts that it owns would be held to a part of their rate after each restart.
-func TestAFreshDaemonDoesNotTakeItsPeersForCutOff(t *testing.T) {
+func TestNewDaemonCountsPeersBeforeTheirFirstHeartbeat(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	v := views(s.Step(listed()))
+	v := views(s.Step(recordsListed()))
 	g.Expect(v[len(v)-1].Heard).To(gomega.Equal(v[len(v)-1].Known))
 	for at := time.Duration(0); at < 10*time.Second; at += 100 * time.Millisecond {
 		v = append(v, views(s.Step(crevent.Tick{Now: start.Add(at)}))...)
@@ -221,10 +221,10 @@
 // The owner of some accounts loses power. Peers of other domains would miss its
 // beats only after six seconds in a fleet of a hundred, and until then hold its
 // accounts to parts of their rate. Its silence to questions tells sooner.
-func TestAPeerThatAnswersNoQuestionsIsSilentSoon(t *testing.T) {
+func TestPeerWithUnansweredRequestsIsSilentSoon(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(listed())
+	s.Step(recordsListed())
 	s.Step(crmesh.Heard{Now: start, From: "10.0.0.2", Beat: crmesh.Beat{Incarnation: 1, Revision: 5}})
 	g.Expect(s.Step(crmesh.Unanswered{Now: start.Add(100 * time.Millisecond), By: "10.0.0.2"})).To(gomega.BeEmpty())
 	v := views(s.Step(crmesh.Unanswered{Now: start.Add(1200 * time.Millisecond), By: "10.0.0.2"}))
@@ -239,10 +239,10 @@
 
 // The path to an owner is cut for questions and not for its beats. It lives, and
 // others reach it; were it taken for silent, its accounts would have two owners.
-func TestAPeerThatIsHeardIsNotSilent(t *testing.T) {
+func TestPeerWithHeartbeatsIsNotSilent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(listed())
+	s.Step(recordsListed())
 	for at := time.Duration(0); at < 5*time.Second; at += 500 * time.Millisecond {
 		s.Step(crmesh.Heard{Now: start.Add(at), From: "10.0.0.2", Beat: crmesh.Beat{Incarnation: 1, Revision: 5}})
 		g.Expect(s.Step(crmesh.Unanswered{Now: start.Add(at + 100*time.Millisecond), By: "10.0.0.2"})).To(gomega.BeEmpty())
@@ -251,12 +251,12 @@
 
 // Seeds may name machines that are long gone. In a small fleet with three of them
 // accounts would be held to half of their rate for ever.
-func TestSeedsThatAreGoneAreNoPartOfTheFleet(t *testing.T) {
+func TestDeadSeedsAreNotMembers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := params()
 	p.Seeds = []crid.Daemon{"10.0.9.1", "10.0.9.2", "10.0.9.3"}
 	s := crmesh.New(p)
-	v := views(s.Step(listed()))
+	v := views(s.Step(recordsListed()))
 	g.Expect(v[len(v)-1].Known).To(gomega.Equal(3))
 	g.Expect(v[len(v)-1].Heard).To(gomega.Equal(3))
 	v = views(s.Step(crmesh.Heard{Now: start, From: "10.0.9.1", Beat: crmesh.Beat{Incarnation: 1, Revision: 5}}))
@@ -266,7 +266,7 @@
 // All machines of a domain start at one time. Until their beats are heard, each would
 // read the store for itself although a moment later two read it for all; one that
 // stands alone in its domain must not wait for anybody.
-func TestADaemonKnowsWhetherReadersAreToBeHeard(t *testing.T) {
+func TestReadersPending(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(crmesh.Params{Self: "10.0.0.1", Domain: "a", Beat: time.Second, Far: time.Second})
 	view := func(effects []crevent.Effect) *crmesh.View {
@@ -295,44 +295,44 @@
 }
 
 // The store has lost all daemons' watches, and each finds out only when its own wait is over.
-func TestAPeerThatLosesTheStoreRenewsTheWatches(t *testing.T) {
+func TestWatchesAreRenewedWhenPeerLosesStore(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(listed())
-	hear := func(after time.Duration, lost bool) int {
-		return renewals(s.Step(crmesh.Heard{Now: start.Add(after), From: "10.0.0.2", Beat: crmesh.Beat{Lost: lost, Revision: 5}}))
+	s.Step(recordsListed())
+	renewalsAfter := func(after time.Duration, unavailable bool) int {
+		return renewals(s.Step(crmesh.Heard{Now: start.Add(after), From: "10.0.0.2", Beat: crmesh.Beat{Lost: unavailable, Revision: 5}}))
 	}
-	g.Expect(hear(0, true)).To(gomega.BeZero(), "a peer heard for the first time may have lost it long ago")
-	g.Expect(hear(time.Second, false)).To(gomega.BeZero())
-	g.Expect(hear(2*time.Second, true)).To(gomega.Equal(1))
-	g.Expect(hear(2100*time.Millisecond, true)).To(gomega.BeZero(), "told already")
-	g.Expect(hear(2200*time.Millisecond, false)).To(gomega.BeZero())
-	g.Expect(hear(2300*time.Millisecond, true)).To(gomega.BeZero(), "not again at once")
+	g.Expect(renewalsAfter(0, true)).To(gomega.BeZero(), "a peer heard for the first time may have lost it long ago")
+	g.Expect(renewalsAfter(time.Second, false)).To(gomega.BeZero())
+	g.Expect(renewalsAfter(2*time.Second, true)).To(gomega.Equal(1))
+	g.Expect(renewalsAfter(2100*time.Millisecond, true)).To(gomega.BeZero(), "told already")
+	g.Expect(renewalsAfter(2200*time.Millisecond, false)).To(gomega.BeZero())
+	g.Expect(renewalsAfter(2300*time.Millisecond, true)).To(gomega.BeZero(), "not again at once")
 }
 
 // A peer holds what this daemon's own watch should have told long ago.
-func TestWhatHasToBeFetchedRenewsTheWatches(t *testing.T) {
+func TestPullRenewsWatches(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(listed())
+	s.Step(recordsListed())
 	newer := crmesh.Heard{Now: start, From: "10.0.0.2", Beat: crmesh.Beat{Version: 9, Revision: 5}}
 	g.Expect(renewals(s.Step(newer))).To(gomega.BeZero())
 	g.Expect(renewals(s.Step(crevent.Tick{Now: start.Add(700 * time.Millisecond)}))).To(gomega.Equal(1))
 }
 
 // A daemon that has just started grants the tokens of accounts that a peer owns which it has not heard yet.
-func TestAFreshDaemonCountsOnListedPeersThatItHasNotHeardYet(t *testing.T) {
+func TestNewDaemonTreatsRecordedPeersAsOwners(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(6)
+	f := newCluster(6)
 	f.run(start, 3*time.Second)
-	fresh := f.names[2]
-	s := crmesh.New(f.params[fresh])
+	restarted := f.names[2]
+	s := crmesh.New(f.params[restarted])
 	s.Step(f.list)
 	v := views(s.Step(crmesh.Heard{Now: start, From: f.names[0], Beat: crmesh.Beat{Incarnation: 1, Revision: 5}}))
 	for n := range 20 {
 		a := crid.Account("account-" + strconv.Itoa(n))
-		step := v[len(v)-1].TokenStep(a, fresh, crquota.ByCaller)
-		if owner := crquota.Owner(a, f.names); owner != fresh {
+		step := v[len(v)-1].TokenStep(a, restarted, crquota.ByCaller)
+		if owner := crquota.Owner(a, f.names); owner != restarted {
 			g.Expect(step).To(gomega.Equal(crquota.Step{To: owner, As: crquota.ByPeer}))
 		} else {
 			g.Expect(step).To(gomega.Equal(crquota.Step{Grant: true}))
@@ -343,13 +343,13 @@
 	for at := time.Duration(0); at < 10*time.Second; at += 100 * time.Millisecond {
 		v = append(v, views(s.Step(crevent.Tick{Now: start.Add(at)}))...)
 	}
-	g.Expect(v[len(v)-1].Owners).To(gomega.Equal([]crid.Daemon{fresh}), "they were never heard")
+	g.Expect(v[len(v)-1].Owners).To(gomega.Equal([]crid.Daemon{restarted}), "they were never heard")
 }
 
 // All daemons start at one time, and each hands out the whole rate of the accounts to its own callers.
-func TestDaemonsThatHearNobodyHandOutTheRateOnce(t *testing.T) {
+func TestIsolatedDaemonsShareTheRate(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(6)
+	f := newCluster(6)
 	sum := 0.0
 	for _, d := range f.names {
 		sum += f.view[d].Share()
--- a/core/crregistry/crregistry.go
+++ b/core/crregistry/crregistry.go
@@ -41,26 +41,26 @@
 	Record   *Record // nil: removed, or not readable, which names no target
 }
 
-type held struct {
+type entry struct {
 	record   Record
 	revision crid.Revision
-	lapsing  bool // missing after an outage
+	missing  bool // missing after an outage
 }
 
 // Registry is the list of targets. It is not safe for concurrent use.
 type Registry struct {
-	lapse    time.Duration // for which a record missing after an outage is held
-	records  map[string]*held
-	revision crid.Revision
-	newest   crid.Revision
-	down     bool
-	returned crid.Instant // when the store last came back; zero: it was never away
+	grace        time.Duration // for which a record missing after an outage is held
+	records      map[string]*entry
+	revision     crid.Revision
+	latestChange crid.Revision
+	storeDown    bool
+	storeBackAt  crid.Instant // when the store last came back; zero: it was never away
 }
 
 // New returns an empty registry. Lapse is how long a record that went missing in
 // an outage is held after the store's return.
 func New(lapse time.Duration) *Registry {
-	return &Registry{lapse: lapse, records: make(map[string]*held)}
+	return &Registry{grace: lapse, records: make(map[string]*entry)}
 }
 
 // Revision is the store's revision that the registry stands at.
@@ -69,23 +69,23 @@
 // Newest is the revision of the latest change that the registry knows. A list
 // read from the store stands at a later one as a rule, since other parts of the
 // store change, too; peers that know the same changes lack nothing of it.
-func (g *Registry) Newest() crid.Revision { return g.newest }
+func (g *Registry) Newest() crid.Revision { return g.latestChange }
 
 // Lost notes that the store cannot be read.
-func (g *Registry) Lost() { g.down = true }
+func (g *Registry) Lost() { g.storeDown = true }
 
 // Returned notes that the store can be read again.
 func (g *Registry) Returned(now crid.Instant) {
-	if !g.down {
+	if !g.storeDown {
 		return
 	}
-	g.down = false
-	g.returned = now
+	g.storeDown = false
+	g.storeBackAt = now
 }
 
 // unsure reports whether a missing record may belong to a live target.
-func (g *Registry) unsure(now crid.Instant) bool {
-	return g.down || (g.returned != 0 && now.Sub(g.returned) < g.lapse)
+func (g *Registry) inGrace(now crid.Instant) bool {
+	return g.storeDown || (g.storeBackAt != 0 && now.Sub(g.storeBackAt) < g.grace)
 }
 
 // Replace takes a whole list, read at a revision.
@@ -112,7 +112,7 @@
 }
 
 func (g *Registry) apply(now crid.Instant, c Change) {
-	g.newest = max(g.newest, c.Revision)
+	g.latestChange = max(g.latestChange, c.Revision)
 	old := g.records[c.Key]
 	if old != nil && c.Revision < old.revision {
 		return
@@ -121,7 +121,7 @@
 		g.remove(now, c.Key)
 		return
 	}
-	g.records[c.Key] = &held{record: *c.Record, revision: c.Revision}
+	g.records[c.Key] = &entry{record: *c.Record, revision: c.Revision}
 }
 
 func (g *Registry) remove(now crid.Instant, key string) {
@@ -130,8 +130,8 @@
 		return
 	}
 	// A target that said that it leaves, and then went, did not lapse.
-	if g.unsure(now) && !h.record.Leaving {
-		h.lapsing = true
+	if g.inGrace(now) && !h.record.Leaving {
+		h.missing = true
 		return
 	}
 	delete(g.records, key)
@@ -140,18 +140,18 @@
 // Sweep drops the records that stayed missing after an outage; it reports
 // whether there were any.
 func (g *Registry) Sweep(now crid.Instant) bool {
-	if g.unsure(now) {
+	if g.inGrace(now) {
 		return false
 	}
 	before := len(g.records)
-	maps.DeleteFunc(g.records, func(_ string, h *held) bool { return h.lapsing })
+	maps.DeleteFunc(g.records, func(_ string, h *entry) bool { return h.missing })
 	return len(g.records) != before
 }
 
 // Records returns the records sorted by target. Of two at one address the later
 // one counts: the address has passed on, and the other's target is gone.
 func (g *Registry) Records() []Record {
-	latest := make(map[string]*held, len(g.records))
+	latest := make(map[string]*entry, len(g.records))
 	for _, h := range g.records {
 		if other, ok := latest[h.record.Address]; !ok || newer(h, other) {
 			latest[h.record.Address] = h
@@ -165,7 +165,7 @@
 	return out
 }
 
-func newer(a, b *held) bool {
+func newer(a, b *entry) bool {
 	if a.record.Leaving != b.record.Leaving {
 		return b.record.Leaving
 	}
--- a/core/crregistry/crregistry_test.go
+++ b/core/crregistry/crregistry_test.go
@@ -12,7 +12,7 @@
 
 const (
 	start = crid.Instant(time.Hour)
-	lapse = 1700 * time.Millisecond
+	grace = 1700 * time.Millisecond
 )
 
 func record(target crid.Target, address string) *crregistry.Record {
@@ -33,9 +33,9 @@
 
 // A record goes while the store is well: its target leaves, and new work sent
 // there would be lost with it.
-func TestARemovedRecordIsGoneAtOnce(t *testing.T) {
+func TestRemovedRecordIsDropped(t *testing.T) {
 	g := gomega.NewWithT(t)
-	reg := crregistry.New(lapse)
+	reg := crregistry.New(grace)
 	reg.Replace(start, []crregistry.Change{change(2, record("a", "1:1")), change(3, record("b", "2:1"))}, 3)
 	reg.Apply(start, []crregistry.Change{{Key: "servers/a", Revision: 4}}, 4)
 	g.Expect(names(reg)).To(gomega.Equal([]string{"b"}))
@@ -43,23 +43,23 @@
 
 // The store was away, and records ran out although their targets live. Dropping
 // them on its return would leave callers without targets for two seconds.
-func TestRecordsMissingAfterAnOutageAreHeldForAMoment(t *testing.T) {
+func TestMissingRecordsAreKeptForGracePeriod(t *testing.T) {
 	g := gomega.NewWithT(t)
-	reg := crregistry.New(lapse)
+	reg := crregistry.New(grace)
 	reg.Replace(start, []crregistry.Change{change(2, record("a", "1:1")), change(3, record("b", "2:1"))}, 3)
 	reg.Lost()
 	reg.Returned(start.Add(5 * time.Second))
 	reg.Replace(start.Add(5*time.Second), []crregistry.Change{change(3, record("b", "2:1"))}, 9)
 	g.Expect(names(reg)).To(gomega.Equal([]string{"a", "b"}))
 	g.Expect(reg.Sweep(start.Add(6 * time.Second))).To(gomega.BeFalse())
-	g.Expect(reg.Sweep(start.Add(5*time.Second + lapse))).To(gomega.BeTrue())
+	g.Expect(reg.Sweep(start.Add(5*time.Second + grace))).To(gomega.BeTrue())
 	g.Expect(names(reg)).To(gomega.Equal([]string{"b"}))
 }
 
 // A record that comes back in that time stays.
-func TestARecordThatComesBackStays(t *testing.T) {
+func TestRecordWrittenInGracePeriodStays(t *testing.T) {
 	g := gomega.NewWithT(t)
-	reg := crregistry.New(lapse)
+	reg := crregistry.New(grace)
 	reg.Replace(start, []crregistry.Change{change(2, record("a", "1:1"))}, 2)
 	reg.Lost()
 	reg.Returned(start.Add(5 * time.Second))
@@ -71,9 +71,9 @@
 
 // A target said that it leaves, and then went while the store was away. It did
 // not lapse: holding it would send work to a target that has ended.
-func TestALeavingRecordIsNotHeld(t *testing.T) {
+func TestLeavingRecordGetsNoGracePeriod(t *testing.T) {
 	g := gomega.NewWithT(t)
-	reg := crregistry.New(lapse)
+	reg := crregistry.New(grace)
 	leaving := record("a", "1:1")
 	leaving.Leaving = true
 	reg.Replace(start, []crregistry.Change{change(2, leaving)}, 2)
@@ -85,9 +85,9 @@
 
 // An address passes to a target of another service before the old record has
 // gone. Work for the old one would reach a stranger.
-func TestAnAddressBelongsToTheLaterTarget(t *testing.T) {
+func TestAddressBelongsToLaterTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
-	reg := crregistry.New(lapse)
+	reg := crregistry.New(grace)
 	other := record("b", "1:1")
 	other.Service, other.Born = "dispatch", 2
 	reg.Replace(start, []crregistry.Change{change(2, record("a", "1:1")), change(3, other)}, 3)
@@ -96,9 +96,9 @@
 
 // A peer's copy, or a page read earlier, tells of a record as it was before the
 // last change: an older word must not undo a newer one.
-func TestAnOlderWordChangesNothing(t *testing.T) {
+func TestOlderRevisionIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
-	reg := crregistry.New(lapse)
+	reg := crregistry.New(grace)
 	leaving := record("a", "1:1")
 	leaving.Leaving = true
 	reg.Apply(start, []crregistry.Change{change(7, leaving)}, 7)
@@ -108,9 +108,9 @@
 
 // Somebody else wrote over a target's record. It names no target any more; all
 // other records hold.
-func TestAnUnreadableRecordNamesNoTarget(t *testing.T) {
+func TestUnreadableRecordNamesNoTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
-	reg := crregistry.New(lapse)
+	reg := crregistry.New(grace)
 	reg.Replace(start, []crregistry.Change{change(2, record("a", "1:1")), change(3, record("b", "2:1"))}, 3)
 	reg.Apply(start, []crregistry.Change{{Key: "servers/a", Revision: 4}}, 4)
 	g.Expect(names(reg)).To(gomega.Equal([]string{"b"}))
