--- a/core/crmesh/peer.go
+++ b/core/crmesh/peer.go
@@ -164,7 +164,7 @@
 // the longest between those that it sends.
 func (s *State) idleInterval(p *peer) time.Duration {
 	if s.sameDomain(p) {
-		return max(s.params.Beat, s.minInterval())
+		return max(s.params.LocalInterval, s.minInterval())
 	}
 	n := time.Duration(len(s.peers))
 	return max(s.params.Far, s.minInterval(), idleIntervalPerPeer*n, min(shortIdleIntervalPerPeer*n, maxShortIdleInterval))
