--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -65,14 +65,14 @@
 
 // Params are a daemon's settings.
 type Params struct {
-	Self          crid.Daemon // its address without a port
-	Domain        crid.Domain
-	Service       crid.Service
-	Address       string // of its own target
-	Seeds         []crid.Daemon
-	LocalInterval time.Duration // between beats to peers of the same domain
-	Far           time.Duration // between beats to peers elsewhere
-	Lapse         time.Duration // for which a record missing after an outage is held
+	Self           crid.Daemon // its address without a port
+	Domain         crid.Domain
+	Service        crid.Service
+	Address        string // of its own target
+	Seeds          []crid.Daemon
+	LocalInterval  time.Duration // between beats to peers of the same domain
+	RemoteInterval time.Duration // between beats to peers elsewhere
+	Lapse          time.Duration // for which a record missing after an outage is held
 }
 
 // State is what a daemon believes.
--- a/core/crmesh/peer.go
+++ b/core/crmesh/peer.go
@@ -155,7 +155,7 @@
 // interval is the time between beats to a peer.
 func (s *State) interval(now crid.Instant, p *peer) time.Duration {
 	if !s.sameDomain(p) && s.interested(now, p) {
-		return max(s.params.Far, s.minInterval())
+		return max(s.params.RemoteInterval, s.minInterval())
 	}
 	return s.idleInterval(p)
 }
@@ -167,7 +167,7 @@
 		return max(s.params.LocalInterval, s.minInterval())
 	}
 	n := time.Duration(len(s.peers))
-	return max(s.params.Far, s.minInterval(), idleIntervalPerPeer*n, min(shortIdleIntervalPerPeer*n, maxShortIdleInterval))
+	return max(s.params.RemoteInterval, s.minInterval(), idleIntervalPerPeer*n, min(shortIdleIntervalPerPeer*n, maxShortIdleInterval))
 }
 
 // least keeps a daemon of a large fleet from spending its processor on beats.
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -268,7 +268,7 @@
 // stands alone in its domain must not wait for anybody.
 func TestReadersPending(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := crmesh.New(crmesh.Params{Self: "10.0.0.1", Domain: "a", LocalInterval: time.Second, Far: time.Second})
+	s := crmesh.New(crmesh.Params{Self: "10.0.0.1", Domain: "a", LocalInterval: time.Second, RemoteInterval: time.Second})
 	view := func(effects []crevent.Effect) *crmesh.View {
 		for _, e := range effects {
 			if v, ok := e.(crmesh.UseView); ok {
