--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -72,7 +72,7 @@
 	Seeds          []crid.Daemon
 	LocalInterval  time.Duration // between beats to peers of the same domain
 	RemoteInterval time.Duration // between beats to peers elsewhere
-	Lapse          time.Duration // for which a record missing after an outage is held
+	RecordGrace    time.Duration // for which a record missing after an outage is held
 }
 
 // State is what a daemon believes.
@@ -93,7 +93,7 @@
 
 // New returns the state of a daemon that knows nothing but its seeds.
 func New(p Params) *State {
-	s := &State{params: p, registry: crregistry.New(p.Lapse), peers: make(map[crid.Daemon]*peer)}
+	s := &State{params: p, registry: crregistry.New(p.RecordGrace), peers: make(map[crid.Daemon]*peer)}
 	for _, d := range p.Seeds {
 		if d != p.Self {
 			s.peers[d] = &peer{known: true}
--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -19,7 +19,7 @@
 func params() crmesh.Params {
 	return crmesh.Params{
 		Self: "10.0.0.1", Domain: "a", Service: "booking", Address: "10.0.0.1:80", Seeds: []crid.Daemon{"10.0.0.9"},
-		LocalInterval: 400 * time.Millisecond, RemoteInterval: time.Second, Lapse: 1700 * time.Millisecond,
+		LocalInterval: 400 * time.Millisecond, RemoteInterval: time.Second, RecordGrace: 1700 * time.Millisecond,
 	}
 }
 
--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -198,7 +198,7 @@
 func (f *fleet) add(id crid.Daemon, domain crid.Domain) {
 	m := &member{id: id, domain: domain, fleet: f, events: make(chan crevent.Event, 1024), inForce: make(map[uint64]time.Time)}
 	m.state = crmesh.New(crmesh.Params{
-		Self: id, Domain: domain, Service: "s", Address: string(id) + ":1", LocalInterval: beatNear, RemoteInterval: beatFar, Lapse: lapse,
+		Self: id, Domain: domain, Service: "s", Address: string(id) + ":1", LocalInterval: beatNear, RemoteInterval: beatFar, RecordGrace: lapse,
 	})
 	m.view.Store(&crmesh.View{Size: 1, Known: 1, Heard: 1})
 	log := crlog.New(io.Discard, "info", string(id))
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -42,7 +42,7 @@
 	lp := &loop{
 		state: crmesh.New(crmesh.Params{
 			Self: crid.Daemon(s.Address), Domain: s.Domain, Service: s.Service, Address: s.Target, Seeds: seeds(s),
-			LocalInterval: beatNear, RemoteInterval: beatFar, Lapse: s.Bounds.LapseTime(),
+			LocalInterval: beatNear, RemoteInterval: beatFar, RecordGrace: s.Bounds.LapseTime(),
 		}),
 		events: make(chan crevent.Event, eventsWaiting),
 		log:    l,
