--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -197,7 +197,7 @@
 		s.peers[ev.From] = p
 	}
 	changed := p.lastHeard == 0 || p.silent || !sameStatus(p.heartbeat, ev.Beat)
-	lost := p.lastHeard != 0 && ev.Beat.Lost && !p.heartbeat.Lost
+	lost := p.lastHeard != 0 && ev.Beat.StoreUnavailable && !p.heartbeat.StoreUnavailable
 	p.lastHeard, p.heartbeat, p.silent, p.overdue, p.unresponsive = ev.Now, ev.Beat, false, false, false
 	s.trackNewer(ev.Now, p)
 	effects := make([]crevent.Effect, 0, 3)
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -12,18 +12,18 @@
 
 // Beat is what a daemon tells its peers.
 type Beat struct {
-	_             struct{} `cbor:",toarray"`
-	Incarnation   uint64
-	Target        crid.Target // empty: its target is not known
-	Load          int         // requests running and waiting
-	Slots         int
-	Sick          uint8         // probability, of 255
-	TypicalMillis int64         // milliseconds of a request; zero: not known
-	Closed        bool          // its target takes nothing now
-	Stopping      bool          // the daemon is about to end
-	Lost          bool          // the store does not answer it
-	Version       uint64        // of the plan in force
-	Revision      crid.Revision // of the latest change of the list; zero: no list
+	_                struct{} `cbor:",toarray"`
+	Incarnation      uint64
+	Target           crid.Target // empty: its target is not known
+	Load             int         // requests running and waiting
+	Slots            int
+	Sick             uint8         // probability, of 255
+	TypicalMillis    int64         // milliseconds of a request; zero: not known
+	Closed           bool          // its target takes nothing now
+	Stopping         bool          // the daemon is about to end
+	StoreUnavailable bool          // the store does not answer it
+	Version          uint64        // of the plan in force
+	Revision         crid.Revision // of the latest change of the list; zero: no list
 }
 
 // Told is the beat as the board wants it.
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -57,7 +57,7 @@
 			for _, to := range eff.To {
 				if !f.dead[to] && !f.dead[d] {
 					f.step(to, crmesh.Heard{Now: ev.At(), From: d, Beat: crmesh.Beat{
-						Incarnation: 1, Stopping: eff.Stopping, Lost: eff.Lost, Revision: eff.Revision,
+						Incarnation: 1, Stopping: eff.Stopping, StoreUnavailable: eff.Lost, Revision: eff.Revision,
 					}})
 				}
 			}
@@ -300,7 +300,7 @@
 	s := crmesh.New(params())
 	s.Step(recordsListed())
 	renewalsAfter := func(after time.Duration, unavailable bool) int {
-		return renewals(s.Step(crmesh.Heard{Now: start.Add(after), From: "10.0.0.2", Beat: crmesh.Beat{Lost: unavailable, Revision: 5}}))
+		return renewals(s.Step(crmesh.Heard{Now: start.Add(after), From: "10.0.0.2", Beat: crmesh.Beat{StoreUnavailable: unavailable, Revision: 5}}))
 	}
 	g.Expect(renewalsAfter(0, true)).To(gomega.BeZero(), "a peer heard for the first time may have lost it long ago")
 	g.Expect(renewalsAfter(time.Second, false)).To(gomega.BeZero())
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -114,17 +114,17 @@
 func (d *daemon) beat(eff crmesh.SendBeat) crmesh.Beat {
 	told := d.exit.Told()
 	return crmesh.Beat{
-		Incarnation:   d.incarnation,
-		Target:        d.exit.Target(),
-		Load:          told.Load,
-		Slots:         told.Slots,
-		Sick:          uint8(told.Sick * 255),
-		TypicalMillis: told.Typical.Milliseconds(),
-		Closed:        told.Closed,
-		Stopping:      eff.Stopping,
-		Lost:          eff.Lost,
-		Version:       eff.Version,
-		Revision:      eff.Revision,
+		Incarnation:      d.incarnation,
+		Target:           d.exit.Target(),
+		Load:             told.Load,
+		Slots:            told.Slots,
+		Sick:             uint8(told.Sick * 255),
+		TypicalMillis:    told.Typical.Milliseconds(),
+		Closed:           told.Closed,
+		Stopping:         eff.Stopping,
+		StoreUnavailable: eff.Lost,
+		Version:          eff.Version,
+		Revision:         eff.Revision,
 	}
 }
 
