--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -116,7 +116,7 @@
 	s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)})
 	s.Step(recordsListed())
 	s.Step(crmesh.StoreLost{Now: start})
-	newer := crmesh.Beat{Version: 9, Revision: 5}
+	newer := crmesh.Beat{PlanVersion: 9, Revision: 5}
 	g.Expect(pulls(s.Step(crmesh.Heard{Now: start, From: "10.0.0.2", Beat: newer}))).To(gomega.BeEmpty())
 	g.Expect(pulls(s.Step(crmesh.Heard{Now: start.Add(700 * time.Millisecond), From: "10.0.0.2", Beat: newer}))).
 		To(gomega.Equal([]crid.Daemon{"10.0.0.2"}))
@@ -129,7 +129,7 @@
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	s.Step(recordsListed())
-	newer := crmesh.Beat{Version: 9, Revision: 5}
+	newer := crmesh.Beat{PlanVersion: 9, Revision: 5}
 	s.Step(crmesh.Heard{Now: start, From: "10.0.0.3", Beat: newer})
 	s.Step(crmesh.Heard{Now: start.Add(100 * time.Millisecond), From: "10.0.0.2", Beat: newer})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(800 * time.Millisecond)}))).To(gomega.Equal([]crid.Daemon{"10.0.0.3"}))
@@ -143,7 +143,7 @@
 	s := crmesh.New(params())
 	s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)})
 	s.Step(recordsListed())
-	s.Step(crmesh.Heard{Now: start, From: "10.0.0.2", Beat: crmesh.Beat{Version: 9, Revision: 6}})
+	s.Step(crmesh.Heard{Now: start, From: "10.0.0.2", Beat: crmesh.Beat{PlanVersion: 9, Revision: 6}})
 	s.Step(crmesh.PlanRead{Now: start.Add(400 * time.Millisecond), Plan: plan(t, 9)})
 	s.Step(crmesh.Changed{Now: start.Add(400 * time.Millisecond), Revision: 6})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(time.Second)}))).To(gomega.BeEmpty())
@@ -195,7 +195,7 @@
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	g.Expect(heartbeats(s.Step(crevent.Tick{Now: start}))).To(gomega.Equal([]crid.Daemon{"10.0.0.9"}))
-	s.Step(crmesh.Heard{Now: start, From: "10.0.0.9", Beat: crmesh.Beat{Version: 3, Revision: 4}})
+	s.Step(crmesh.Heard{Now: start, From: "10.0.0.9", Beat: crmesh.Beat{PlanVersion: 3, Revision: 4}})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(700 * time.Millisecond)}))).To(gomega.Equal([]crid.Daemon{"10.0.0.9"}))
 }
 
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -22,7 +22,7 @@
 	Closed           bool          // its target takes nothing now
 	Stopping         bool          // the daemon is about to end
 	StoreUnavailable bool          // the store does not answer it
-	Version          uint64        // of the plan in force
+	PlanVersion      uint64        // of the plan in force
 	Revision         crid.Revision // of the latest change of the list; zero: no list
 }
 
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -315,7 +315,7 @@
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	s.Step(recordsListed())
-	newer := crmesh.Heard{Now: start, From: "10.0.0.2", Beat: crmesh.Beat{Version: 9, Revision: 5}}
+	newer := crmesh.Heard{Now: start, From: "10.0.0.2", Beat: crmesh.Beat{PlanVersion: 9, Revision: 5}}
 	g.Expect(renewals(s.Step(newer))).To(gomega.BeZero())
 	g.Expect(renewals(s.Step(crevent.Tick{Now: start.Add(700 * time.Millisecond)}))).To(gomega.Equal(1))
 }
