--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -116,7 +116,7 @@
 	s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)})
 	s.Step(recordsListed())
 	s.Step(crmesh.StoreLost{Now: start})
-	newer := crmesh.Beat{PlanVersion: 9, Revision: 5}
+	newer := crmesh.Beat{PlanVersion: 9, RecordRevision: 5}
 	g.Expect(pulls(s.Step(crmesh.Heard{Now: start, From: "10.0.0.2", Beat: newer}))).To(gomega.BeEmpty())
 	g.Expect(pulls(s.Step(crmesh.Heard{Now: start.Add(700 * time.Millisecond), From: "10.0.0.2", Beat: newer}))).
 		To(gomega.Equal([]crid.Daemon{"10.0.0.2"}))
@@ -129,7 +129,7 @@
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	s.Step(recordsListed())
-	newer := crmesh.Beat{PlanVersion: 9, Revision: 5}
+	newer := crmesh.Beat{PlanVersion: 9, RecordRevision: 5}
 	s.Step(crmesh.Heard{Now: start, From: "10.0.0.3", Beat: newer})
 	s.Step(crmesh.Heard{Now: start.Add(100 * time.Millisecond), From: "10.0.0.2", Beat: newer})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(800 * time.Millisecond)}))).To(gomega.Equal([]crid.Daemon{"10.0.0.3"}))
@@ -143,7 +143,7 @@
 	s := crmesh.New(params())
 	s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)})
 	s.Step(recordsListed())
-	s.Step(crmesh.Heard{Now: start, From: "10.0.0.2", Beat: crmesh.Beat{PlanVersion: 9, Revision: 6}})
+	s.Step(crmesh.Heard{Now: start, From: "10.0.0.2", Beat: crmesh.Beat{PlanVersion: 9, RecordRevision: 6}})
 	s.Step(crmesh.PlanRead{Now: start.Add(400 * time.Millisecond), Plan: plan(t, 9)})
 	s.Step(crmesh.Changed{Now: start.Add(400 * time.Millisecond), Revision: 6})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(time.Second)}))).To(gomega.BeEmpty())
@@ -195,7 +195,7 @@
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	g.Expect(heartbeats(s.Step(crevent.Tick{Now: start}))).To(gomega.Equal([]crid.Daemon{"10.0.0.9"}))
-	s.Step(crmesh.Heard{Now: start, From: "10.0.0.9", Beat: crmesh.Beat{PlanVersion: 3, Revision: 4}})
+	s.Step(crmesh.Heard{Now: start, From: "10.0.0.9", Beat: crmesh.Beat{PlanVersion: 3, RecordRevision: 4}})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(700 * time.Millisecond)}))).To(gomega.Equal([]crid.Daemon{"10.0.0.9"}))
 }
 
@@ -270,7 +270,7 @@
 		s := crmesh.New(p)
 		s.Step(recordsListed())
 		for j := 1; j <= 3; j += 2 {
-			s.Step(crmesh.Heard{Now: start, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Beat: crmesh.Beat{Incarnation: 1, Revision: 9}})
+			s.Step(crmesh.Heard{Now: start, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Beat: crmesh.Beat{Incarnation: 1, RecordRevision: 9}})
 		}
 		for _, d := range pulls(s.Step(crevent.Tick{Now: start.Add(800 * time.Millisecond)})) {
 			from[d]++
@@ -288,7 +288,7 @@
 	s := crmesh.New(p)
 	s.Step(recordsListed())
 	for j := 1; j <= 3; j += 2 {
-		s.Step(crmesh.Heard{Now: start, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Beat: crmesh.Beat{Incarnation: 1, Revision: 9}})
+		s.Step(crmesh.Heard{Now: start, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Beat: crmesh.Beat{Incarnation: 1, RecordRevision: 9}})
 	}
 	from := make(map[crid.Daemon]bool)
 	for now := start.Add(100 * time.Millisecond); now < start.Add(5*time.Second); now = now.Add(100 * time.Millisecond) {
@@ -296,7 +296,7 @@
 			from[d] = true
 		}
 		for j := 1; j <= 3; j += 2 {
-			s.Step(crmesh.Heard{Now: now, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Beat: crmesh.Beat{Incarnation: 1, Revision: 9}})
+			s.Step(crmesh.Heard{Now: now, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Beat: crmesh.Beat{Incarnation: 1, RecordRevision: 9}})
 		}
 	}
 	g.Expect(from).To(gomega.HaveLen(2))
@@ -323,7 +323,7 @@
 	g.Expect(sent).NotTo(gomega.BeEmpty())
 	s := crmesh.New(params())
 	s.Step(recordsListed())
-	s.Step(crmesh.Heard{Now: start, From: "10.0.0.3", Beat: crmesh.Beat{Incarnation: 2, Revision: sent[0]}})
+	s.Step(crmesh.Heard{Now: start, From: "10.0.0.3", Beat: crmesh.Beat{Incarnation: 2, RecordRevision: sent[0]}})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(time.Second)}))).To(gomega.BeEmpty())
 }
 
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -23,7 +23,7 @@
 	Stopping         bool          // the daemon is about to end
 	StoreUnavailable bool          // the store does not answer it
 	PlanVersion      uint64        // of the plan in force
-	Revision         crid.Revision // of the latest change of the list; zero: no list
+	RecordRevision   crid.Revision // of the latest change of the list; zero: no list
 }
 
 // Told is the beat as the board wants it.
--- a/core/crmesh/peer.go
+++ b/core/crmesh/peer.go
@@ -36,8 +36,8 @@
 		return
 	}
 	p.aheadSince = 0
-	if s.lacks(p.heartbeat.PlanVersion, p.heartbeat.Revision) {
-		p.aheadSince, p.version, p.revision = now, p.heartbeat.PlanVersion, p.heartbeat.Revision
+	if s.lacks(p.heartbeat.PlanVersion, p.heartbeat.RecordRevision) {
+		p.aheadSince, p.version, p.revision = now, p.heartbeat.PlanVersion, p.heartbeat.RecordRevision
 	}
 }
 
--- a/core/crmesh/reader.go
+++ b/core/crmesh/reader.go
@@ -36,7 +36,7 @@
 		add(s.params.Self, s.storeUnavailable)
 	}
 	for d, p := range s.peers {
-		if s.sameDomain(p) && p.known && p.lastHeard != 0 && !p.silent && !p.heartbeat.Stopping && p.heartbeat.Revision > 0 {
+		if s.sameDomain(p) && p.known && p.lastHeard != 0 && !p.silent && !p.heartbeat.Stopping && p.heartbeat.RecordRevision > 0 {
 			add(d, p.heartbeat.StoreUnavailable)
 		}
 	}
@@ -62,7 +62,7 @@
 // alike reports whether two beats of a peer say the same of its place in the
 // fleet.
 func sameStatus(a, b Beat) bool {
-	return a.Stopping == b.Stopping && a.StoreUnavailable == b.StoreUnavailable && (a.Revision > 0) == (b.Revision > 0)
+	return a.Stopping == b.Stopping && a.StoreUnavailable == b.StoreUnavailable && (a.RecordRevision > 0) == (b.RecordRevision > 0)
 }
 
 // rank spreads work over daemons, whatever their addresses are; each turn has an
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -124,7 +124,7 @@
 		Stopping:         eff.Stopping,
 		StoreUnavailable: eff.Lost,
 		PlanVersion:      eff.Version,
-		Revision:         eff.Revision,
+		RecordRevision:   eff.Revision,
 	}
 }
 
