--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -202,7 +202,7 @@
 	s.trackNewer(ev.Now, p)
 	effects := make([]crevent.Effect, 0, 3)
 	if ev.Beat.Target != "" {
-		effects = append(effects, Tell{Target: ev.Beat.Target, Told: ev.Beat.Told()})
+		effects = append(effects, Tell{Target: ev.Beat.Target, Told: ev.Beat.TargetStatus()})
 	}
 	if changed {
 		effects = append(effects, s.publishView(ev.Now))
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -26,8 +26,8 @@
 	RecordRevision   crid.Revision // of the latest change of the list; zero: no list
 }
 
-// Told is the beat as the board wants it.
-func (b Beat) Told() crplace.Told {
+// TargetStatus is the beat as the board wants it.
+func (b Beat) TargetStatus() crplace.Told {
 	return crplace.Told{
 		Load:    b.Load,
 		Slots:   b.Slots,
