--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -117,11 +117,11 @@
 	UseView struct{ View *View }
 	// SendBeat sends a beat to peers; the shell fills in the target's state.
 	SendBeat struct {
-		To       []crid.Daemon
-		Stopping bool
-		Lost     bool
-		Version  uint64
-		Revision crid.Revision
+		To               []crid.Daemon
+		Stopping         bool
+		StoreUnavailable bool
+		Version          uint64
+		Revision         crid.Revision
 	}
 	// Tell passes a peer's word on its target to the board.
 	Tell struct {
--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -300,7 +300,7 @@
 	for _, id := range eff.To {
 		d := m.fleet.members[id]
 		b := crmesh.Beat{
-			Incarnation: 1, Target: crid.Target("t-" + m.id), Slots: 1, Stopping: eff.Stopping, StoreUnavailable: eff.Lost,
+			Incarnation: 1, Target: crid.Target("t-" + m.id), Slots: 1, Stopping: eff.Stopping, StoreUnavailable: eff.StoreUnavailable,
 			PlanVersion: eff.Version, RecordRevision: eff.Revision,
 		}
 		time.AfterFunc(m.delay(d), func() {
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -122,7 +122,7 @@
 		TypicalMillis:    told.Typical.Milliseconds(),
 		Closed:           told.Closed,
 		Stopping:         eff.Stopping,
-		StoreUnavailable: eff.Lost,
+		StoreUnavailable: eff.StoreUnavailable,
 		PlanVersion:      eff.Version,
 		RecordRevision:   eff.Revision,
 	}
