--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -120,7 +120,7 @@
 		To               []crid.Daemon
 		Stopping         bool
 		StoreUnavailable bool
-		Version          uint64
+		PlanVersion      uint64
 		Revision         crid.Revision
 	}
 	// Tell passes a peer's word on its target to the board.
--- a/core/crmesh/peer.go
+++ b/core/crmesh/peer.go
@@ -199,7 +199,7 @@
 	}
 	b := SendBeat{To: to, Stopping: s.stopping, StoreUnavailable: s.storeUnavailable, Revision: s.registry.Newest()}
 	if s.plan != nil {
-		b.Version = s.plan.Version()
+		b.PlanVersion = s.plan.Version()
 	}
 	return []crevent.Effect{b}
 }
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -123,7 +123,7 @@
 		Closed:           told.Closed,
 		Stopping:         eff.Stopping,
 		StoreUnavailable: eff.StoreUnavailable,
-		PlanVersion:      eff.Version,
+		PlanVersion:      eff.PlanVersion,
 		RecordRevision:   eff.Revision,
 	}
 }
