--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -317,7 +317,7 @@
 	var sent []crid.Revision
 	for _, eff := range restarted.Step(crevent.Tick{Now: start}) {
 		if b, ok := eff.(crmesh.SendBeat); ok {
-			sent = append(sent, b.Revision)
+			sent = append(sent, b.RecordRevision)
 		}
 	}
 	g.Expect(sent).NotTo(gomega.BeEmpty())
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -121,7 +121,7 @@
 		Stopping         bool
 		StoreUnavailable bool
 		PlanVersion      uint64
-		Revision         crid.Revision
+		RecordRevision   crid.Revision
 	}
 	// Tell passes a peer's word on its target to the board.
 	Tell struct {
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -57,7 +57,7 @@
 			for _, to := range eff.To {
 				if !f.dead[to] && !f.dead[d] {
 					f.step(to, crmesh.Heard{Now: ev.At(), From: d, Beat: crmesh.Beat{
-						Incarnation: 1, Stopping: eff.Stopping, StoreUnavailable: eff.StoreUnavailable, RecordRevision: eff.Revision,
+						Incarnation: 1, Stopping: eff.Stopping, StoreUnavailable: eff.StoreUnavailable, RecordRevision: eff.RecordRevision,
 					}})
 				}
 			}
--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -301,7 +301,7 @@
 		d := m.fleet.members[id]
 		b := crmesh.Beat{
 			Incarnation: 1, Target: crid.Target("t-" + m.id), Slots: 1, Stopping: eff.Stopping, StoreUnavailable: eff.StoreUnavailable,
-			PlanVersion: eff.PlanVersion, RecordRevision: eff.Revision,
+			PlanVersion: eff.PlanVersion, RecordRevision: eff.RecordRevision,
 		}
 		time.AfterFunc(m.delay(d), func() {
 			select {
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -124,7 +124,7 @@
 		Stopping:         eff.Stopping,
 		StoreUnavailable: eff.StoreUnavailable,
 		PlanVersion:      eff.PlanVersion,
-		RecordRevision:   eff.Revision,
+		RecordRevision:   eff.RecordRevision,
 	}
 }
 
