--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -80,7 +80,7 @@
 func heartbeats(effects []crevent.Effect) []crid.Daemon {
 	var out []crid.Daemon
 	for _, e := range effects {
-		if b, ok := e.(crmesh.SendBeat); ok {
+		if b, ok := e.(crmesh.SendHeartbeats); ok {
 			out = append(out, b.To...)
 		}
 	}
@@ -316,7 +316,7 @@
 	restarted.Step(ev)
 	var sent []crid.Revision
 	for _, eff := range restarted.Step(crevent.Tick{Now: start}) {
-		if b, ok := eff.(crmesh.SendBeat); ok {
+		if b, ok := eff.(crmesh.SendHeartbeats); ok {
 			sent = append(sent, b.RecordRevision)
 		}
 	}
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -115,8 +115,8 @@
 type (
 	// UseView gives traffic a new view.
 	UseView struct{ View *View }
-	// SendBeat sends a beat to peers; the shell fills in the target's state.
-	SendBeat struct {
+	// SendHeartbeats sends a beat to peers; the shell fills in the target's state.
+	SendHeartbeats struct {
 		To               []crid.Daemon
 		Stopping         bool
 		StoreUnavailable bool
@@ -138,7 +138,7 @@
 func (UseView) EffectName() string { return "view" }
 
 // EffectName implements crevent.Effect.
-func (SendBeat) EffectName() string { return "beat" }
+func (SendHeartbeats) EffectName() string { return "beat" }
 
 // EffectName implements crevent.Effect.
 func (Tell) EffectName() string { return "tell" }
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -53,7 +53,7 @@
 		switch eff := eff.(type) {
 		case crmesh.UseView:
 			f.view[d] = eff.View
-		case crmesh.SendBeat:
+		case crmesh.SendHeartbeats:
 			for _, to := range eff.To {
 				if !f.dead[to] && !f.dead[d] {
 					f.step(to, crmesh.Heard{Now: ev.At(), From: d, Beat: crmesh.Beat{
--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -257,7 +257,7 @@
 		switch eff := eff.(type) {
 		case crmesh.UseView:
 			m.use(eff.View)
-		case crmesh.SendBeat:
+		case crmesh.SendHeartbeats:
 			m.beat(eff)
 		case crmesh.Pull:
 			go m.pull(ctx, eff.From)
@@ -296,7 +296,7 @@
 	return farDelay
 }
 
-func (m *member) beat(eff crmesh.SendBeat) {
+func (m *member) beat(eff crmesh.SendHeartbeats) {
 	for _, id := range eff.To {
 		d := m.fleet.members[id]
 		b := crmesh.Beat{
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -99,7 +99,7 @@
 		switch eff := eff.(type) {
 		case crmesh.UseView:
 			d.use(eff.View)
-		case crmesh.SendBeat:
+		case crmesh.SendHeartbeats:
 			d.channel.Beat(eff.To, d.beat(eff))
 		case crmesh.Tell:
 			d.board.Tell(eff.Target, eff.Told)
@@ -111,7 +111,7 @@
 	}
 }
 
-func (d *daemon) beat(eff crmesh.SendBeat) crmesh.Beat {
+func (d *daemon) beat(eff crmesh.SendHeartbeats) crmesh.Beat {
 	told := d.exit.Told()
 	return crmesh.Beat{
 		Incarnation:      d.incarnation,
