--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -196,13 +196,13 @@
 		p = &peer{}
 		s.peers[ev.From] = p
 	}
-	changed := p.lastHeard == 0 || p.silent || !sameStatus(p.heartbeat, ev.Beat)
-	lost := p.lastHeard != 0 && ev.Beat.StoreUnavailable && !p.heartbeat.StoreUnavailable
-	p.lastHeard, p.heartbeat, p.silent, p.overdue, p.unresponsive = ev.Now, ev.Beat, false, false, false
+	changed := p.lastHeard == 0 || p.silent || !sameStatus(p.heartbeat, ev.Heartbeat)
+	lost := p.lastHeard != 0 && ev.Heartbeat.StoreUnavailable && !p.heartbeat.StoreUnavailable
+	p.lastHeard, p.heartbeat, p.silent, p.overdue, p.unresponsive = ev.Now, ev.Heartbeat, false, false, false
 	s.trackNewer(ev.Now, p)
 	effects := make([]crevent.Effect, 0, 3)
-	if ev.Beat.Target != "" {
-		effects = append(effects, Tell{Target: ev.Beat.Target, Told: ev.Beat.TargetStatus()})
+	if ev.Heartbeat.Target != "" {
+		effects = append(effects, Tell{Target: ev.Heartbeat.Target, Told: ev.Heartbeat.TargetStatus()})
 	}
 	if changed {
 		effects = append(effects, s.publishView(ev.Now))
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -66,9 +66,9 @@
 	StoreBack struct{ Now crid.Instant }
 	// Heard is a beat of a peer.
 	Heard struct {
-		Now  crid.Instant
-		From crid.Daemon
-		Beat Beat
+		Now       crid.Instant
+		From      crid.Daemon
+		Heartbeat Beat
 	}
 	// Asked tells that a peer has offered a request.
 	Asked struct {
