--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -118,7 +118,7 @@
 	case StoreBack:
 		s.registry.Returned(ev.Now)
 		return s.setStoreUnavailable(ev.Now, false)
-	case Heard:
+	case HeartbeatReceived:
 		return s.handleHeartbeat(ev)
 	case Asked:
 		if p := s.peers[ev.From]; p != nil {
@@ -190,7 +190,7 @@
 	return crid.Daemon(host)
 }
 
-func (s *State) handleHeartbeat(ev Heard) []crevent.Effect {
+func (s *State) handleHeartbeat(ev HeartbeatReceived) []crevent.Effect {
 	p := s.peers[ev.From]
 	if p == nil {
 		p = &peer{}
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -64,8 +64,8 @@
 	}
 	// StoreBack tells that the store can be read again.
 	StoreBack struct{ Now crid.Instant }
-	// Heard is a beat of a peer.
-	Heard struct {
+	// HeartbeatReceived is a beat of a peer.
+	HeartbeatReceived struct {
 		Now       crid.Instant
 		From      crid.Daemon
 		Heartbeat Beat
@@ -100,7 +100,7 @@
 func (e StoreBack) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
-func (e Heard) At() crid.Instant { return e.Now }
+func (e HeartbeatReceived) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
 func (e Asked) At() crid.Instant { return e.Now }
--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -305,7 +305,7 @@
 		}
 		time.AfterFunc(m.delay(d), func() {
 			select {
-			case d.events <- crmesh.Heard{Now: m.fleet.now(), From: m.id, Heartbeat: b}:
+			case d.events <- crmesh.HeartbeatReceived{Now: m.fleet.now(), From: m.id, Heartbeat: b}:
 			default:
 			}
 		})
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -291,7 +291,7 @@
 	return crbeat.Listen(crbeat.Options{
 		Address: peerAddress(opts.Settings),
 		Heard: func(from crid.Daemon, b crmesh.Beat) {
-			loop.emit(crmesh.Heard{Now: crclock.Now(), From: from, Heartbeat: b})
+			loop.emit(crmesh.HeartbeatReceived{Now: crclock.Now(), From: from, Heartbeat: b})
 		},
 		Grant: m.answer,
 	})
