--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -116,7 +116,7 @@
 	s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)})
 	s.Step(recordsListed())
 	s.Step(crmesh.StoreLost{Now: start})
-	newer := crmesh.Beat{PlanVersion: 9, RecordRevision: 5}
+	newer := crmesh.Heartbeat{PlanVersion: 9, RecordRevision: 5}
 	g.Expect(pulls(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.2", Heartbeat: newer}))).To(gomega.BeEmpty())
 	g.Expect(pulls(s.Step(crmesh.HeartbeatReceived{Now: start.Add(700 * time.Millisecond), From: "10.0.0.2", Heartbeat: newer}))).
 		To(gomega.Equal([]crid.Daemon{"10.0.0.2"}))
@@ -129,7 +129,7 @@
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	s.Step(recordsListed())
-	newer := crmesh.Beat{PlanVersion: 9, RecordRevision: 5}
+	newer := crmesh.Heartbeat{PlanVersion: 9, RecordRevision: 5}
 	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.3", Heartbeat: newer})
 	s.Step(crmesh.HeartbeatReceived{Now: start.Add(100 * time.Millisecond), From: "10.0.0.2", Heartbeat: newer})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(800 * time.Millisecond)}))).To(gomega.Equal([]crid.Daemon{"10.0.0.3"}))
@@ -143,7 +143,7 @@
 	s := crmesh.New(params())
 	s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)})
 	s.Step(recordsListed())
-	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.2", Heartbeat: crmesh.Beat{PlanVersion: 9, RecordRevision: 6}})
+	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{PlanVersion: 9, RecordRevision: 6}})
 	s.Step(crmesh.PlanRead{Now: start.Add(400 * time.Millisecond), Plan: plan(t, 9)})
 	s.Step(crmesh.Changed{Now: start.Add(400 * time.Millisecond), Revision: 6})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(time.Second)}))).To(gomega.BeEmpty())
@@ -155,7 +155,7 @@
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	s.Step(recordsListed())
-	v := views(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.3", Heartbeat: crmesh.Beat{Target: "t3"}}))[0]
+	v := views(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.3", Heartbeat: crmesh.Heartbeat{Target: "t3"}}))[0]
 	g.Expect(v.Daemons).To(gomega.Equal([]crid.Daemon{"10.0.0.1", "10.0.0.3"}))
 	g.Expect(views(s.Step(crevent.Tick{Now: start.Add(1100 * time.Millisecond)}))).To(gomega.BeEmpty())
 	v = views(s.Step(crevent.Tick{Now: start.Add(1300 * time.Millisecond)}))[0]
@@ -195,7 +195,7 @@
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	g.Expect(heartbeats(s.Step(crevent.Tick{Now: start}))).To(gomega.Equal([]crid.Daemon{"10.0.0.9"}))
-	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.9", Heartbeat: crmesh.Beat{PlanVersion: 3, RecordRevision: 4}})
+	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.9", Heartbeat: crmesh.Heartbeat{PlanVersion: 3, RecordRevision: 4}})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(700 * time.Millisecond)}))).To(gomega.Equal([]crid.Daemon{"10.0.0.9"}))
 }
 
@@ -270,7 +270,7 @@
 		s := crmesh.New(p)
 		s.Step(recordsListed())
 		for j := 1; j <= 3; j += 2 {
-			s.Step(crmesh.HeartbeatReceived{Now: start, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Heartbeat: crmesh.Beat{Incarnation: 1, RecordRevision: 9}})
+			s.Step(crmesh.HeartbeatReceived{Now: start, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 9}})
 		}
 		for _, d := range pulls(s.Step(crevent.Tick{Now: start.Add(800 * time.Millisecond)})) {
 			from[d]++
@@ -288,7 +288,7 @@
 	s := crmesh.New(p)
 	s.Step(recordsListed())
 	for j := 1; j <= 3; j += 2 {
-		s.Step(crmesh.HeartbeatReceived{Now: start, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Heartbeat: crmesh.Beat{Incarnation: 1, RecordRevision: 9}})
+		s.Step(crmesh.HeartbeatReceived{Now: start, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 9}})
 	}
 	from := make(map[crid.Daemon]bool)
 	for now := start.Add(100 * time.Millisecond); now < start.Add(5*time.Second); now = now.Add(100 * time.Millisecond) {
@@ -296,7 +296,7 @@
 			from[d] = true
 		}
 		for j := 1; j <= 3; j += 2 {
-			s.Step(crmesh.HeartbeatReceived{Now: now, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Heartbeat: crmesh.Beat{Incarnation: 1, RecordRevision: 9}})
+			s.Step(crmesh.HeartbeatReceived{Now: now, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 9}})
 		}
 	}
 	g.Expect(from).To(gomega.HaveLen(2))
@@ -323,7 +323,7 @@
 	g.Expect(sent).NotTo(gomega.BeEmpty())
 	s := crmesh.New(params())
 	s.Step(recordsListed())
-	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.3", Heartbeat: crmesh.Beat{Incarnation: 2, RecordRevision: sent[0]}})
+	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.3", Heartbeat: crmesh.Heartbeat{Incarnation: 2, RecordRevision: sent[0]}})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(time.Second)}))).To(gomega.BeEmpty())
 }
 
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -10,8 +10,8 @@
 	"camphorroad/core/crregistry"
 )
 
-// Beat is what a daemon tells its peers.
-type Beat struct {
+// Heartbeat is what a daemon tells its peers.
+type Heartbeat struct {
 	_                struct{} `cbor:",toarray"`
 	Incarnation      uint64
 	Target           crid.Target // empty: its target is not known
@@ -27,7 +27,7 @@
 }
 
 // TargetStatus is the beat as the board wants it.
-func (b Beat) TargetStatus() crplace.Told {
+func (b Heartbeat) TargetStatus() crplace.Told {
 	return crplace.Told{
 		Load:    b.Load,
 		Slots:   b.Slots,
@@ -68,7 +68,7 @@
 	HeartbeatReceived struct {
 		Now       crid.Instant
 		From      crid.Daemon
-		Heartbeat Beat
+		Heartbeat Heartbeat
 	}
 	// Asked tells that a peer has offered a request.
 	Asked struct {
--- a/core/crmesh/peer.go
+++ b/core/crmesh/peer.go
@@ -13,7 +13,7 @@
 // peer is what a daemon knows of another one.
 type peer struct {
 	lastHeard       crid.Instant // zero: never
-	heartbeat       Beat
+	heartbeat       Heartbeat
 	known           bool         // a record or a seed names it
 	hasRecord       bool         // a record names it
 	domain          crid.Domain  // empty: not known
--- a/core/crmesh/reader.go
+++ b/core/crmesh/reader.go
@@ -61,7 +61,7 @@
 
 // alike reports whether two beats of a peer say the same of its place in the
 // fleet.
-func sameStatus(a, b Beat) bool {
+func sameStatus(a, b Heartbeat) bool {
 	return a.Stopping == b.Stopping && a.StoreUnavailable == b.StoreUnavailable && (a.RecordRevision > 0) == (b.RecordRevision > 0)
 }
 
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -56,7 +56,7 @@
 		case crmesh.SendHeartbeats:
 			for _, to := range eff.To {
 				if !f.dead[to] && !f.dead[d] {
-					f.step(to, crmesh.HeartbeatReceived{Now: ev.At(), From: d, Heartbeat: crmesh.Beat{
+					f.step(to, crmesh.HeartbeatReceived{Now: ev.At(), From: d, Heartbeat: crmesh.Heartbeat{
 						Incarnation: 1, Stopping: eff.Stopping, StoreUnavailable: eff.StoreUnavailable, RecordRevision: eff.RecordRevision,
 					}})
 				}
@@ -126,7 +126,7 @@
 func TestDaemonWithoutRecordsIsNoReader(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	v := views(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.3", Heartbeat: crmesh.Beat{Incarnation: 1}}))
+	v := views(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.3", Heartbeat: crmesh.Heartbeat{Incarnation: 1}}))
 	g.Expect(v).NotTo(gomega.BeEmpty())
 	g.Expect(v[len(v)-1].Readers).To(gomega.BeEmpty())
 }
@@ -225,7 +225,7 @@
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	s.Step(recordsListed())
-	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.2", Heartbeat: crmesh.Beat{Incarnation: 1, RecordRevision: 5}})
+	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}})
 	g.Expect(s.Step(crmesh.Unanswered{Now: start.Add(100 * time.Millisecond), By: "10.0.0.2"})).To(gomega.BeEmpty())
 	v := views(s.Step(crmesh.Unanswered{Now: start.Add(1200 * time.Millisecond), By: "10.0.0.2"}))
 	g.Expect(v).To(gomega.HaveLen(1))
@@ -233,7 +233,7 @@
 	for _, later := range views(s.Step(crevent.Tick{Now: start.Add(1300 * time.Millisecond)})) {
 		g.Expect(later.Silent).To(gomega.HaveKey(crid.Daemon("10.0.0.2")), "it stays silent")
 	}
-	v = views(s.Step(crmesh.HeartbeatReceived{Now: start.Add(1400 * time.Millisecond), From: "10.0.0.2", Heartbeat: crmesh.Beat{Incarnation: 1, RecordRevision: 5}}))
+	v = views(s.Step(crmesh.HeartbeatReceived{Now: start.Add(1400 * time.Millisecond), From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}}))
 	g.Expect(v[0].Silent).To(gomega.BeEmpty())
 }
 
@@ -244,7 +244,7 @@
 	s := crmesh.New(params())
 	s.Step(recordsListed())
 	for at := time.Duration(0); at < 5*time.Second; at += 500 * time.Millisecond {
-		s.Step(crmesh.HeartbeatReceived{Now: start.Add(at), From: "10.0.0.2", Heartbeat: crmesh.Beat{Incarnation: 1, RecordRevision: 5}})
+		s.Step(crmesh.HeartbeatReceived{Now: start.Add(at), From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}})
 		g.Expect(s.Step(crmesh.Unanswered{Now: start.Add(at + 100*time.Millisecond), By: "10.0.0.2"})).To(gomega.BeEmpty())
 	}
 }
@@ -259,7 +259,7 @@
 	v := views(s.Step(recordsListed()))
 	g.Expect(v[len(v)-1].Known).To(gomega.Equal(3))
 	g.Expect(v[len(v)-1].Heard).To(gomega.Equal(3))
-	v = views(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.9.1", Heartbeat: crmesh.Beat{Incarnation: 1, RecordRevision: 5}}))
+	v = views(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.9.1", Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}}))
 	g.Expect(v[len(v)-1].Known).To(gomega.Equal(4))
 }
 
@@ -290,7 +290,7 @@
 	g.Expect(list().Coming).To(gomega.BeTrue())
 	g.Expect(list(own, far).Coming).To(gomega.BeFalse())
 	g.Expect(list(own, far, near).Coming).To(gomega.BeTrue())
-	v := view(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.3", Heartbeat: crmesh.Beat{RecordRevision: 2}}))
+	v := view(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.3", Heartbeat: crmesh.Heartbeat{RecordRevision: 2}}))
 	g.Expect(v.Coming).To(gomega.BeFalse())
 }
 
@@ -300,7 +300,7 @@
 	s := crmesh.New(params())
 	s.Step(recordsListed())
 	renewalsAfter := func(after time.Duration, unavailable bool) int {
-		return renewals(s.Step(crmesh.HeartbeatReceived{Now: start.Add(after), From: "10.0.0.2", Heartbeat: crmesh.Beat{StoreUnavailable: unavailable, RecordRevision: 5}}))
+		return renewals(s.Step(crmesh.HeartbeatReceived{Now: start.Add(after), From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{StoreUnavailable: unavailable, RecordRevision: 5}}))
 	}
 	g.Expect(renewalsAfter(0, true)).To(gomega.BeZero(), "a peer heard for the first time may have lost it long ago")
 	g.Expect(renewalsAfter(time.Second, false)).To(gomega.BeZero())
@@ -315,7 +315,7 @@
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	s.Step(recordsListed())
-	newer := crmesh.HeartbeatReceived{Now: start, From: "10.0.0.2", Heartbeat: crmesh.Beat{PlanVersion: 9, RecordRevision: 5}}
+	newer := crmesh.HeartbeatReceived{Now: start, From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{PlanVersion: 9, RecordRevision: 5}}
 	g.Expect(renewals(s.Step(newer))).To(gomega.BeZero())
 	g.Expect(renewals(s.Step(crevent.Tick{Now: start.Add(700 * time.Millisecond)}))).To(gomega.Equal(1))
 }
@@ -328,7 +328,7 @@
 	restarted := f.names[2]
 	s := crmesh.New(f.params[restarted])
 	s.Step(f.list)
-	v := views(s.Step(crmesh.HeartbeatReceived{Now: start, From: f.names[0], Heartbeat: crmesh.Beat{Incarnation: 1, RecordRevision: 5}}))
+	v := views(s.Step(crmesh.HeartbeatReceived{Now: start, From: f.names[0], Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}}))
 	for n := range 20 {
 		a := crid.Account("account-" + strconv.Itoa(n))
 		step := v[len(v)-1].TokenStep(a, restarted, crquota.ByCaller)
--- a/io/crbeat/crbeat.go
+++ b/io/crbeat/crbeat.go
@@ -47,9 +47,9 @@
 
 // message is what a datagram holds: one of its parts.
 type message struct {
-	Beat   *crmesh.Beat `cbor:"1,keyasint,omitempty"`
-	Ask    *ask         `cbor:"2,keyasint,omitempty"`
-	Answer *answer      `cbor:"3,keyasint,omitempty"`
+	Beat   *crmesh.Heartbeat `cbor:"1,keyasint,omitempty"`
+	Ask    *ask              `cbor:"2,keyasint,omitempty"`
+	Answer *answer           `cbor:"3,keyasint,omitempty"`
 }
 
 type ask struct {
@@ -69,7 +69,7 @@
 // Options are the settings of a channel.
 type Options struct {
 	Address string
-	Heard   func(from crid.Daemon, b crmesh.Beat)
+	Heard   func(from crid.Daemon, b crmesh.Heartbeat)
 	// Grant gives a token, unless another daemon has to be asked.
 	Grant func(a crid.Account, as crquota.Asked) (ok bool, wait time.Duration, mine bool)
 }
@@ -141,7 +141,7 @@
 }
 
 // Beat sends a beat to peers.
-func (c *Channel) Beat(to []crid.Daemon, b crmesh.Beat) {
+func (c *Channel) Beat(to []crid.Daemon, b crmesh.Heartbeat) {
 	data, err := cbor.Marshal(message{Beat: &b})
 	if err != nil {
 		return
--- a/io/crbeat/crbeat_test.go
+++ b/io/crbeat/crbeat_test.go
@@ -19,7 +19,7 @@
 func listen(t *testing.T, host string, port int, grant func(crid.Account, crquota.Asked) (bool, time.Duration, bool)) *crbeat.Channel {
 	t.Helper()
 	c, err := crbeat.Listen(crbeat.Options{
-		Address: fmt.Sprintf("%s:%d", host, port), Heard: func(crid.Daemon, crmesh.Beat) {}, Grant: grant,
+		Address: fmt.Sprintf("%s:%d", host, port), Heard: func(crid.Daemon, crmesh.Heartbeat) {}, Grant: grant,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -299,7 +299,7 @@
 func (m *member) beat(eff crmesh.SendHeartbeats) {
 	for _, id := range eff.To {
 		d := m.fleet.members[id]
-		b := crmesh.Beat{
+		b := crmesh.Heartbeat{
 			Incarnation: 1, Target: crid.Target("t-" + m.id), Slots: 1, Stopping: eff.Stopping, StoreUnavailable: eff.StoreUnavailable,
 			PlanVersion: eff.PlanVersion, RecordRevision: eff.RecordRevision,
 		}
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -290,7 +290,7 @@
 func newChannel(opts Options, loop *loop, m *ownerMeter) (*crbeat.Channel, error) {
 	return crbeat.Listen(crbeat.Options{
 		Address: peerAddress(opts.Settings),
-		Heard: func(from crid.Daemon, b crmesh.Beat) {
+		Heard: func(from crid.Daemon, b crmesh.Heartbeat) {
 			loop.emit(crmesh.HeartbeatReceived{Now: crclock.Now(), From: from, Heartbeat: b})
 		},
 		Grant: m.answer,
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -111,9 +111,9 @@
 	}
 }
 
-func (d *daemon) beat(eff crmesh.SendHeartbeats) crmesh.Beat {
+func (d *daemon) beat(eff crmesh.SendHeartbeats) crmesh.Heartbeat {
 	told := d.exit.Told()
-	return crmesh.Beat{
+	return crmesh.Heartbeat{
 		Incarnation:      d.incarnation,
 		Target:           d.exit.Target(),
 		Load:             told.Load,
