--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -105,7 +105,7 @@
 // Step takes an event and returns what is to be done.
 func (s *State) Step(ev crevent.Event) []crevent.Effect {
 	switch ev := ev.(type) {
-	case PlanRead:
+	case PlanReceived:
 		return s.updatePlan(ev)
 	case Listed:
 		return s.replaceRecords(ev)
@@ -140,7 +140,7 @@
 
 // planRead takes a plan unless a newer one is in force: a store or a peer that
 // lags behind must never bring a withdrawn key back.
-func (s *State) updatePlan(ev PlanRead) []crevent.Effect {
+func (s *State) updatePlan(ev PlanReceived) []crevent.Effect {
 	if s.plan != nil && ev.Plan.Version() <= s.plan.Version() {
 		return nil
 	}
--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -92,10 +92,10 @@
 func TestOlderPlanIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	g.Expect(views(s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)}))).To(gomega.HaveLen(1))
-	g.Expect(s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 5)})).To(gomega.BeEmpty())
-	g.Expect(s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)})).To(gomega.BeEmpty())
-	v := views(s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 8)}))
+	g.Expect(views(s.Step(crmesh.PlanReceived{Now: start, Plan: plan(t, 7)}))).To(gomega.HaveLen(1))
+	g.Expect(s.Step(crmesh.PlanReceived{Now: start, Plan: plan(t, 5)})).To(gomega.BeEmpty())
+	g.Expect(s.Step(crmesh.PlanReceived{Now: start, Plan: plan(t, 7)})).To(gomega.BeEmpty())
+	v := views(s.Step(crmesh.PlanReceived{Now: start, Plan: plan(t, 8)}))
 	g.Expect(v[0].Plan.Version()).To(gomega.Equal(uint64(8)))
 }
 
@@ -113,7 +113,7 @@
 func TestNewerPlanIsPulledFromPeer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)})
+	s.Step(crmesh.PlanReceived{Now: start, Plan: plan(t, 7)})
 	s.Step(recordsListed())
 	s.Step(crmesh.StoreLost{Now: start})
 	newer := crmesh.Heartbeat{PlanVersion: 9, RecordRevision: 5}
@@ -141,10 +141,10 @@
 func TestNoPullIfTheStoreCatchesUp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)})
+	s.Step(crmesh.PlanReceived{Now: start, Plan: plan(t, 7)})
 	s.Step(recordsListed())
 	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{PlanVersion: 9, RecordRevision: 6}})
-	s.Step(crmesh.PlanRead{Now: start.Add(400 * time.Millisecond), Plan: plan(t, 9)})
+	s.Step(crmesh.PlanReceived{Now: start.Add(400 * time.Millisecond), Plan: plan(t, 9)})
 	s.Step(crmesh.Changed{Now: start.Add(400 * time.Millisecond), Revision: 6})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(time.Second)}))).To(gomega.BeEmpty())
 }
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -39,8 +39,8 @@
 
 // Events.
 type (
-	// PlanRead is a plan read from the store or fetched from a peer.
-	PlanRead struct {
+	// PlanReceived is a plan read from the store or fetched from a peer.
+	PlanReceived struct {
 		Now  crid.Instant
 		Plan *crplan.Plan
 	}
@@ -85,7 +85,7 @@
 )
 
 // At implements crevent.Event.
-func (e PlanRead) At() crid.Instant { return e.Now }
+func (e PlanReceived) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
 func (e Listed) At() crid.Instant { return e.Now }
--- a/io/crwatch/crwatch.go
+++ b/io/crwatch/crwatch.go
@@ -232,7 +232,7 @@
 	f.mu.Lock()
 	f.store(Configuration, []Item{i}, i.Revision, false)
 	f.mu.Unlock()
-	f.opts.Emit(crmesh.PlanRead{Now: now, Plan: p})
+	f.opts.Emit(crmesh.PlanReceived{Now: now, Plan: p})
 }
 
 func revision(r crid.Revision) string { return strconv.FormatUint(uint64(r), 10) }
