--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -149,7 +149,7 @@
 }
 
 func (s *State) replaceRecords(ev Listed) []crevent.Effect {
-	if ev.Peer && s.hasRecords && ev.Revision <= s.registry.Revision() {
+	if ev.FromPeer && s.hasRecords && ev.Revision <= s.registry.Revision() {
 		return nil
 	}
 	s.registry.Replace(ev.Now, ev.Changes, ev.Revision)
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -49,7 +49,7 @@
 		Now      crid.Instant
 		Changes  []crregistry.Change
 		Revision crid.Revision
-		Peer     bool // fetched from a peer
+		FromPeer bool // fetched from a peer
 	}
 	// Changed are changes of the list that follow on the last revision.
 	Changed struct {
