--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -107,7 +107,7 @@
 	switch ev := ev.(type) {
 	case PlanReceived:
 		return s.updatePlan(ev)
-	case Listed:
+	case RecordsListed:
 		return s.replaceRecords(ev)
 	case Changed:
 		s.registry.Apply(ev.Now, ev.Changes, ev.Revision)
@@ -148,7 +148,7 @@
 	return []crevent.Effect{s.publishView(ev.Now)}
 }
 
-func (s *State) replaceRecords(ev Listed) []crevent.Effect {
+func (s *State) replaceRecords(ev RecordsListed) []crevent.Effect {
 	if ev.FromPeer && s.hasRecords && ev.Revision <= s.registry.Revision() {
 		return nil
 	}
--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -30,8 +30,8 @@
 	return p
 }
 
-func recordsListed() crmesh.Listed {
-	ev := crmesh.Listed{Now: start, Revision: 5}
+func recordsListed() crmesh.RecordsListed {
+	ev := crmesh.RecordsListed{Now: start, Revision: 5}
 	for i := 1; i <= 3; i++ {
 		domain := crid.Domain("a")
 		if i%2 == 0 {
@@ -199,8 +199,8 @@
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(700 * time.Millisecond)}))).To(gomega.Equal([]crid.Daemon{"10.0.0.9"}))
 }
 
-func largeFleet(n int) crmesh.Listed {
-	ev := crmesh.Listed{Now: start, Revision: 2}
+func largeFleet(n int) crmesh.RecordsListed {
+	ev := crmesh.RecordsListed{Now: start, Revision: 2}
 	for i := range n {
 		domain := crid.Domain("a")
 		if i%4 != 0 {
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -44,8 +44,8 @@
 		Now  crid.Instant
 		Plan *crplan.Plan
 	}
-	// Listed is the whole list of records, read at a revision.
-	Listed struct {
+	// RecordsListed is the whole list of records, read at a revision.
+	RecordsListed struct {
 		Now      crid.Instant
 		Changes  []crregistry.Change
 		Revision crid.Revision
@@ -88,7 +88,7 @@
 func (e PlanReceived) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
-func (e Listed) At() crid.Instant { return e.Now }
+func (e RecordsListed) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
 func (e Changed) At() crid.Instant { return e.Now }
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -24,12 +24,12 @@
 	view   map[crid.Daemon]*crmesh.View
 	dead   map[crid.Daemon]bool
 	params map[crid.Daemon]crmesh.Params
-	list   crmesh.Listed
+	list   crmesh.RecordsListed
 }
 
 func newCluster(n int) *cluster {
 	f := &cluster{states: make(map[crid.Daemon]*crmesh.State), view: make(map[crid.Daemon]*crmesh.View), dead: make(map[crid.Daemon]bool), params: make(map[crid.Daemon]crmesh.Params)}
-	ev := crmesh.Listed{Now: start, Revision: 5}
+	ev := crmesh.RecordsListed{Now: start, Revision: 5}
 	for i := range n {
 		address := fmt.Sprintf("10.0.1.%d:80", i)
 		target := crid.Target(fmt.Sprintf("t%d", i))
@@ -282,7 +282,7 @@
 		for i := range records {
 			changes = append(changes, crregistry.Change{Key: string(records[i].Target), Revision: 1, Record: &records[i]})
 		}
-		return view(s.Step(crmesh.Listed{Now: start, Changes: changes, Revision: 2}))
+		return view(s.Step(crmesh.RecordsListed{Now: start, Changes: changes, Revision: 2}))
 	}
 	own := crregistry.Record{Target: "t1", Service: "s", Address: "10.0.0.1:80", Domain: "a", Slots: 1}
 	far := crregistry.Record{Target: "t2", Service: "s", Address: "10.0.0.2:80", Domain: "b", Slots: 1}
--- a/io/crwatch/copy.go
+++ b/io/crwatch/copy.go
@@ -69,7 +69,7 @@
 	}
 	f.mu.Unlock()
 	if newer {
-		f.opts.Emit(crmesh.Listed{Now: now, Changes: f.changes(c.Records), Revision: c.RecordsRevision, FromPeer: true})
+		f.opts.Emit(crmesh.RecordsListed{Now: now, Changes: f.changes(c.Records), Revision: c.RecordsRevision, FromPeer: true})
 	}
 	return nil
 }
--- a/io/crwatch/track.go
+++ b/io/crwatch/track.go
@@ -157,7 +157,7 @@
 	t.mu.Unlock()
 	changes := t.changes(items)
 	if whole {
-		t.opts.Emit(crmesh.Listed{Now: now, Changes: changes, Revision: at})
+		t.opts.Emit(crmesh.RecordsListed{Now: now, Changes: changes, Revision: at})
 		return
 	}
 	t.opts.Emit(crmesh.Changed{Now: now, Changes: changes, Revision: at})
