--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -109,7 +109,7 @@
 		return s.updatePlan(ev)
 	case RecordsListed:
 		return s.replaceRecords(ev)
-	case Changed:
+	case RecordsChanged:
 		s.registry.Apply(ev.Now, ev.Changes, ev.Revision)
 		return s.syncPeers(ev.Now)
 	case StoreLost:
--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -145,7 +145,7 @@
 	s.Step(recordsListed())
 	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{PlanVersion: 9, RecordRevision: 6}})
 	s.Step(crmesh.PlanReceived{Now: start.Add(400 * time.Millisecond), Plan: plan(t, 9)})
-	s.Step(crmesh.Changed{Now: start.Add(400 * time.Millisecond), Revision: 6})
+	s.Step(crmesh.RecordsChanged{Now: start.Add(400 * time.Millisecond), Revision: 6})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(time.Second)}))).To(gomega.BeEmpty())
 }
 
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -51,8 +51,8 @@
 		Revision crid.Revision
 		FromPeer bool // fetched from a peer
 	}
-	// Changed are changes of the list that follow on the last revision.
-	Changed struct {
+	// RecordsChanged are changes of the list that follow on the last revision.
+	RecordsChanged struct {
 		Now      crid.Instant
 		Changes  []crregistry.Change
 		Revision crid.Revision
@@ -91,7 +91,7 @@
 func (e RecordsListed) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
-func (e Changed) At() crid.Instant { return e.Now }
+func (e RecordsChanged) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
 func (e StoreLost) At() crid.Instant { return e.Now }
--- a/io/crwatch/track.go
+++ b/io/crwatch/track.go
@@ -160,7 +160,7 @@
 		t.opts.Emit(crmesh.RecordsListed{Now: now, Changes: changes, Revision: at})
 		return
 	}
-	t.opts.Emit(crmesh.Changed{Now: now, Changes: changes, Revision: at})
+	t.opts.Emit(crmesh.RecordsChanged{Now: now, Changes: changes, Revision: at})
 }
 
 // succeeded notes that the store has answered. Peers are told so only when its answer
