--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -114,7 +114,7 @@
 		return s.syncPeers(ev.Now)
 	case StoreLost:
 		s.registry.Lost()
-		return s.setStoreUnavailable(ev.Now, !ev.Peers)
+		return s.setStoreUnavailable(ev.Now, !ev.ReportedByPeers)
 	case StoreBack:
 		s.registry.Returned(ev.Now)
 		return s.setStoreUnavailable(ev.Now, false)
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -59,8 +59,8 @@
 	}
 	// StoreLost tells that the store cannot be read.
 	StoreLost struct {
-		Now   crid.Instant
-		Peers bool // as peers say that read it; this daemon has not tried itself
+		Now             crid.Instant
+		ReportedByPeers bool // as peers say that read it; this daemon has not tried itself
 	}
 	// StoreBack tells that the store can be read again.
 	StoreBack struct{ Now crid.Instant }
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -164,7 +164,7 @@
 			follower = d
 		}
 	}
-	g.Expect(heartbeats(f.states[follower].Step(crmesh.StoreLost{Now: now, Peers: true}))).To(gomega.BeEmpty())
+	g.Expect(heartbeats(f.states[follower].Step(crmesh.StoreLost{Now: now, ReportedByPeers: true}))).To(gomega.BeEmpty())
 }
 
 // The store is away for all. Two daemons of a domain go on trying for the others.
