--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -112,7 +112,7 @@
 	case RecordsChanged:
 		s.registry.Apply(ev.Now, ev.Changes, ev.Revision)
 		return s.syncPeers(ev.Now)
-	case StoreLost:
+	case StoreUnavailable:
 		s.registry.Lost()
 		return s.setStoreUnavailable(ev.Now, !ev.ReportedByPeers)
 	case StoreBack:
--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -115,7 +115,7 @@
 	s := crmesh.New(params())
 	s.Step(crmesh.PlanReceived{Now: start, Plan: plan(t, 7)})
 	s.Step(recordsListed())
-	s.Step(crmesh.StoreLost{Now: start})
+	s.Step(crmesh.StoreUnavailable{Now: start})
 	newer := crmesh.Heartbeat{PlanVersion: 9, RecordRevision: 5}
 	g.Expect(pulls(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.2", Heartbeat: newer}))).To(gomega.BeEmpty())
 	g.Expect(pulls(s.Step(crmesh.HeartbeatReceived{Now: start.Add(700 * time.Millisecond), From: "10.0.0.2", Heartbeat: newer}))).
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -57,8 +57,8 @@
 		Changes  []crregistry.Change
 		Revision crid.Revision
 	}
-	// StoreLost tells that the store cannot be read.
-	StoreLost struct {
+	// StoreUnavailable tells that the store cannot be read.
+	StoreUnavailable struct {
 		Now             crid.Instant
 		ReportedByPeers bool // as peers say that read it; this daemon has not tried itself
 	}
@@ -94,7 +94,7 @@
 func (e RecordsChanged) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
-func (e StoreLost) At() crid.Instant { return e.Now }
+func (e StoreUnavailable) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
 func (e StoreBack) At() crid.Instant { return e.Now }
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -138,7 +138,7 @@
 	f := newCluster(12)
 	now := f.run(start, time.Second)
 	rejected := f.view[f.names[0]].Readers[0]
-	f.step(rejected, crmesh.StoreLost{Now: now})
+	f.step(rejected, crmesh.StoreUnavailable{Now: now})
 	now = f.run(now, 200*time.Millisecond)
 	for i, d := range f.names {
 		if i%2 == 0 {
@@ -164,7 +164,7 @@
 			follower = d
 		}
 	}
-	g.Expect(heartbeats(f.states[follower].Step(crmesh.StoreLost{Now: now, ReportedByPeers: true}))).To(gomega.BeEmpty())
+	g.Expect(heartbeats(f.states[follower].Step(crmesh.StoreUnavailable{Now: now, ReportedByPeers: true}))).To(gomega.BeEmpty())
 }
 
 // The store is away for all. Two daemons of a domain go on trying for the others.
@@ -174,7 +174,7 @@
 	now := f.run(start, time.Second)
 	before := f.view[f.names[0]].Readers
 	for _, d := range f.names {
-		f.step(d, crmesh.StoreLost{Now: now})
+		f.step(d, crmesh.StoreUnavailable{Now: now})
 	}
 	f.run(now, 200*time.Millisecond)
 	g.Expect(f.view[f.names[0]].Readers).To(gomega.Equal(before))
--- a/io/crwatch/track.go
+++ b/io/crwatch/track.go
@@ -228,7 +228,7 @@
 	}
 	now := t.opts.Clock()
 	if down {
-		t.opts.Emit(crmesh.StoreLost{Now: now, ReportedByPeers: peers})
+		t.opts.Emit(crmesh.StoreUnavailable{Now: now, ReportedByPeers: peers})
 		return
 	}
 	t.opts.Emit(crmesh.StoreBack{Now: now})
