--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -115,7 +115,7 @@
 	case StoreUnavailable:
 		s.registry.Lost()
 		return s.setStoreUnavailable(ev.Now, !ev.ReportedByPeers)
-	case StoreBack:
+	case StoreAvailable:
 		s.registry.Returned(ev.Now)
 		return s.setStoreUnavailable(ev.Now, false)
 	case HeartbeatReceived:
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -62,8 +62,8 @@
 		Now             crid.Instant
 		ReportedByPeers bool // as peers say that read it; this daemon has not tried itself
 	}
-	// StoreBack tells that the store can be read again.
-	StoreBack struct{ Now crid.Instant }
+	// StoreAvailable tells that the store can be read again.
+	StoreAvailable struct{ Now crid.Instant }
 	// HeartbeatReceived is a beat of a peer.
 	HeartbeatReceived struct {
 		Now       crid.Instant
@@ -97,7 +97,7 @@
 func (e StoreUnavailable) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
-func (e StoreBack) At() crid.Instant { return e.Now }
+func (e StoreAvailable) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
 func (e HeartbeatReceived) At() crid.Instant { return e.Now }
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -146,7 +146,7 @@
 			g.Expect(f.view[d].Readers).NotTo(gomega.ContainElement(rejected))
 		}
 	}
-	f.step(rejected, crmesh.StoreBack{Now: now})
+	f.step(rejected, crmesh.StoreAvailable{Now: now})
 	f.run(now, 200*time.Millisecond)
 	g.Expect(f.view[f.names[0]].Readers).To(gomega.ContainElement(rejected))
 }
--- a/io/crwatch/history_test.go
+++ b/io/crwatch/history_test.go
@@ -248,7 +248,7 @@
 	f = crwatch.New(crwatch.Options{
 		Store: s, Decoder: decoder{}, Clock: crclock.Now, Lookers: func() int { return 1 }, Log: crlog.New(q, "info", "test"),
 		Emit: func(ev crevent.Event) {
-			if _, ok := ev.(crmesh.StoreBack); !ok {
+			if _, ok := ev.(crmesh.StoreAvailable); !ok {
 				return
 			}
 			items, _, err := f.Held(crwatch.Records)
--- a/io/crwatch/track.go
+++ b/io/crwatch/track.go
@@ -231,7 +231,7 @@
 		t.opts.Emit(crmesh.StoreUnavailable{Now: now, ReportedByPeers: peers})
 		return
 	}
-	t.opts.Emit(crmesh.StoreBack{Now: now})
+	t.opts.Emit(crmesh.StoreAvailable{Now: now})
 }
 
 func rounded(d time.Duration) string { return d.Round(time.Millisecond).String() }
