--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -120,7 +120,7 @@
 		return s.setStoreUnavailable(ev.Now, false)
 	case HeartbeatReceived:
 		return s.handleHeartbeat(ev)
-	case Asked:
+	case OfferReceived:
 		if p := s.peers[ev.From]; p != nil {
 			p.lastOffer = ev.Now
 		}
--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -225,7 +225,7 @@
 	count := map[crid.Daemon]int{}
 	for at := time.Duration(0); at < 30*time.Second; at += 100 * time.Millisecond {
 		now := start.Add(at)
-		s.Step(crmesh.Asked{Now: now, From: offeringPeer})
+		s.Step(crmesh.OfferReceived{Now: now, From: offeringPeer})
 		for _, d := range heartbeats(s.Step(crevent.Tick{Now: now})) {
 			count[d]++
 		}
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -70,8 +70,8 @@
 		From      crid.Daemon
 		Heartbeat Heartbeat
 	}
-	// Asked tells that a peer has offered a request.
-	Asked struct {
+	// OfferReceived tells that a peer has offered a request.
+	OfferReceived struct {
 		Now  crid.Instant
 		From crid.Daemon
 	}
@@ -103,7 +103,7 @@
 func (e HeartbeatReceived) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
-func (e Asked) At() crid.Instant { return e.Now }
+func (e OfferReceived) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
 func (e Unanswered) At() crid.Instant { return e.Now }
