--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -77,8 +77,8 @@
 	}
 	// Unanswered tells that a peer did not answer a question and its repetition.
 	Unanswered struct {
-		Now crid.Instant
-		By  crid.Daemon
+		Now  crid.Instant
+		Peer crid.Daemon
 	}
 	// Nudge asks for a beat to all peers now: the target's state has changed.
 	Nudge struct{ Now crid.Instant }
