--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -124,7 +124,7 @@
 		if p := s.peers[ev.From]; p != nil {
 			p.lastOffer = ev.Now
 		}
-	case Unanswered:
+	case TokenRequestUnanswered:
 		return s.handleUnanswered(ev)
 	case Nudge:
 		s.urgentPending = true
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -75,8 +75,8 @@
 		Now  crid.Instant
 		From crid.Daemon
 	}
-	// Unanswered tells that a peer did not answer a question and its repetition.
-	Unanswered struct {
+	// TokenRequestUnanswered tells that a peer did not answer a question and its repetition.
+	TokenRequestUnanswered struct {
 		Now  crid.Instant
 		Peer crid.Daemon
 	}
@@ -106,7 +106,7 @@
 func (e OfferReceived) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
-func (e Unanswered) At() crid.Instant { return e.Now }
+func (e TokenRequestUnanswered) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
 func (e Nudge) At() crid.Instant { return e.Now }
--- a/core/crmesh/peer.go
+++ b/core/crmesh/peer.go
@@ -108,7 +108,7 @@
 
 // unanswered counts a peer as silent that has answered no question for a while
 // and sent no beat meanwhile.
-func (s *State) handleUnanswered(ev Unanswered) []crevent.Effect {
+func (s *State) handleUnanswered(ev TokenRequestUnanswered) []crevent.Effect {
 	p := s.peers[ev.Peer]
 	if p == nil || p.silent || p.lastHeard == 0 {
 		return nil
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -226,8 +226,8 @@
 	s := crmesh.New(params())
 	s.Step(recordsListed())
 	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}})
-	g.Expect(s.Step(crmesh.Unanswered{Now: start.Add(100 * time.Millisecond), Peer: "10.0.0.2"})).To(gomega.BeEmpty())
-	v := views(s.Step(crmesh.Unanswered{Now: start.Add(1200 * time.Millisecond), Peer: "10.0.0.2"}))
+	g.Expect(s.Step(crmesh.TokenRequestUnanswered{Now: start.Add(100 * time.Millisecond), Peer: "10.0.0.2"})).To(gomega.BeEmpty())
+	v := views(s.Step(crmesh.TokenRequestUnanswered{Now: start.Add(1200 * time.Millisecond), Peer: "10.0.0.2"}))
 	g.Expect(v).To(gomega.HaveLen(1))
 	g.Expect(v[0].Silent).To(gomega.HaveKey(crid.Daemon("10.0.0.2")))
 	for _, later := range views(s.Step(crevent.Tick{Now: start.Add(1300 * time.Millisecond)})) {
@@ -245,7 +245,7 @@
 	s.Step(recordsListed())
 	for at := time.Duration(0); at < 5*time.Second; at += 500 * time.Millisecond {
 		s.Step(crmesh.HeartbeatReceived{Now: start.Add(at), From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}})
-		g.Expect(s.Step(crmesh.Unanswered{Now: start.Add(at + 100*time.Millisecond), Peer: "10.0.0.2"})).To(gomega.BeEmpty())
+		g.Expect(s.Step(crmesh.TokenRequestUnanswered{Now: start.Add(at + 100*time.Millisecond), Peer: "10.0.0.2"})).To(gomega.BeEmpty())
 	}
 }
 
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -168,7 +168,7 @@
 	defer q.mu.Unlock()
 	q.silent[w] = crclock.Now().Add(ownerRest)
 	if w.as != crquota.ByRelay {
-		q.loop.emit(crmesh.Unanswered{Now: crclock.Now(), Peer: w.to})
+		q.loop.emit(crmesh.TokenRequestUnanswered{Now: crclock.Now(), Peer: w.to})
 	}
 	q.log.Event(crlog.OwnerSilent, crlog.Fields{"peer": string(w.to), "account": string(a), "through": strconv.FormatBool(w.as == crquota.ByRelay)})
 }
