--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -126,7 +126,7 @@
 		}
 	case TokenRequestUnanswered:
 		return s.handleUnanswered(ev)
-	case Nudge:
+	case TargetChanged:
 		s.urgentPending = true
 		return s.dueHeartbeats(ev.Now)
 	case crevent.Tick:
--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -184,8 +184,8 @@
 	s := crmesh.New(params())
 	s.Step(recordsListed())
 	s.Step(crevent.Tick{Now: start})
-	g.Expect(heartbeats(s.Step(crmesh.Nudge{Now: start.Add(60 * time.Millisecond)}))).To(gomega.HaveLen(3))
-	g.Expect(heartbeats(s.Step(crmesh.Nudge{Now: start.Add(70 * time.Millisecond)}))).To(gomega.BeEmpty())
+	g.Expect(heartbeats(s.Step(crmesh.TargetChanged{Now: start.Add(60 * time.Millisecond)}))).To(gomega.HaveLen(3))
+	g.Expect(heartbeats(s.Step(crmesh.TargetChanged{Now: start.Add(70 * time.Millisecond)}))).To(gomega.BeEmpty())
 	g.Expect(heartbeats(s.Step(crevent.Tick{Now: start.Add(120 * time.Millisecond)}))).To(gomega.HaveLen(3), "what was held back")
 }
 
@@ -241,7 +241,7 @@
 	g.Expect(offering).To(gomega.BeNumerically(">=", 23))
 	g.Expect(idle).To(gomega.BeNumerically("<=", 5))
 	g.Expect(idle).To(gomega.BeNumerically(">=", 4), "it must not count this daemon as silent")
-	urgent := heartbeats(s.Step(crmesh.Nudge{Now: start.Add(30050 * time.Millisecond)}))
+	urgent := heartbeats(s.Step(crmesh.TargetChanged{Now: start.Add(30050 * time.Millisecond)}))
 	g.Expect(urgent).To(gomega.ContainElement(crid.Daemon(offeringPeer)))
 	g.Expect(urgent).NotTo(gomega.ContainElement(crid.Daemon(idlePeer)))
 }
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -80,8 +80,8 @@
 		Now  crid.Instant
 		Peer crid.Daemon
 	}
-	// Nudge asks for a beat to all peers now: the target's state has changed.
-	Nudge struct{ Now crid.Instant }
+	// TargetChanged asks for a beat to all peers now: the target's state has changed.
+	TargetChanged struct{ Now crid.Instant }
 )
 
 // At implements crevent.Event.
@@ -109,7 +109,7 @@
 func (e TokenRequestUnanswered) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
-func (e Nudge) At() crid.Instant { return e.Now }
+func (e TargetChanged) At() crid.Instant { return e.Now }
 
 // Effects.
 type (
--- a/io/crmesh/crmesh.go
+++ b/io/crmesh/crmesh.go
@@ -96,7 +96,7 @@
 func newExit(opts Options, l *crlog.Logger, loop *loop) *cregress.Exit {
 	x := cregress.New(cregress.Options{
 		Service: opts.Settings.Service, Address: opts.Settings.Target, Dialect: opts.Dialect, Clock: crclock.Now,
-		Log: l, Nudge: func() { loop.emit(crmesh.Nudge{Now: crclock.Now()}) },
+		Log: l, Nudge: func() { loop.emit(crmesh.TargetChanged{Now: crclock.Now()}) },
 		Asked: func(from crid.Daemon) { loop.emit(crmesh.OfferReceived{Now: crclock.Now(), From: from}) },
 	})
 	return x
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -197,7 +197,7 @@
 	// capacity with it.
 	time.Sleep(min(settle, grace/2))
 	d.exit.Stop()
-	d.loop.emit(crmesh.Nudge{Now: crclock.Now()})
+	d.loop.emit(crmesh.TargetChanged{Now: crclock.Now()})
 	left := grace - time.Since(began)
 	last := time.AfterFunc(left-lastWord, d.entry.End)
 	defer last.Stop()
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -55,7 +55,7 @@
 // dropped when it lags, since the next one tells the same; all others wait.
 func (l *loop) emit(ev crevent.Event) {
 	switch ev.(type) {
-	case crmesh.HeartbeatReceived, crmesh.Nudge, crmesh.OfferReceived, crmesh.TokenRequestUnanswered:
+	case crmesh.HeartbeatReceived, crmesh.TargetChanged, crmesh.OfferReceived, crmesh.TokenRequestUnanswered:
 		select {
 		case l.events <- ev:
 		default:
