--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -126,7 +126,7 @@
 	// Tell passes a peer's word on its target to the board.
 	Tell struct {
 		Target crid.Target
-		Told   crplace.Told
+		Status crplace.Told
 	}
 	// Pull fetches plan and list from a peer.
 	Pull struct{ From crid.Daemon }
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -102,7 +102,7 @@
 		case crmesh.SendHeartbeats:
 			d.channel.Beat(eff.To, d.beat(eff))
 		case crmesh.Tell:
-			d.board.Tell(eff.Target, eff.Told)
+			d.board.Tell(eff.Target, eff.Status)
 		case crmesh.Pull:
 			go d.pull(ctx, eff.From)
 		case crmesh.Renew:
