--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -123,8 +123,8 @@
 		PlanVersion      uint64
 		RecordRevision   crid.Revision
 	}
-	// Tell passes a peer's word on its target to the board.
-	Tell struct {
+	// UpdateTarget passes a peer's word on its target to the board.
+	UpdateTarget struct {
 		Target crid.Target
 		Status crplace.Told
 	}
@@ -141,7 +141,7 @@
 func (SendHeartbeats) EffectName() string { return "beat" }
 
 // EffectName implements crevent.Effect.
-func (Tell) EffectName() string { return "tell" }
+func (UpdateTarget) EffectName() string { return "tell" }
 
 // EffectName implements crevent.Effect.
 func (Pull) EffectName() string { return "pull" }
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -101,7 +101,7 @@
 			d.use(eff.View)
 		case crmesh.SendHeartbeats:
 			d.channel.Beat(eff.To, d.beat(eff))
-		case crmesh.Tell:
+		case crmesh.UpdateTarget:
 			d.board.Tell(eff.Target, eff.Status)
 		case crmesh.Pull:
 			go d.pull(ctx, eff.From)
