--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -70,7 +70,7 @@
 func renewals(effects []crevent.Effect) int {
 	n := 0
 	for _, e := range effects {
-		if _, ok := e.(crmesh.Renew); ok {
+		if _, ok := e.(crmesh.RenewWatches); ok {
 			n++
 		}
 	}
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -130,8 +130,8 @@
 	}
 	// Pull fetches plan and list from a peer.
 	Pull struct{ From crid.Daemon }
-	// Renew sends the watches anew that wait for changes: they may be deaf.
-	Renew struct{}
+	// RenewWatches sends the watches anew that wait for changes: they may be deaf.
+	RenewWatches struct{}
 )
 
 // EffectName implements crevent.Effect.
@@ -147,7 +147,7 @@
 func (Pull) EffectName() string { return "pull" }
 
 // EffectName implements crevent.Effect.
-func (Renew) EffectName() string { return "renew" }
+func (RenewWatches) EffectName() string { return "renew" }
 
 // View is what traffic reads. It is immutable.
 type View struct {
--- a/core/crmesh/peer.go
+++ b/core/crmesh/peer.go
@@ -79,7 +79,7 @@
 		return nil
 	}
 	s.lastRenewal = now
-	return []crevent.Effect{Renew{}}
+	return []crevent.Effect{RenewWatches{}}
 }
 
 // sooner reports whether a peer is fetched from before another one.
--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -261,7 +261,7 @@
 			m.beat(eff)
 		case crmesh.Pull:
 			go m.pull(ctx, eff.From)
-		case crmesh.Renew:
+		case crmesh.RenewWatches:
 			m.follower.Renew()
 		}
 	}
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -105,7 +105,7 @@
 			d.board.Tell(eff.Target, eff.Status)
 		case crmesh.Pull:
 			go d.pull(ctx, eff.From)
-		case crmesh.Renew:
+		case crmesh.RenewWatches:
 			d.follower.Renew()
 		}
 	}
