--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -237,7 +237,7 @@
 	return append(effects, s.pull(now)...)
 }
 
-func (s *State) publishView(_ crid.Instant) UseView {
+func (s *State) publishView(_ crid.Instant) PublishView {
 	v := &View{
 		Plan:     s.plan,
 		Listed:   s.hasRecords,
@@ -304,5 +304,5 @@
 	slices.Sort(v.Daemons)
 	slices.Sort(v.Owners)
 	slices.Sort(v.Members)
-	return UseView{View: v}
+	return PublishView{View: v}
 }
--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -50,7 +50,7 @@
 func views(effects []crevent.Effect) []*crmesh.View {
 	var out []*crmesh.View
 	for _, e := range effects {
-		if v, ok := e.(crmesh.UseView); ok {
+		if v, ok := e.(crmesh.PublishView); ok {
 			out = append(out, v.View)
 		}
 	}
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -113,8 +113,8 @@
 
 // Effects.
 type (
-	// UseView gives traffic a new view.
-	UseView struct{ View *View }
+	// PublishView gives traffic a new view.
+	PublishView struct{ View *View }
 	// SendHeartbeats sends a beat to peers; the shell fills in the target's state.
 	SendHeartbeats struct {
 		To               []crid.Daemon
@@ -135,7 +135,7 @@
 )
 
 // EffectName implements crevent.Effect.
-func (UseView) EffectName() string { return "view" }
+func (PublishView) EffectName() string { return "view" }
 
 // EffectName implements crevent.Effect.
 func (SendHeartbeats) EffectName() string { return "beat" }
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -51,7 +51,7 @@
 func (f *cluster) step(d crid.Daemon, ev crevent.Event) {
 	for _, eff := range f.states[d].Step(ev) {
 		switch eff := eff.(type) {
-		case crmesh.UseView:
+		case crmesh.PublishView:
 			f.view[d] = eff.View
 		case crmesh.SendHeartbeats:
 			for _, to := range eff.To {
@@ -271,7 +271,7 @@
 	s := crmesh.New(crmesh.Params{Self: "10.0.0.1", Domain: "a", LocalInterval: time.Second, RemoteInterval: time.Second})
 	view := func(effects []crevent.Effect) *crmesh.View {
 		for _, e := range effects {
-			if v, ok := e.(crmesh.UseView); ok {
+			if v, ok := e.(crmesh.PublishView); ok {
 				return v.View
 			}
 		}
--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -255,7 +255,7 @@
 func (m *member) step(ctx context.Context, ev crevent.Event) {
 	for _, eff := range m.state.Step(ev) {
 		switch eff := eff.(type) {
-		case crmesh.UseView:
+		case crmesh.PublishView:
 			m.use(eff.View)
 		case crmesh.SendHeartbeats:
 			m.beat(eff)
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -97,7 +97,7 @@
 func (d *daemon) perform(ctx context.Context) func(crevent.Effect) {
 	return func(eff crevent.Effect) {
 		switch eff := eff.(type) {
-		case crmesh.UseView:
+		case crmesh.PublishView:
 			d.use(eff.View)
 		case crmesh.SendHeartbeats:
 			d.channel.Beat(eff.To, d.beat(eff))
