--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -176,7 +176,7 @@
 		return errors.New("stopping")
 	case v.Plan == nil:
 		return errors.New("no configuration yet")
-	case !v.Listed:
+	case !v.HasRecords:
 		return errors.New("no list of targets yet")
 	}
 	return nil
