--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -254,7 +254,7 @@
 	for _, r := range s.registry.Records() {
 		if r.Address == s.params.Address {
 			own := r
-			v.Own = &own
+			v.OwnRecord = &own
 		}
 		if r.Leaving {
 			continue
--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -104,7 +104,7 @@
 	s := crmesh.New(params())
 	v := views(s.Step(recordsListed()))[0]
 	g.Expect(v.Targets["booking"]).To(gomega.HaveLen(3))
-	g.Expect(v.Own.Target).To(gomega.Equal(crid.Target("t1")))
+	g.Expect(v.OwnRecord.Target).To(gomega.Equal(crid.Target("t1")))
 	g.Expect(v.Size).To(gomega.Equal(4), "itself, two peers and the seed")
 }
 
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -154,7 +154,7 @@
 	Plan       *crplan.Plan // nil: none yet
 	HasRecords bool         `cbor:"Listed" json:"Listed"` // a list of targets is known
 	Targets    map[crid.Service][]crplace.Candidate
-	Own        *crregistry.Record // the record of this daemon's target; nil: none
+	OwnRecord  *crregistry.Record `cbor:"Own" json:"Own"` // the record of this daemon's target; nil: none
 	Daemons    []crid.Daemon      // this one and the peers that are alive, but for those that stop
 	Owners     []crid.Daemon      // as Daemons, and those whose first beat may still come
 	Members    []crid.Daemon      // as Owners, and those that a record names and that are not heard
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -150,17 +150,17 @@
 	before := d.loop.view.Swap(v)
 	d.entry.Use(v)
 	if !sameRecord(before, v) {
-		d.exit.Use(v.Own)
+		d.exit.Use(v.OwnRecord)
 	}
 	d.forget(v)
 	d.logView(before, v)
 }
 
 func sameRecord(a, b *crmesh.View) bool {
-	if a.Own == nil || b.Own == nil {
-		return a.Own == b.Own
+	if a.OwnRecord == nil || b.OwnRecord == nil {
+		return a.OwnRecord == b.OwnRecord
 	}
-	return *a.Own == *b.Own
+	return *a.OwnRecord == *b.OwnRecord
 }
 
 // forget drops what is kept of targets and daemons that are gone.
