--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -281,7 +281,7 @@
 			continue
 		}
 		if p.lastHeard != 0 && !p.silent {
-			v.Daemons = append(v.Daemons, d)
+			v.Live = append(v.Live, d)
 		}
 		if p.mayBeUp() {
 			v.Owners = append(v.Owners, d)
@@ -293,15 +293,15 @@
 	// A daemon that stops gives its accounts up as its peers take them over. If it
 	// went on as their owner, each stopping daemon would hand out their rate
 	// once more to its own callers.
-	if !s.stopping || len(v.Daemons) == 0 {
-		v.Daemons = append(v.Daemons, s.params.Self)
+	if !s.stopping || len(v.Live) == 0 {
+		v.Live = append(v.Live, s.params.Self)
 		v.Owners = append(v.Owners, s.params.Self)
 		v.Members = append(v.Members, s.params.Self)
 	}
-	if len(v.Daemons) <= 1 {
-		v.Owners = slices.Clone(v.Daemons) // nobody is heard who could be asked
+	if len(v.Live) <= 1 {
+		v.Owners = slices.Clone(v.Live) // nobody is heard who could be asked
 	}
-	slices.Sort(v.Daemons)
+	slices.Sort(v.Live)
 	slices.Sort(v.Owners)
 	slices.Sort(v.Members)
 	return PublishView{View: v}
--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -156,11 +156,11 @@
 	s := crmesh.New(params())
 	s.Step(recordsListed())
 	v := views(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.3", Heartbeat: crmesh.Heartbeat{Target: "t3"}}))[0]
-	g.Expect(v.Daemons).To(gomega.Equal([]crid.Daemon{"10.0.0.1", "10.0.0.3"}))
+	g.Expect(v.Live).To(gomega.Equal([]crid.Daemon{"10.0.0.1", "10.0.0.3"}))
 	g.Expect(views(s.Step(crevent.Tick{Now: start.Add(1100 * time.Millisecond)}))).To(gomega.BeEmpty())
 	v = views(s.Step(crevent.Tick{Now: start.Add(1300 * time.Millisecond)}))[0]
 	g.Expect(v.Silent).To(gomega.HaveKey(crid.Daemon("10.0.0.3")))
-	g.Expect(v.Daemons).To(gomega.Equal([]crid.Daemon{"10.0.0.1"}))
+	g.Expect(v.Live).To(gomega.Equal([]crid.Daemon{"10.0.0.1"}))
 }
 
 func TestHeartbeatIntervalDependsOnDomain(t *testing.T) {
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -154,8 +154,8 @@
 	Plan       *crplan.Plan // nil: none yet
 	HasRecords bool         `cbor:"Listed" json:"Listed"` // a list of targets is known
 	Targets    map[crid.Service][]crplace.Candidate
-	OwnRecord  *crregistry.Record `cbor:"Own" json:"Own"` // the record of this daemon's target; nil: none
-	Daemons    []crid.Daemon      // this one and the peers that are alive, but for those that stop
+	OwnRecord  *crregistry.Record `cbor:"Own" json:"Own"`         // the record of this daemon's target; nil: none
+	Live       []crid.Daemon      `cbor:"Daemons" json:"Daemons"` // this one and the peers that are alive, but for those that stop
 	Owners     []crid.Daemon      // as Daemons, and those whose first beat may still come
 	Members    []crid.Daemon      // as Owners, and those that a record names and that are not heard
 	Size       int                // daemons of the fleet, alive or not, and seeds
@@ -177,7 +177,7 @@
 // it hears nobody it may be one of many that have just started, and each would hand out
 // the whole rate to its own callers.
 func (v *View) Share() float64 {
-	if len(v.Daemons) <= 1 {
+	if len(v.Live) <= 1 {
 		return crquota.Share(1, v.Known)
 	}
 	return crquota.Share(v.Heard, v.Known)
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -193,7 +193,7 @@
 	}
 	f.run(now, 200*time.Millisecond)
 	for _, d := range f.names {
-		g.Expect(f.view[d].Daemons).To(gomega.Equal(f.names[4:]), "seen by %s", d)
+		g.Expect(f.view[d].Live).To(gomega.Equal(f.names[4:]), "seen by %s", d)
 	}
 }
 
@@ -201,7 +201,7 @@
 func TestLastStoppingDaemonKeepsAccounts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := views(crmesh.New(params()).Step(crevent.Stopping{Now: start}))
-	g.Expect(v[len(v)-1].Daemons).To(gomega.Equal([]crid.Daemon{"10.0.0.1"}))
+	g.Expect(v[len(v)-1].Live).To(gomega.Equal([]crid.Daemon{"10.0.0.1"}))
 }
 
 // A daemon has just started, and peers of other domains have not sent it a beat yet:
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -279,7 +279,7 @@
 	}
 	v := d.loop.view.Load()
 	out := dump{
-		Daemons: v.Daemons, Silent: slices.Sorted(maps.Keys(v.Silent)), Targets: v.Targets, Own: d.exit.Told(), Open: d.entry.Open(),
+		Daemons: v.Live, Silent: slices.Sorted(maps.Keys(v.Silent)), Targets: v.Targets, Own: d.exit.Told(), Open: d.entry.Open(),
 	}
 	if v.Plan != nil {
 		out.Plan = v.Plan.Label()
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -173,7 +173,7 @@
 			daemons[c.Daemon] = true
 		}
 	}
-	for _, id := range v.Daemons {
+	for _, id := range v.Live {
 		daemons[id] = true
 	}
 	d.board.Keep(targets)
--- a/io/crmesh/meters.go
+++ b/io/crmesh/meters.go
@@ -60,7 +60,7 @@
 		"target.sick.percent":                    func() int64 { return int64(d.exit.Told().Sick * 100) },
 		"requests.open":                          d.entry.Open,
 		"peers.silent":                           func() int64 { return int64(len(d.loop.view.Load().Silent)) },
-		"peers.alive":                            func() int64 { return int64(len(d.loop.view.Load().Daemons) - 1) },
+		"peers.alive":                            func() int64 { return int64(len(d.loop.view.Load().Live) - 1) },
 		"plan.version":                           d.planVersion,
 		"store.calls.total":                      d.feed.Calls,
 		"feed.asked.total":                       d.feed.Asked,
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -109,7 +109,7 @@
 	v := q.loop.view.Load()
 	without := []crid.Daemon{step.To, q.self}
 	for range throughMost {
-		d := crquota.Through(a.Name, v.Daemons, without...)
+		d := crquota.Through(a.Name, v.Live, without...)
 		if d == "" {
 			break
 		}
