--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -243,7 +243,7 @@
 		HasRecords: s.hasRecords,
 		Targets:    make(map[crid.Service][]crplace.Candidate),
 		Size:       1,
-		Known:      1,
+		Confirmed:  1,
 		Heard:      1,
 		Silent:     make(map[crid.Daemon]bool),
 		Stopping:   s.stopping,
@@ -269,7 +269,7 @@
 			v.Size++
 		}
 		if s.isMember(p) {
-			v.Known++
+			v.Confirmed++
 		}
 		if s.isMember(p) && !p.silent && !p.overdue {
 			v.Heard++
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -159,7 +159,7 @@
 	Owners     []crid.Daemon      // as Daemons, and those whose first beat may still come
 	Members    []crid.Daemon      // as Owners, and those that a record names and that are not heard
 	Size       int                // daemons of the fleet, alive or not, and seeds
-	Known      int                // of these, without seeds that no record names and nobody hears
+	Confirmed  int                `cbor:"Known" json:"Known"` // of these, without seeds that no record names and nobody hears
 	Heard      int                // of these, without those that are silent or were never heard in time
 	Readers    []crid.Daemon      // of the own domain, that read the store for it
 	Coming     bool               // peers of the own domain are to be heard for the first time, or none is listed at all
@@ -178,7 +178,7 @@
 // the whole rate to its own callers.
 func (v *View) Share() float64 {
 	if len(v.Live) <= 1 {
-		return crquota.Share(1, v.Known)
+		return crquota.Share(1, v.Confirmed)
 	}
-	return crquota.Share(v.Heard, v.Known)
+	return crquota.Share(v.Heard, v.Confirmed)
 }
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -211,7 +211,7 @@
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	v := views(s.Step(recordsListed()))
-	g.Expect(v[len(v)-1].Heard).To(gomega.Equal(v[len(v)-1].Known))
+	g.Expect(v[len(v)-1].Heard).To(gomega.Equal(v[len(v)-1].Confirmed))
 	for at := time.Duration(0); at < 10*time.Second; at += 100 * time.Millisecond {
 		v = append(v, views(s.Step(crevent.Tick{Now: start.Add(at)}))...)
 	}
@@ -257,10 +257,10 @@
 	p.Seeds = []crid.Daemon{"10.0.9.1", "10.0.9.2", "10.0.9.3"}
 	s := crmesh.New(p)
 	v := views(s.Step(recordsListed()))
-	g.Expect(v[len(v)-1].Known).To(gomega.Equal(3))
+	g.Expect(v[len(v)-1].Confirmed).To(gomega.Equal(3))
 	g.Expect(v[len(v)-1].Heard).To(gomega.Equal(3))
 	v = views(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.9.1", Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}}))
-	g.Expect(v[len(v)-1].Known).To(gomega.Equal(4))
+	g.Expect(v[len(v)-1].Confirmed).To(gomega.Equal(4))
 }
 
 // All machines of a domain start at one time. Until their beats are heard, each would
