--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -244,7 +244,7 @@
 		Targets:    make(map[crid.Service][]crplace.Candidate),
 		Size:       1,
 		Confirmed:  1,
-		Heard:      1,
+		Reachable:  1,
 		Silent:     make(map[crid.Daemon]bool),
 		Stopping:   s.stopping,
 		Readers:    s.readers(),
@@ -272,7 +272,7 @@
 			v.Confirmed++
 		}
 		if s.isMember(p) && !p.silent && !p.overdue {
-			v.Heard++
+			v.Reachable++
 		}
 		if p.silent {
 			v.Silent[d] = true
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -160,7 +160,7 @@
 	Members    []crid.Daemon      // as Owners, and those that a record names and that are not heard
 	Size       int                // daemons of the fleet, alive or not, and seeds
 	Confirmed  int                `cbor:"Known" json:"Known"` // of these, without seeds that no record names and nobody hears
-	Heard      int                // of these, without those that are silent or were never heard in time
+	Reachable  int                `cbor:"Heard" json:"Heard"` // of these, without those that are silent or were never heard in time
 	Readers    []crid.Daemon      // of the own domain, that read the store for it
 	Coming     bool               // peers of the own domain are to be heard for the first time, or none is listed at all
 	Lookers    int                // daemons of the fleet that read the store
@@ -180,5 +180,5 @@
 	if len(v.Live) <= 1 {
 		return crquota.Share(1, v.Confirmed)
 	}
-	return crquota.Share(v.Heard, v.Confirmed)
+	return crquota.Share(v.Reachable, v.Confirmed)
 }
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -211,11 +211,11 @@
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	v := views(s.Step(recordsListed()))
-	g.Expect(v[len(v)-1].Heard).To(gomega.Equal(v[len(v)-1].Confirmed))
+	g.Expect(v[len(v)-1].Reachable).To(gomega.Equal(v[len(v)-1].Confirmed))
 	for at := time.Duration(0); at < 10*time.Second; at += 100 * time.Millisecond {
 		v = append(v, views(s.Step(crevent.Tick{Now: start.Add(at)}))...)
 	}
-	g.Expect(v[len(v)-1].Heard).To(gomega.Equal(1), "they were never heard")
+	g.Expect(v[len(v)-1].Reachable).To(gomega.Equal(1), "they were never heard")
 }
 
 // The owner of some accounts loses power. Peers of other domains would miss its
@@ -258,7 +258,7 @@
 	s := crmesh.New(p)
 	v := views(s.Step(recordsListed()))
 	g.Expect(v[len(v)-1].Confirmed).To(gomega.Equal(3))
-	g.Expect(v[len(v)-1].Heard).To(gomega.Equal(3))
+	g.Expect(v[len(v)-1].Reachable).To(gomega.Equal(3))
 	v = views(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.9.1", Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}}))
 	g.Expect(v[len(v)-1].Confirmed).To(gomega.Equal(4))
 }
--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -200,7 +200,7 @@
 	m.state = crmesh.New(crmesh.Params{
 		Self: id, Domain: domain, Service: "s", Address: string(id) + ":1", LocalInterval: beatNear, RemoteInterval: beatFar, RecordGrace: lapse,
 	})
-	m.view.Store(&crmesh.View{Size: 1, Confirmed: 1, Heard: 1})
+	m.view.Store(&crmesh.View{Size: 1, Confirmed: 1, Reachable: 1})
 	log := crlog.New(io.Discard, "info", string(id))
 	m.feed = crfeed.New(crfeed.Options{
 		Self: id, Store: line{f.store, id}, Peers: m, Clock: f.now, Log: log,
