--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -239,17 +239,17 @@
 
 func (s *State) publishView(_ crid.Instant) PublishView {
 	v := &View{
-		Plan:       s.plan,
-		HasRecords: s.hasRecords,
-		Targets:    make(map[crid.Service][]crplace.Candidate),
-		Size:       1,
-		Confirmed:  1,
-		Reachable:  1,
-		Silent:     make(map[crid.Daemon]bool),
-		Stopping:   s.stopping,
-		Readers:    s.readers(),
-		Lookers:    s.storeReaders(),
-		Coming:     s.readersPending(),
+		Plan:           s.plan,
+		HasRecords:     s.hasRecords,
+		Targets:        make(map[crid.Service][]crplace.Candidate),
+		Size:           1,
+		Confirmed:      1,
+		Reachable:      1,
+		Silent:         make(map[crid.Daemon]bool),
+		Stopping:       s.stopping,
+		Readers:        s.readers(),
+		Lookers:        s.storeReaders(),
+		ReadersPending: s.readersPending(),
 	}
 	for _, r := range s.registry.Records() {
 		if r.Address == s.params.Address {
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -151,21 +151,21 @@
 
 // View is what traffic reads. It is immutable.
 type View struct {
-	Plan       *crplan.Plan // nil: none yet
-	HasRecords bool         `cbor:"Listed" json:"Listed"` // a list of targets is known
-	Targets    map[crid.Service][]crplace.Candidate
-	OwnRecord  *crregistry.Record `cbor:"Own" json:"Own"`         // the record of this daemon's target; nil: none
-	Live       []crid.Daemon      `cbor:"Daemons" json:"Daemons"` // this one and the peers that are alive, but for those that stop
-	Owners     []crid.Daemon      // as Daemons, and those whose first beat may still come
-	Members    []crid.Daemon      // as Owners, and those that a record names and that are not heard
-	Size       int                // daemons of the fleet, alive or not, and seeds
-	Confirmed  int                `cbor:"Known" json:"Known"` // of these, without seeds that no record names and nobody hears
-	Reachable  int                `cbor:"Heard" json:"Heard"` // of these, without those that are silent or were never heard in time
-	Readers    []crid.Daemon      // of the own domain, that read the store for it
-	Coming     bool               // peers of the own domain are to be heard for the first time, or none is listed at all
-	Lookers    int                // daemons of the fleet that read the store
-	Silent     map[crid.Daemon]bool
-	Stopping   bool
+	Plan           *crplan.Plan // nil: none yet
+	HasRecords     bool         `cbor:"Listed" json:"Listed"` // a list of targets is known
+	Targets        map[crid.Service][]crplace.Candidate
+	OwnRecord      *crregistry.Record `cbor:"Own" json:"Own"`         // the record of this daemon's target; nil: none
+	Live           []crid.Daemon      `cbor:"Daemons" json:"Daemons"` // this one and the peers that are alive, but for those that stop
+	Owners         []crid.Daemon      // as Daemons, and those whose first beat may still come
+	Members        []crid.Daemon      // as Owners, and those that a record names and that are not heard
+	Size           int                // daemons of the fleet, alive or not, and seeds
+	Confirmed      int                `cbor:"Known" json:"Known"` // of these, without seeds that no record names and nobody hears
+	Reachable      int                `cbor:"Heard" json:"Heard"` // of these, without those that are silent or were never heard in time
+	Readers        []crid.Daemon      // of the own domain, that read the store for it
+	ReadersPending bool               `cbor:"Coming" json:"Coming"` // peers of the own domain are to be heard for the first time, or none is listed at all
+	Lookers        int                // daemons of the fleet that read the store
+	Silent         map[crid.Daemon]bool
+	Stopping       bool
 }
 
 // TokenStep is what a daemon with this view does about a token of an account.
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -287,11 +287,11 @@
 	own := crregistry.Record{Target: "t1", Service: "s", Address: "10.0.0.1:80", Domain: "a", Slots: 1}
 	far := crregistry.Record{Target: "t2", Service: "s", Address: "10.0.0.2:80", Domain: "b", Slots: 1}
 	near := crregistry.Record{Target: "t3", Service: "s", Address: "10.0.0.3:80", Domain: "a", Slots: 1}
-	g.Expect(list().Coming).To(gomega.BeTrue())
-	g.Expect(list(own, far).Coming).To(gomega.BeFalse())
-	g.Expect(list(own, far, near).Coming).To(gomega.BeTrue())
+	g.Expect(list().ReadersPending).To(gomega.BeTrue())
+	g.Expect(list(own, far).ReadersPending).To(gomega.BeFalse())
+	g.Expect(list(own, far, near).ReadersPending).To(gomega.BeTrue())
 	v := view(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.3", Heartbeat: crmesh.Heartbeat{RecordRevision: 2}}))
-	g.Expect(v.Coming).To(gomega.BeFalse())
+	g.Expect(v.ReadersPending).To(gomega.BeFalse())
 }
 
 // The store has lost all daemons' watches, and each finds out only when its own wait is over.
