--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -248,7 +248,7 @@
 		Silent:         make(map[crid.Daemon]bool),
 		Stopping:       s.stopping,
 		Readers:        s.readers(),
-		Lookers:        s.storeReaders(),
+		StoreReaders:   s.storeReaders(),
 		ReadersPending: s.readersPending(),
 	}
 	for _, r := range s.registry.Records() {
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -162,8 +162,8 @@
 	Confirmed      int                `cbor:"Known" json:"Known"` // of these, without seeds that no record names and nobody hears
 	Reachable      int                `cbor:"Heard" json:"Heard"` // of these, without those that are silent or were never heard in time
 	Readers        []crid.Daemon      // of the own domain, that read the store for it
-	ReadersPending bool               `cbor:"Coming" json:"Coming"` // peers of the own domain are to be heard for the first time, or none is listed at all
-	Lookers        int                // daemons of the fleet that read the store
+	ReadersPending bool               `cbor:"Coming" json:"Coming"`   // peers of the own domain are to be heard for the first time, or none is listed at all
+	StoreReaders   int                `cbor:"Lookers" json:"Lookers"` // daemons of the fleet that read the store
 	Silent         map[crid.Daemon]bool
 	Stopping       bool
 }
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -85,7 +85,7 @@
 	for i, d := range f.names {
 		g.Expect(f.view[d].Readers).To(gomega.HaveLen(2))
 		g.Expect(f.view[d].Readers).To(gomega.Equal(f.view[f.names[i%2]].Readers))
-		g.Expect(f.view[d].Lookers).To(gomega.Equal(4))
+		g.Expect(f.view[d].StoreReaders).To(gomega.Equal(4))
 	}
 	g.Expect(f.view[f.names[0]].Readers).NotTo(gomega.ContainElement(gomega.BeElementOf(f.view[f.names[1]].Readers)))
 }
