--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -173,10 +173,10 @@
 	return crquota.Decide(a, v.Members, v.Owners, self, by)
 }
 
-// Share is the part of an account's rate that this daemon hands out as its owner. While
+// RateShare is the part of an account's rate that this daemon hands out as its owner. While
 // it hears nobody it may be one of many that have just started, and each would hand out
 // the whole rate to its own callers.
-func (v *View) Share() float64 {
+func (v *View) RateShare() float64 {
 	if len(v.Live) <= 1 {
 		return crquota.Share(1, v.Confirmed)
 	}
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -352,9 +352,9 @@
 	f := newCluster(6)
 	sum := 0.0
 	for _, d := range f.names {
-		sum += f.view[d].Share()
+		sum += f.view[d].RateShare()
 	}
 	g.Expect(sum).To(gomega.BeNumerically("~", 1, 0.11))
 	f.run(start, 3*time.Second)
-	g.Expect(f.view[f.names[0]].Share()).To(gomega.Equal(1.0))
+	g.Expect(f.view[f.names[0]].RateShare()).To(gomega.Equal(1.0))
 }
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -62,7 +62,7 @@
 	if !known || a.Rate <= 0 {
 		return true, 0
 	}
-	share := v.Share()
+	share := v.RateShare()
 	return m.meter.Take(crclock.Now(), a.Name, a.Rate*share, a.Burst*share)
 }
 
