--- a/core/crconfig/list.go
+++ b/core/crconfig/list.go
@@ -211,7 +211,7 @@
 	s.adopt(list)
 	want := s.listing.want
 	s.listing = listFetch{want: want}
-	s.emit(crinstance.Listed{Now: now, List: list})
+	s.emit(crinstance.ListUpdated{Now: now, List: list})
 	s.spread()
 }
 
--- a/core/crconfig/list_test.go
+++ b/core/crconfig/list_test.go
@@ -50,12 +50,12 @@
 // one, the difference would lose what changed between the two.
 func TestDifferenceToAnotherListIsNotApplied(t *testing.T) {
 	p := newPuller("a")
-	list := func(rev crid.Revision, names ...crid.Daemon) crinstance.Listed {
+	list := func(rev crid.Revision, names ...crid.Daemon) crinstance.ListUpdated {
 		var instances []crinstance.Instance
 		for _, d := range names {
 			instances = append(instances, crinstance.Instance{Daemon: d})
 		}
-		return crinstance.Listed{Now: p.now, List: crinstance.NewList(rev, instances)}
+		return crinstance.ListUpdated{Now: p.now, List: crinstance.NewList(rev, instances)}
 	}
 	p.Step(list(5, "a", "self", "old"))
 	p.hear("a", crconfig.Have{List: 7})
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -130,7 +130,7 @@
 		s.setPeers(now, ev.Peers)
 	case crmember.Lease:
 		s.tenure(now, ev)
-	case crinstance.Listed:
+	case crinstance.ListUpdated:
 		if ev.List.Revision() > s.list.Revision() {
 			s.adopt(ev.List)
 		}
--- a/core/crhealth/bench_test.go
+++ b/core/crhealth/bench_test.go
@@ -78,7 +78,7 @@
 		}
 		peers[i] = crmember.Peer{Daemon: name, Incarnation: 1, Reachable: true}
 	}
-	s.Step(crinstance.Listed{List: crinstance.NewList(1, instances)})
+	s.Step(crinstance.ListUpdated{List: crinstance.NewList(1, instances)})
 	for b.Loop() {
 		s.Step(crmember.PeersChanged{Peers: peers})
 	}
--- a/core/crhealth/crhealth.go
+++ b/core/crhealth/crhealth.go
@@ -98,7 +98,7 @@
 		s.life = ev.Incarnation
 	case crevent.Stopping:
 		s.stopping = true
-	case crinstance.Listed:
+	case crinstance.ListUpdated:
 		s.takeList(ev.List)
 	case crconfig.InForce:
 		s.snapshot = ev.Snapshot
--- a/core/crhealth/entry.go
+++ b/core/crhealth/entry.go
@@ -223,7 +223,7 @@
 		if v, ok := ev.Msg.(Verdict); ok && s.entries[v.Service] != nil {
 			s.steer(v.Service)
 		}
-	case crinstance.Listed, crconfig.InForce, crevent.Stopping:
+	case crinstance.ListUpdated, crconfig.InForce, crevent.Stopping:
 		for _, service := range sortedServices(s.targets) {
 			s.steer(service)
 		}
--- a/core/crhealth/fault_test.go
+++ b/core/crhealth/fault_test.go
@@ -207,10 +207,10 @@
 	if entry == w.arbiter() {
 		entry = w.nodes["d02"]
 	}
-	w.step(entry, crinstance.Listed{Now: entry.clock(w.now), List: w.list(2, "t05")})
+	w.step(entry, crinstance.ListUpdated{Now: entry.clock(w.now), List: w.list(2, "t05")})
 	g.Expect(entry.steer[booking].Targets).To(gomega.BeEmpty(), "by its own view, at once")
 	for _, n := range w.nodes {
-		w.step(n, crinstance.Listed{Now: n.clock(w.now), List: w.list(2, "t05")})
+		w.step(n, crinstance.ListUpdated{Now: n.clock(w.now), List: w.list(2, "t05")})
 	}
 	w.run(time.Second)
 	g.Expect(w.inForce()).To(gomega.BeEmpty())
@@ -289,8 +289,8 @@
 	g := gomega.NewWithT(t)
 	w := newWorld(DefaultParams(), 7, 6, 6, 3)
 	n := w.nodes["d00"]
-	w.step(n, crinstance.Listed{Now: n.clock(w.now), List: w.list(2, "t05")})
-	w.step(n, crinstance.Listed{Now: n.clock(w.now), List: w.list(3)})
+	w.step(n, crinstance.ListUpdated{Now: n.clock(w.now), List: w.list(2, "t05")})
+	w.step(n, crinstance.ListUpdated{Now: n.clock(w.now), List: w.list(3)})
 	g.Expect(n.steer[booking].Targets).To(gomega.Equal([]TargetState{{Target: "t05", Weight: 100}}))
 	w.run(6 * time.Second)
 	g.Expect(n.steer[booking].Targets[0].Weight).To(gomega.BeNumerically("~", 550, 100))
--- a/core/crhealth/world_test.go
+++ b/core/crhealth/world_test.go
@@ -154,7 +154,7 @@
 		}
 	}
 	w.step(n, crevent.Started{Now: now, Self: n.name, Incarnation: crid.Incarnation(n.life)})
-	w.step(n, crinstance.Listed{Now: now, List: w.list(1)})
+	w.step(n, crinstance.ListUpdated{Now: now, List: w.list(1)})
 	w.step(n, crmember.PeersChanged{Now: now, Peers: peers})
 	w.step(n, crconfig.InForce{Now: now, Snapshot: crpolicy.NewSnapshot(1, []crpolicy.Service{policy}, nil)})
 }
--- a/core/crinstance/crinstance.go
+++ b/core/crinstance/crinstance.go
@@ -89,15 +89,15 @@
 	return names
 }
 
-// Listed tells the reducers of a newly read or received list.
-type Listed struct {
+// ListUpdated tells the reducers of a newly read or received list.
+type ListUpdated struct {
 	Now  crid.Instant
 	List List
 }
 
 // At implements crevent.Event.
-func (e Listed) At() crid.Instant { return e.Now }
+func (e ListUpdated) At() crid.Instant { return e.Now }
 
 // EffectName implements crevent.Effect: a reducer that learns a list from a
 // peer tells its siblings.
-func (Listed) EffectName() string { return "listed" }
+func (ListUpdated) EffectName() string { return "listed" }
--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -112,7 +112,7 @@
 		s.updatePeers()
 	case crevent.Received:
 		s.receive(ev)
-	case crinstance.Listed:
+	case crinstance.ListUpdated:
 		s.handleListUpdate(ev.List)
 	case AdvertiseConfig:
 		s.configRev = ev.ConfigRevision
--- a/core/crmember/list.go
+++ b/core/crmember/list.go
@@ -85,7 +85,7 @@
 		voters:  Voters(list, 0, s.params.MaxVoters),
 		daemons: list.Daemons(),
 	}
-	s.emit(crinstance.Listed{Now: s.now, List: list})
+	s.emit(crinstance.ListUpdated{Now: s.now, List: list})
 	s.indexLists()
 	if rev == s.newest {
 		s.startHandover()
--- a/core/crmember/world_test.go
+++ b/core/crmember/world_test.go
@@ -91,7 +91,7 @@
 
 // deliverList delivers a list of the platform to a daemon.
 func (w *cluster) deliverList(d crid.Daemon, list crinstance.List) {
-	w.step(d, crinstance.Listed{Now: w.nodes[d].clock(w.now), List: list})
+	w.step(d, crinstance.ListUpdated{Now: w.nodes[d].clock(w.now), List: list})
 }
 
 func (w *cluster) step(d crid.Daemon, ev crevent.Event) {
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -77,7 +77,7 @@
 		_ = s.peers.Send(eff.To, eff.Msg)
 	case crevent.Report:
 		s.log.Event(eff.Number, crlog.Fields(eff.Fields))
-	case crinstance.Listed:
+	case crinstance.ListUpdated:
 		s.listed(eff.List)
 	case crmember.Lease:
 		s.contact = eff.ContactUntil
--- a/io/crtrace/event.go
+++ b/io/crtrace/event.go
@@ -187,7 +187,7 @@
 	switch eff := eff.(type) {
 	case crevent.Send:
 		return []any{eff.To, eff.Msg.MessageKind(), redactMessage(eff.Msg)}
-	case crinstance.Listed:
+	case crinstance.ListUpdated:
 		return []any{eff.Now, eff.List.Revision(), eff.List.Instances()}
 	case crconfig.InForce:
 		return []any{eff.Now, eff.Snapshot.Revision()}
--- a/io/crtrace/invariant.go
+++ b/io/crtrace/invariant.go
@@ -46,7 +46,7 @@
 	case crconfig.InForce:
 		inv.floor.snapshot = eff.Snapshot
 		return inv.force(eff.Snapshot.Revision())
-	case crinstance.Listed:
+	case crinstance.ListUpdated:
 		if eff.List.Revision() > inv.floor.list.Revision() {
 			inv.floor.list = eff.List
 		}
--- a/io/crtrace/trace_test.go
+++ b/io/crtrace/trace_test.go
@@ -218,7 +218,7 @@
 	}
 	policy := crpolicy.NewSnapshot(1, []crpolicy.Service{{Name: "booking", Floor: 2}}, nil)
 	start := []crevent.Effect{
-		crinstance.Listed{List: crinstance.NewList(1, instances)},
+		crinstance.ListUpdated{List: crinstance.NewList(1, instances)},
 		crconfig.InForce{Snapshot: policy},
 		crmember.PeersChanged{Peers: []crmember.Peer{{Daemon: "b", Reachable: true}, {Daemon: "c", Reachable: true}}},
 	}
