--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -113,7 +113,7 @@
 		s.registry.Apply(ev.Now, ev.Changes, ev.Revision)
 		return s.syncPeers(ev.Now)
 	case StoreUnavailable:
-		s.registry.Lost()
+		s.registry.MarkStoreUnavailable()
 		return s.setStoreUnavailable(ev.Now, !ev.ReportedByPeers)
 	case StoreAvailable:
 		s.registry.Returned(ev.Now)
--- a/core/crregistry/crregistry.go
+++ b/core/crregistry/crregistry.go
@@ -71,8 +71,8 @@
 // store change, too; peers that know the same changes lack nothing of it.
 func (g *Registry) Newest() crid.Revision { return g.latestChange }
 
-// Lost notes that the store cannot be read.
-func (g *Registry) Lost() { g.storeDown = true }
+// MarkStoreUnavailable notes that the store cannot be read.
+func (g *Registry) MarkStoreUnavailable() { g.storeDown = true }
 
 // Returned notes that the store can be read again.
 func (g *Registry) Returned(now crid.Instant) {
