--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -116,7 +116,7 @@
 		s.registry.MarkStoreUnavailable()
 		return s.setStoreUnavailable(ev.Now, !ev.ReportedByPeers)
 	case StoreAvailable:
-		s.registry.Returned(ev.Now)
+		s.registry.MarkStoreAvailable(ev.Now)
 		return s.setStoreUnavailable(ev.Now, false)
 	case HeartbeatReceived:
 		return s.handleHeartbeat(ev)
--- a/core/crregistry/crregistry.go
+++ b/core/crregistry/crregistry.go
@@ -74,8 +74,8 @@
 // MarkStoreUnavailable notes that the store cannot be read.
 func (g *Registry) MarkStoreUnavailable() { g.storeDown = true }
 
-// Returned notes that the store can be read again.
-func (g *Registry) Returned(now crid.Instant) {
+// MarkStoreAvailable notes that the store can be read again.
+func (g *Registry) MarkStoreAvailable(now crid.Instant) {
 	if !g.storeDown {
 		return
 	}
--- a/core/crregistry/crregistry_test.go
+++ b/core/crregistry/crregistry_test.go
@@ -48,7 +48,7 @@
 	reg := crregistry.New(grace)
 	reg.Replace(start, []crregistry.Change{change(2, record("a", "1:1")), change(3, record("b", "2:1"))}, 3)
 	reg.MarkStoreUnavailable()
-	reg.Returned(start.Add(5 * time.Second))
+	reg.MarkStoreAvailable(start.Add(5 * time.Second))
 	reg.Replace(start.Add(5*time.Second), []crregistry.Change{change(3, record("b", "2:1"))}, 9)
 	g.Expect(names(reg)).To(gomega.Equal([]string{"a", "b"}))
 	g.Expect(reg.Sweep(start.Add(6 * time.Second))).To(gomega.BeFalse())
@@ -62,7 +62,7 @@
 	reg := crregistry.New(grace)
 	reg.Replace(start, []crregistry.Change{change(2, record("a", "1:1"))}, 2)
 	reg.MarkStoreUnavailable()
-	reg.Returned(start.Add(5 * time.Second))
+	reg.MarkStoreAvailable(start.Add(5 * time.Second))
 	reg.Replace(start.Add(5*time.Second), nil, 9)
 	reg.Apply(start.Add(6*time.Second), []crregistry.Change{change(10, record("a", "1:1"))}, 10)
 	reg.Sweep(start.Add(time.Minute))
@@ -78,7 +78,7 @@
 	leaving.Leaving = true
 	reg.Replace(start, []crregistry.Change{change(2, leaving)}, 2)
 	reg.MarkStoreUnavailable()
-	reg.Returned(start.Add(time.Second))
+	reg.MarkStoreAvailable(start.Add(time.Second))
 	reg.Replace(start.Add(time.Second), nil, 9)
 	g.Expect(names(reg)).To(gomega.BeEmpty())
 }
