--- a/core/crmesh/peer.go
+++ b/core/crmesh/peer.go
@@ -197,7 +197,7 @@
 	for _, d := range to {
 		s.peers[d].lastSent = now
 	}
-	b := SendHeartbeats{To: to, Stopping: s.stopping, StoreUnavailable: s.storeUnavailable, RecordRevision: s.registry.Newest()}
+	b := SendHeartbeats{To: to, Stopping: s.stopping, StoreUnavailable: s.storeUnavailable, RecordRevision: s.registry.LatestChange()}
 	if s.plan != nil {
 		b.PlanVersion = s.plan.Version()
 	}
--- a/core/crregistry/crregistry.go
+++ b/core/crregistry/crregistry.go
@@ -66,10 +66,10 @@
 // Revision is the store's revision that the registry stands at.
 func (g *Registry) Revision() crid.Revision { return g.revision }
 
-// Newest is the revision of the latest change that the registry knows. A list
+// LatestChange is the revision of the latest change that the registry knows. A list
 // read from the store stands at a later one as a rule, since other parts of the
 // store change, too; peers that know the same changes lack nothing of it.
-func (g *Registry) Newest() crid.Revision { return g.latestChange }
+func (g *Registry) LatestChange() crid.Revision { return g.latestChange }
 
 // MarkStoreUnavailable notes that the store cannot be read.
 func (g *Registry) MarkStoreUnavailable() { g.storeDown = true }
