--- a/core/crregistry/crregistry.go
+++ b/core/crregistry/crregistry.go
@@ -24,14 +24,14 @@
 
 // Record is what a target says of itself in the store.
 type Record struct {
-	Target  crid.Target
-	Service crid.Service
-	Address string // host and port, as its own machine reaches it
-	Domain  crid.Domain
-	Slots   int
-	Leaving bool
-	Warmup  time.Duration // for which it is still slow after its start
-	Born    int64         // Unix milliseconds of its start by its own clock; zero: not told
+	Target        crid.Target
+	Service       crid.Service
+	Address       string // host and port, as its own machine reaches it
+	Domain        crid.Domain
+	Slots         int
+	Leaving       bool
+	Warmup        time.Duration // for which it is still slow after its start
+	StartedMillis int64         `cbor:"Born" json:"Born"` // Unix milliseconds of its start by its own clock; zero: not told
 }
 
 // Change is a record as written, or that it went.
@@ -169,8 +169,8 @@
 	if a.record.Leaving != b.record.Leaving {
 		return b.record.Leaving
 	}
-	if a.record.Born != b.record.Born {
-		return a.record.Born > b.record.Born
+	if a.record.StartedMillis != b.record.StartedMillis {
+		return a.record.StartedMillis > b.record.StartedMillis
 	}
 	return a.revision > b.revision
 }
--- a/core/crregistry/crregistry_test.go
+++ b/core/crregistry/crregistry_test.go
@@ -16,7 +16,7 @@
 )
 
 func record(target crid.Target, address string) *crregistry.Record {
-	return &crregistry.Record{Target: target, Service: "booking", Address: address, Slots: 4, Born: 1}
+	return &crregistry.Record{Target: target, Service: "booking", Address: address, Slots: 4, StartedMillis: 1}
 }
 
 func change(revision crid.Revision, r *crregistry.Record) crregistry.Change {
@@ -89,7 +89,7 @@
 	g := gomega.NewWithT(t)
 	reg := crregistry.New(grace)
 	other := record("b", "1:1")
-	other.Service, other.Born = "dispatch", 2
+	other.Service, other.StartedMillis = "dispatch", 2
 	reg.Replace(start, []crregistry.Change{change(2, record("a", "1:1")), change(3, other)}, 3)
 	g.Expect(names(reg)).To(gomega.Equal([]string{"b"}))
 }
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -115,7 +115,7 @@
 		}
 		return
 	}
-	if old == nil || old.Target != r.Target || old.Born != r.Born {
+	if old == nil || old.Target != r.Target || old.StartedMillis != r.StartedMillis {
 		x.renew(now)
 	}
 	x.gate.Open()
