--- a/core/crmember/bench_test.go
+++ b/core/crmember/bench_test.go
@@ -30,14 +30,14 @@
 
 // newVoter starts a voter of n daemons, which gets a lease once it is answered.
 func newVoter(n int) (*cluster, *node) {
-	w := newCluster(0, 1)
+	c := newCluster(0, 1)
 	list := newList(1_000_000, daemonNames(n)...)
-	self := Voters(list, 0, w.params.MaxVoters)[0]
-	node := w.start(self)
-	w.deliverList(self, list)
+	self := Voters(list, 0, c.params.MaxVoters)[0]
+	node := c.start(self)
+	c.deliverList(self, list)
 	node.state.recovering = false
 	node.state.advanceActive(list.Revision())
-	return w, node
+	return c, node
 }
 
 // BenchmarkSecond measures a second of a daemon that only sends heartbeats, each of
@@ -50,11 +50,11 @@
 }
 
 func benchSecond(b *testing.B, n int) {
-	w, node := newVoter(n)
+	c, node := newVoter(n)
 	notices := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		notices += len(runSecond(w, node))
+		notices += len(runSecond(c, node))
 	}
 	b.ReportMetric(float64(notices)/float64(b.N), "peers-told/s")
 	if node.state.lease.Until == 0 {
@@ -64,17 +64,17 @@
 
 // runSecond runs a second in which each heartbeat is answered, and returns the
 // notices about peers.
-func runSecond(w *cluster, node *node) (notices []PeersChanged) {
+func runSecond(c *cluster, node *node) (notices []PeersChanged) {
 	const tick = 50 * time.Millisecond
 	s := node.state
 	for range time.Second / tick {
-		w.now += tick
-		for _, effect := range s.Step(crevent.Tick{Now: node.clock(w.now)}) {
+		c.now += tick
+		for _, effect := range s.Step(crevent.Tick{Now: node.clock(c.now)}) {
 			switch effect := effect.(type) {
 			case PeersChanged:
 				notices = append(notices, effect)
 			case crevent.Send:
-				notices = append(notices, deliverReply(s, effect, node.clock(w.now+3*time.Millisecond))...)
+				notices = append(notices, deliverReply(s, effect, node.clock(c.now+3*time.Millisecond))...)
 			}
 		}
 	}
@@ -102,13 +102,13 @@
 	var bytes float64
 	for b.Loop() {
 		before := heapInUse()
-		w, node := newVoter(peers)
+		c, node := newVoter(peers)
 		for range 2 {
-			runSecond(w, node)
+			runSecond(c, node)
 		}
-		w.packets = nil
+		c.packets = nil
 		bytes = (heapInUse() - before) / peers
-		runtime.KeepAlive(w)
+		runtime.KeepAlive(c)
 	}
 	b.ReportMetric(bytes, "B/peer")
 }
@@ -121,15 +121,15 @@
 }
 
 func benchRound(b *testing.B, n int) {
-	w, node := newVoter(n)
+	c, node := newVoter(n)
 	s := node.state
 	seqs := uint64(0)
 	beats, size := 0, 0
 	b.ReportAllocs()
 	for b.Loop() {
-		w.now += w.params.Interval + w.params.Interval/5
-		w.packets = nil
-		for _, effect := range s.Step(crevent.Tick{Now: node.clock(w.now)}) {
+		c.now += c.params.Interval + c.params.Interval/5
+		c.packets = nil
+		for _, effect := range s.Step(crevent.Tick{Now: node.clock(c.now)}) {
 			send, ok := effect.(crevent.Send)
 			if !ok {
 				continue
@@ -140,7 +140,7 @@
 			heartbeat.Incarnation = 1 << 62
 			heartbeat.Seq = seqs
 			heartbeat.Reply = true
-			at := node.clock(w.now + 3*time.Millisecond)
+			at := node.clock(c.now + 3*time.Millisecond)
 			s.Step(crevent.Received{Now: at, From: send.To, Msg: heartbeat})
 			beats++
 			if size == 0 {
--- a/core/crmember/bridge.go
+++ b/core/crmember/bridge.go
@@ -43,8 +43,8 @@
 	return end
 }
 
-// quorumContact returns until when a majority of the voters is in contact, where
-// only peers that satisfy counts are counted.
+// quorumContact returns the end of the contact timeout of the newest contact with a
+// majority of the voters. Only peers that satisfy counts are counted.
 func (s *State) quorumContact(voters []crid.Daemon, counts func(*peer) bool) crid.Instant {
 	var contacts []crid.Instant
 	for _, d := range voters {
--- a/core/crmember/list.go
+++ b/core/crmember/list.go
@@ -19,8 +19,8 @@
 	daemons []crid.Daemon
 }
 
-func (k heldList) hasVoter(d crid.Daemon) bool {
-	_, ok := slices.BinarySearch(k.voters, d)
+func (l heldList) hasVoter(d crid.Daemon) bool {
+	_, ok := slices.BinarySearch(l.voters, d)
 	return ok
 }
 
--- a/core/crmember/rapid_test.go
+++ b/core/crmember/rapid_test.go
@@ -31,16 +31,16 @@
 func TestLeasesUnderOneListOnly(t *testing.T) {
 	laterLeases := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newCluster(0, rapid.Uint64().Draw(rt, "network"))
+		c := newCluster(0, rapid.Uint64().Draw(rt, "network"))
 		names := daemons("a", "b", "c", "d", "e", "f")
 		lists := []crinstance.List{newList(1, names...)}
-		w.startAll(lists[0])
+		c.startAll(lists[0])
 		for _, d := range names {
-			w.nodes[d].clockRate = rapid.Float64Range(0.99, 1.01).Draw(rt, "rate")
+			c.nodes[d].clockRate = rapid.Float64Range(0.99, 1.01).Draw(rt, "rate")
 		}
-		w.run(4 * time.Second)
-		w.faulty = true
-		m := &faultMachine{w: w, names: names, lists: lists}
+		c.run(4 * time.Second)
+		c.faulty = true
+		m := &faultMachine{cluster: c, names: names, lists: lists}
 		rt.Repeat(map[string]func(*rapid.T){
 			"publish": m.publish,
 			"read":    m.read,
@@ -50,21 +50,21 @@
 			"defect":  m.moveDaemons,
 			"slow":    m.delayLink,
 			"heal":    m.heal,
-			"pause":   func(rt *rapid.T) { w.nodes[m.pick(rt)].paused = true },
-			"wake":    func(rt *rapid.T) { w.resume(m.pick(rt)) },
+			"pause":   func(rt *rapid.T) { c.nodes[m.pick(rt)].paused = true },
+			"wake":    func(rt *rapid.T) { c.resume(m.pick(rt)) },
 			"restart": m.restart,
 			"run":     m.run,
-			"runLong": func(*rapid.T) { w.run(3 * time.Second) },
+			"runLong": func(*rapid.T) { c.run(3 * time.Second) },
 			"": func(rt *rapid.T) {
-				if len(w.overlaps) > 0 {
-					rt.Fatalf("leases under two lists: %s", w.overlaps[0])
+				if len(c.overlaps) > 0 {
+					rt.Fatalf("leases under two lists: %s", c.overlaps[0])
 				}
-				if len(w.disjoint) > 0 {
-					rt.Fatalf("no list in common: %s", w.disjoint[0])
+				if len(c.disjoint) > 0 {
+					rt.Fatalf("no list in common: %s", c.disjoint[0])
 				}
 			},
 		})
-		for _, n := range w.nodes {
+		for _, n := range c.nodes {
 			if n.lease.Active > 1 {
 				laterLeases++
 			}
@@ -80,28 +80,28 @@
 // expectLeases ends all faults and expects leases again. A rule too strict for any
 // lease would be safe, but every request would be refused.
 func (m *faultMachine) expectLeases(rt *rapid.T) {
-	m.w.faulty = false
+	m.cluster.faulty = false
 	m.heal(rt)
 	for _, d := range m.names {
-		m.w.resume(d)
+		m.cluster.resume(d)
 	}
 	m.lists = append(m.lists, newList(crid.Revision(len(m.lists)+1), m.names...))
 	m.readAll(rt)
-	m.w.run(8 * time.Second)
-	if held := len(m.w.leaseHolders()); held != len(m.names) {
+	m.cluster.run(8 * time.Second)
+	if held := len(m.cluster.leaseHolders()); held != len(m.names) {
 		rt.Fatalf("%d of %d daemons hold a lease after the end of all faults", held, len(m.names))
 	}
-	if len(m.w.overlaps) > 0 {
-		rt.Fatalf("leases under two lists: %s", m.w.overlaps[0])
+	if len(m.cluster.overlaps) > 0 {
+		rt.Fatalf("leases under two lists: %s", m.cluster.overlaps[0])
 	}
 }
 
 type faultMachine struct {
-	w     *cluster
-	names []crid.Daemon
-	lists []crinstance.List
-	left  []crid.Daemon // the sides of the latest partition
-	right []crid.Daemon
+	cluster *cluster
+	names   []crid.Daemon
+	lists   []crinstance.List
+	left    []crid.Daemon // the sides of the latest partition
+	right   []crid.Daemon
 }
 
 func (m *faultMachine) pick(rt *rapid.T) crid.Daemon {
@@ -116,24 +116,24 @@
 
 func (m *faultMachine) read(rt *rapid.T) {
 	d := m.pick(rt)
-	if !m.w.nodes[d].paused {
-		m.w.deliverList(d, rapid.SampledFrom(m.lists).Draw(rt, "list"))
+	if !m.cluster.nodes[d].paused {
+		m.cluster.deliverList(d, rapid.SampledFrom(m.lists).Draw(rt, "list"))
 	}
 }
 
 func (m *faultMachine) readAll(*rapid.T) {
 	for _, d := range m.names {
-		if !m.w.nodes[d].paused {
-			m.w.deliverList(d, m.lists[len(m.lists)-1])
+		if !m.cluster.nodes[d].paused {
+			m.cluster.deliverList(d, m.lists[len(m.lists)-1])
 		}
 	}
 }
 
 func (m *faultMachine) cutLink(rt *rapid.T) {
 	from, to := m.pick(rt), m.pick(rt)
-	m.w.cuts[link{from, to}] = true
+	m.cluster.cuts[link{from, to}] = true
 	if rapid.Bool().Draw(rt, "both") {
-		m.w.cuts[link{to, from}] = true
+		m.cluster.cuts[link{to, from}] = true
 	}
 }
 
@@ -142,9 +142,9 @@
 	order := rapid.Permutation(m.names).Draw(rt, "order")
 	n := rapid.IntRange(3, len(order)-1).Draw(rt, "n")
 	m.left, m.right = order[:n], order[n:]
-	m.w.partition(m.left, m.right)
+	m.cluster.partition(m.left, m.right)
 	m.publishTo(m.left)
-	m.w.run(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
+	m.cluster.run(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
 }
 
 // moveDaemons moves daemons of the side with the newer list to the other, which may
@@ -157,7 +157,7 @@
 	movers, stay := m.left[:n], m.left[n:]
 	side := append(slices.Clone(m.right), movers...)
 	m.heal(rt)
-	m.w.partition(side, stay)
+	m.cluster.partition(side, stay)
 	m.left, m.right = side, stay
 	if rapid.Bool().Draw(rt, "restart") {
 		m.restartOne(rt, movers[0])
@@ -165,15 +165,15 @@
 	if len(side) >= 3 && rapid.Bool().Draw(rt, "publish") {
 		m.publishTo(side)
 	}
-	m.w.run(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
+	m.cluster.run(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
 }
 
 func (m *faultMachine) publishTo(side []crid.Daemon) {
 	list := newList(crid.Revision(len(m.lists)+1), side...)
 	m.lists = append(m.lists, list)
 	for _, d := range side {
-		if !m.w.nodes[d].paused {
-			m.w.deliverList(d, list)
+		if !m.cluster.nodes[d].paused {
+			m.cluster.deliverList(d, list)
 		}
 	}
 }
@@ -181,27 +181,27 @@
 // delayLink adds seconds of delay to a link.
 func (m *faultMachine) delayLink(rt *rapid.T) {
 	ms := rapid.IntRange(500, 6000).Draw(rt, "ms")
-	m.w.delays[link{m.pick(rt), m.pick(rt)}] = time.Duration(ms) * time.Millisecond
+	m.cluster.delays[link{m.pick(rt), m.pick(rt)}] = time.Duration(ms) * time.Millisecond
 }
 
 func (m *faultMachine) heal(*rapid.T) {
-	clear(m.w.cuts)
-	clear(m.w.delays)
+	clear(m.cluster.cuts)
+	clear(m.cluster.delays)
 }
 
 func (m *faultMachine) restart(rt *rapid.T) { m.restartOne(rt, m.pick(rt)) }
 
 func (m *faultMachine) restartOne(rt *rapid.T, d crid.Daemon) {
-	for _, n := range m.w.nodes {
+	for _, n := range m.cluster.nodes {
 		if n.state.recovering {
 			return
 		}
 	}
-	m.w.start(d)
-	m.w.deliverList(d, rapid.SampledFrom(m.lists).Draw(rt, "list"))
+	m.cluster.start(d)
+	m.cluster.deliverList(d, rapid.SampledFrom(m.lists).Draw(rt, "list"))
 }
 
 func (m *faultMachine) run(rt *rapid.T) {
 	ms := rapid.IntRange(10, 1500).Draw(rt, "ms")
-	m.w.run(time.Duration(ms) * time.Millisecond)
+	m.cluster.run(time.Duration(ms) * time.Millisecond)
 }
--- a/core/crmember/recover.go
+++ b/core/crmember/recover.go
@@ -56,14 +56,14 @@
 // would lower the count for the others.
 func (s *State) noteRecoveringQuorums() {
 	for _, rev := range s.revs {
-		k := s.lists[rev]
-		n := s.countVoters(k.voters, func(p *peer) bool {
+		held := s.lists[rev]
+		n := s.countVoters(held.voters, func(p *peer) bool {
 			return s.inContact(p) && p.recovering && p.newest == s.newest
 		})
-		if k.hasVoter(s.self) {
+		if held.hasVoter(s.self) {
 			n++
 		}
-		if n < quorum(len(k.voters)) {
+		if n < quorum(len(held.voters)) {
 			continue
 		}
 		s.recoveringQuorum[rev] = true
--- a/core/crmember/rest_test.go
+++ b/core/crmember/rest_test.go
@@ -11,18 +11,18 @@
 // allowance of control traffic.
 func TestIdleFleetSendsHeartbeatsSlowly(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := startedCluster(0, newList(1, daemonNames(25)...))
-	w.run(5 * time.Second)
-	for _, n := range w.nodes {
+	c := startedCluster(0, newList(1, daemonNames(25)...))
+	c.run(5 * time.Second)
+	for _, n := range c.nodes {
 		n.sent = nil
 	}
 	const seconds = 10
-	w.run(seconds * time.Second)
-	for d, n := range w.nodes {
+	c.run(seconds * time.Second)
+	for d, n := range c.nodes {
 		perPeer := float64(len(n.sent)) / (24 * seconds)
 		g.Expect(perPeer).To(gomega.BeNumerically("~", 2, 0.5), string(d))
 	}
-	g.Expect(w.leaseHolders()).To(gomega.HaveLen(25))
+	g.Expect(c.leaseHolders()).To(gomega.HaveLen(25))
 }
 
 // A link drops everything for 0.7 s while its last contact is already a second old. If
@@ -30,15 +30,15 @@
 func TestShortOutageWhileIdleTakesNoPeerDown(t *testing.T) {
 	for phase := range 10 {
 		g := gomega.NewWithT(t)
-		w := startedCluster(0, newList(1, "a", "b", "c"))
-		w.run(5*time.Second + time.Duration(phase)*50*time.Millisecond)
-		w.partition(daemons("a"), daemons("b"))
-		w.run(700 * time.Millisecond)
-		clear(w.cuts)
+		c := startedCluster(0, newList(1, "a", "b", "c"))
+		c.run(5*time.Second + time.Duration(phase)*50*time.Millisecond)
+		c.partition(daemons("a"), daemons("b"))
+		c.run(700 * time.Millisecond)
+		clear(c.cuts)
 		for range 40 {
-			w.run(50 * time.Millisecond)
-			g.Expect(w.down("a")).To(gomega.BeEmpty())
-			g.Expect(w.down("b")).To(gomega.BeEmpty())
+			c.run(50 * time.Millisecond)
+			g.Expect(c.down("a")).To(gomega.BeEmpty())
+			g.Expect(c.down("b")).To(gomega.BeEmpty())
 		}
 	}
 }
--- a/core/crmember/standing_test.go
+++ b/core/crmember/standing_test.go
@@ -12,10 +12,10 @@
 )
 
 func startedCluster(without guard, list crinstance.List) *cluster {
-	w := newCluster(without, 1)
-	w.startAll(list)
-	w.run(4 * time.Second)
-	return w
+	c := newCluster(without, 1)
+	c.startAll(list)
+	c.run(4 * time.Second)
+	return c
 }
 
 // Each case lets a daemon act under an old list while others act under a newer one,
@@ -33,18 +33,18 @@
 		"handover without wait":        {guardExpiryWait, handoverWithoutWait},
 		"unconfirmed acknowledgements": {guardReconfirm, unconfirmedAcknowledgements},
 	}
-	for name, c := range cases {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			for _, without := range []guard{0, c.without} {
-				w := startedCluster(without, newList(1, "a", "b", "c", "d", "e"))
-				g.Expect(w.leaseHolders()).To(gomega.HaveLen(5))
-				c.run(w)
+			for _, without := range []guard{0, tc.without} {
+				c := startedCluster(without, newList(1, "a", "b", "c", "d", "e"))
+				g.Expect(c.leaseHolders()).To(gomega.HaveLen(5))
+				tc.run(c)
 				if without == 0 {
-					g.Expect(w.overlaps).To(gomega.BeEmpty())
+					g.Expect(c.overlaps).To(gomega.BeEmpty())
 					continue
 				}
-				g.Expect(w.overlaps).NotTo(gomega.BeEmpty(), "the check must be able to fail")
+				g.Expect(c.overlaps).NotTo(gomega.BeEmpty(), "the check must be able to fail")
 			}
 		})
 	}
@@ -52,135 +52,135 @@
 
 // The heartbeats of c, d and e to a are delayed for some seconds, while all but a move
 // on to a list without a. They must not renew the lease of a when they arrive.
-func delayedHeartbeats(w *cluster) {
+func delayedHeartbeats(c *cluster) {
 	for _, d := range daemons("c", "d", "e") {
-		w.delays[link{d, "a"}] = 6 * time.Second
-		w.cuts[link{"a", d}] = true
+		c.delays[link{d, "a"}] = 6 * time.Second
+		c.cuts[link{"a", d}] = true
 	}
-	w.partition(daemons("a"), daemons("b"))
-	w.run(time.Second)
+	c.partition(daemons("a"), daemons("b"))
+	c.run(time.Second)
 	for _, d := range daemons("b", "c", "d", "e") {
-		w.deliverList(d, newList(2, "b", "c", "d", "e"))
+		c.deliverList(d, newList(2, "b", "c", "d", "e"))
 	}
-	w.run(10 * time.Second)
+	c.run(10 * time.Second)
 }
 
 // Daemon a is suspended and the others replace it. It resumes with a queue of
 // heartbeats from before the change.
-func resumedProcess(w *cluster) {
-	w.nodes["a"].paused = true
-	w.run(time.Second)
-	w.partition(daemons("a"), daemons("b", "c", "d", "e"))
+func resumedProcess(c *cluster) {
+	c.nodes["a"].paused = true
+	c.run(time.Second)
+	c.partition(daemons("a"), daemons("b", "c", "d", "e"))
 	for _, d := range daemons("b", "c", "d", "e") {
-		w.deliverList(d, newList(2, "b", "c", "d", "e"))
+		c.deliverList(d, newList(2, "b", "c", "d", "e"))
 	}
-	w.run(10 * time.Second)
-	w.resume("a")
-	w.run(time.Second)
+	c.run(10 * time.Second)
+	c.resume("a")
+	c.run(time.Second)
 }
 
 // List 2 becomes active with the acknowledgements of a, b and c. Then c moves on to
 // list 3 with d and e, which never received list 2 and are a majority of list 1. The
 // rest of list 2 is cut off and still acknowledges it.
-func chainedLists(w *cluster) {
+func chainedLists(c *cluster) {
 	added := daemons("x", "y", "z")
 	for _, d := range added {
-		w.start(d)
+		c.start(d)
 	}
-	w.partition(daemons("d", "e"), daemons("a", "b", "c", "x", "y", "z"))
+	c.partition(daemons("d", "e"), daemons("a", "b", "c", "x", "y", "z"))
 	second := newList(2, "a", "b", "x", "y", "z")
 	for _, d := range daemons("a", "b", "c", "x", "y", "z") {
-		w.deliverList(d, second)
+		c.deliverList(d, second)
 	}
-	w.cuts[link{"a", "c"}] = true
-	w.cuts[link{"b", "c"}] = true
-	w.run(time.Second)
-	clear(w.cuts)
-	w.partition(daemons("a", "b", "x", "y", "z"), daemons("c", "d", "e"))
+	c.cuts[link{"a", "c"}] = true
+	c.cuts[link{"b", "c"}] = true
+	c.run(time.Second)
+	clear(c.cuts)
+	c.partition(daemons("a", "b", "x", "y", "z"), daemons("c", "d", "e"))
 	for _, d := range daemons("c", "d", "e") {
-		w.deliverList(d, newList(3, "c", "d", "e"))
+		c.deliverList(d, newList(3, "c", "d", "e"))
 	}
-	w.run(10 * time.Second)
+	c.run(10 * time.Second)
 }
 
 // The others make list 2 active while a and e are cut off. Then b restarts with list 1
 // and reaches only a and e, whose majority it would complete.
-func forgottenAcknowledgement(w *cluster) {
-	w.partition(daemons("a", "e"), daemons("b", "c", "d"))
+func forgottenAcknowledgement(c *cluster) {
+	c.partition(daemons("a", "e"), daemons("b", "c", "d"))
 	for _, d := range daemons("b", "c", "d") {
-		w.deliverList(d, newList(2, "b", "c", "d"))
+		c.deliverList(d, newList(2, "b", "c", "d"))
 	}
-	w.run(6 * time.Second)
-	clear(w.cuts)
-	w.partition(daemons("a", "e", "b"), daemons("c", "d"))
-	w.start("b")
-	w.deliverList("b", newList(1, "a", "b", "c", "d", "e"))
-	w.run(5 * time.Second)
+	c.run(6 * time.Second)
+	clear(c.cuts)
+	c.partition(daemons("a", "e", "b"), daemons("c", "d"))
+	c.start("b")
+	c.deliverList("b", newList(1, "a", "b", "c", "d", "e"))
+	c.run(5 * time.Second)
 }
 
 // All but a move on to list 2 just after they acknowledged list 1 to a.
-func handoverWithoutWait(w *cluster) {
-	w.partition(daemons("a"), daemons("b", "c", "d", "e"))
+func handoverWithoutWait(c *cluster) {
+	c.partition(daemons("a"), daemons("b", "c", "d", "e"))
 	for _, d := range daemons("b", "c", "d", "e") {
-		w.deliverList(d, newList(2, "b", "c", "d", "e"))
+		c.deliverList(d, newList(2, "b", "c", "d", "e"))
 	}
-	w.run(5 * time.Second)
+	c.run(5 * time.Second)
 }
 
 // Daemon a acknowledges list 2 to e, restarts with list 1, and recovers from b, c and d,
 // which move on only then. To e it looks as if all daemons had moved on.
-func unconfirmedAcknowledgements(w *cluster) {
+func unconfirmedAcknowledgements(c *cluster) {
 	second := newList(2, "a", "b", "c", "d", "e")
-	w.partition(daemons("a", "e"), daemons("b", "c", "d"))
-	w.deliverList("e", second)
-	w.deliverList("a", second)
-	w.run(400 * time.Millisecond)
-	w.start("a")
-	clear(w.cuts)
-	w.partition(daemons("e"), daemons("a", "b", "c", "d"))
-	w.packets = nil
-	w.deliverList("a", newList(1, "a", "b", "c", "d", "e"))
-	w.run(400 * time.Millisecond)
-	clear(w.cuts)
-	w.partition(daemons("a"), daemons("b", "c", "d", "e"))
+	c.partition(daemons("a", "e"), daemons("b", "c", "d"))
+	c.deliverList("e", second)
+	c.deliverList("a", second)
+	c.run(400 * time.Millisecond)
+	c.start("a")
+	clear(c.cuts)
+	c.partition(daemons("e"), daemons("a", "b", "c", "d"))
+	c.packets = nil
+	c.deliverList("a", newList(1, "a", "b", "c", "d", "e"))
+	c.run(400 * time.Millisecond)
+	clear(c.cuts)
+	c.partition(daemons("a"), daemons("b", "c", "d", "e"))
 	for _, d := range daemons("b", "c", "d") {
-		w.deliverList(d, second)
+		c.deliverList(d, second)
 	}
-	w.run(5 * time.Second)
+	c.run(5 * time.Second)
 }
 
 // A link is cut from a to b only. Without detection at a, it would go on sending
 // requests whose answers never come.
 func TestOneWayCutIsDetectedOnBothSides(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := startedCluster(0, newList(1, "a", "b", "c"))
-	g.Expect(w.nodes["a"].peers["b"].Reachable).To(gomega.BeTrue())
-	w.cuts[link{"a", "b"}] = true
-	w.run(2300 * time.Millisecond)
-	g.Expect(w.nodes["a"].peers["b"].Reachable).To(gomega.BeFalse())
-	g.Expect(w.nodes["b"].peers["a"].Reachable).To(gomega.BeFalse())
-	g.Expect(w.leaseHolders()).To(gomega.HaveLen(3))
+	c := startedCluster(0, newList(1, "a", "b", "c"))
+	g.Expect(c.nodes["a"].peers["b"].Reachable).To(gomega.BeTrue())
+	c.cuts[link{"a", "b"}] = true
+	c.run(2300 * time.Millisecond)
+	g.Expect(c.nodes["a"].peers["b"].Reachable).To(gomega.BeFalse())
+	g.Expect(c.nodes["b"].peers["a"].Reachable).To(gomega.BeFalse())
+	g.Expect(c.leaseHolders()).To(gomega.HaveLen(3))
 }
 
 // After a power failure no daemon remembers any list. Requests are refused until the
 // wait is over, and served from then on.
 func TestColdStartOfAllAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := newCluster(0, 1)
-	w.startAll(newList(1, "a", "b", "c", "d", "e"))
-	w.run(2 * time.Second)
-	g.Expect(w.leaseHolders()).To(gomega.BeEmpty())
-	w.run(time.Second)
-	g.Expect(w.leaseHolders()).To(gomega.HaveLen(5))
+	c := newCluster(0, 1)
+	c.startAll(newList(1, "a", "b", "c", "d", "e"))
+	c.run(2 * time.Second)
+	g.Expect(c.leaseHolders()).To(gomega.BeEmpty())
+	c.run(time.Second)
+	g.Expect(c.leaseHolders()).To(gomega.HaveLen(5))
 }
 
 // The platform is down for ten minutes, and no list comes.
 func TestPlatformOutageKeepsLeases(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := startedCluster(0, newList(1, "a", "b", "c"))
+	c := startedCluster(0, newList(1, "a", "b", "c"))
 	for range 600 {
-		w.run(time.Second)
-		g.Expect(w.leaseHolders()).To(gomega.HaveLen(3))
+		c.run(time.Second)
+		g.Expect(c.leaseHolders()).To(gomega.HaveLen(3))
 	}
 }
 
@@ -188,28 +188,28 @@
 // requests within the contact timeout, while the others go on.
 func TestIsolatedDaemonLosesLease(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := startedCluster(0, newList(1, "a", "b", "c"))
-	w.partition(daemons("a"), daemons("b", "c"))
-	w.run(w.params.ContactTimeout)
-	g.Expect(w.leaseHolders()).To(gomega.Equal(daemons("b", "c")))
-	clear(w.cuts)
-	w.run(500 * time.Millisecond)
-	g.Expect(w.leaseHolders()).To(gomega.HaveLen(3))
+	c := startedCluster(0, newList(1, "a", "b", "c"))
+	c.partition(daemons("a"), daemons("b", "c"))
+	c.run(c.params.ContactTimeout)
+	g.Expect(c.leaseHolders()).To(gomega.Equal(daemons("b", "c")))
+	clear(c.cuts)
+	c.run(500 * time.Millisecond)
+	g.Expect(c.leaseHolders()).To(gomega.HaveLen(3))
 }
 
 // The platform's list lags by minutes. Until the peers know that a daemon is leaving,
 // they send it requests that it refuses.
 func TestLeavingIsAnnouncedImmediately(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := startedCluster(0, newList(1, "a", "b", "c"))
-	w.step("a", crevent.Stopping{Now: w.nodes["a"].clock(w.now)})
-	w.run(10 * time.Millisecond)
-	g.Expect(w.nodes["b"].peers["a"].Leaving).To(gomega.BeTrue())
-	w.start("a")
-	w.deliverList("a", newList(1, "a", "b", "c"))
-	w.run(time.Second)
-	g.Expect(w.nodes["b"].peers["a"].Leaving).To(gomega.BeFalse())
-	g.Expect(w.hasLease("a")).To(gomega.BeTrue())
+	c := startedCluster(0, newList(1, "a", "b", "c"))
+	c.step("a", crevent.Stopping{Now: c.nodes["a"].clock(c.now)})
+	c.run(10 * time.Millisecond)
+	g.Expect(c.nodes["b"].peers["a"].Leaving).To(gomega.BeTrue())
+	c.start("a")
+	c.deliverList("a", newList(1, "a", "b", "c"))
+	c.run(time.Second)
+	g.Expect(c.nodes["b"].peers["a"].Leaving).To(gomega.BeFalse())
+	g.Expect(c.hasLease("a")).To(gomega.BeTrue())
 }
 
 // No daemon has a lease during a handover. It takes a few heartbeats if every daemon
@@ -222,24 +222,24 @@
 		"all answer": {false, time.Second},
 		"one dead":   {true, 3 * time.Second},
 	}
-	for name, c := range cases {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			w := startedCluster(0, newList(1, "a", "b", "c", "d", "e"))
-			w.nodes["e"].paused = c.dead
-			w.run(5 * time.Second)
-			w.start("f")
+			c := startedCluster(0, newList(1, "a", "b", "c", "d", "e"))
+			c.nodes["e"].paused = tc.dead
+			c.run(5 * time.Second)
+			c.start("f")
 			second := newList(2, "a", "b", "c", "d", "f")
-			w.deliverList("f", second)
-			w.deliverList("a", second)
+			c.deliverList("f", second)
+			c.deliverList("a", second)
 			gap := time.Duration(0)
-			for len(w.leaseHolders()) < 5 {
-				w.run(10 * time.Millisecond)
+			for len(c.leaseHolders()) < 5 {
+				c.run(10 * time.Millisecond)
 				gap += 10 * time.Millisecond
-				g.Expect(gap).To(gomega.BeNumerically("<", c.bound))
+				g.Expect(gap).To(gomega.BeNumerically("<", tc.bound))
 			}
 			t.Logf("gap at a list change: %v", gap)
-			g.Expect(w.overlaps).To(gomega.BeEmpty())
+			g.Expect(c.overlaps).To(gomega.BeEmpty())
 		})
 	}
 }
@@ -248,64 +248,64 @@
 // grow.
 func TestListsAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := startedCluster(0, newList(1, "a", "b", "c"))
-	w.partition(daemons("a"), daemons("b", "c"))
+	c := startedCluster(0, newList(1, "a", "b", "c"))
+	c.partition(daemons("a"), daemons("b", "c"))
 	for rev := range crid.Revision(40) {
-		for _, d := range w.names() {
-			w.deliverList(d, newList(rev+2, "a", "b", "c"))
+		for _, d := range c.names() {
+			c.deliverList(d, newList(rev+2, "a", "b", "c"))
 		}
-		w.run(3 * time.Second)
+		c.run(3 * time.Second)
 	}
-	g.Expect(len(w.nodes["a"].state.revs)).To(gomega.BeNumerically("<=", 2))
+	g.Expect(len(c.nodes["a"].state.revs)).To(gomega.BeNumerically("<=", 2))
 	for rev := range crid.Revision(100) {
 		lists := []ListData{{Rev: rev + 100}}
-		ev := crevent.Received{Now: w.nodes["a"].state.now, From: "b", Msg: ListResponse{Lists: lists}}
-		w.nodes["a"].state.Step(ev)
+		ev := crevent.Received{Now: c.nodes["a"].state.now, From: "b", Msg: ListResponse{Lists: lists}}
+		c.nodes["a"].state.Step(ev)
 	}
-	g.Expect(w.nodes["a"].state.revs).To(gomega.HaveLen(w.params.MaxLists))
+	g.Expect(c.nodes["a"].state.revs).To(gomega.HaveLen(c.params.MaxLists))
 }
 
 // A daemon that was cut off during many list changes hands over to the newest one
 // without the lists between.
 func TestReconnectedDaemonSkipsLists(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := startedCluster(0, newList(1, "a", "b", "c"))
-	w.partition(daemons("a"), daemons("b", "c"))
+	c := startedCluster(0, newList(1, "a", "b", "c"))
+	c.partition(daemons("a"), daemons("b", "c"))
 	for rev := range crid.Revision(40) {
-		for _, d := range w.names() {
-			w.deliverList(d, newList(rev+2, "a", "b", "c"))
+		for _, d := range c.names() {
+			c.deliverList(d, newList(rev+2, "a", "b", "c"))
 		}
-		w.run(3 * time.Second)
+		c.run(3 * time.Second)
 	}
-	clear(w.cuts)
-	w.run(2 * time.Second)
-	g.Expect(w.leaseHolders()).To(gomega.HaveLen(3))
-	g.Expect(w.nodes["a"].lease.Active).To(gomega.Equal(crid.Revision(41)))
-	g.Expect(w.overlaps).To(gomega.BeEmpty())
+	clear(c.cuts)
+	c.run(2 * time.Second)
+	g.Expect(c.leaseHolders()).To(gomega.HaveLen(3))
+	g.Expect(c.nodes["a"].lease.Active).To(gomega.Equal(crid.Revision(41)))
+	g.Expect(c.overlaps).To(gomega.BeEmpty())
 }
 
 // Most voters of the new list have no voter of their own list to recover from. They must
 // not wait for ever.
 func TestMostVotersReplacedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := startedCluster(0, newList(1, "a", "b", "c", "d", "e"))
+	c := startedCluster(0, newList(1, "a", "b", "c", "d", "e"))
 	second := newList(2, "a", "b", "x", "y", "z")
 	for _, d := range daemons("x", "y", "z") {
-		w.start(d)
+		c.start(d)
 	}
-	for _, d := range w.names() {
-		w.deliverList(d, second)
+	for _, d := range c.names() {
+		c.deliverList(d, second)
 	}
-	w.run(5 * time.Second)
-	g.Expect(w.leaseHolders()).To(gomega.Equal(daemons("a", "b", "x", "y", "z")))
-	g.Expect(w.overlaps).To(gomega.BeEmpty())
+	c.run(5 * time.Second)
+	g.Expect(c.leaseHolders()).To(gomega.Equal(daemons("a", "b", "x", "y", "z")))
+	g.Expect(c.overlaps).To(gomega.BeEmpty())
 }
 
 // A daemon that no list names sends heartbeats, for example one of another fleet.
 func TestUnknownSenderIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := startedCluster(0, newList(1, "a", "b", "c"))
-	s := w.nodes["a"].state
+	c := startedCluster(0, newList(1, "a", "b", "c"))
+	s := c.nodes["a"].state
 	heartbeat := Heartbeat{Seq: 1, Incarnation: 9, Newest: 7, LastActive: 7}
 	for _, msg := range []crevent.Message{heartbeat, ListRequest{}, ListResponse{Lists: []ListData{{Rev: 9}}}} {
 		ev := crevent.Received{Now: s.now, From: "stranger", Msg: msg}
@@ -320,19 +320,19 @@
 	g := gomega.NewWithT(t)
 	names := daemonNames(48)
 	list := newList(1, names...)
-	w := newCluster(0, 1)
-	w.startAll(list)
-	w.run(6 * time.Second)
-	g.Expect(w.leaseHolders()).To(gomega.HaveLen(48))
-	voters := heldList{voters: Voters(list, 0, w.params.MaxVoters)}
+	c := newCluster(0, 1)
+	c.startAll(list)
+	c.run(6 * time.Second)
+	g.Expect(c.leaseHolders()).To(gomega.HaveLen(48))
+	voters := heldList{voters: Voters(list, 0, c.params.MaxVoters)}
 	for _, d := range names {
 		if voters.hasVoter(d) {
 			continue
 		}
-		w.nodes[d].sent = nil
-		w.run(2 * time.Second)
-		perRound := w.params.MaxVoters + 3*w.params.SampleSize
-		g.Expect(len(w.nodes[d].sent)).To(gomega.BeNumerically("<", 11*perRound))
+		c.nodes[d].sent = nil
+		c.run(2 * time.Second)
+		perRound := c.params.MaxVoters + 3*c.params.SampleSize
+		g.Expect(len(c.nodes[d].sent)).To(gomega.BeNumerically("<", 11*perRound))
 		return
 	}
 }
@@ -340,8 +340,8 @@
 // A faulty peer requests the lists repeatedly.
 func TestListRequestIsAnsweredOncePerInterval(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := startedCluster(0, newList(1, "a", "b", "c"))
-	s := w.nodes["a"].state
+	c := startedCluster(0, newList(1, "a", "b", "c"))
+	s := c.nodes["a"].state
 	request := crevent.Received{Now: s.now, From: "b", Msg: ListRequest{}}
 	g.Expect(s.Step(request)).To(gomega.HaveLen(1))
 	g.Expect(s.Step(request)).To(gomega.BeEmpty())
--- a/core/crmember/tenure.go
+++ b/core/crmember/tenure.go
@@ -54,7 +54,7 @@
 	if s.allConfirmed(older) {
 		return true
 	}
-	return !slices.ContainsFunc(older, func(k heldList) bool { return !s.handoverDone(k) })
+	return !slices.ContainsFunc(older, func(l heldList) bool { return !s.handoverDone(l) })
 }
 
 // handoverDone reports whether a majority of an older list's voters has acknowledged
@@ -63,19 +63,19 @@
 // The daemon that acted under the older list may count a contact that a voter gave
 // just before it moved on, until the contact timeout. If the new lease began with
 // the acknowledgement, both daemons would act at once.
-func (s *State) handoverDone(k heldList) bool {
+func (s *State) handoverDone(older heldList) bool {
 	wait := s.params.ExpiryWait()
 	if !s.params.enforces(guardExpiryWait) {
 		wait = 0
 	}
 	acked := 0
-	for _, d := range k.voters {
+	for _, d := range older.voters {
 		since, ok := s.ackTime(d)
 		if ok && s.now.Sub(since) >= wait {
 			acked++
 		}
 	}
-	return acked >= quorum(len(k.voters))
+	return acked >= quorum(len(older.voters))
 }
 
 // ackTime returns since when a daemon has acknowledged the newest list.
@@ -99,8 +99,8 @@
 func (s *State) allConfirmed(older []heldList) bool {
 	last := s.ackSince
 	var daemons []crid.Daemon
-	for _, k := range older {
-		daemons = append(daemons, k.daemons...)
+	for _, list := range older {
+		daemons = append(daemons, list.daemons...)
 	}
 	for _, d := range daemons {
 		since, ok := s.ackTime(d)
@@ -121,9 +121,9 @@
 // majority of the newest list's voters that acknowledge it; zero if it has passed,
 // or if a reachable peer names a newer list that has not been received yet.
 func (s *State) leaseUntil() crid.Instant {
-	k := s.lists[s.newest]
+	held := s.lists[s.newest]
 	var contacts []crid.Instant
-	for _, d := range k.voters {
+	for _, d := range held.voters {
 		p := s.peers[d]
 		switch {
 		case d == s.self:
@@ -134,7 +134,7 @@
 			return 0
 		}
 	}
-	return s.quorumUntil(contacts, len(k.voters))
+	return s.quorumUntil(contacts, len(held.voters))
 }
 
 // quorumUntil returns the end of the contact timeout of the newest contact that a
--- a/core/crmember/watermark_test.go
+++ b/core/crmember/watermark_test.go
@@ -11,17 +11,17 @@
 // daemon could act, and every request would be refused because of one failed machine.
 func TestLeaseExpiryFollowsQuorumNotMinimum(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := startedCluster(0, newList(1, "a", "b", "c", "d", "e"))
-	delete(w.nodes, "e")
-	w.run(w.params.ContactTimeout + time.Second)
-	s := w.nodes["a"].state
-	now := w.nodes["a"].clock(w.now)
+	c := startedCluster(0, newList(1, "a", "b", "c", "d", "e"))
+	delete(c.nodes, "e")
+	c.run(c.params.ContactTimeout + time.Second)
+	s := c.nodes["a"].state
+	now := c.nodes["a"].clock(c.now)
 	minimum := now
 	for _, p := range s.peers {
 		minimum = min(minimum, p.lastContact.Add(s.params.ContactTimeout))
 	}
 	t.Logf("one of five daemons failed %v ago: the lease ends in %v by the majority, in %v by the minimum",
-		w.params.ContactTimeout+time.Second, s.lease.Until.Sub(now), minimum.Sub(now))
+		c.params.ContactTimeout+time.Second, s.lease.Until.Sub(now), minimum.Sub(now))
 	g.Expect(minimum).To(gomega.BeNumerically("<", now))
 	g.Expect(s.lease.Until).To(gomega.BeNumerically(">", now))
 }
--- a/core/crmember/world_test.go
+++ b/core/crmember/world_test.go
@@ -64,46 +64,46 @@
 }
 
 // start starts or restarts a daemon. Its clock rate stays.
-func (w *cluster) start(d crid.Daemon) *node {
-	w.starts++
+func (c *cluster) start(d crid.Daemon) *node {
+	c.starts++
 	n := &node{
-		state:     New(w.params),
-		inc:       crid.Incarnation(w.starts),
-		clockBase: crid.Instant(1e9 * float64(1+w.starts)),
+		state:     New(c.params),
+		inc:       crid.Incarnation(c.starts),
+		clockBase: crid.Instant(1e9 * float64(1+c.starts)),
 		clockRate: 1,
 	}
-	if old := w.nodes[d]; old != nil {
+	if old := c.nodes[d]; old != nil {
 		n.clockRate = old.clockRate
 	}
-	w.nodes[d] = n
-	w.step(d, crevent.Started{Now: n.clock(w.now), Self: d, Incarnation: n.inc, Seed: w.starts})
+	c.nodes[d] = n
+	c.step(d, crevent.Started{Now: n.clock(c.now), Self: d, Incarnation: n.inc, Seed: c.starts})
 	return n
 }
 
-func (w *cluster) startAll(list crinstance.List) {
+func (c *cluster) startAll(list crinstance.List) {
 	for _, d := range list.Daemons() {
-		w.start(d)
+		c.start(d)
 	}
 	for _, d := range list.Daemons() {
-		w.deliverList(d, list)
+		c.deliverList(d, list)
 	}
 }
 
 // deliverList delivers a list of the platform to a daemon.
-func (w *cluster) deliverList(d crid.Daemon, list crinstance.List) {
-	w.step(d, crinstance.ListUpdated{Now: w.nodes[d].clock(w.now), List: list})
+func (c *cluster) deliverList(d crid.Daemon, list crinstance.List) {
+	c.step(d, crinstance.ListUpdated{Now: c.nodes[d].clock(c.now), List: list})
 }
 
-func (w *cluster) step(d crid.Daemon, ev crevent.Event) {
-	n := w.nodes[d]
+func (c *cluster) step(d crid.Daemon, ev crevent.Event) {
+	n := c.nodes[d]
 	for _, effect := range n.state.Step(ev) {
 		switch e := effect.(type) {
 		case crevent.Send:
 			n.sent = append(n.sent, e.Msg)
-			w.send(packet{from: d, to: e.To, msg: e.Msg})
+			c.send(packet{from: d, to: e.To, msg: e.Msg})
 		case Lease:
 			n.lease = e
-			w.checkLeases()
+			c.checkLeases()
 		case PeersChanged:
 			n.peers = make(map[crid.Daemon]Peer)
 			for _, p := range e.Peers {
@@ -113,52 +113,52 @@
 	}
 }
 
-func (w *cluster) send(p packet) {
-	if w.cuts[link{p.from, p.to}] {
+func (c *cluster) send(p packet) {
+	if c.cuts[link{p.from, p.to}] {
 		return
 	}
-	p.at = w.now + 2*time.Millisecond + w.delays[link{p.from, p.to}]
-	if w.faulty {
-		if w.rng.IntN(10) == 0 {
+	p.at = c.now + 2*time.Millisecond + c.delays[link{p.from, p.to}]
+	if c.faulty {
+		if c.rng.IntN(10) == 0 {
 			return
 		}
-		if w.rng.IntN(20) == 0 {
+		if c.rng.IntN(20) == 0 {
 			duplicate := p
-			duplicate.at += time.Duration(w.rng.IntN(4000)) * time.Millisecond
-			w.packets = append(w.packets, duplicate)
+			duplicate.at += time.Duration(c.rng.IntN(4000)) * time.Millisecond
+			c.packets = append(c.packets, duplicate)
 		}
-		p.at += time.Duration(w.rng.IntN(300)) * time.Millisecond
+		p.at += time.Duration(c.rng.IntN(300)) * time.Millisecond
 	}
-	w.packets = append(w.packets, p)
+	c.packets = append(c.packets, p)
 }
 
 // hasLease reports whether a daemon holds a lease now, by its own clock.
-func (w *cluster) hasLease(d crid.Daemon) bool {
-	n := w.nodes[d]
-	return n.lease.Until > n.clock(w.now)
+func (c *cluster) hasLease(d crid.Daemon) bool {
+	n := c.nodes[d]
+	return n.lease.Until > n.clock(c.now)
 }
 
 // checkLeases records daemons that hold leases under different lists now.
-func (w *cluster) checkLeases() {
+func (c *cluster) checkLeases() {
 	active := make(map[crid.Revision]crid.Daemon)
-	for d, n := range w.nodes {
-		if w.hasLease(d) {
+	for d, n := range c.nodes {
+		if c.hasLease(d) {
 			active[n.lease.Active] = d
 		}
 	}
 	if len(active) > 1 {
-		w.overlaps = append(w.overlaps, fmt.Sprintf("%v: %v", w.now, active))
+		c.overlaps = append(c.overlaps, fmt.Sprintf("%v: %v", c.now, active))
 	}
-	w.checkJointLeases()
+	c.checkJointLeases()
 }
 
 // leasedLists returns the lists under all of which a daemon may act now.
-func (w *cluster) leasedLists(d crid.Daemon) []crid.Revision {
-	n := w.nodes[d]
-	if w.hasLease(d) {
+func (c *cluster) leasedLists(d crid.Daemon) []crid.Revision {
+	n := c.nodes[d]
+	if c.hasLease(d) {
 		return []crid.Revision{n.lease.Active}
 	}
-	if n.lease.JointUntil <= n.clock(w.now) {
+	if n.lease.JointUntil <= n.clock(c.now) {
 		return nil
 	}
 	var revs []crid.Revision
@@ -170,91 +170,91 @@
 
 // checkJointLeases records two daemons that may act now without a list in common:
 // each could grant the same share under its own list.
-func (w *cluster) checkJointLeases() {
-	names := w.names()
+func (c *cluster) checkJointLeases() {
+	names := c.names()
 	for i, a := range names {
 		for _, b := range names[i+1:] {
-			ra, rb := w.leasedLists(a), w.leasedLists(b)
+			ra, rb := c.leasedLists(a), c.leasedLists(b)
 			common := slices.ContainsFunc(ra, func(r crid.Revision) bool { return slices.Contains(rb, r) })
 			if len(ra) > 0 && len(rb) > 0 && !common {
-				w.disjoint = append(w.disjoint, fmt.Sprintf("%v: %s acts under %v, %s under %v", w.now, a, ra, b, rb))
+				c.disjoint = append(c.disjoint, fmt.Sprintf("%v: %s acts under %v, %s under %v", c.now, a, ra, b, rb))
 			}
 		}
 	}
 }
 
 // run advances the time in steps of 10 ms, with a tick every 50 ms.
-func (w *cluster) run(d time.Duration) {
+func (c *cluster) run(d time.Duration) {
 	const quantum = 10 * time.Millisecond
-	for end := w.now + d; w.now < end; {
-		w.now += quantum
-		w.deliver()
-		if w.now%(5*quantum) == 0 {
-			for _, d := range w.names() {
-				if n := w.nodes[d]; !n.paused {
-					w.step(d, crevent.Tick{Now: n.clock(w.now)})
+	for end := c.now + d; c.now < end; {
+		c.now += quantum
+		c.deliver()
+		if c.now%(5*quantum) == 0 {
+			for _, d := range c.names() {
+				if n := c.nodes[d]; !n.paused {
+					c.step(d, crevent.Tick{Now: n.clock(c.now)})
 				}
 			}
 		}
-		w.checkLeases()
+		c.checkLeases()
 	}
 }
 
-func (w *cluster) names() []crid.Daemon {
+func (c *cluster) names() []crid.Daemon {
 	var names []crid.Daemon
-	for d := range w.nodes {
+	for d := range c.nodes {
 		names = append(names, d)
 	}
 	slices.Sort(names)
 	return names
 }
 
-func (w *cluster) deliver() {
+func (c *cluster) deliver() {
 	var due, later []packet
-	for _, p := range w.packets {
-		if p.at <= w.now {
+	for _, p := range c.packets {
+		if p.at <= c.now {
 			due = append(due, p)
 			continue
 		}
 		later = append(later, p)
 	}
-	w.packets = later
+	c.packets = later
 	slices.SortStableFunc(due, func(a, b packet) int { return int(a.at - b.at) })
 	for _, p := range due {
-		n := w.nodes[p.to]
+		n := c.nodes[p.to]
 		switch {
-		case n == nil || w.cuts[link{p.from, p.to}] && w.delays[link{p.from, p.to}] == 0:
+		case n == nil || c.cuts[link{p.from, p.to}] && c.delays[link{p.from, p.to}] == 0:
 		case n.paused:
 			n.queue = append(n.queue, p)
 		default:
-			w.step(p.to, crevent.Received{Now: n.clock(w.now), From: p.from, Msg: p.msg})
+			c.step(p.to, crevent.Received{Now: n.clock(c.now), From: p.from, Msg: p.msg})
 		}
 	}
 }
 
 // resume resumes a daemon. Queued packets arrive before its first tick.
-func (w *cluster) resume(d crid.Daemon) {
-	n := w.nodes[d]
+func (c *cluster) resume(d crid.Daemon) {
+	n := c.nodes[d]
 	n.paused = false
 	queue := n.queue
 	n.queue = nil
 	for _, p := range queue {
-		w.step(d, crevent.Received{Now: n.clock(w.now), From: p.from, Msg: p.msg})
+		c.step(d, crevent.Received{Now: n.clock(c.now), From: p.from, Msg: p.msg})
 	}
 }
 
 // partition cuts the links between two groups, both ways.
-func (w *cluster) partition(a, b []crid.Daemon) {
+func (c *cluster) partition(a, b []crid.Daemon) {
 	for _, x := range a {
 		for _, y := range b {
-			w.cuts[link{x, y}] = true
-			w.cuts[link{y, x}] = true
+			c.cuts[link{x, y}] = true
+			c.cuts[link{y, x}] = true
 		}
 	}
 }
 
-func (w *cluster) leaseHolders() []crid.Daemon {
-	return slices.DeleteFunc(w.names(), func(d crid.Daemon) bool { return !w.hasLease(d) })
+func (c *cluster) leaseHolders() []crid.Daemon {
+	return slices.DeleteFunc(c.names(), func(d crid.Daemon) bool { return !c.hasLease(d) })
 }
 
 func newList(rev crid.Revision, names ...crid.Daemon) crinstance.List {
--- a/core/crmesh/peer.go
+++ b/core/crmesh/peer.go
@@ -92,7 +92,8 @@
 }
 
 // missesHeartbeats reports whether a peer that was heard before is not heard any more.
-// A peer that was never heard may just have started, which requests to it show.
+// A peer that was never heard may just have started; a request to it shows
+// whether it is up.
 func (s *State) missesHeartbeats(now crid.Instant, p *peer) bool {
 	if p.lastHeard == 0 {
 		return false
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -28,7 +28,7 @@
 }
 
 func newCluster(n int) *cluster {
-	f := &cluster{states: make(map[crid.Daemon]*crmesh.State), view: make(map[crid.Daemon]*crmesh.View), dead: make(map[crid.Daemon]bool), params: make(map[crid.Daemon]crmesh.Params)}
+	c := &cluster{states: make(map[crid.Daemon]*crmesh.State), view: make(map[crid.Daemon]*crmesh.View), dead: make(map[crid.Daemon]bool), params: make(map[crid.Daemon]crmesh.Params)}
 	ev := crmesh.RecordsListed{Now: start, Revision: 5}
 	for i := range n {
 		address := fmt.Sprintf("10.0.1.%d:80", i)
@@ -38,25 +38,25 @@
 		}})
 		p := params()
 		p.Seeds, p.Address, p.Self, p.Domain = nil, address, crmesh.DaemonOf(address), crid.Domain("ab"[i%2:i%2+1])
-		f.names = append(f.names, p.Self)
-		f.states[p.Self], f.params[p.Self] = crmesh.New(p), p
+		c.names = append(c.names, p.Self)
+		c.states[p.Self], c.params[p.Self] = crmesh.New(p), p
 	}
-	f.list = ev
-	for _, d := range f.names {
-		f.step(d, ev)
+	c.list = ev
+	for _, d := range c.names {
+		c.step(d, ev)
 	}
-	return f
+	return c
 }
 
-func (f *cluster) step(d crid.Daemon, ev crevent.Event) {
-	for _, eff := range f.states[d].Step(ev) {
+func (c *cluster) step(d crid.Daemon, ev crevent.Event) {
+	for _, eff := range c.states[d].Step(ev) {
 		switch eff := eff.(type) {
 		case crmesh.PublishView:
-			f.view[d] = eff.View
+			c.view[d] = eff.View
 		case crmesh.SendHeartbeats:
 			for _, to := range eff.To {
-				if !f.dead[to] && !f.dead[d] {
-					f.step(to, crmesh.HeartbeatReceived{Now: ev.At(), From: d, Heartbeat: crmesh.Heartbeat{
+				if !c.dead[to] && !c.dead[d] {
+					c.step(to, crmesh.HeartbeatReceived{Now: ev.At(), From: d, Heartbeat: crmesh.Heartbeat{
 						Incarnation: 1, Stopping: eff.Stopping, StoreUnavailable: eff.StoreUnavailable, RecordRevision: eff.RecordRevision,
 					}})
 				}
@@ -65,11 +65,11 @@
 	}
 }
 
-func (f *cluster) run(from crid.Instant, d time.Duration) crid.Instant {
+func (c *cluster) run(from crid.Instant, d time.Duration) crid.Instant {
 	for end := from.Add(d); from < end; from = from.Add(100 * time.Millisecond) {
-		for _, name := range f.names {
-			if !f.dead[name] {
-				f.step(name, crevent.Tick{Now: from})
+		for _, name := range c.names {
+			if !c.dead[name] {
+				c.step(name, crevent.Tick{Now: from})
 			}
 		}
 	}
@@ -80,29 +80,29 @@
 // Two daemons of a domain read it, and all others there agree on which.
 func TestTwoReadersPerDomain(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newCluster(12)
-	f.run(start, time.Second)
-	for i, d := range f.names {
-		g.Expect(f.view[d].Readers).To(gomega.HaveLen(2))
-		g.Expect(f.view[d].Readers).To(gomega.Equal(f.view[f.names[i%2]].Readers))
-		g.Expect(f.view[d].StoreReaders).To(gomega.Equal(4))
+	c := newCluster(12)
+	c.run(start, time.Second)
+	for i, d := range c.names {
+		g.Expect(c.view[d].Readers).To(gomega.HaveLen(2))
+		g.Expect(c.view[d].Readers).To(gomega.Equal(c.view[c.names[i%2]].Readers))
+		g.Expect(c.view[d].StoreReaders).To(gomega.Equal(4))
 	}
-	g.Expect(f.view[f.names[0]].Readers).NotTo(gomega.ContainElement(gomega.BeElementOf(f.view[f.names[1]].Readers)))
+	g.Expect(c.view[c.names[0]].Readers).NotTo(gomega.ContainElement(gomega.BeElementOf(c.view[c.names[1]].Readers)))
 }
 
 // A reader fails. The daemons that read through it would get no more changes; within two
 // seconds of missing heartbeats all have another reader.
 func TestSilentReaderIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newCluster(12)
-	now := f.run(start, time.Second)
-	failed := f.view[f.names[0]].Readers[0]
-	f.dead[failed] = true
-	f.run(now, 2*time.Second)
-	for i, d := range f.names {
+	c := newCluster(12)
+	now := c.run(start, time.Second)
+	failed := c.view[c.names[0]].Readers[0]
+	c.dead[failed] = true
+	c.run(now, 2*time.Second)
+	for i, d := range c.names {
 		if i%2 == 0 && d != failed {
-			g.Expect(f.view[d].Readers).To(gomega.HaveLen(2))
-			g.Expect(slices.Contains(f.view[d].Readers, failed)).To(gomega.BeFalse())
+			g.Expect(c.view[d].Readers).To(gomega.HaveLen(2))
+			g.Expect(slices.Contains(c.view[d].Readers, failed)).To(gomega.BeFalse())
 		}
 	}
 }
@@ -110,13 +110,13 @@
 // A stopping reader tells its peers, and is replaced at once.
 func TestStoppingReaderIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newCluster(12)
-	now := f.run(start, time.Second)
-	stopping := f.view[f.names[0]].Readers[0]
-	f.step(stopping, crevent.Stopping{Now: now})
-	for i, d := range f.names {
+	c := newCluster(12)
+	now := c.run(start, time.Second)
+	stopping := c.view[c.names[0]].Readers[0]
+	c.step(stopping, crevent.Stopping{Now: now})
+	for i, d := range c.names {
 		if i%2 == 0 {
-			g.Expect(f.view[d].Readers).NotTo(gomega.ContainElement(stopping))
+			g.Expect(c.view[d].Readers).NotTo(gomega.ContainElement(stopping))
 		}
 	}
 }
@@ -135,20 +135,20 @@
 // has to take its place, or the others learn of changes late.
 func TestReaderWithoutStoreIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newCluster(12)
-	now := f.run(start, time.Second)
-	rejected := f.view[f.names[0]].Readers[0]
-	f.step(rejected, crmesh.StoreUnavailable{Now: now})
-	now = f.run(now, 200*time.Millisecond)
-	for i, d := range f.names {
+	c := newCluster(12)
+	now := c.run(start, time.Second)
+	rejected := c.view[c.names[0]].Readers[0]
+	c.step(rejected, crmesh.StoreUnavailable{Now: now})
+	now = c.run(now, 200*time.Millisecond)
+	for i, d := range c.names {
 		if i%2 == 0 {
-			g.Expect(f.view[d].Readers).To(gomega.HaveLen(2))
-			g.Expect(f.view[d].Readers).NotTo(gomega.ContainElement(rejected))
+			g.Expect(c.view[d].Readers).To(gomega.HaveLen(2))
+			g.Expect(c.view[d].Readers).NotTo(gomega.ContainElement(rejected))
 		}
 	}
-	f.step(rejected, crmesh.StoreAvailable{Now: now})
-	f.run(now, 200*time.Millisecond)
-	g.Expect(f.view[f.names[0]].Readers).To(gomega.ContainElement(rejected))
+	c.step(rejected, crmesh.StoreAvailable{Now: now})
+	c.run(now, 200*time.Millisecond)
+	g.Expect(c.view[c.names[0]].Readers).To(gomega.ContainElement(rejected))
 }
 
 // A daemon learns from its readers that the store is unavailable. If it told others so
@@ -156,28 +156,28 @@
 // readers' place.
 func TestStoreIsUnavailableOnlyByOwnCalls(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newCluster(12)
-	now := f.run(start, time.Second)
+	c := newCluster(12)
+	now := c.run(start, time.Second)
 	var follower crid.Daemon
-	for _, d := range f.names {
-		if !slices.Contains(f.view[d].Readers, d) {
+	for _, d := range c.names {
+		if !slices.Contains(c.view[d].Readers, d) {
 			follower = d
 		}
 	}
-	g.Expect(heartbeats(f.states[follower].Step(crmesh.StoreUnavailable{Now: now, ReportedByPeers: true}))).To(gomega.BeEmpty())
+	g.Expect(heartbeats(c.states[follower].Step(crmesh.StoreUnavailable{Now: now, ReportedByPeers: true}))).To(gomega.BeEmpty())
 }
 
 // In a full outage of the store, two daemons of a domain go on trying for the others.
 func TestReadersStayInFullStoreOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newCluster(12)
-	now := f.run(start, time.Second)
-	before := f.view[f.names[0]].Readers
-	for _, d := range f.names {
-		f.step(d, crmesh.StoreUnavailable{Now: now})
+	c := newCluster(12)
+	now := c.run(start, time.Second)
+	before := c.view[c.names[0]].Readers
+	for _, d := range c.names {
+		c.step(d, crmesh.StoreUnavailable{Now: now})
 	}
-	f.run(now, 200*time.Millisecond)
-	g.Expect(f.view[f.names[0]].Readers).To(gomega.Equal(before))
+	c.run(now, 200*time.Millisecond)
+	g.Expect(c.view[c.names[0]].Readers).To(gomega.Equal(before))
 }
 
 // Several daemons stop at one time and still serve their callers for seconds. Each account
@@ -185,14 +185,14 @@
 // an account of 15 requests a second ran 136 in 5 s.
 func TestStoppingDaemonsAgreeOnOwners(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newCluster(6)
-	now := f.run(start, 3*time.Second)
-	for _, d := range f.names[:4] {
-		f.step(d, crevent.Stopping{Now: now})
+	c := newCluster(6)
+	now := c.run(start, 3*time.Second)
+	for _, d := range c.names[:4] {
+		c.step(d, crevent.Stopping{Now: now})
 	}
-	f.run(now, 200*time.Millisecond)
-	for _, d := range f.names {
-		g.Expect(f.view[d].Live).To(gomega.Equal(f.names[4:]), "seen by %s", d)
+	c.run(now, 200*time.Millisecond)
+	for _, d := range c.names {
+		g.Expect(c.view[d].Live).To(gomega.Equal(c.names[4:]), "seen by %s", d)
 	}
 }
 
@@ -322,23 +322,23 @@
 // A daemon that has just started must not grant tokens of accounts whose owner it has not heard yet.
 func TestNewDaemonTreatsRecordedPeersAsOwners(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newCluster(6)
-	f.run(start, 3*time.Second)
-	restarted := f.names[2]
-	s := crmesh.New(f.params[restarted])
-	s.Step(f.list)
-	v := views(s.Step(crmesh.HeartbeatReceived{Now: start, From: f.names[0], Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}}))
+	c := newCluster(6)
+	c.run(start, 3*time.Second)
+	restarted := c.names[2]
+	s := crmesh.New(c.params[restarted])
+	s.Step(c.list)
+	v := views(s.Step(crmesh.HeartbeatReceived{Now: start, From: c.names[0], Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}}))
 	for n := range 20 {
 		a := crid.Account("account-" + strconv.Itoa(n))
 		step := v[len(v)-1].TokenStep(a, restarted, crquota.ByCaller)
-		if owner := crquota.Owner(a, f.names); owner != restarted {
+		if owner := crquota.Owner(a, c.names); owner != restarted {
 			g.Expect(step).To(gomega.Equal(crquota.Step{To: owner, As: crquota.ByPeer}))
 		} else {
 			g.Expect(step).To(gomega.Equal(crquota.Step{Grant: true}))
 		}
 	}
-	g.Expect(v[len(v)-1].Owners).To(gomega.Equal(f.view[f.names[0]].Owners))
-	g.Expect(v[len(v)-1].Members).To(gomega.Equal(f.view[f.names[0]].Members))
+	g.Expect(v[len(v)-1].Owners).To(gomega.Equal(c.view[c.names[0]].Owners))
+	g.Expect(v[len(v)-1].Members).To(gomega.Equal(c.view[c.names[0]].Members))
 	for at := time.Duration(0); at < 10*time.Second; at += 100 * time.Millisecond {
 		v = append(v, views(s.Step(crevent.Tick{Now: start.Add(at)}))...)
 	}
@@ -348,12 +348,12 @@
 // Daemons that start at one time must not each hand out the whole rate of the accounts to their own callers.
 func TestIsolatedDaemonsShareTheRate(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newCluster(6)
+	c := newCluster(6)
 	sum := 0.0
-	for _, d := range f.names {
-		sum += f.view[d].RateShare()
+	for _, d := range c.names {
+		sum += c.view[d].RateShare()
 	}
 	g.Expect(sum).To(gomega.BeNumerically("~", 1, 0.11))
-	f.run(start, 3*time.Second)
-	g.Expect(f.view[f.names[0]].RateShare()).To(gomega.Equal(1.0))
+	c.run(start, 3*time.Second)
+	g.Expect(c.view[c.names[0]].RateShare()).To(gomega.Equal(1.0))
 }
