--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -51,7 +51,7 @@
 }
 
 func (r *testState) giveLease(rev crid.Revision, from, until int, members ...crid.Daemon) {
-	r.Step(crmember.Tenure{Now: ms(from), Active: rev, Members: members, Until: ms(until)})
+	r.Step(crmember.Lease{Now: ms(from), Active: rev, Members: members, Until: ms(until)})
 }
 
 // request sends a token request of the entry daemon "e", and returns the answer's item.
@@ -74,8 +74,8 @@
 // the request's number.
 func entryWithRequest(g Gomega, at crid.Instant) (*testState, uint64) {
 	e := newTestState("e", mutations{})
-	e.Step(crmember.Tenure{Now: 1, Members: []crid.Daemon{"x"}})
-	e.Step(crmember.Peers{Now: 1, Peers: []crmember.Peer{{Daemon: "x", Reachable: true}}})
+	e.Step(crmember.Lease{Now: 1, Members: []crid.Daemon{"x"}})
+	e.Step(crmember.PeersChanged{Now: 1, Peers: []crmember.Peer{{Daemon: "x", Reachable: true}}})
 	for _, eff := range e.Step(UsageDrained{Now: at, Usage: []UsageDelta{{Account: acct, Cold: 5}}}) {
 		if send, ok := eff.(crevent.Send); ok {
 			return e, send.Msg.(TokenRequest).Seq
@@ -219,7 +219,7 @@
 func (r *testState) handOver(from, until int, first, second crid.Daemon) {
 	lists := []crmember.Membership{{Rev: 1, Members: []crid.Daemon{first}}, {Rev: 2, Members: []crid.Daemon{second}}}
 	for at := from; at < until; at += 500 {
-		r.Step(crmember.Tenure{Now: ms(at), Bridge: ms(at + 600), Over: lists})
+		r.Step(crmember.Lease{Now: ms(at), JointUntil: ms(at + 600), JointLists: lists})
 	}
 }
 
--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -118,8 +118,8 @@
 	inc        crid.Incarnation
 	now        crid.Instant
 	snap       *crpolicy.Snapshot
-	lease      crmember.Tenure // without its Members and Over
-	members    memberSet       // of the last known list
+	lease      crmember.Lease // without its Members and Over
+	members    memberSet      // of the last known list
 	peers      map[crid.Daemon]crmember.Peer
 	reportedAt map[int]crid.Instant
 	stopping   bool
@@ -150,9 +150,9 @@
 	case crevent.Tick:
 		s.tickOwner()
 		s.tickEntry()
-	case crmember.Tenure:
+	case crmember.Lease:
 		s.handleLease(ev)
-	case crmember.Peers:
+	case crmember.PeersChanged:
 		s.handlePeers(ev)
 	case crconfig.Applied:
 		s.handleConfig(ev.Snapshot)
@@ -183,7 +183,7 @@
 		return true
 	}
 	p, ok := s.peers[d]
-	return ok && !p.Lost() && !p.Leaving
+	return ok && !p.Down() && !p.Leaving
 }
 
 // limits returns an account's rate and burst, or zeros for an unknown account.
--- a/core/craccount/handover.go
+++ b/core/craccount/handover.go
@@ -13,16 +13,16 @@
 //
 // Otherwise every change of the list would stop all refilling until the handover ends. Entry
 // daemons would run out of tokens and refuse every account, although most shares do not move.
-func (s *State) handleHandover(ev crmember.Tenure, leaseKept bool) {
-	if !leaseKept || len(s.owner.epochs) == 0 || !s.now.Before(ev.Bridge) {
+func (s *State) handleHandover(ev crmember.Lease, leaseKept bool) {
+	if !leaseKept || len(s.owner.epochs) == 0 || !s.now.Before(ev.JointUntil) {
 		s.lease.Until = 0
 		s.reportLeaseLost()
 		return
 	}
-	s.lease.Until = ev.Bridge
+	s.lease.Until = ev.JointUntil
 	s.owner.leaseHeldUntil = s.now
 	changed := false
-	for _, m := range ev.Over {
+	for _, m := range ev.JointLists {
 		if !s.hasEpoch(m.Rev) {
 			s.addEpoch(epoch{rev: m.Rev, members: newMemberSet(m.Members), start: s.owner.refillClock, handover: true})
 			changed = true
--- a/core/craccount/leave.go
+++ b/core/craccount/leave.go
@@ -8,11 +8,11 @@
 )
 
 // handlePeers records which peers can be asked, and prefetches from owners that begin to leave.
-func (s *State) handlePeers(ev crmember.Peers) {
+func (s *State) handlePeers(ev crmember.PeersChanged) {
 	var leaving []crid.Daemon
 	for _, p := range ev.Peers {
 		before, known := s.peers[p.Daemon]
-		if known && p.Leaving && !before.Leaving && !p.Lost() {
+		if known && p.Leaving && !before.Leaving && !p.Down() {
 			leaving = append(leaving, p.Daemon)
 		}
 	}
--- a/core/craccount/net_test.go
+++ b/core/craccount/net_test.go
@@ -161,7 +161,7 @@
 	w.step(nd, crevent.Started{Now: now, Self: nd.name, Incarnation: nd.inc})
 	w.step(nd, crconfig.Applied{Now: now, Snapshot: w.snap})
 	w.sendPeers()
-	w.sendLease(nd, crmember.Tenure{Members: w.members})
+	w.sendLease(nd, crmember.Lease{Members: w.members})
 }
 
 func (w *testNet) kill(nd *node) {
@@ -175,7 +175,7 @@
 		peers = append(peers, crmember.Peer{Daemon: nd.name, Incarnation: nd.inc, Reachable: !nd.dead, Leaving: nd.leaving})
 	}
 	for _, nd := range w.nodes {
-		w.deliver(nd, func() { w.step(nd, crmember.Peers{Now: w.clock(nd), Peers: peers}) })
+		w.deliver(nd, func() { w.step(nd, crmember.PeersChanged{Now: w.clock(nd), Peers: peers}) })
 	}
 }
 
@@ -210,7 +210,7 @@
 	}
 	w.leaseUntil = w.now + leaseTime + leaseTime/50
 	for _, nd := range w.nodes {
-		ev := crmember.Tenure{Members: w.members, Over: w.over}
+		ev := crmember.Lease{Members: w.members, JointLists: w.over}
 		if slices.Contains(w.members, nd.name) {
 			ev.Active, ev.Until = w.rev, w.clock(nd).Add(leaseTime)
 		}
@@ -231,17 +231,17 @@
 		})
 		listed := !slices.ContainsFunc(over, func(m crmember.Membership) bool { return !slices.Contains(m.Members, nd.name) })
 		if w.rng.IntN(3) == 0 || !listed {
-			w.sendLease(nd, crmember.Tenure{})
+			w.sendLease(nd, crmember.Lease{})
 			continue
 		}
 		if len(over) < len(w.over) {
 			w.leaseUntil = w.now + leaseTime + leaseTime/50
 		}
-		w.sendLease(nd, crmember.Tenure{Bridge: w.clock(nd).Add(leaseTime), Over: over})
+		w.sendLease(nd, crmember.Lease{JointUntil: w.clock(nd).Add(leaseTime), JointLists: over})
 	}
 }
 
-func (w *testNet) sendLease(nd *node, ev crmember.Tenure) {
+func (w *testNet) sendLease(nd *node, ev crmember.Lease) {
 	w.deliver(nd, func() {
 		ev.Now = w.clock(nd)
 		w.step(nd, ev)
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -84,7 +84,7 @@
 
 // handleLease begins a new epoch when the active list has changed, or when this daemon was
 // without a lease for so long that another may have refilled its shares.
-func (s *State) handleLease(ev crmember.Tenure) {
+func (s *State) handleLease(ev crmember.Lease) {
 	if len(ev.Members) > 0 && !slices.Equal(ev.Members, s.members.names) {
 		s.members = newMemberSet(ev.Members)
 		s.entry.invalidateSources()
@@ -93,7 +93,7 @@
 	leaseActive := ev.Active != 0 && s.now.Before(ev.Until)
 	s.lease = ev
 	s.lease.Members = nil
-	s.lease.Over = nil
+	s.lease.JointLists = nil
 	if !leaseActive {
 		s.handleHandover(ev, leaseKept)
 		return
@@ -108,7 +108,7 @@
 // beginEpoch drops the shares that another daemon may have refilled. A new owner refills
 // nothing for one lifetime under a lease, so no daemon can have taken over in a gap that is
 // not longer. After a longer gap, this daemon counts as a new owner as well.
-func (s *State) beginEpoch(ev crmember.Tenure, leaseKept bool) {
+func (s *State) beginEpoch(ev crmember.Lease, leaseKept bool) {
 	if !leaseKept {
 		s.owner.epochs = nil
 	}
--- a/core/craccount/requests_test.go
+++ b/core/craccount/requests_test.go
@@ -75,7 +75,7 @@
 	a.demand = 6
 	leaving := []crmember.Peer{{Daemon: "x", Reachable: true, Leaving: true}}
 	want := crevent.Send{To: "x", Msg: TokenRequest{Inc: 5, Seq: 2, Items: []TokenRequestItem{{Account: acct, Want: 12, WaitForRest: true}}}}
-	g.Expect(e.Step(crmember.Peers{Now: ms(4002), Peers: leaving})).To(ContainElement(want))
+	g.Expect(e.Step(crmember.PeersChanged{Now: ms(4002), Peers: leaving})).To(ContainElement(want))
 	a.sources[0].requested = 0
-	g.Expect(e.Step(crmember.Peers{Now: ms(4003), Peers: leaving})).To(BeEmpty(), "once only")
+	g.Expect(e.Step(crmember.PeersChanged{Now: ms(4003), Peers: leaving})).To(BeEmpty(), "once only")
 }
--- a/core/crconfig/fleet_test.go
+++ b/core/crconfig/fleet_test.go
@@ -180,7 +180,7 @@
 			}
 		}
 		f.daemons[d].peerCount = len(peers)
-		f.step(d, crmember.Peers{Now: f.clock(d), Peers: peers})
+		f.step(d, crmember.PeersChanged{Now: f.clock(d), Peers: peers})
 	}
 }
 
@@ -193,7 +193,7 @@
 	n := len(f.names)
 	sampled := make([]bool, n*n)
 	for i := range f.names {
-		for range params.Sample * int(params.Horizon/params.Interval) {
+		for range params.SampleSize * int(params.ContactTimeout/params.Interval) {
 			j := f.rng.IntN(n)
 			sampled[i*n+j], sampled[j*n+i] = true, true
 		}
@@ -217,7 +217,7 @@
 			}
 		}
 		f.daemons[d].peerCount = max(0, reachableVoters-len(voters)/2) // a majority of the voters
-		f.step(d, crmember.Peers{Now: f.clock(d), Peers: peers})
+		f.step(d, crmember.PeersChanged{Now: f.clock(d), Peers: peers})
 	}
 }
 
@@ -359,7 +359,7 @@
 		node := f.daemons[d]
 		if node.peerCount > 0 {
 			now := f.clock(d)
-			f.step(d, crmember.Tenure{Now: now, Active: 1, Members: f.names, Contact: now.Add(lease)})
+			f.step(d, crmember.Lease{Now: now, Active: 1, Members: f.names, ContactUntil: now.Add(lease)})
 		}
 		f.step(d, crevent.Tick{Now: f.clock(d)})
 		f.completeWatch(d)
--- a/core/crconfig/list.go
+++ b/core/crconfig/list.go
@@ -211,7 +211,7 @@
 	s.storeList(list)
 	want := s.nextList.want
 	s.nextList = listFetch{want: want}
-	s.emit(crinstance.Listed{Now: now, List: list})
+	s.emit(crinstance.ListUpdated{Now: now, List: list})
 	s.gossip()
 }
 
--- a/core/crconfig/list_test.go
+++ b/core/crconfig/list_test.go
@@ -50,12 +50,12 @@
 // list, the diff would lose the changes between the two.
 func TestDiffAgainstAnotherListIsNotApplied(t *testing.T) {
 	p := newHarness("a")
-	list := func(rev crid.Revision, names ...crid.Daemon) crinstance.Listed {
+	list := func(rev crid.Revision, names ...crid.Daemon) crinstance.ListUpdated {
 		var instances []crinstance.Instance
 		for _, d := range names {
 			instances = append(instances, crinstance.Instance{Daemon: d})
 		}
-		return crinstance.Listed{Now: p.now, List: crinstance.NewList(rev, instances)}
+		return crinstance.ListUpdated{Now: p.now, List: crinstance.NewList(rev, instances)}
 	}
 	p.Step(list(5, "a", "self", "old"))
 	p.receive("a", crconfig.Have{List: 7})
--- a/core/crconfig/push_test.go
+++ b/core/crconfig/push_test.go
@@ -25,7 +25,7 @@
 	for _, d := range peers {
 		list = append(list, crmember.Peer{Daemon: d, Domain: "m", Reachable: true})
 	}
-	p.Step(crmember.Peers{Peers: list})
+	p.Step(crmember.PeersChanged{Peers: list})
 	p.advance(600 * time.Millisecond) // until the first query of the peers
 	return p
 }
@@ -181,7 +181,7 @@
 // configuration would bring back a withdrawn key at a restart.
 func TestNewDaemonWaitsForQuorum(t *testing.T) {
 	p := newHarness("a", "b", "c", "d")
-	p.Step(crmember.Tenure{Now: p.now, Members: []crid.Daemon{"a", "b", "c", "d", "e", "f", "self"}, Contact: p.now.Add(lease)})
+	p.Step(crmember.Lease{Now: p.now, Members: []crid.Daemon{"a", "b", "c", "d", "e", "f", "self"}, ContactUntil: p.now.Add(lease)})
 	older, newer := newBundle(content{Keys: []string{"k"}}), newBundle(content{})
 	for _, d := range []crid.Daemon{"a", "b"} {
 		if to, _ := findPull(p.receive(d, crconfig.Have{Conf: 3, Manifest: older.digest()})); to != "" {
@@ -218,14 +218,14 @@
 // because of these messages.
 func TestResumedDaemonTrustsOnlyNewReplies(t *testing.T) {
 	p := newHarness("a", "b", "c")
-	p.Step(crmember.Tenure{Now: p.now, Contact: p.now.Add(lease)})
+	p.Step(crmember.Lease{Now: p.now, ContactUntil: p.now.Add(lease)})
 	p.receive("b", crconfig.Have{})
 	p.transfer(t, "a", 3, newBundle(content{Keys: []string{"k"}}))
 	if !p.Trusted(p.now) {
 		t.Fatalf("not trusted before the suspension: %+v", p.Dump())
 	}
 	p.now = p.now.Add(time.Minute)
-	p.Step(crmember.Tenure{Now: p.now, Contact: p.now.Add(lease)})
+	p.Step(crmember.Lease{Now: p.now, ContactUntil: p.now.Add(lease)})
 	for _, d := range []crid.Daemon{"a", "b"} {
 		p.receive(d, crconfig.Have{Conf: 3, Manifest: newBundle(content{Keys: []string{"k"}}).digest()})
 	}
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -128,11 +128,11 @@
 		s.handleTick(now)
 	case crevent.Received:
 		s.handleReceived(now, ev)
-	case crmember.Peers:
+	case crmember.PeersChanged:
 		s.handlePeers(now, ev.Peers)
-	case crmember.Tenure:
+	case crmember.Lease:
 		s.handleTenure(now, ev)
-	case crinstance.Listed:
+	case crinstance.ListUpdated:
 		if ev.List.Revision() > s.list.Revision() {
 			s.storeList(ev.List)
 		}
@@ -205,7 +205,7 @@
 			s.peers = append(s.peers, p)
 			reachable[p.Daemon] = true
 		}
-		if p.Domain == s.domain && !p.Lost() {
+		if p.Domain == s.domain && !p.Down() {
 			s.domainPeers = append(s.domainPeers, p)
 		}
 	}
@@ -220,15 +220,15 @@
 // depends on contact and not on tenure: during a handover to a new list of
 // instances no daemon has tenure, while all of them still exchange
 // configurations.
-func (s *State) handleTenure(now crid.Instant, ev crmember.Tenure) {
-	if s.contactUntil != 0 && (ev.Contact == 0 || !now.Before(s.contactUntil)) {
+func (s *State) handleTenure(now crid.Instant, ev crmember.Lease) {
+	if s.contactUntil != 0 && (ev.ContactUntil == 0 || !now.Before(s.contactUntil)) {
 		s.contactLost = true
 	}
-	if s.contactLost && now.Before(ev.Contact) {
+	if s.contactLost && now.Before(ev.ContactUntil) {
 		s.contactLost = false
 		s.resync(now)
 	}
-	s.contactUntil = ev.Contact
+	s.contactUntil = ev.ContactUntil
 	if len(ev.Members) > 0 {
 		s.members = len(ev.Members)
 	}
--- a/core/crhealth/crhealth.go
+++ b/core/crhealth/crhealth.go
@@ -102,13 +102,13 @@
 		s.incarnation = ev.Incarnation
 	case crevent.Stopping:
 		s.stopping = true
-	case crinstance.Listed:
+	case crinstance.ListUpdated:
 		s.applyList(ev.List)
 	case crconfig.Applied:
 		s.snapshot = ev.Snapshot
-	case crmember.Peers:
+	case crmember.PeersChanged:
 		s.applyPeers(ev.Peers)
-	case crmember.Tenure:
+	case crmember.Lease:
 		s.applyLease(ev)
 	case Observed:
 		s.observe(ev.Samples)
--- a/core/crhealth/entry.go
+++ b/core/crhealth/entry.go
@@ -216,7 +216,7 @@
 // force. It skips the others, which are nearly all services of a large fleet.
 func (s *State) updateRoutingAfter(ev crevent.Event) {
 	switch ev := ev.(type) {
-	case crevent.Tick, crmember.Peers:
+	case crevent.Tick, crmember.PeersChanged:
 		for _, service := range sortedServices(s.timeVarying) {
 			s.updateRouting(service)
 		}
@@ -224,7 +224,7 @@
 		if v, ok := ev.Msg.(Verdict); ok && s.entries[v.Service] != nil {
 			s.updateRouting(v.Service)
 		}
-	case crinstance.Listed, crconfig.Applied, crevent.Stopping:
+	case crinstance.ListUpdated, crconfig.Applied, crevent.Stopping:
 		for _, service := range sortedServices(s.targets) {
 			s.updateRouting(service)
 		}
--- a/core/crhealth/fault_test.go
+++ b/core/crhealth/fault_test.go
@@ -207,10 +207,10 @@
 	if entry == w.arbiter() {
 		entry = w.nodes["d02"]
 	}
-	w.step(entry, crinstance.Listed{Now: entry.clock(w.now), List: w.list(2, "t05")})
+	w.step(entry, crinstance.ListUpdated{Now: entry.clock(w.now), List: w.list(2, "t05")})
 	g.Expect(entry.routing[booking].Targets).To(gomega.BeEmpty(), "the entry itself ends the ejection at once")
 	for _, n := range w.nodes {
-		w.step(n, crinstance.Listed{Now: n.clock(w.now), List: w.list(2, "t05")})
+		w.step(n, crinstance.ListUpdated{Now: n.clock(w.now), List: w.list(2, "t05")})
 	}
 	w.run(time.Second)
 	g.Expect(w.ejectedSomewhere()).To(gomega.BeEmpty())
@@ -289,16 +289,16 @@
 	g := gomega.NewWithT(t)
 	w := newWorld(DefaultParams(), 7, 6, 6, 3)
 	n := w.nodes["d00"]
-	w.step(n, crinstance.Listed{Now: n.clock(w.now), List: w.list(2, "t05")})
-	w.step(n, crinstance.Listed{Now: n.clock(w.now), List: w.list(3)})
+	w.step(n, crinstance.ListUpdated{Now: n.clock(w.now), List: w.list(2, "t05")})
+	w.step(n, crinstance.ListUpdated{Now: n.clock(w.now), List: w.list(3)})
 	g.Expect(n.routing[booking].Targets).To(gomega.Equal([]TargetState{{Target: "t05", Weight: 100}}))
 	w.run(6 * time.Second)
 	g.Expect(n.routing[booking].Targets[0].Weight).To(gomega.BeNumerically("~", 550, 100))
 	w.run(5 * time.Second)
 	g.Expect(n.routing[booking].Targets).To(gomega.BeEmpty())
 
-	w.step(n, crmember.Peers{Now: n.clock(w.now), Peers: []crmember.Peer{{Daemon: "d01", Reachable: true, Incarnation: 1}}})
-	w.step(n, crmember.Peers{Now: n.clock(w.now), Peers: []crmember.Peer{{Daemon: "d01", Reachable: true, Incarnation: 2}}})
+	w.step(n, crmember.PeersChanged{Now: n.clock(w.now), Peers: []crmember.Peer{{Daemon: "d01", Reachable: true, Incarnation: 1}}})
+	w.step(n, crmember.PeersChanged{Now: n.clock(w.now), Peers: []crmember.Peer{{Daemon: "d01", Reachable: true, Incarnation: 2}}})
 	g.Expect(n.routing[booking].Targets).To(gomega.Equal([]TargetState{{Target: "t01", Weight: 100}}))
 }
 
--- a/core/crhealth/lease.go
+++ b/core/crhealth/lease.go
@@ -12,7 +12,7 @@
 // leaseState is this daemon's lease on the arbiter role and the time since which it
 // holds it.
 type leaseState struct {
-	tenure        crmember.Tenure
+	tenure        crmember.Lease
 	handoverUntil crid.Instant          // end of the permission to continue during a handover
 	handoverLists []crmember.Membership // the lists of the handover, until handoverUntil
 	since         crid.Instant          // when the first lease under its list was received
@@ -30,7 +30,7 @@
 // applyLease records the lease. Under a new list another daemon may have been the
 // arbiter meanwhile, so the wait for the expiry of its verdicts starts again. Services
 // that were this daemon's during the whole handover are exempt.
-func (s *State) applyLease(t crmember.Tenure) {
+func (s *State) applyLease(t crmember.Lease) {
 	st := &s.lease
 	unbroken := s.holdsLease()
 	if t.Active != 0 {
@@ -40,15 +40,15 @@
 			clear(st.arbiters)
 		}
 		st.tenure = t
-		st.tenure.Over = nil
+		st.tenure.JointLists = nil
 	}
 	if t.Active != 0 && s.now.Before(t.Until) {
 		s.setHandover(0, nil)
 		return
 	}
 	st.tenure.Until = 0
-	if unbroken && s.now.Before(t.Bridge) {
-		s.setHandover(t.Bridge, t.Over)
+	if unbroken && s.now.Before(t.JointUntil) {
+		s.setHandover(t.JointUntil, t.JointLists)
 		return
 	}
 	s.setHandover(0, nil)
--- a/core/crhealth/world_test.go
+++ b/core/crhealth/world_test.go
@@ -154,8 +154,8 @@
 		}
 	}
 	w.step(n, crevent.Started{Now: now, Self: n.name, Incarnation: crid.Incarnation(n.incarnation)})
-	w.step(n, crinstance.Listed{Now: now, List: w.list(1)})
-	w.step(n, crmember.Peers{Now: now, Peers: peers})
+	w.step(n, crinstance.ListUpdated{Now: now, List: w.list(1)})
+	w.step(n, crmember.PeersChanged{Now: now, Peers: peers})
 	w.step(n, crconfig.Applied{Now: now, Snapshot: crpolicy.NewSnapshot(1, []crpolicy.Service{policy}, nil)})
 }
 
@@ -247,7 +247,7 @@
 		}
 		now := n.clock(w.now)
 		n.heldRevision = w.rev
-		w.step(n, crmember.Tenure{Now: now, Active: w.rev, Members: w.members, Until: now.Add(leaseTime)})
+		w.step(n, crmember.Lease{Now: now, Active: w.rev, Members: w.members, Until: now.Add(leaseTime)})
 	}
 }
 
@@ -271,10 +271,10 @@
 // node continue if the node is a member of both lists.
 func (w *world) announceHandover(n *node) {
 	now := n.clock(w.now)
-	ev := crmember.Tenure{Now: now}
+	ev := crmember.Lease{Now: now}
 	if slices.Contains(w.members, n.name) && slices.Contains(w.nextMembers, n.name) {
-		ev.Bridge = now.Add(leaseTime)
-		ev.Over = []crmember.Membership{{Rev: w.rev, Members: w.members}, {Rev: w.rev + 1, Members: w.nextMembers}}
+		ev.JointUntil = now.Add(leaseTime)
+		ev.JointLists = []crmember.Membership{{Rev: w.rev, Members: w.members}, {Rev: w.rev + 1, Members: w.nextMembers}}
 	}
 	w.step(n, ev)
 }
--- a/core/crmember/bench_test.go
+++ b/core/crmember/bench_test.go
@@ -12,7 +12,7 @@
 	"camphorroad/core/crid"
 )
 
-func manyNames(n int) []crid.Daemon {
+func daemonNames(n int) []crid.Daemon {
 	var names []crid.Daemon
 	for i := range n {
 		names = append(names, crid.Daemon(fmt.Sprintf("instance-%05d", i)))
@@ -20,29 +20,29 @@
 	return names
 }
 
-// BenchmarkRound measures one beat sent to and one received from each peer, at
-// a daemon that has standing, and the encoded size of the beat.
+// BenchmarkRound measures one heartbeat sent to and one received from each peer, at
+// a daemon that holds a lease, and the encoded size of the heartbeat.
 func BenchmarkRound(b *testing.B) {
 	for _, n := range []int{15, 25, 31, 1000, 5500} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) { benchRound(b, n) })
 	}
 }
 
-// voterOf is a voter of n daemons, which has standing once it is answered.
-func voterOf(n int) (*world, *node) {
-	w := newWorld(0, 1)
-	list := roll(1_000_000, manyNames(n)...)
-	self := Voters(list, 0, w.params.MaxVoters)[0]
-	node := w.start(self)
-	w.read(self, list)
-	node.state.fresh = false
-	node.state.raiseFloor(list.Revision())
-	return w, node
+// newVoter starts a voter of n daemons, which gets a lease once it is answered.
+func newVoter(n int) (*cluster, *node) {
+	c := newCluster(0, 1)
+	list := newList(1_000_000, daemonNames(n)...)
+	self := Voters(list, 0, c.params.MaxVoters)[0]
+	node := c.start(self)
+	c.deliverList(self, list)
+	node.state.recovering = false
+	node.state.advanceActive(list.Revision())
+	return c, node
 }
 
-// BenchmarkSecond measures a second of a daemon with nothing to do but its
-// beats, each of which is answered: ticks as the shell gives them, and what the
-// other reducers and the traffic side are told of peers.
+// BenchmarkSecond measures a second of a daemon that only sends heartbeats, each of
+// which is answered: ticks at the rate of the shell, and the notices about peers to
+// the other reducers and the traffic side.
 func BenchmarkSecond(b *testing.B) {
 	for _, n := range []int{25, 1000, 5500} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) { benchSecond(b, n) })
@@ -50,65 +50,65 @@
 }
 
 func benchSecond(b *testing.B, n int) {
-	w, node := voterOf(n)
-	told := 0
+	c, node := newVoter(n)
+	notices := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		told += len(secondOf(w, node))
+		notices += len(runSecond(c, node))
 	}
-	b.ReportMetric(float64(told)/float64(b.N), "peers-told/s")
-	if node.state.tenure.Until == 0 {
-		b.Fatal("the daemon measured has no standing")
+	b.ReportMetric(float64(notices)/float64(b.N), "peers-told/s")
+	if node.state.lease.Until == 0 {
+		b.Fatal("the daemon has no lease")
 	}
 }
 
-// secondOf lets a second pass in which each beat is answered, and returns what
-// is told of peers.
-func secondOf(w *world, node *node) (told []Peers) {
+// runSecond runs a second in which each heartbeat is answered, and returns the
+// notices about peers.
+func runSecond(c *cluster, node *node) (notices []PeersChanged) {
 	const tick = 50 * time.Millisecond
 	s := node.state
 	for range time.Second / tick {
-		w.now += tick
-		for _, effect := range s.Step(crevent.Tick{Now: node.clock(w.now)}) {
+		c.now += tick
+		for _, effect := range s.Step(crevent.Tick{Now: node.clock(c.now)}) {
 			switch effect := effect.(type) {
-			case Peers:
-				told = append(told, effect)
+			case PeersChanged:
+				notices = append(notices, effect)
 			case crevent.Send:
-				told = append(told, answer(s, effect, node.clock(w.now+3*time.Millisecond))...)
+				notices = append(notices, deliverReply(s, effect, node.clock(c.now+3*time.Millisecond))...)
 			}
 		}
 	}
-	return told
+	return notices
 }
 
-// answer lets the peer answer a beat.
-func answer(s *State, send crevent.Send, at crid.Instant) (told []Peers) {
-	beat := send.Msg.(Beat)
-	beat.Echo = Echo{Inc: s.inc, Seq: s.seq}
-	beat.Inc = 1 << 62
-	beat.Reply = true
-	for _, effect := range s.Step(crevent.Received{Now: at, From: send.To, Msg: beat}) {
-		if peers, ok := effect.(Peers); ok {
-			told = append(told, peers)
+// deliverReply delivers the peer's answer to a heartbeat.
+func deliverReply(s *State, send crevent.Send, at crid.Instant) (notices []PeersChanged) {
+	heartbeat := send.Msg.(Heartbeat)
+	heartbeat.Echo = Echo{Incarnation: s.incarnation, Seq: s.seq}
+	heartbeat.Incarnation = 1 << 62
+	heartbeat.Reply = true
+	for _, effect := range s.Step(crevent.Received{Now: at, From: send.To, Msg: heartbeat}) {
+		if peers, ok := effect.(PeersChanged); ok {
+			notices = append(notices, peers)
 		}
 	}
-	return told
+	return notices
 }
 
-// BenchmarkBytesPerPeer measures what a peer takes, the list of instances
-// without targets included.
+// BenchmarkBytesPerPeer measures the memory of a peer, with the instance list but
+// without targets.
 func BenchmarkBytesPerPeer(b *testing.B) {
 	const peers = 5500
 	var bytes float64
 	for b.Loop() {
 		before := heapInUse()
-		w, node := voterOf(peers)
+		c, node := newVoter(peers)
 		for range 2 {
-			secondOf(w, node)
+			runSecond(c, node)
 		}
-		w.packets = nil
+		c.packets = nil
 		bytes = (heapInUse() - before) / peers
-		runtime.KeepAlive(w)
+		runtime.KeepAlive(c)
 	}
 	b.ReportMetric(bytes, "B/peer")
 }
@@ -121,48 +121,48 @@
 }
 
 func benchRound(b *testing.B, n int) {
-	w, node := voterOf(n)
+	c, node := newVoter(n)
 	s := node.state
 	seqs := uint64(0)
 	beats, size := 0, 0
 	b.ReportAllocs()
 	for b.Loop() {
-		w.now += w.params.Interval + w.params.Interval/5
-		w.packets = nil
-		for _, effect := range s.Step(crevent.Tick{Now: node.clock(w.now)}) {
+		c.now += c.params.Interval + c.params.Interval/5
+		c.packets = nil
+		for _, effect := range s.Step(crevent.Tick{Now: node.clock(c.now)}) {
 			send, ok := effect.(crevent.Send)
 			if !ok {
 				continue
 			}
 			seqs++
-			beat := send.Msg.(Beat)
-			beat.Echo = Echo{Inc: s.inc, Seq: s.seq}
-			beat.Inc = 1 << 62
-			beat.Seq = seqs
-			beat.Reply = true
-			at := node.clock(w.now + 3*time.Millisecond)
-			s.Step(crevent.Received{Now: at, From: send.To, Msg: beat})
+			heartbeat := send.Msg.(Heartbeat)
+			heartbeat.Echo = Echo{Incarnation: s.incarnation, Seq: s.seq}
+			heartbeat.Incarnation = 1 << 62
+			heartbeat.Seq = seqs
+			heartbeat.Reply = true
+			at := node.clock(c.now + 3*time.Millisecond)
+			s.Step(crevent.Received{Now: at, From: send.To, Msg: heartbeat})
 			beats++
 			if size == 0 {
-				size = encodedSize(b, beat)
+				size = encodedSize(b, heartbeat)
 			}
 		}
 	}
 	b.ReportMetric(float64(size), "B/beat")
 	b.ReportMetric(float64(beats)/float64(b.N), "beats/round")
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(beats), "ns/beat")
-	if s.tenure.Until == 0 {
-		b.Fatal("the daemon measured has no standing")
+	if s.lease.Until == 0 {
+		b.Fatal("the daemon has no lease")
 	}
 }
 
-func encodedSize(b *testing.B, beat Beat) int {
-	beat.Inc = 1<<63 + 1
-	beat.Echo.Inc = 1<<63 + 1
-	beat.Seq = 1 << 24
-	beat.Echo.Seq = 1 << 24
-	beat.Conf = 1 << 24
-	data, err := cbor.Marshal(beat)
+func encodedSize(b *testing.B, heartbeat Heartbeat) int {
+	heartbeat.Incarnation = 1<<63 + 1
+	heartbeat.Echo.Incarnation = 1<<63 + 1
+	heartbeat.Seq = 1 << 24
+	heartbeat.Echo.Seq = 1 << 24
+	heartbeat.ConfigRevision = 1 << 24
+	data, err := cbor.Marshal(heartbeat)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/core/crmember/bridge.go
+++ b/core/crmember/bridge.go
@@ -2,32 +2,32 @@
 
 import "camphorroad/core/crid"
 
-// contact is the end of the newest horizon in which a majority of the newest
-// list's voters was heard both ways, whatever list they answer for.
+// contactUntil returns the end of the contact timeout of the newest contact with a
+// majority of the newest list's voters, whichever list they acknowledge.
 //
-// A daemon that hands over from one list to the next has no tenure, but it is
-// not cut off: what it knows of keys and policy is as new as what the others
-// know. Were trust to hang on tenure, each change of the list would have every
-// caller of every service refused for as long as the handover takes.
-func (s *State) contact() crid.Instant {
-	if s.cur == 0 {
+// A daemon has no lease during a handover, but it is not isolated: its keys and
+// policy are as new as those of the others. If they counted only under a lease,
+// each change of the list would have every request of every service refused for
+// the duration of the handover.
+func (s *State) contactUntil() crid.Instant {
+	if s.newest == 0 {
 		return 0
 	}
-	return s.evidenceOf(s.lists[s.cur].voters, func(*peer) bool { return true })
+	return s.quorumContact(s.lists[s.newest].voters, func(*peer) bool { return true })
 }
 
-// bridge is the instant up to which no list beyond those held here can become
-// active anywhere. Until then a daemon may go on with whatever each of the lists
-// held gives to it, since whichever of them is the active one gives it the same.
+// jointUntil returns the instant until which no list beyond those held here can
+// become active anywhere. Until then a daemon may act on what all lists held assign
+// to it alike, since one of them is the active one.
 //
-// A list beyond those held becomes active a silence after a majority of the
-// voters of one of them has answered for it. A voter in that majority and in
-// ours answered us before that, so that its evidence here has run out by then.
-// Where the silence is skipped, since every daemon of the lists before has moved
-// on, this one has too; but only if each of them names it. One that some list
-// does not name is given nothing by that list anyway.
-func (s *State) bridge() crid.Instant {
-	if s.cur == 0 || s.floor == 0 || s.fresh {
+// A list beyond those held becomes active an expiry wait after a majority of the
+// voters of one of them has acknowledged it. A voter in both that majority and this
+// daemon's answered this daemon before that, so that its contact here has expired
+// by then. The wait is skipped once every daemon of the older lists has moved on.
+// That includes this daemon if each of the lists names it. A list that does not
+// name this daemon assigns nothing to it, so jointUntil returns zero then.
+func (s *State) jointUntil() crid.Instant {
+	if s.newest == 0 || s.lastActive == 0 || s.recovering {
 		return 0
 	}
 	var end crid.Instant
@@ -35,7 +35,7 @@
 		if _, ok := s.lists[rev].list.Find(s.self); !ok {
 			return 0
 		}
-		until := s.evidenceOf(s.lists[rev].voters, s.knowsNoMore)
+		until := s.quorumContact(s.lists[rev].voters, s.upToDate)
 		if i == 0 || until < end {
 			end = until
 		}
@@ -43,26 +43,26 @@
 	return end
 }
 
-// evidenceOf is the horizon that a majority of the voters gives, of those that
-// count.
-func (s *State) evidenceOf(voters []crid.Daemon, counts func(*peer) bool) crid.Instant {
-	var evidence []crid.Instant
+// quorumContact returns the end of the contact timeout of the newest contact with a
+// majority of the voters. Only peers that satisfy counts are counted.
+func (s *State) quorumContact(voters []crid.Daemon, counts func(*peer) bool) crid.Instant {
+	var contacts []crid.Instant
 	for _, d := range voters {
 		if d == s.self {
-			evidence = append(evidence, s.roundAt)
+			contacts = append(contacts, s.lastRound)
 			continue
 		}
-		if p := s.peers[d]; p != nil && p.heard && counts(p) {
-			evidence = append(evidence, p.evidence)
+		if p := s.peers[d]; p != nil && p.contacted && counts(p) {
+			contacts = append(contacts, p.lastContact)
 		}
 	}
-	return s.horizonOf(evidence, len(voters))
+	return s.quorumUntil(contacts, len(voters))
 }
 
 func (s *State) memberships() []Membership {
-	over := make([]Membership, 0, len(s.revs))
+	lists := make([]Membership, 0, len(s.revs))
 	for _, rev := range s.revs {
-		over = append(over, Membership{Rev: rev, Members: s.lists[rev].daemons})
+		lists = append(lists, Membership{Rev: rev, Members: s.lists[rev].daemons})
 	}
-	return over
+	return lists
 }
--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -1,21 +1,26 @@
-// Package crmember decides what a daemon may believe of the other daemons: who
-// is reachable both ways, who is leaving, which list of instances is active,
-// and whether this daemon has standing, which means it may act on what it knows.
+// Package crmember tracks the membership of the fleet for one daemon: which peers
+// are reachable both ways, which are leaving, which instance list is active, and
+// whether this daemon holds a [Lease], under which it may act.
 //
-// Daemons exchange heartbeats ([Beat]). A beat echoes the receiver's latest
-// beat, and counts as evidence from the instant at which that one was sent. A
-// daemon has standing under a list while a majority of the list's voters has
-// answered within a horizon and holds that list as its newest. At no time do
-// two daemons have standing under different lists; docs/design/02-standing.md
-// gives the argument and its limits.
+// Daemons exchange heartbeats ([Heartbeat]). A heartbeat echoes the receiver's latest
+// one, and counts as a contact from the instant at which that one was sent. A daemon
+// holds a lease under a list while a majority of the list's voters has made contact
+// within the contact timeout and holds that list as its newest. At no time do two
+// daemons hold leases under different lists; docs/design/02-standing.md gives the
+// argument and its limits.
+//
+// core/crdaemon runs the reducer and passes its notices to core/crconfig,
+// core/craccount and core/crhealth. core/crinstance defines the lists. core/crmesh
+// tracks peers for a daemon that reads target records from the store; it gives no
+// leases.
 //
 // # Usage
 //
 //	s := crmember.New(crmember.DefaultParams())
 //	for ev := range events {
 //		for _, effect := range s.Step(ev) {
-//			// Send and Report go to the shell, Tenure, Peers and
-//			// crinstance.Listed to the sibling reducers.
+//			// Send and Report go to the shell. Lease, PeersChanged and
+//			// crinstance.ListUpdated go to the sibling reducers.
 //		}
 //	}
 package crmember
@@ -35,65 +40,65 @@
 type State struct {
 	params Params
 
-	started   bool
-	startedAt crid.Instant
-	now       crid.Instant
-	self      crid.Daemon
-	inc       crid.Incarnation
-	seed      uint64
+	started     bool
+	startedAt   crid.Instant
+	now         crid.Instant
+	self        crid.Daemon
+	incarnation crid.Incarnation
+	seed        uint64
 
-	lists     map[crid.Revision]known
-	revs      []crid.Revision // revisions of lists, sorted
-	cur       crid.Revision   // newest of revs
-	floor     crid.Revision   // newest list known to have been active
-	wantFloor crid.Revision   // a later floor whose list has not come yet
-	pending   crinstance.List // read, and waiting for the handover to end
-	fresh     bool
-	coldRev   crid.Revision          // newest list at the moment of a cold start
-	forgotten map[crid.Revision]bool // lists whose voters were fresh in their majority
-	ackSince  crid.Instant           // since when this daemon itself answers for cur
+	lists            map[crid.Revision]heldList
+	revs             []crid.Revision // revisions of lists, sorted
+	newest           crid.Revision   // newest of revs
+	lastActive       crid.Revision   // newest list known to have been active
+	missingActive    crid.Revision   // a later active list that has not been received yet
+	deferred         crinstance.List // latest list read during a handover
+	recovering       bool
+	coldStartRev     crid.Revision          // newest list at the start of a cold start
+	recoveringQuorum map[crid.Revision]bool // lists of which a majority of the voters was recovering at one moment
+	ackSince         crid.Instant           // since when this daemon acknowledges newest
 
-	peers map[crid.Daemon]*peer
-	order []crid.Daemon // keys of peers, sorted
-	known []*peer       // peers in that order
+	peers      map[crid.Daemon]*peer
+	peerNames  []crid.Daemon // keys of peers, sorted
+	peerStates []*peer       // peers in the order of peerNames
 
-	conf      uint64
-	leaving   bool
-	seq       uint64
-	sent      [sentSlots]sending
-	roundAt   crid.Instant // latest round
-	nextRound crid.Instant // where something is under way
-	nextRest  crid.Instant // where nothing is
-	sampled   []crid.Daemon
-	sampledTo crid.Instant // until which the sample stays
-	beatNow   bool
-	tellAll   bool          // the next round goes to all peers
-	fullAt    crid.Revision // newest list refused for want of room
+	configRev      uint64
+	leaving        bool
+	seq            uint64
+	sentHeartbeats [sentRingSize]sentHeartbeat
+	lastRound      crid.Instant // latest round
+	nextRound      crid.Instant // if not idle
+	nextIdleRound  crid.Instant // if idle
+	sample         []crid.Daemon
+	sampleUntil    crid.Instant // until which the sample is kept
+	roundNow       bool
+	broadcast      bool          // the next round goes to all peers
+	fullReported   crid.Revision // newest list rejected because the table was full
 
-	tenure       Tenure
-	peersChanged bool
-	toldAt       crid.Instant // latest Peers
-	passing      bool         // sampled peers have become reachable, or no longer are
-	out          []crevent.Effect
+	lease          Lease
+	peersChanged   bool
+	peersEmittedAt crid.Instant // latest PeersChanged
+	sampledChanged bool         // sampled peers have become reachable or unreachable
+	effects        []crevent.Effect
 
-	askedStranger bool
-	strangerAt    crid.Instant
+	requestedLists   bool
+	listsRequestedAt crid.Instant
 }
 
 // New returns a reducer that waits for [crevent.Started].
 func New(params Params) *State {
 	return &State{
-		params: params,
-		lists:  make(map[crid.Revision]known),
-		peers:  make(map[crid.Daemon]*peer),
-		fresh:  true,
+		params:     params,
+		lists:      make(map[crid.Revision]heldList),
+		peers:      make(map[crid.Daemon]*peer),
+		recovering: true,
 
-		forgotten: make(map[crid.Revision]bool),
+		recoveringQuorum: make(map[crid.Revision]bool),
 	}
 }
 
-// Step takes an event and returns what is to be done. Instants that go back are
-// taken as the latest one seen.
+// Step handles an event and returns the effects. An instant before the latest one
+// seen counts as the latest.
 func (s *State) Step(ev crevent.Event) []crevent.Effect {
 	if start, ok := ev.(crevent.Started); ok {
 		s.start(start)
@@ -104,22 +109,22 @@
 	s.now = max(s.now, ev.At())
 	switch ev := ev.(type) {
 	case crevent.Tick:
-		s.refreshPeers()
+		s.updatePeers()
 	case crevent.Received:
 		s.receive(ev)
-	case crinstance.Listed:
-		s.readList(ev.List)
-	case Advertise:
-		s.conf = ev.Conf
+	case crinstance.ListUpdated:
+		s.handleListUpdate(ev.List)
+	case AdvertiseConfig:
+		s.configRev = ev.ConfigRevision
 	case crevent.Stopping:
-		s.tellAll = s.tellAll || !s.leaving
+		s.broadcast = s.broadcast || !s.leaving
 		s.leaving = true
 	}
-	s.conclude()
-	s.answer(ev)
-	out := s.out
-	s.out = nil
-	return out
+	s.afterEvent()
+	s.replyTo(ev)
+	effects := s.effects
+	s.effects = nil
+	return effects
 }
 
 func (s *State) start(ev crevent.Started) {
@@ -129,50 +134,50 @@
 	s.started = true
 	s.startedAt = ev.Now
 	s.self = ev.Self
-	s.inc = ev.Incarnation
+	s.incarnation = ev.Incarnation
 	s.seed = ev.Seed
 }
 
-// receive drops messages of daemons that no held list names: they can neither
-// vouch nor make this daemon send anything.
+// receive handles a message. A daemon that no held list names can neither
+// acknowledge a list nor make this daemon send anything.
 func (s *State) receive(ev crevent.Received) {
 	p := s.peers[ev.From]
 	if p == nil {
-		s.fromStranger(ev.From, ev.Msg)
+		s.handleUnlisted(ev.From, ev.Msg)
 		return
 	}
 	switch m := ev.Msg.(type) {
-	case Beat:
-		s.onBeat(ev.From, p, m)
+	case Heartbeat:
+		s.handleHeartbeat(ev.From, p, m)
 		if p := s.peers[ev.From]; p != nil {
-			s.refreshPeer(ev.From, p)
+			s.updatePeer(ev.From, p)
 		}
-	case Fetch:
-		s.onFetch(ev.From, p, m)
-	case Lists:
-		s.onLists(m)
+	case ListRequest:
+		s.handleListRequest(ev.From, p, m)
+	case ListResponse:
+		s.handleListResponse(m)
 	}
 }
 
-// conclude draws the consequences of the event.
-func (s *State) conclude() {
-	s.takePending()
-	s.recoverState()
-	s.settleTenure()
-	if s.cur != 0 && s.roundDue() {
-		s.round()
+// afterEvent recomputes the derived state, and sends what is due.
+func (s *State) afterEvent() {
+	s.applyDeferred()
+	s.updateRecovery()
+	s.updateLease()
+	if s.newest != 0 && s.roundDue() {
+		s.sendRound()
 	}
-	if s.peersChanged || s.passing && s.now.Sub(s.toldAt) >= s.params.Interval {
-		s.tellPeers()
+	if s.peersChanged || s.sampledChanged && s.now.Sub(s.peersEmittedAt) >= s.params.Interval {
+		s.emitPeers()
 	}
 }
 
 func (s *State) emit(effect crevent.Effect) {
-	s.out = append(s.out, effect)
+	s.effects = append(s.effects, effect)
 }
 
-// draw returns a number that depends on the seed and the arguments only.
-func (s *State) draw(a, b uint64) uint64 {
+// hash returns a number that depends only on the seed and the arguments.
+func (s *State) hash(a, b uint64) uint64 {
 	var buf [24]byte
 	binary.LittleEndian.PutUint64(buf[0:], s.seed)
 	binary.LittleEndian.PutUint64(buf[8:], a)
@@ -180,54 +185,55 @@
 	return xxhash.Sum64(buf[:])
 }
 
-func (s *State) refreshPeers() {
-	for i, d := range s.order {
-		s.refreshPeer(d, s.known[i])
+func (s *State) updatePeers() {
+	for i, d := range s.peerNames {
+		s.updatePeer(d, s.peerStates[i])
 	}
 }
 
-// refreshPeer notices that a peer became reachable, or no longer is. Sampled
-// peers come and go with every beat; they are told of once an interval, since in a
-// large fleet each notice costs its receivers a walk through all peers.
-func (s *State) refreshPeer(d crid.Daemon, p *peer) {
-	alive := s.alive(p)
+// updatePeer notes that a peer became reachable or unreachable. Sampled peers change
+// with every heartbeat. Their changes are reported once an interval, since in a large
+// fleet each notice costs its receivers a pass over all peers.
+func (s *State) updatePeer(d crid.Daemon, p *peer) {
+	alive := s.inContact(p)
 	if alive == p.reachable {
 		return
 	}
 	p.reachable = alive
-	s.noteComing(p)
-	if p.sampled || !s.lists[s.cur].hasVoter(d) {
+	s.markPeerChanged(p)
+	if p.sampled || !s.lists[s.newest].hasVoter(d) {
 		return
 	}
 	if alive {
 		s.reportPeer(EventPeerReachable, d)
 		return
 	}
-	s.reportPeer(EventPeerLost, d)
+	s.reportPeer(EventPeerUnreachable, d)
 }
 
-// noteComing has Peers told: at once, or of a sampled peer once an interval.
-func (s *State) noteComing(p *peer) {
-	s.passing = s.passing || p.sampled
+// markPeerChanged schedules PeersChanged: at once, or within an interval for a
+// sampled peer.
+func (s *State) markPeerChanged(p *peer) {
+	s.sampledChanged = s.sampledChanged || p.sampled
 	s.peersChanged = s.peersChanged || !p.sampled
 }
 
-func (s *State) tellPeers() {
-	s.emit(Peers{Now: s.now, Peers: s.view(), Passing: !s.peersChanged})
+func (s *State) emitPeers() {
+	s.emit(PeersChanged{Now: s.now, Peers: s.peerList(), SampledOnly: !s.peersChanged})
 	s.peersChanged = false
-	s.passing = false
-	s.toldAt = s.now
+	s.sampledChanged = false
+	s.peersEmittedAt = s.now
 }
 
-// view is the content of Peers.
-func (s *State) view() []Peer {
-	peers := make([]Peer, 0, len(s.order))
-	for i, d := range s.order {
-		p := s.known[i]
+// peerList returns the content of PeersChanged.
+func (s *State) peerList() []Peer {
+	peers := make([]Peer, 0, len(s.peerNames))
+	for i, d := range s.peerNames {
+		p := s.peerStates[i]
 		peers = append(peers, Peer{
 			Daemon:      d,
 			Domain:      p.domain,
-			Incarnation: p.inc,
+			Incarnation: p.incarnation,
 			Reachable:   p.reachable,
 			Sampled:     p.sampled,
 			Leaving:     p.leaving || p.listedLeaving,
@@ -236,13 +242,13 @@
 	return peers
 }
 
-// Dump is the state for the dump of a process.
+// Dump is the reducer's part of the state dump.
 type Dump struct {
 	Incarnation crid.Incarnation `json:"incarnation"`
-	Current     crid.Revision    `json:"current"`
-	Floor       crid.Revision    `json:"floor"`
+	Newest      crid.Revision    `json:"current"`
+	LastActive  crid.Revision    `json:"floor"`
 	Lists       []crid.Revision  `json:"lists"`
-	Fresh       bool             `json:"fresh"`
+	Recovering  bool             `json:"fresh"`
 	Leaving     bool             `json:"leaving"`
 	Active      crid.Revision    `json:"active"`
 	Until       crid.Instant     `json:"until"`
@@ -252,38 +258,38 @@
 
 // PeerDump is one peer in Dump.
 type PeerDump struct {
-	Daemon    crid.Daemon   `json:"daemon"`
-	Current   crid.Revision `json:"current"`
-	Floor     crid.Revision `json:"floor"`
-	Fresh     bool          `json:"fresh"`
-	Leaving   bool          `json:"leaving"`
-	Reachable bool          `json:"reachable"`
-	Evidence  crid.Instant  `json:"evidence"`
+	Daemon      crid.Daemon   `json:"daemon"`
+	Newest      crid.Revision `json:"current"`
+	LastActive  crid.Revision `json:"floor"`
+	Recovering  bool          `json:"fresh"`
+	Leaving     bool          `json:"leaving"`
+	Reachable   bool          `json:"reachable"`
+	LastContact crid.Instant  `json:"evidence"`
 }
 
 // Dump returns a [Dump].
 func (s *State) Dump() any {
 	dump := Dump{
-		Incarnation: s.inc,
-		Current:     s.cur,
-		Floor:       s.floor,
+		Incarnation: s.incarnation,
+		Newest:      s.newest,
+		LastActive:  s.lastActive,
 		Lists:       slices.Clone(s.revs),
-		Fresh:       s.fresh,
+		Recovering:  s.recovering,
 		Leaving:     s.leaving,
-		Active:      s.tenure.Active,
-		Until:       s.tenure.Until,
+		Active:      s.lease.Active,
+		Until:       s.lease.Until,
 		Now:         s.now,
 	}
-	for _, d := range s.order {
+	for _, d := range s.peerNames {
 		p := s.peers[d]
 		dump.Peers = append(dump.Peers, PeerDump{
-			Daemon:    d,
-			Current:   p.cur,
-			Floor:     p.floor,
-			Fresh:     p.fresh,
-			Leaving:   p.leaving || p.listedLeaving,
-			Reachable: p.reachable,
-			Evidence:  p.evidence,
+			Daemon:      d,
+			Newest:      p.newest,
+			LastActive:  p.lastActive,
+			Recovering:  p.recovering,
+			Leaving:     p.leaving || p.listedLeaving,
+			Reachable:   p.reachable,
+			LastContact: p.lastContact,
 		})
 	}
 	return dump
--- a/core/crmember/params.go
+++ b/core/crmember/params.go
@@ -2,75 +2,75 @@
 
 import "time"
 
-// Params are the constants of the reducer. They must be the same in the whole
-// fleet: a daemon with a longer horizon than its peers believe would act on
-// standing that they hold expired.
+// Params are the parameters of the reducer. They must be equal in the whole fleet:
+// a daemon with a longer ContactTimeout than its peers assume would act under a
+// lease that they consider expired.
 type Params struct {
-	// Interval is the mean time between two beats to one peer while anything
-	// is under way.
+	// Interval is the mean time between two heartbeats to one peer while the
+	// daemon is not idle.
 	Interval time.Duration
-	// Rest is the same while nothing is; zero: Interval.
-	Rest time.Duration
-	// Jitter is the share of Interval by which a beat may come early or late.
+	// IdleInterval is the same while the daemon is idle; zero: Interval.
+	IdleInterval time.Duration `cbor:"Rest" json:"Rest"`
+	// Jitter is the fraction of Interval by which a heartbeat may come early or late.
 	Jitter float64
-	// Horizon is how long evidence that a peer was there keeps counting.
-	Horizon time.Duration
+	// ContactTimeout is how long a contact with a peer counts.
+	ContactTimeout time.Duration `cbor:"Horizon" json:"Horizon"`
 	// Drift bounds the relative error of each daemon's clock.
 	Drift float64
 	// Margin is added to each wait that relies on another clock.
 	Margin time.Duration
 	// MaxVoters bounds the voters of a list.
 	MaxVoters int
-	// Sample is how many other daemons get a beat each round besides the
-	// voters, where there are more daemons than MaxVoters.
-	Sample int
-	// SampleFor is how long they stay the same; zero: for one round.
-	SampleFor time.Duration
-	// MaxLists bounds the lists kept at one time.
+	// SampleSize is the number of other daemons that get a heartbeat each round
+	// besides the voters, in a fleet of more daemons than MaxVoters.
+	SampleSize int `cbor:"Sample" json:"Sample"`
+	// SampleDuration is how long a sample is kept; zero: for one round.
+	SampleDuration time.Duration `cbor:"SampleFor" json:"SampleFor"`
+	// MaxLists bounds the lists held at one time.
 	MaxLists int
 
-	without guard // guards switched off; set by tests only
+	disabled guard // safety rules that are switched off; set by tests only
 }
 
-// guard is a set of safety rules, each of which a test can switch off to show
-// what goes wrong without it.
+// guard is a set of safety rules. A test switches one off to show the fault that
+// it prevents.
 type guard uint8
 
 const (
-	guardSent    guard = 1 << iota // evidence counts from sending
-	guardChain                     // lists between the floor and the newest must agree too
-	guardFresh                     // a restarted daemon recovers before it vouches
-	guardSilence                   // wait for the old evidence to run out
-	guardConfirm                   // the early end of the wait needs a second round
+	guardSendTime          guard = 1 << iota // a contact counts from the sending of the heartbeat
+	guardIntermediateLists                   // lists between the last active and the newest one hand over too
+	guardRecovery                            // a restarted daemon recovers before it acknowledges a list
+	guardExpiryWait                          // a handover waits until contacts under the old list have expired
+	guardReconfirm                           // the early end of that wait needs a second round
 )
 
-// has reports whether the rule is in force.
-func (p Params) has(g guard) bool { return p.without&g == 0 }
+// enforces reports whether the rule is in force.
+func (p Params) enforces(g guard) bool { return p.disabled&g == 0 }
 
 // DefaultParams returns the parameters for links of a few milliseconds.
 func DefaultParams() Params {
 	return Params{
-		Interval:  200 * time.Millisecond,
-		Rest:      500 * time.Millisecond,
-		Jitter:    0.1,
-		Horizon:   2 * time.Second,
-		Drift:     0.01,
-		Margin:    100 * time.Millisecond,
-		MaxVoters: 31,
-		Sample:    8,
-		SampleFor: time.Minute,
-		MaxLists:  32,
+		Interval:       200 * time.Millisecond,
+		IdleInterval:   500 * time.Millisecond,
+		Jitter:         0.1,
+		ContactTimeout: 2 * time.Second,
+		Drift:          0.01,
+		Margin:         100 * time.Millisecond,
+		MaxVoters:      31,
+		SampleSize:     8,
+		SampleDuration: time.Minute,
+		MaxLists:       32,
 	}
 }
 
-// Silence is how long a daemon waits, on its own clock, for a horizon on any
-// other clock to have passed. One clock may run slow and the other fast, so
+// ExpiryWait is how long a daemon waits, on its own clock, until a contact timeout
+// has passed on any other clock. One clock may run slow and the other fast, so
 // the drift counts twice.
-func (p Params) Silence() time.Duration {
+func (p Params) ExpiryWait() time.Duration {
 	factor := (1 + p.Drift) / (1 - p.Drift)
-	return time.Duration(float64(p.Horizon)*factor) + p.Margin
+	return time.Duration(float64(p.ContactTimeout)*factor) + p.Margin
 }
 
-// rest is the mean time between two beats to one peer while nothing is under
-// way.
-func (p Params) rest() time.Duration { return max(p.Rest, p.Interval) }
+// idleInterval is the mean time between two heartbeats to one peer while the
+// daemon is idle.
+func (p Params) idleInterval() time.Duration { return max(p.IdleInterval, p.Interval) }
--- a/core/crmember/peer.go
+++ b/core/crmember/peer.go
@@ -5,69 +5,70 @@
 	"camphorroad/core/crid"
 )
 
-// peer is what this daemon knows of another.
+// peer is the state that this daemon keeps for another one.
 type peer struct {
 	domain        crid.Domain
-	sampled       bool // no voter of a list held, in a fleet where others get beats by chance
+	sampled       bool // voter of no list held, in a fleet where other daemons are sampled
 	listedLeaving bool
 
-	// What the latest beat said.
-	inc     crid.Incarnation
-	seq     uint64
-	cur     crid.Revision
-	floor   crid.Revision
-	held    []crid.Revision
-	fresh   bool
-	leaving bool
+	// Content of its latest heartbeat.
+	incarnation  crid.Incarnation
+	seq          uint64
+	newest       crid.Revision
+	lastActive   crid.Revision
+	intermediate []crid.Revision
+	recovering   bool
+	leaving      bool
 
-	heard      bool         // a beat has echoed one of ours
-	evidence   crid.Instant // sending of the newest beat of ours that it echoed
-	echoSeq    uint64
-	acked      bool         // it answers for our newest list since ackSince
-	ackSince   crid.Instant // arrival of the first such beat
-	fetchedAt  crid.Instant
-	fetched    bool
-	answeredAt crid.Instant // our latest Lists to it
-	answered   bool
-	owed       bool // it sent a beat that has not been answered
-	sentSeq    uint64
-	sentAt     crid.Instant // our latest beat to it
-	repliedAt  crid.Instant // our latest answer outside of a round
-	reachable  bool         // as last told in Peers
+	contacted   bool         // it has echoed a heartbeat of this daemon
+	lastContact crid.Instant // when the newest heartbeat that it echoed was sent
+	echoSeq     uint64
+	acked       bool         // it acknowledges this daemon's newest list, since ackSince
+	ackSince    crid.Instant // arrival of the first heartbeat that did
+	requestedAt crid.Instant
+	requested   bool
+	listsSentAt crid.Instant // latest ListResponse to it
+	listsSent   bool
+	replyDue    bool // its latest heartbeat has not been answered
+	sentSeq     uint64
+	sentAt      crid.Instant // latest heartbeat to it
+	repliedAt   crid.Instant // latest answer to it outside a round
+	reachable   bool         // as in the latest PeersChanged
 }
 
-// sentSlots bounds the sendings remembered. Numbers are used up no faster than
-// sentSpan and the answers to one peer allow, so that a horizon holds less than
-// a hundred; a beat whose slot was reused is no evidence, as if it were late.
-const sentSlots = 256
+// sentRingSize bounds the heartbeats remembered. seqReuseWindow and the rate of
+// replies to one peer limit the sequence numbers, so that less than a hundred are
+// used within a contact timeout. The echo of a heartbeat whose slot was reused
+// counts as too late.
+const sentRingSize = 256
 
-type sending struct {
+type sentHeartbeat struct {
 	seq uint64
 	at  crid.Instant
 }
 
-// alive reports two-way reachability: the peer has echoed a beat that was sent
-// less than a horizon ago.
-func (s *State) alive(p *peer) bool {
-	return p.heard && s.now.Sub(p.evidence) < s.params.Horizon
+// inContact reports two-way reachability: the peer has echoed a heartbeat that was
+// sent less than a contact timeout ago.
+func (s *State) inContact(p *peer) bool {
+	return p.contacted && s.now.Sub(p.lastContact) < s.params.ContactTimeout
 }
 
-// vouches reports whether the peer answers for our newest list. A peer that
-// knows a newer list has moved on; one that has not recovered may have
-// forgotten that it had.
-func (s *State) vouches(p *peer) bool {
-	if p.fresh && s.params.has(guardFresh) {
+// acknowledges reports whether the peer acknowledges this daemon's newest list. A
+// peer with a newer list has moved on. A peer that has not recovered may have
+// forgotten that it had moved on.
+func (s *State) acknowledges(p *peer) bool {
+	if p.recovering && s.params.enforces(guardRecovery) {
 		return false
 	}
-	return p.cur == s.cur && s.holdsAll(p)
+	return p.newest == s.newest && s.holdsAll(p)
 }
 
-func (s *State) onBeat(from crid.Daemon, p *peer, b Beat) {
-	if len(b.Held) > s.params.MaxLists {
+func (s *State) handleHeartbeat(from crid.Daemon, p *peer, b Heartbeat) {
+	if len(b.Intermediate) > s.params.MaxLists {
 		return
 	}
-	echoed := s.echoedAt(b.Echo)
-	if !s.admitBeat(from, p, b, echoed != nil) {
+	echoed := s.echoSentAt(b.Echo)
+	if !s.acceptHeartbeat(from, p, b, echoed != nil) {
 		return
 	}
 	s.peersChanged = s.peersChanged || p.leaving != b.Leaving
@@ -75,73 +76,73 @@
 		s.reportPeer(EventPeerLeaving, from)
 	}
 	p.seq = b.Seq
-	p.cur = b.Cur
-	p.floor = b.Floor
-	p.held = b.Held
-	p.fresh = b.Fresh
+	p.newest = b.Newest
+	p.lastActive = b.LastActive
+	p.intermediate = b.Intermediate
+	p.recovering = b.Recovering
 	p.leaving = b.Leaving
-	p.owed = !b.Reply
+	p.replyDue = !b.Reply
 	if echoed != nil {
-		s.noteEvidence(p, b.Echo.Seq, *echoed)
+		s.recordContact(p, b.Echo.Seq, *echoed)
 	}
-	if !b.Fresh {
-		s.raiseFloor(b.Floor)
+	if !b.Recovering {
+		s.advanceActive(b.LastActive)
 	}
-	s.noteAck(p)
-	s.fetchMissing(from, p)
+	s.updateAck(p)
+	s.requestMissing(from, p)
 }
 
-// admitBeat refuses beats that are older than one already heard. Incarnations
-// have no order, so that a beat of another incarnation counts as a new life
-// only if it echoes a later beat of ours: a late beat of the former life, which
-// would bring back its leaving mark or its lists, can not.
-func (s *State) admitBeat(from crid.Daemon, p *peer, b Beat, echoed bool) bool {
-	if p.inc == b.Inc {
+// acceptHeartbeat rejects heartbeats older than one already received. Incarnations
+// have no order. A heartbeat of another incarnation therefore counts as a restart
+// only if it echoes a later heartbeat of this daemon. A delayed one of the former
+// incarnation cannot, and so does not bring back its leaving mark or its lists.
+func (s *State) acceptHeartbeat(from crid.Daemon, p *peer, b Heartbeat, echoed bool) bool {
+	if p.incarnation == b.Incarnation {
 		return b.Seq > p.seq
 	}
-	if p.inc == 0 {
-		p.inc = b.Inc
-		s.noteComing(p)
+	if p.incarnation == 0 {
+		p.incarnation = b.Incarnation
+		s.markPeerChanged(p)
 		return true
 	}
 	if !echoed || b.Echo.Seq <= p.echoSeq {
-		p.owed = p.owed || !b.Reply // a new life has to hear of us before it can echo anything
+		p.replyDue = p.replyDue || !b.Reply // the new incarnation must be answered before it can echo anything
 		return false
 	}
-	p.inc = b.Inc
+	p.incarnation = b.Incarnation
 	p.acked = false
 	s.peersChanged = true
 	s.reportPeer(EventPeerRestarted, from)
 	return true
 }
 
-// echoedAt returns when the echoed beat was sent; nil if it is none of this
-// incarnation, or forgotten.
-func (s *State) echoedAt(e Echo) *crid.Instant {
-	slot := s.sent[e.Seq%sentSlots]
-	if e.Inc != s.inc || slot.seq != e.Seq || e.Seq == 0 {
+// echoSentAt returns when the echoed heartbeat was sent; nil if this incarnation
+// did not send it, or has forgotten it.
+func (s *State) echoSentAt(e Echo) *crid.Instant {
+	slot := s.sentHeartbeats[e.Seq%sentRingSize]
+	if e.Incarnation != s.incarnation || slot.seq != e.Seq || e.Seq == 0 {
 		return nil
 	}
 	return &slot.at
 }
 
-// noteEvidence counts from the sending of our beat. A beat that lay in a queue,
-// or in a process that was suspended, arrives as if new; counted from arrival
-// it would renew standing with an old fact, and two daemons would act under
-// two lists.
-func (s *State) noteEvidence(p *peer, seq uint64, sentAt crid.Instant) {
-	p.heard = true
+// recordContact counts a contact from the sending of this daemon's heartbeat. An
+// answer may have been delayed in a queue or in a suspended process. If contact
+// counted from its arrival, the answer would renew a lease after its true end, and
+// two daemons would act under two lists.
+func (s *State) recordContact(p *peer, seq uint64, sentAt crid.Instant) {
+	p.contacted = true
 	p.echoSeq = max(p.echoSeq, seq)
-	if !s.params.has(guardSent) {
+	if !s.params.enforces(guardSendTime) {
 		sentAt = s.now
 	}
-	p.evidence = max(p.evidence, sentAt)
+	p.lastContact = max(p.lastContact, sentAt)
 }
 
-// noteAck records since when the peer has answered for our newest list without
-// a break. A restart starts it anew: what the former life said may be forgotten.
-func (s *State) noteAck(p *peer) {
-	if !s.alive(p) || !s.vouches(p) {
+// updateAck records since when the peer has acknowledged the newest list without a
+// break. A restart of the peer resets it, as the peer may have forgotten.
+func (s *State) updateAck(p *peer) {
+	if !s.inContact(p) || !s.acknowledges(p) {
 		p.acked = false
 		return
 	}
@@ -151,16 +152,16 @@
 	}
 }
 
-// fetchMissing asks the peer for lists it has and we lack, at most once an
-// interval.
-func (s *State) fetchMissing(from crid.Daemon, p *peer) {
+// requestMissing asks the peer for lists that it has and this daemon lacks, at most
+// once an interval.
+func (s *State) requestMissing(from crid.Daemon, p *peer) {
 	if s.holdsAll(p) {
 		return
 	}
-	if p.fetched && s.now.Sub(p.fetchedAt) < s.params.Interval {
+	if p.requested && s.now.Sub(p.requestedAt) < s.params.Interval {
 		return
 	}
-	p.fetched = true
-	p.fetchedAt = s.now
-	s.emit(crevent.Send{To: from, Msg: Fetch{From: s.floor, Have: s.revs}})
+	p.requested = true
+	p.requestedAt = s.now
+	s.emit(crevent.Send{To: from, Msg: ListRequest{From: s.lastActive, Have: s.revs}})
 }
--- a/core/crmember/rapid_test.go
+++ b/core/crmember/rapid_test.go
@@ -13,8 +13,8 @@
 	"camphorroad/core/crinstance"
 )
 
-// TestMain fixes the seed, so that CI repeats one run; another seed or number
-// of checks may be given with -rapid.seed and -rapid.checks.
+// TestMain fixes the seed, so that CI repeats one run. The flags -rapid.seed and
+// -rapid.checks set another seed or number of checks.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "60", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -25,133 +25,131 @@
 	os.Exit(m.Run())
 }
 
-// Several daemons live through loss, reordering, duplicates, pauses, restarts
-// and one-way cuts while they read different lists, new and stale ones, by
-// clocks that drift. At no true instant may two of them have standing under
-// different lists; else an account gets more than its rate. At most one daemon
-// is unrecovered at a time: the known limit of recovery without a disk.
-func TestStandingUnderOneListOnly(t *testing.T) {
-	standings := 0
+// Under loss, reordering, duplicates, pauses, restarts, one-way cuts, clock drift and
+// stale lists, no two daemons may hold leases under different lists, or an account gets
+// more than its rate. At most one daemon recovers at a time, the limit without a disk.
+func TestLeasesUnderOneListOnly(t *testing.T) {
+	laterLeases := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(0, rapid.Uint64().Draw(rt, "network"))
-		names := ds("a", "b", "c", "d", "e", "f")
-		lists := []crinstance.List{roll(1, names...)}
-		w.startAll(lists[0])
+		c := newCluster(0, rapid.Uint64().Draw(rt, "network"))
+		names := daemons("a", "b", "c", "d", "e", "f")
+		lists := []crinstance.List{newList(1, names...)}
+		c.startAll(lists[0])
 		for _, d := range names {
-			w.nodes[d].rate = rapid.Float64Range(0.99, 1.01).Draw(rt, "rate")
+			c.nodes[d].clockRate = rapid.Float64Range(0.99, 1.01).Draw(rt, "rate")
 		}
-		w.run(4 * time.Second)
-		w.chaos = true
-		m := &machine{w: w, names: names, lists: lists}
+		c.run(4 * time.Second)
+		c.faulty = true
+		m := &faultMachine{cluster: c, names: names, lists: lists}
 		rt.Repeat(map[string]func(*rapid.T){
 			"publish": m.publish,
 			"read":    m.read,
 			"readAll": m.readAll,
-			"cut":     m.cut,
+			"cut":     m.cutLink,
 			"split":   m.split,
-			"defect":  m.defect,
-			"slow":    m.slow,
+			"defect":  m.moveDaemons,
+			"slow":    m.delayLink,
 			"heal":    m.heal,
-			"pause":   func(rt *rapid.T) { w.nodes[m.pick(rt)].paused = true },
-			"wake":    func(rt *rapid.T) { w.wake(m.pick(rt)) },
+			"pause":   func(rt *rapid.T) { c.nodes[m.pick(rt)].paused = true },
+			"wake":    func(rt *rapid.T) { c.resume(m.pick(rt)) },
 			"restart": m.restart,
 			"run":     m.run,
-			"runLong": func(*rapid.T) { w.run(3 * time.Second) },
+			"runLong": func(*rapid.T) { c.run(3 * time.Second) },
 			"": func(rt *rapid.T) {
-				if len(w.overlaps) > 0 {
-					rt.Fatalf("two lists at once: %s", w.overlaps[0])
+				if len(c.overlaps) > 0 {
+					rt.Fatalf("leases under two lists: %s", c.overlaps[0])
 				}
-				if len(w.apart) > 0 {
-					rt.Fatalf("no list in common: %s", w.apart[0])
+				if len(c.disjoint) > 0 {
+					rt.Fatalf("no list in common: %s", c.disjoint[0])
 				}
 			},
 		})
-		for _, n := range w.nodes {
-			if n.tenure.Active > 1 {
-				standings++
+		for _, n := range c.nodes {
+			if n.lease.Active > 1 {
+				laterLeases++
 			}
 		}
-		m.expectRecovery(rt)
+		m.expectLeases(rt)
 	})
-	if standings == 0 {
-		t.Fatal("no run got beyond its first list; the check proves nothing")
+	if laterLeases == 0 {
+		t.Fatal("no run activated a second list; the check proves nothing")
 	}
-	t.Logf("daemons with a later list active at the end of a run: %d", standings)
+	t.Logf("daemons with a later list active at the end of a run: %d", laterLeases)
 }
 
-// expectRecovery ends all faults. A rule so strict that nobody gets standing again
-// would be safe, and users would be refused for ever.
-func (m *machine) expectRecovery(rt *rapid.T) {
-	m.w.chaos = false
+// expectLeases ends all faults and expects leases again. A rule too strict for any
+// lease would be safe, but every request would be refused.
+func (m *faultMachine) expectLeases(rt *rapid.T) {
+	m.cluster.faulty = false
 	m.heal(rt)
 	for _, d := range m.names {
-		m.w.wake(d)
+		m.cluster.resume(d)
 	}
-	m.lists = append(m.lists, roll(crid.Revision(len(m.lists)+1), m.names...))
+	m.lists = append(m.lists, newList(crid.Revision(len(m.lists)+1), m.names...))
 	m.readAll(rt)
-	m.w.run(8 * time.Second)
-	if held := len(m.w.holders()); held != len(m.names) {
-		rt.Fatalf("%d of %d daemons have standing after all faults are over", held, len(m.names))
+	m.cluster.run(8 * time.Second)
+	if held := len(m.cluster.leaseHolders()); held != len(m.names) {
+		rt.Fatalf("%d of %d daemons hold a lease after the end of all faults", held, len(m.names))
 	}
-	if len(m.w.overlaps) > 0 {
-		rt.Fatalf("two lists at once: %s", m.w.overlaps[0])
+	if len(m.cluster.overlaps) > 0 {
+		rt.Fatalf("leases under two lists: %s", m.cluster.overlaps[0])
 	}
 }
 
-type machine struct {
-	w     *world
-	names []crid.Daemon
-	lists []crinstance.List
-	left  []crid.Daemon // the sides of the latest split
-	right []crid.Daemon
+type faultMachine struct {
+	cluster *cluster
+	names   []crid.Daemon
+	lists   []crinstance.List
+	left    []crid.Daemon // the sides of the latest partition
+	right   []crid.Daemon
 }
 
-func (m *machine) pick(rt *rapid.T) crid.Daemon {
+func (m *faultMachine) pick(rt *rapid.T) crid.Daemon {
 	return rapid.SampledFrom(m.names).Draw(rt, "daemon")
 }
 
-func (m *machine) publish(rt *rapid.T) {
+func (m *faultMachine) publish(rt *rapid.T) {
 	members := rapid.Permutation(m.names).Draw(rt, "members")
 	n := rapid.IntRange(3, len(members)).Draw(rt, "n")
-	m.lists = append(m.lists, roll(crid.Revision(len(m.lists)+1), members[:n]...))
+	m.lists = append(m.lists, newList(crid.Revision(len(m.lists)+1), members[:n]...))
 }
 
-func (m *machine) read(rt *rapid.T) {
+func (m *faultMachine) read(rt *rapid.T) {
 	d := m.pick(rt)
-	if !m.w.nodes[d].paused {
-		m.w.read(d, rapid.SampledFrom(m.lists).Draw(rt, "list"))
+	if !m.cluster.nodes[d].paused {
+		m.cluster.deliverList(d, rapid.SampledFrom(m.lists).Draw(rt, "list"))
 	}
 }
 
-func (m *machine) readAll(*rapid.T) {
+func (m *faultMachine) readAll(*rapid.T) {
 	for _, d := range m.names {
-		if !m.w.nodes[d].paused {
-			m.w.read(d, m.lists[len(m.lists)-1])
+		if !m.cluster.nodes[d].paused {
+			m.cluster.deliverList(d, m.lists[len(m.lists)-1])
 		}
 	}
 }
 
-func (m *machine) cut(rt *rapid.T) {
+func (m *faultMachine) cutLink(rt *rapid.T) {
 	from, to := m.pick(rt), m.pick(rt)
-	m.w.cuts[link{from, to}] = true
+	m.cluster.cuts[link{from, to}] = true
 	if rapid.Bool().Draw(rt, "both") {
-		m.w.cuts[link{to, from}] = true
+		m.cluster.cuts[link{to, from}] = true
 	}
 }
 
-// split cuts the fleet in two, and one side reads a list of that side.
-func (m *machine) split(rt *rapid.T) {
+// split partitions the fleet in two, and one side reads a list of that side.
+func (m *faultMachine) split(rt *rapid.T) {
 	order := rapid.Permutation(m.names).Draw(rt, "order")
 	n := rapid.IntRange(3, len(order)-1).Draw(rt, "n")
 	m.left, m.right = order[:n], order[n:]
-	m.w.cut(m.left, m.right)
+	m.cluster.partition(m.left, m.right)
 	m.publishTo(m.left)
-	m.w.run(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
+	m.cluster.run(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
 }
 
-// defect moves daemons of the side with the newer list to the other, which may
-// then read a list of its own; one of them may restart with a former list.
-func (m *machine) defect(rt *rapid.T) {
+// moveDaemons moves daemons of the side with the newer list to the other, which may
+// then read a list of its own. One of them may restart with an earlier list.
+func (m *faultMachine) moveDaemons(rt *rapid.T) {
 	if len(m.left) < 2 {
 		return
 	}
@@ -159,7 +157,7 @@
 	movers, stay := m.left[:n], m.left[n:]
 	side := append(slices.Clone(m.right), movers...)
 	m.heal(rt)
-	m.w.cut(side, stay)
+	m.cluster.partition(side, stay)
 	m.left, m.right = side, stay
 	if rapid.Bool().Draw(rt, "restart") {
 		m.restartOne(rt, movers[0])
@@ -167,43 +165,43 @@
 	if len(side) >= 3 && rapid.Bool().Draw(rt, "publish") {
 		m.publishTo(side)
 	}
-	m.w.run(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
+	m.cluster.run(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
 }
 
-func (m *machine) publishTo(side []crid.Daemon) {
-	list := roll(crid.Revision(len(m.lists)+1), side...)
+func (m *faultMachine) publishTo(side []crid.Daemon) {
+	list := newList(crid.Revision(len(m.lists)+1), side...)
 	m.lists = append(m.lists, list)
 	for _, d := range side {
-		if !m.w.nodes[d].paused {
-			m.w.read(d, list)
+		if !m.cluster.nodes[d].paused {
+			m.cluster.deliverList(d, list)
 		}
 	}
 }
 
-// slow lets a link deliver seconds late.
-func (m *machine) slow(rt *rapid.T) {
+// delayLink adds seconds of delay to a link.
+func (m *faultMachine) delayLink(rt *rapid.T) {
 	ms := rapid.IntRange(500, 6000).Draw(rt, "ms")
-	m.w.slow[link{m.pick(rt), m.pick(rt)}] = time.Duration(ms) * time.Millisecond
+	m.cluster.delays[link{m.pick(rt), m.pick(rt)}] = time.Duration(ms) * time.Millisecond
 }
 
-func (m *machine) heal(*rapid.T) {
-	clear(m.w.cuts)
-	clear(m.w.slow)
+func (m *faultMachine) heal(*rapid.T) {
+	clear(m.cluster.cuts)
+	clear(m.cluster.delays)
 }
 
-func (m *machine) restart(rt *rapid.T) { m.restartOne(rt, m.pick(rt)) }
+func (m *faultMachine) restart(rt *rapid.T) { m.restartOne(rt, m.pick(rt)) }
 
-func (m *machine) restartOne(rt *rapid.T, d crid.Daemon) {
-	for _, n := range m.w.nodes {
-		if n.state.fresh {
+func (m *faultMachine) restartOne(rt *rapid.T, d crid.Daemon) {
+	for _, n := range m.cluster.nodes {
+		if n.state.recovering {
 			return
 		}
 	}
-	m.w.start(d)
-	m.w.read(d, rapid.SampledFrom(m.lists).Draw(rt, "list"))
+	m.cluster.start(d)
+	m.cluster.deliverList(d, rapid.SampledFrom(m.lists).Draw(rt, "list"))
 }
 
-func (m *machine) run(rt *rapid.T) {
+func (m *faultMachine) run(rt *rapid.T) {
 	ms := rapid.IntRange(10, 1500).Draw(rt, "ms")
-	m.w.run(time.Duration(ms) * time.Millisecond)
+	m.cluster.run(time.Duration(ms) * time.Millisecond)
 }
--- a/core/crmember/round.go
+++ b/core/crmember/round.go
@@ -7,163 +7,165 @@
 	"camphorroad/core/crid"
 )
 
-// sentSpan is how long one number serves for beats to different peers. Its
-// evidence counts from the first of them, which is too early for the others and
-// so never too long.
-const sentSpan = 50 * time.Millisecond
+// seqReuseWindow is how long one sequence number serves for heartbeats to different
+// peers. A contact counts from the first of them, which is too early for the others
+// and so never extends a lease.
+const seqReuseWindow = 50 * time.Millisecond
 
-// round sends one beat to each peer that is due one: those chosen, and those
-// that have sent one that waits for its answer. An answer wants none, or each
-// sampled pair would go on for ever and the sample would grow into beats among
-// all daemons.
-func (s *State) round() {
-	spare := s.resting() && !s.beatNow && !s.tellAll
-	s.roundAt = s.now
-	s.number()
-	s.nextRound = s.now.Add(s.jittered(s.params.Interval))
-	s.nextRest = s.now.Add(s.jittered(s.params.rest()))
-	chosen := s.chosen()
-	s.beatNow = false
-	s.tellAll = false
-	for i, d := range s.order {
-		p := s.known[i]
-		due := chosen[d] && (!spare || !s.spared(p))
-		if due || p.owed {
-			s.beat(d, p, !due)
+// sendRound sends a heartbeat to each peer that is due: the recipients of this
+// round, and peers whose heartbeat has not been answered. An answer is not answered
+// again. Otherwise each sampled pair would go on for ever, and in the end all
+// daemons would exchange heartbeats with all others.
+func (s *State) sendRound() {
+	skip := s.idle() && !s.roundNow && !s.broadcast
+	s.lastRound = s.now
+	s.nextSeq()
+	s.nextRound = s.now.Add(s.jitter(s.params.Interval))
+	s.nextIdleRound = s.now.Add(s.jitter(s.params.idleInterval()))
+	recipients := s.recipients()
+	s.roundNow = false
+	s.broadcast = false
+	for i, d := range s.peerNames {
+		p := s.peerStates[i]
+		due := recipients[d] && (!skip || !s.skippable(p))
+		if due || p.replyDue {
+			s.sendHeartbeat(d, p, !due)
 		}
 	}
 }
 
 // roundDue reports whether it is time for a round.
 func (s *State) roundDue() bool {
-	if s.beatNow || s.tellAll || !s.now.Before(s.nextRest) {
+	if s.roundNow || s.broadcast || !s.now.Before(s.nextIdleRound) {
 		return true
 	}
-	return !s.now.Before(s.nextRound) && !s.resting()
+	return !s.now.Before(s.nextRound) && !s.idle()
 }
 
-// beat sends one beat, with what is true now.
-func (s *State) beat(d crid.Daemon, p *peer, reply bool) {
-	if p.sentSeq == s.seq || s.now.Sub(s.sent[s.seq%sentSlots].at) > sentSpan {
-		s.number()
+// sendHeartbeat sends one heartbeat with the current state.
+func (s *State) sendHeartbeat(d crid.Daemon, p *peer, reply bool) {
+	if p.sentSeq == s.seq || s.now.Sub(s.sentHeartbeats[s.seq%sentRingSize].at) > seqReuseWindow {
+		s.nextSeq()
 	}
-	p.owed = false
+	p.replyDue = false
 	p.sentSeq = s.seq
 	p.sentAt = s.now
-	s.emit(crevent.Send{To: d, Msg: Beat{
-		Seq:     s.seq,
-		Inc:     s.inc,
-		Cur:     s.cur,
-		Floor:   s.floor,
-		Held:    s.held(),
-		Conf:    s.conf,
-		Leaving: s.leaving,
-		Fresh:   s.fresh && s.params.has(guardFresh),
-		Reply:   reply,
-		Echo:    Echo{Inc: p.inc, Seq: p.seq},
+	s.emit(crevent.Send{To: d, Msg: Heartbeat{
+		Seq:            s.seq,
+		Incarnation:    s.incarnation,
+		Newest:         s.newest,
+		LastActive:     s.lastActive,
+		Intermediate:   s.intermediateRevs(),
+		ConfigRevision: s.configRev,
+		Leaving:        s.leaving,
+		Recovering:     s.recovering && s.params.enforces(guardRecovery),
+		Reply:          reply,
+		Echo:           Echo{Incarnation: p.incarnation, Seq: p.seq},
 	}})
 }
 
-// number begins a new number for the beats that follow.
-func (s *State) number() {
+// nextSeq starts a new sequence number for the heartbeats that follow.
+func (s *State) nextSeq() {
 	s.seq++
-	s.sent[s.seq%sentSlots] = sending{seq: s.seq, at: s.now}
+	s.sentHeartbeats[s.seq%sentRingSize] = sentHeartbeat{seq: s.seq, at: s.now}
 }
 
-// answer answers the beat that was received at once, where the round has not.
-// Left to the next round of a daemon that rests, answers would come so late that
-// two lost packets in a row made a peer look lost. A peer that beats without
-// pause is answered no faster than twice an interval.
-func (s *State) answer(ev crevent.Event) {
+// replyTo answers a received heartbeat at once unless the round has answered it. If
+// answers waited for the next round of an idle daemon, they would come so late that
+// two lost packets in a row make a peer look down. A peer that sends heartbeats
+// without pause is answered at most twice an interval.
+func (s *State) replyTo(ev crevent.Event) {
 	in, ok := ev.(crevent.Received)
-	if !ok || s.params.Rest == 0 || s.cur == 0 {
+	if !ok || s.params.IdleInterval == 0 || s.newest == 0 {
 		return
 	}
 	p := s.peers[in.From]
-	if p == nil || !p.owed || s.now.Sub(p.repliedAt) < s.params.Interval/2 {
+	if p == nil || !p.replyDue || s.now.Sub(p.repliedAt) < s.params.Interval/2 {
 		return
 	}
 	p.repliedAt = s.now
-	s.beat(in.From, p, true)
+	s.sendHeartbeat(in.From, p, true)
 }
 
-// resting reports whether nothing is under way: this daemon has standing, no list
-// is being handed over here or at a voter, nobody recovers, and no voter is
-// suspected. Voters that are lost do not count, or one that stays dead would
-// keep the fleet busy.
-func (s *State) resting() bool {
-	if s.params.Rest == 0 || s.tenure.Until == 0 || s.leaving || s.floor != s.cur || s.wantFloor > s.floor {
+// idle reports whether heartbeats may go at the slower pace: this daemon holds a
+// lease, no list is being handed over here or at a voter, no voter is recovering, and
+// none is suspected. Voters out of contact do not count, or one failed voter would
+// keep the fleet at the faster pace.
+func (s *State) idle() bool {
+	if s.params.IdleInterval == 0 || s.lease.Until == 0 || s.leaving || s.lastActive != s.newest || s.missingActive > s.lastActive {
 		return false
 	}
-	for _, d := range s.lists[s.cur].voters {
+	for _, d := range s.lists[s.newest].voters {
 		p := s.peers[d]
-		if p == nil || !s.alive(p) {
+		if p == nil || !s.inContact(p) {
 			continue
 		}
-		if p.fresh || p.cur != s.cur || p.floor != s.floor || s.suspected(p) {
+		if p.recovering || p.newest != s.newest || p.lastActive != s.lastActive || s.suspected(p) {
 			return false
 		}
 	}
 	return true
 }
 
-// suspected reports that a peer's evidence is older than it gets where no beat
-// is lost: one Rest until the other end beats again, and one that its echo is
-// old already. What is left of the horizon is for beats at the faster pace.
+// suspected reports that the last contact with a peer is older than it gets without
+// packet loss: one idle interval until the peer's next heartbeat, and another since
+// its echo may be that old. The remaining contact timeout is for heartbeats at the
+// faster pace.
 func (s *State) suspected(p *peer) bool {
-	const rests = 5
-	return s.now.Sub(p.evidence) > rests*s.params.rest()/2
+	const halfIntervals = 5
+	return s.now.Sub(p.lastContact) > halfIntervals*s.params.idleInterval()/2
 }
 
-// spared reports that a peer needs no beat in this round of a daemon at rest: it
-// has just been answered, and goes on beating by itself. So each pair
-// has one end that beats and one that answers.
-func (s *State) spared(p *peer) bool {
-	const part = 5
-	return s.alive(p) && !s.suspected(p) && s.now.Sub(p.sentAt) < s.params.rest()*(part-1)/part
+// skippable reports that a peer needs no heartbeat in this round of an idle daemon:
+// it has just been answered, and sends heartbeats itself. So one end of each pair
+// sends and the other answers.
+func (s *State) skippable(p *peer) bool {
+	const parts = 5
+	return s.inContact(p) && !s.suspected(p) && s.now.Sub(p.sentAt) < s.params.idleInterval()*(parts-1)/parts
 }
 
-// jittered is the time to the next round. Daemons that start at once would
-// otherwise beat at once for ever.
-func (s *State) jittered(mean time.Duration) time.Duration {
+// jitter returns the time to the next round. Without jitter, daemons that start at
+// one time would send their heartbeats at one time for ever.
+func (s *State) jitter(mean time.Duration) time.Duration {
 	const steps = 1 << 20
-	share := float64(s.draw(s.seq, 0)%steps)/steps*2 - 1
-	return time.Duration(float64(mean) * (1 + s.params.Jitter*share))
+	offset := float64(s.hash(s.seq, 0)%steps)/steps*2 - 1
+	return time.Duration(float64(mean) * (1 + s.params.Jitter*offset))
 }
 
-// chosen returns who gets a beat in this round unasked: everybody in a small
-// fleet, and once when leaving; else the voters of each held list, and a sample.
-func (s *State) chosen() map[crid.Daemon]bool {
-	chosen := make(map[crid.Daemon]bool)
-	if len(s.order) <= s.params.MaxVoters || s.tellAll {
-		for _, d := range s.order {
-			chosen[d] = true
+// recipients returns the daemons that get a heartbeat in this round unasked: all in a
+// small fleet and once when leaving; otherwise the voters of each list held, and a
+// sample.
+func (s *State) recipients() map[crid.Daemon]bool {
+	to := make(map[crid.Daemon]bool)
+	if len(s.peerNames) <= s.params.MaxVoters || s.broadcast {
+		for _, d := range s.peerNames {
+			to[d] = true
 		}
-		return chosen
+		return to
 	}
 	for _, rev := range s.revs {
 		for _, d := range s.lists[rev].voters {
-			chosen[d] = true
+			to[d] = true
 		}
 	}
-	for _, d := range s.sample() {
-		chosen[d] = true
+	for _, d := range s.currentSample() {
+		to[d] = true
 	}
-	return chosen
+	return to
 }
 
-// sample returns the other daemons that get beats besides the voters. They stay
-// for a while: each peer that is new to the sample costs a handshake, and a new
-// sample in every round took a sixth of a core for them.
-func (s *State) sample() []crid.Daemon {
-	if s.now.Before(s.sampledTo) {
-		return s.sampled
+// currentSample returns the daemons that get heartbeats besides the voters. It is
+// kept for SampleDuration: each peer that is new to the sample costs a handshake,
+// and a new sample in every round costs a sixth of a core.
+func (s *State) currentSample() []crid.Daemon {
+	if s.now.Before(s.sampleUntil) {
+		return s.sample
 	}
-	s.sampledTo = s.now.Add(s.jittered(s.params.SampleFor))
-	s.sampled = s.sampled[:0]
-	for i := range s.params.Sample {
-		pick := s.draw(s.seq, uint64(i)+1) % uint64(len(s.order))
-		s.sampled = append(s.sampled, s.order[pick])
+	s.sampleUntil = s.now.Add(s.jitter(s.params.SampleDuration))
+	s.sample = s.sample[:0]
+	for i := range s.params.SampleSize {
+		pick := s.hash(s.seq, uint64(i)+1) % uint64(len(s.peerNames))
+		s.sample = append(s.sample, s.peerNames[pick])
 	}
-	return s.sampled
+	return s.sample
 }
--- a/core/crmember/sample_test.go
+++ b/core/crmember/sample_test.go
@@ -11,97 +11,93 @@
 	"camphorroad/core/crinstance"
 )
 
-// lost returns whom a daemon takes for lost.
-func (w *world) lost(d crid.Daemon) []crid.Daemon {
-	var lost []crid.Daemon
-	for _, p := range w.nodes[d].peers {
-		if p.Lost() {
-			lost = append(lost, p.Daemon)
+// down returns the peers that a daemon considers down.
+func (c *cluster) down(d crid.Daemon) []crid.Daemon {
+	var down []crid.Daemon
+	for _, p := range c.nodes[d].peers {
+		if p.Down() {
+			down = append(down, p.Daemon)
 		}
 	}
-	slices.Sort(lost)
-	return lost
+	slices.Sort(down)
+	return down
 }
 
-func bigFleet() (*world, crinstance.List) {
-	list := roll(1, manyNames(45)...)
-	w := newWorld(0, 1)
+func largeCluster() (*cluster, crinstance.List) {
+	list := newList(1, daemonNames(45)...)
+	c := newCluster(0, 1)
 	for _, d := range list.Daemons() {
-		w.start(d)
+		c.start(d)
 	}
 	for _, d := range list.Daemons() {
-		w.read(d, list)
+		c.deliverList(d, list)
 	}
-	w.run(6 * time.Second)
-	return w, list
+	c.run(6 * time.Second)
+	return c, list
 }
 
-// With more daemons than voters, most peers get a beat only now and then, and
-// are not heard for a horizon though nothing is wrong with them. Were they taken
-// for lost, each entry would send all its requests to a handful of targets and
-// find hardly any owner to ask for tokens.
-func TestSampledPeersAreNotTakenForLost(t *testing.T) {
+// Most peers of a large fleet are sampled and out of contact for most of the time. If
+// they counted as down, each entry would use a handful of targets and token owners.
+func TestUnreachableSampledPeersAreNotDown(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w, node := voterOf(1000)
+	c, node := newVoter(1000)
 	for range 4 {
-		secondOf(w, node)
+		runSecond(c, node)
 	}
-	silent, lost := 0, 0
-	for _, p := range node.state.view() {
+	unreachable, down := 0, 0
+	for _, p := range node.state.peerList() {
 		if !p.Reachable {
-			silent++
+			unreachable++
 		}
-		if p.Lost() {
-			lost++
+		if p.Down() {
+			down++
 		}
 	}
-	g.Expect(silent).To(gomega.BeNumerically(">", 500))
-	g.Expect(lost).To(gomega.BeZero())
+	g.Expect(unreachable).To(gomega.BeNumerically(">", 500))
+	g.Expect(down).To(gomega.BeZero())
 }
 
-// A voter that dies gets a beat in each round, so that everybody notices within
-// a horizon and turns to others.
-func TestLostVoterIsNoticedInALargeFleet(t *testing.T) {
+// A voter that fails is detected by all daemons within the contact timeout.
+func TestFailedVoterIsDetectedInLargeFleet(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w, list := bigFleet()
-	voter := Voters(list, 0, w.params.MaxVoters)[3]
-	delete(w.nodes, voter)
-	w.run(w.params.Horizon + 2*w.params.Interval)
-	for _, d := range w.names() {
-		g.Expect(w.lost(d)).To(gomega.Equal([]crid.Daemon{voter}), string(d))
+	c, list := largeCluster()
+	voter := Voters(list, 0, c.params.MaxVoters)[3]
+	delete(c.nodes, voter)
+	c.run(c.params.ContactTimeout + 2*c.params.Interval)
+	for _, d := range c.names() {
+		g.Expect(c.down(d)).To(gomega.Equal([]crid.Daemon{voter}), string(d))
 	}
 }
 
-// What sampling brings about is told once an interval, while the death of a voter
-// is told at once. A daemon that told of each sampled peer by itself would spend
-// its allowance of processor time on lists of peers.
-func TestSampledPeersAreToldOncePerInterval(t *testing.T) {
+// If each change of a sampled peer caused a notice, a daemon would spend its allowance
+// of processor time on lists of peers. A failed voter is still reported at once.
+func TestSampledPeerChangesAreReportedOncePerInterval(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w, node := voterOf(1000)
-	node.state.params.SampleFor = 0 // the samples change with each round
-	node.state.sampledTo = 0
-	secondOf(w, node)
-	told := secondOf(w, node)
-	g.Expect(told).To(gomega.HaveEach(gomega.HaveField("Passing", true)))
-	g.Expect(len(told)).To(gomega.BeNumerically("<=", time.Second/w.params.Interval))
+	c, node := newVoter(1000)
+	node.state.params.SampleDuration = 0 // a new sample in each round
+	node.state.sampleUntil = 0
+	runSecond(c, node)
+	notices := runSecond(c, node)
+	g.Expect(notices).To(gomega.HaveEach(gomega.HaveField("SampledOnly", true)))
+	g.Expect(len(notices)).To(gomega.BeNumerically("<=", time.Second/c.params.Interval))
 }
 
-// Each peer that a daemon has not beaten with lately costs a handshake. With a new
-// sample in every round they take a sixth of a core, and sessions by the thousand.
-func TestSamplesLast(t *testing.T) {
+// Each peer that is new to the sample costs a handshake. A new sample in every round
+// costs a sixth of a core, and thousands of sessions.
+func TestSampleIsKeptAcrossRounds(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w, node := voterOf(1000)
-	met := make(map[crid.Daemon]bool)
+	c, node := newVoter(1000)
+	sampled := make(map[crid.Daemon]bool)
 	const seconds = 30
 	for range seconds {
-		w.packets = nil
-		secondOf(w, node)
-		for _, p := range node.state.view() {
+		c.packets = nil
+		runSecond(c, node)
+		for _, p := range node.state.peerList() {
 			if p.Sampled && p.Incarnation != 0 {
-				met[p.Daemon] = true
+				sampled[p.Daemon] = true
 			}
 		}
 	}
-	g.Expect(len(met)).To(gomega.BeNumerically("<=", 2*w.params.Sample))
-	g.Expect(met).NotTo(gomega.BeEmpty())
+	g.Expect(len(sampled)).To(gomega.BeNumerically("<=", 2*c.params.SampleSize))
+	g.Expect(sampled).NotTo(gomega.BeEmpty())
 }
--- a/core/crmember/watermark_test.go
+++ b/core/crmember/watermark_test.go
@@ -7,22 +7,21 @@
 	"github.com/onsi/gomega"
 )
 
-// A mark of what has surely been seen may be the minimum over all sources, or
-// what a majority has passed. One daemon of five dies. Under the minimum nobody
-// could act any more, and every caller would be refused for one lost machine.
-func TestStandingIsAMajoritysMarkAndNotAMinimum(t *testing.T) {
+// One daemon of five fails. If a lease ended with the oldest contact of any peer, no
+// daemon could act, and every request would be refused because of one failed machine.
+func TestLeaseExpiryFollowsQuorumNotMinimum(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := settled(0, roll(1, "a", "b", "c", "d", "e"))
-	delete(w.nodes, "e")
-	w.run(w.params.Horizon + time.Second)
-	s := w.nodes["a"].state
-	now := w.nodes["a"].clock(w.now)
+	c := startedCluster(0, newList(1, "a", "b", "c", "d", "e"))
+	delete(c.nodes, "e")
+	c.run(c.params.ContactTimeout + time.Second)
+	s := c.nodes["a"].state
+	now := c.nodes["a"].clock(c.now)
 	minimum := now
 	for _, p := range s.peers {
-		minimum = min(minimum, p.evidence.Add(s.params.Horizon))
+		minimum = min(minimum, p.lastContact.Add(s.params.ContactTimeout))
 	}
-	t.Logf("one of five is dead for %v: majority's mark ends in %v, minimum's in %v",
-		w.params.Horizon+time.Second, s.tenure.Until.Sub(now), minimum.Sub(now))
+	t.Logf("one of five daemons failed %v ago: the lease ends in %v by the majority, in %v by the minimum",
+		c.params.ContactTimeout+time.Second, s.lease.Until.Sub(now), minimum.Sub(now))
 	g.Expect(minimum).To(gomega.BeNumerically("<", now))
-	g.Expect(s.tenure.Until).To(gomega.BeNumerically(">", now))
+	g.Expect(s.lease.Until).To(gomega.BeNumerically(">", now))
 }
--- a/core/crmember/world_test.go
+++ b/core/crmember/world_test.go
@@ -11,21 +11,21 @@
 	"camphorroad/core/crinstance"
 )
 
-// node is a daemon in the test network, with a clock of its own.
+// node is a daemon of the simulated cluster, with its own clock.
 type node struct {
-	state  *State
-	inc    crid.Incarnation
-	base   crid.Instant
-	rate   float64
-	paused bool
-	queue  []packet // arrived while paused
-	tenure Tenure
-	peers  map[crid.Daemon]Peer
-	sent   []crevent.Message
+	state     *State
+	inc       crid.Incarnation
+	clockBase crid.Instant
+	clockRate float64
+	paused    bool
+	queue     []packet // arrived while paused
+	lease     Lease
+	peers     map[crid.Daemon]Peer
+	sent      []crevent.Message
 }
 
 func (n *node) clock(now time.Duration) crid.Instant {
-	return n.base + crid.Instant(float64(now)*n.rate)
+	return n.clockBase + crid.Instant(float64(now)*n.clockRate)
 }
 
 type packet struct {
@@ -36,75 +36,75 @@
 
 type link struct{ from, to crid.Daemon }
 
-// world is a network of real reducers in simulated time.
-type world struct {
+// cluster is a network of real reducers in simulated time.
+type cluster struct {
 	params   Params
 	now      time.Duration
 	nodes    map[crid.Daemon]*node
 	packets  []packet
 	cuts     map[link]bool
-	slow     map[link]time.Duration // extra delay
+	delays   map[link]time.Duration // extra delay
 	rng      *rand.Rand
-	chaos    bool     // random delay, loss and duplicates
-	apart    []string // daemons that acted without a list in common
+	faulty   bool     // random delay, loss and duplicates
+	disjoint []string // daemons that acted without a list in common
 	overlaps []string
-	lives    uint64
+	starts   uint64
 }
 
-func newWorld(without guard, seed uint64) *world {
+func newCluster(without guard, seed uint64) *cluster {
 	params := DefaultParams()
-	params.without = without
-	return &world{
+	params.disabled = without
+	return &cluster{
 		params: params,
 		nodes:  make(map[crid.Daemon]*node),
 		cuts:   make(map[link]bool),
-		slow:   make(map[link]time.Duration),
+		delays: make(map[link]time.Duration),
 		rng:    rand.New(rand.NewPCG(seed, 1)),
 	}
 }
 
-// start begins a new life of a daemon; its clock rate stays.
-func (w *world) start(d crid.Daemon) *node {
-	w.lives++
+// start starts or restarts a daemon. Its clock rate stays.
+func (c *cluster) start(d crid.Daemon) *node {
+	c.starts++
 	n := &node{
-		state: New(w.params),
-		inc:   crid.Incarnation(w.lives),
-		base:  crid.Instant(1e9 * float64(1+w.lives)),
-		rate:  1,
+		state:     New(c.params),
+		inc:       crid.Incarnation(c.starts),
+		clockBase: crid.Instant(1e9 * float64(1+c.starts)),
+		clockRate: 1,
 	}
-	if old := w.nodes[d]; old != nil {
-		n.rate = old.rate
+	if old := c.nodes[d]; old != nil {
+		n.clockRate = old.clockRate
 	}
-	w.nodes[d] = n
-	w.step(d, crevent.Started{Now: n.clock(w.now), Self: d, Incarnation: n.inc, Seed: w.lives})
+	c.nodes[d] = n
+	c.step(d, crevent.Started{Now: n.clock(c.now), Self: d, Incarnation: n.inc, Seed: c.starts})
 	return n
 }
 
-func (w *world) startAll(list crinstance.List) {
+func (c *cluster) startAll(list crinstance.List) {
 	for _, d := range list.Daemons() {
-		w.start(d)
+		c.start(d)
 	}
 	for _, d := range list.Daemons() {
-		w.read(d, list)
+		c.deliverList(d, list)
 	}
 }
 
-// read hands a daemon a list from the platform.
-func (w *world) read(d crid.Daemon, list crinstance.List) {
-	w.step(d, crinstance.Listed{Now: w.nodes[d].clock(w.now), List: list})
+// deliverList delivers a list of the platform to a daemon.
+func (c *cluster) deliverList(d crid.Daemon, list crinstance.List) {
+	c.step(d, crinstance.ListUpdated{Now: c.nodes[d].clock(c.now), List: list})
 }
 
-func (w *world) step(d crid.Daemon, ev crevent.Event) {
-	n := w.nodes[d]
+func (c *cluster) step(d crid.Daemon, ev crevent.Event) {
+	n := c.nodes[d]
 	for _, effect := range n.state.Step(ev) {
 		switch e := effect.(type) {
 		case crevent.Send:
 			n.sent = append(n.sent, e.Msg)
-			w.send(packet{from: d, to: e.To, msg: e.Msg})
-		case Tenure:
-			n.tenure = e
-			w.check()
-		case Peers:
+			c.send(packet{from: d, to: e.To, msg: e.Msg})
+		case Lease:
+			n.lease = e
+			c.checkLeases()
+		case PeersChanged:
 			n.peers = make(map[crid.Daemon]Peer)
 			for _, p := range e.Peers {
 				n.peers[p.Daemon] = p
@@ -113,151 +113,151 @@
 	}
 }
 
-func (w *world) send(p packet) {
-	if w.cuts[link{p.from, p.to}] {
+func (c *cluster) send(p packet) {
+	if c.cuts[link{p.from, p.to}] {
 		return
 	}
-	p.at = w.now + 2*time.Millisecond + w.slow[link{p.from, p.to}]
-	if w.chaos {
-		if w.rng.IntN(10) == 0 {
+	p.at = c.now + 2*time.Millisecond + c.delays[link{p.from, p.to}]
+	if c.faulty {
+		if c.rng.IntN(10) == 0 {
 			return
 		}
-		if w.rng.IntN(20) == 0 {
-			again := p
-			again.at += time.Duration(w.rng.IntN(4000)) * time.Millisecond
-			w.packets = append(w.packets, again)
+		if c.rng.IntN(20) == 0 {
+			duplicate := p
+			duplicate.at += time.Duration(c.rng.IntN(4000)) * time.Millisecond
+			c.packets = append(c.packets, duplicate)
 		}
-		p.at += time.Duration(w.rng.IntN(300)) * time.Millisecond
+		p.at += time.Duration(c.rng.IntN(300)) * time.Millisecond
 	}
-	w.packets = append(w.packets, p)
+	c.packets = append(c.packets, p)
 }
 
-// holds reports whether a daemon has standing now, by its own clock.
-func (w *world) holds(d crid.Daemon) bool {
-	n := w.nodes[d]
-	return n.tenure.Until > n.clock(w.now)
+// hasLease reports whether a daemon holds a lease now, by its own clock.
+func (c *cluster) hasLease(d crid.Daemon) bool {
+	n := c.nodes[d]
+	return n.lease.Until > n.clock(c.now)
 }
 
-// check notes two daemons that have standing under different lists now.
-func (w *world) check() {
+// checkLeases records daemons that hold leases under different lists now.
+func (c *cluster) checkLeases() {
 	active := make(map[crid.Revision]crid.Daemon)
-	for d, n := range w.nodes {
-		if w.holds(d) {
-			active[n.tenure.Active] = d
+	for d, n := range c.nodes {
+		if c.hasLease(d) {
+			active[n.lease.Active] = d
 		}
 	}
 	if len(active) > 1 {
-		w.overlaps = append(w.overlaps, fmt.Sprintf("%v: %v", w.now, active))
+		c.overlaps = append(c.overlaps, fmt.Sprintf("%v: %v", c.now, active))
 	}
-	w.checkBridges()
+	c.checkJointLeases()
 }
 
-// lists returns the lists under all of which a daemon acts now.
-func (w *world) lists(d crid.Daemon) []crid.Revision {
-	n := w.nodes[d]
-	if w.holds(d) {
-		return []crid.Revision{n.tenure.Active}
+// leasedLists returns the lists under all of which a daemon may act now.
+func (c *cluster) leasedLists(d crid.Daemon) []crid.Revision {
+	n := c.nodes[d]
+	if c.hasLease(d) {
+		return []crid.Revision{n.lease.Active}
 	}
-	if n.tenure.Bridge <= n.clock(w.now) {
+	if n.lease.JointUntil <= n.clock(c.now) {
 		return nil
 	}
 	var revs []crid.Revision
-	for _, m := range n.tenure.Over {
+	for _, m := range n.lease.JointLists {
 		revs = append(revs, m.Rev)
 	}
 	return revs
 }
 
-// checkBridges notes two daemons that act now without a list in common: each
-// could mint the same share under a list of its own.
-func (w *world) checkBridges() {
-	names := w.names()
+// checkJointLeases records two daemons that may act now without a list in common:
+// each could grant the same share under its own list.
+func (c *cluster) checkJointLeases() {
+	names := c.names()
 	for i, a := range names {
 		for _, b := range names[i+1:] {
-			ra, rb := w.lists(a), w.lists(b)
+			ra, rb := c.leasedLists(a), c.leasedLists(b)
 			common := slices.ContainsFunc(ra, func(r crid.Revision) bool { return slices.Contains(rb, r) })
 			if len(ra) > 0 && len(rb) > 0 && !common {
-				w.apart = append(w.apart, fmt.Sprintf("%v: %s acts under %v, %s under %v", w.now, a, ra, b, rb))
+				c.disjoint = append(c.disjoint, fmt.Sprintf("%v: %s acts under %v, %s under %v", c.now, a, ra, b, rb))
 			}
 		}
 	}
 }
 
-// run lets time pass in steps of 10 ms; a tick comes every 50 ms.
-func (w *world) run(d time.Duration) {
+// run advances the time in steps of 10 ms, with a tick every 50 ms.
+func (c *cluster) run(d time.Duration) {
 	const quantum = 10 * time.Millisecond
-	for end := w.now + d; w.now < end; {
-		w.now += quantum
-		w.deliver()
-		if w.now%(5*quantum) == 0 {
-			for _, d := range w.names() {
-				if n := w.nodes[d]; !n.paused {
-					w.step(d, crevent.Tick{Now: n.clock(w.now)})
+	for end := c.now + d; c.now < end; {
+		c.now += quantum
+		c.deliver()
+		if c.now%(5*quantum) == 0 {
+			for _, d := range c.names() {
+				if n := c.nodes[d]; !n.paused {
+					c.step(d, crevent.Tick{Now: n.clock(c.now)})
 				}
 			}
 		}
-		w.check()
+		c.checkLeases()
 	}
 }
 
-func (w *world) names() []crid.Daemon {
+func (c *cluster) names() []crid.Daemon {
 	var names []crid.Daemon
-	for d := range w.nodes {
+	for d := range c.nodes {
 		names = append(names, d)
 	}
 	slices.Sort(names)
 	return names
 }
 
-func (w *world) deliver() {
+func (c *cluster) deliver() {
 	var due, later []packet
-	for _, p := range w.packets {
-		if p.at <= w.now {
+	for _, p := range c.packets {
+		if p.at <= c.now {
 			due = append(due, p)
 			continue
 		}
 		later = append(later, p)
 	}
-	w.packets = later
+	c.packets = later
 	slices.SortStableFunc(due, func(a, b packet) int { return int(a.at - b.at) })
 	for _, p := range due {
-		n := w.nodes[p.to]
+		n := c.nodes[p.to]
 		switch {
-		case n == nil || w.cuts[link{p.from, p.to}] && w.slow[link{p.from, p.to}] == 0:
+		case n == nil || c.cuts[link{p.from, p.to}] && c.delays[link{p.from, p.to}] == 0:
 		case n.paused:
 			n.queue = append(n.queue, p)
 		default:
-			w.step(p.to, crevent.Received{Now: n.clock(w.now), From: p.from, Msg: p.msg})
+			c.step(p.to, crevent.Received{Now: n.clock(c.now), From: p.from, Msg: p.msg})
 		}
 	}
 }
 
-// wake resumes a daemon; what queued up arrives before its first tick.
-func (w *world) wake(d crid.Daemon) {
-	n := w.nodes[d]
+// resume resumes a daemon. Queued packets arrive before its first tick.
+func (c *cluster) resume(d crid.Daemon) {
+	n := c.nodes[d]
 	n.paused = false
 	queue := n.queue
 	n.queue = nil
 	for _, p := range queue {
-		w.step(d, crevent.Received{Now: n.clock(w.now), From: p.from, Msg: p.msg})
+		c.step(d, crevent.Received{Now: n.clock(c.now), From: p.from, Msg: p.msg})
 	}
 }
 
-// cut severs the links between two groups, both ways.
-func (w *world) cut(a, b []crid.Daemon) {
+// partition cuts the links between two groups, both ways.
+func (c *cluster) partition(a, b []crid.Daemon) {
 	for _, x := range a {
 		for _, y := range b {
-			w.cuts[link{x, y}] = true
-			w.cuts[link{y, x}] = true
+			c.cuts[link{x, y}] = true
+			c.cuts[link{y, x}] = true
 		}
 	}
 }
 
-func (w *world) holders() []crid.Daemon {
-	return slices.DeleteFunc(w.names(), func(d crid.Daemon) bool { return !w.holds(d) })
+func (c *cluster) leaseHolders() []crid.Daemon {
+	return slices.DeleteFunc(c.names(), func(d crid.Daemon) bool { return !c.hasLease(d) })
 }
 
-func roll(rev crid.Revision, names ...crid.Daemon) crinstance.List {
+func newList(rev crid.Revision, names ...crid.Daemon) crinstance.List {
 	var instances []crinstance.Instance
 	for i, d := range names {
 		domain := crid.Domain(fmt.Sprintf("domain-%d", i%4))
@@ -266,4 +266,4 @@
 	return crinstance.NewList(rev, instances)
 }
 
-func ds(names ...crid.Daemon) []crid.Daemon { return names }
+func daemons(names ...crid.Daemon) []crid.Daemon { return names }
--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -1,14 +1,16 @@
-// Package crmesh decides what one daemon believes of the fleet: which plan is in
-// force, which targets there are, which peers live, and from whom to fetch what
-// the store does not give.
+// Package crmesh tracks the fleet for a daemon that reads its configuration and the
+// target records from the store: which plan is in force, which targets exist, which
+// peers are up, which daemons read the store, and from which peer to pull what the
+// store does not deliver.
 //
-// [State] is a reducer: events in, effects out. It reads no clock and does no
-// I/O. One goroutine owns it; what traffic needs goes out as an immutable [View].
+// [State] is a reducer that io/crmesh runs. It reads no clock and does no I/O, and
+// one goroutine owns it. Traffic reads an immutable [View]. Unlike core/crmember, it
+// needs no quorum: it gives no lease, and peers may hold different views for a while.
 //
 // # Usage
 //
-//	s := crmesh.New(crmesh.Params{Self: "10.0.0.1", Beat: time.Second})
-//	for _, eff := range s.Step(crmesh.PlanRead{Now: now, Plan: plan}) { ... }
+//	s := crmesh.New(crmesh.Params{Self: "10.0.0.1", LocalInterval: time.Second, RemoteInterval: 2 * time.Second})
+//	for _, eff := range s.Step(crmesh.PlanReceived{Now: now, Plan: plan}) { ... }
 package crmesh
 
 import (
@@ -25,146 +27,146 @@
 )
 
 const (
-	// silentBeats is the number of beats after whose absence a peer counts as
-	// silent: one may be lost, and two in a row rarely are.
-	silentBeats = 3
-	// forgetPeer is the time after which a peer is dropped that no record names.
-	forgetPeer = 20 * time.Second
-	// pullAfter is how long a daemon may know of a newer plan or list at a peer
-	// before it fetches it there. The store's own word, gathered for half a
-	// second, comes sooner as a rule, and spares the bytes.
-	pullAfter = 600 * time.Millisecond
-	// pullEvery is the least time between two fetches.
-	pullEvery = 400 * time.Millisecond
-	// renewEvery is the least time between two renewals of the watches: each costs
+	// missedUntilSilent is the number of heartbeats after whose absence a peer counts
+	// as silent. One may be lost, and two in a row rarely are.
+	missedUntilSilent = 3
+	// peerRetention is how long a peer that no record names is kept without a heartbeat.
+	peerRetention = 20 * time.Second
+	// pullDelay is how long a daemon waits after a peer has named a newer plan or
+	// record before it pulls it. The store usually delivers it sooner, batched over half
+	// a second, and the pull is saved.
+	pullDelay = 600 * time.Millisecond
+	// pullInterval is the minimum time between two pulls.
+	pullInterval = 400 * time.Millisecond
+	// renewInterval is the minimum time between two renewals of the watches. Each costs
 	// a reader two calls of the store.
-	renewEvery = time.Second
-	// urgentEvery is the least time between two urgent beats. A target whose
-	// judgement trembles would else cost a beat to every peer an answer.
-	urgentEvery = 50 * time.Millisecond
-	// idlePerPeer is the least time between beats, for each peer of the fleet, to
-	// peers elsewhere that offered nothing lately. Each daemon would else send
-	// all others a beat a second, which in a fleet of hundreds is nine tenths of all
-	// bytes between domains. What such a peer does not hear, an offer tells it.
-	idlePerPeer = 25 * time.Millisecond
-	// idleShort is the same where that leaves idlePause at most between two beats: a
-	// fleet of a hundred can spare them as well, and still hears of a daemon that
-	// is gone within three of them.
-	idleShort = 60 * time.Millisecond
-	idlePause = 7500 * time.Millisecond
-	// askedFor is how long a peer that made an offer counts as interested.
-	askedFor = 10 * time.Second
-	// crowd is the number of peers above which urgent beats go only to the own
-	// domain and to interested peers. Verdicts change 20 times a second in a
+	renewInterval = time.Second
+	// urgentInterval is the minimum time between two urgent heartbeats. Otherwise a
+	// target whose health flaps would cost a heartbeat to every peer for each response.
+	urgentInterval = 50 * time.Millisecond
+	// idleIntervalPerPeer is the minimum time between heartbeats, for each peer of the
+	// fleet, to peers of other domains without a recent offer. Otherwise each daemon
+	// would send a heartbeat a second to all others, which in a fleet of hundreds is nine
+	// tenths of all bytes between domains. Such a peer learns the rest with its next offer.
+	idleIntervalPerPeer = 25 * time.Millisecond
+	// shortIdleIntervalPerPeer applies instead as long as the product is at most
+	// maxShortIdleInterval. It saves these heartbeats in a fleet of a hundred as well,
+	// where the failure of a daemon is still detected within three of them.
+	shortIdleIntervalPerPeer = 60 * time.Millisecond
+	maxShortIdleInterval     = 7500 * time.Millisecond
+	// interestDuration is how long a peer that made an offer counts as interested.
+	interestDuration = 10 * time.Second
+	// maxUrgentToAll is the number of peers above which urgent heartbeats go only to the
+	// own domain and to interested peers. Target states change 20 times a second in a
 	// fleet of 300.
-	crowd = 40
-	// perPeer is the least time between beats for each peer, so that a daemon
-	// of a large fleet sends no more than 250 a second.
-	perPeer = 4 * time.Millisecond
+	maxUrgentToAll = 40
+	// minIntervalPerPeer is the minimum time between heartbeats, for each peer, so that
+	// a daemon of a large fleet sends no more than 250 a second.
+	minIntervalPerPeer = 4 * time.Millisecond
 )
 
 // Params are a daemon's settings.
 type Params struct {
-	Self    crid.Daemon // its address without a port
-	Domain  crid.Domain
-	Service crid.Service
-	Address string // of its own target
-	Seeds   []crid.Daemon
-	Beat    time.Duration // between beats to peers of the same domain
-	Far     time.Duration // between beats to peers elsewhere
-	Lapse   time.Duration // for which a record missing after an outage is held
+	Self           crid.Daemon // its address without a port
+	Domain         crid.Domain
+	Service        crid.Service
+	Address        string // of its own target
+	Seeds          []crid.Daemon
+	LocalInterval  time.Duration // between heartbeats to peers of the same domain
+	RemoteInterval time.Duration // between heartbeats to peers of other domains
+	RecordGrace    time.Duration // how long a record that is missing after an outage is kept
 }
 
-// State is what a daemon believes.
+// State is the reducer. It is not safe for concurrent use.
 type State struct {
-	params   Params
-	plan     *crplan.Plan
-	registry *crregistry.Registry
-	listed   bool
-	lost     bool // the store does not answer this daemon
-	peers    map[crid.Daemon]*peer
-	pulled   crid.Instant
-	pulls    int
-	renewed  crid.Instant
-	urged    crid.Instant
-	nudged   bool
-	stopping bool
+	params           Params
+	plan             *crplan.Plan
+	registry         *crregistry.Registry
+	hasRecords       bool
+	storeUnavailable bool // the store does not answer this daemon
+	peers            map[crid.Daemon]*peer
+	lastPull         crid.Instant
+	pullCount        int
+	lastRenewal      crid.Instant
+	lastUrgent       crid.Instant
+	urgentPending    bool
+	stopping         bool
 }
 
-// New returns the state of a daemon that knows nothing but its seeds.
+// New returns the state of a daemon that knows only its seeds.
 func New(p Params) *State {
-	s := &State{params: p, registry: crregistry.New(p.Lapse), peers: make(map[crid.Daemon]*peer)}
+	s := &State{params: p, registry: crregistry.New(p.RecordGrace), peers: make(map[crid.Daemon]*peer)}
 	for _, d := range p.Seeds {
 		if d != p.Self {
-			s.peers[d] = &peer{listed: true}
+			s.peers[d] = &peer{known: true}
 		}
 	}
 	return s
 }
 
-// Step takes an event and returns what is to be done.
+// Step handles an event and returns the effects.
 func (s *State) Step(ev crevent.Event) []crevent.Effect {
 	switch ev := ev.(type) {
-	case PlanRead:
-		return s.planRead(ev)
-	case Listed:
-		return s.list(ev)
-	case Changed:
+	case PlanReceived:
+		return s.updatePlan(ev)
+	case RecordsListed:
+		return s.replaceRecords(ev)
+	case RecordsChanged:
 		s.registry.Apply(ev.Now, ev.Changes, ev.Revision)
-		return s.relisted(ev.Now)
-	case StoreLost:
-		s.registry.Lost()
-		return s.setLost(ev.Now, !ev.Peers)
-	case StoreBack:
-		s.registry.Returned(ev.Now)
-		return s.setLost(ev.Now, false)
-	case Heard:
-		return s.hear(ev)
-	case Asked:
+		return s.syncPeers(ev.Now)
+	case StoreUnavailable:
+		s.registry.MarkStoreUnavailable()
+		return s.setStoreUnavailable(ev.Now, !ev.ReportedByPeers)
+	case StoreAvailable:
+		s.registry.MarkStoreAvailable(ev.Now)
+		return s.setStoreUnavailable(ev.Now, false)
+	case HeartbeatReceived:
+		return s.handleHeartbeat(ev)
+	case OfferReceived:
 		if p := s.peers[ev.From]; p != nil {
-			p.asked = ev.Now
+			p.lastOffer = ev.Now
 		}
-	case Unanswered:
-		return s.unanswered(ev)
-	case Nudge:
-		s.nudged = true
-		return s.beats(ev.Now)
+	case TokenRequestUnanswered:
+		return s.handleUnanswered(ev)
+	case TargetChanged:
+		s.urgentPending = true
+		return s.dueHeartbeats(ev.Now)
 	case crevent.Tick:
 		return s.tick(ev.Now)
 	case crevent.Stopping:
 		s.stopping = true
-		return append(s.beatsTo(slices.Sorted(maps.Keys(s.peers)), ev.Now), s.view(ev.Now))
+		return append(s.heartbeatsTo(slices.Sorted(maps.Keys(s.peers)), ev.Now), s.publishView(ev.Now))
 	}
 	return nil
 }
 
-// planRead takes a plan unless a newer one is in force: a store or a peer that
-// lags behind must never bring a withdrawn key back.
-func (s *State) planRead(ev PlanRead) []crevent.Effect {
+// updatePlan adopts a plan unless a newer one is in force. A lagging store or peer
+// must never bring back a withdrawn key.
+func (s *State) updatePlan(ev PlanReceived) []crevent.Effect {
 	if s.plan != nil && ev.Plan.Version() <= s.plan.Version() {
 		return nil
 	}
 	s.plan = ev.Plan
-	return []crevent.Effect{s.view(ev.Now)}
+	return []crevent.Effect{s.publishView(ev.Now)}
 }
 
-func (s *State) list(ev Listed) []crevent.Effect {
-	if ev.Peer && s.listed && ev.Revision <= s.registry.Revision() {
+func (s *State) replaceRecords(ev RecordsListed) []crevent.Effect {
+	if ev.FromPeer && s.hasRecords && ev.Revision <= s.registry.Revision() {
 		return nil
 	}
 	s.registry.Replace(ev.Now, ev.Changes, ev.Revision)
-	s.listed = true
-	return s.relisted(ev.Now)
+	s.hasRecords = true
+	return s.syncPeers(ev.Now)
 }
 
-// relisted brings the peers in line with the records.
-func (s *State) relisted(now crid.Instant) []crevent.Effect {
+// syncPeers updates the peers from the records.
+func (s *State) syncPeers(now crid.Instant) []crevent.Effect {
 	for _, p := range s.peers {
-		p.listed, p.recorded = false, false
+		p.known, p.hasRecord = false, false
 	}
 	for _, d := range s.params.Seeds {
 		if p := s.peers[d]; p != nil {
-			p.listed = true
+			p.known = true
 		}
 	}
 	for _, r := range s.registry.Records() {
@@ -174,41 +176,41 @@
 		}
 		p := s.peers[d]
 		if p == nil {
-			p = &peer{since: now}
+			p = &peer{knownSince: now}
 			s.peers[d] = p
 		}
-		p.listed, p.recorded = true, true
+		p.known, p.hasRecord = true, true
 		p.domain = r.Domain
 	}
-	return []crevent.Effect{s.view(now)}
+	return []crevent.Effect{s.publishView(now)}
 }
 
-// DaemonOf returns the daemon beside the target with an address: it has the
-// machine's address.
+// DaemonOf returns the daemon beside the target with an address. A daemon is named
+// by the address of its machine.
 func DaemonOf(address string) crid.Daemon {
 	host, _, _ := strings.Cut(address, ":")
 	return crid.Daemon(host)
 }
 
-func (s *State) hear(ev Heard) []crevent.Effect {
+func (s *State) handleHeartbeat(ev HeartbeatReceived) []crevent.Effect {
 	p := s.peers[ev.From]
 	if p == nil {
 		p = &peer{}
 		s.peers[ev.From] = p
 	}
-	fresh := p.heard == 0 || p.isSilent || !alike(p.beat, ev.Beat)
-	lost := p.heard != 0 && ev.Beat.Lost && !p.beat.Lost
-	p.heard, p.beat, p.isSilent, p.missing, p.dumb = ev.Now, ev.Beat, false, false, false
-	s.noteAhead(ev.Now, p)
+	changed := p.lastHeard == 0 || p.silent || !sameStatus(p.heartbeat, ev.Heartbeat)
+	newlyUnavailable := p.lastHeard != 0 && ev.Heartbeat.StoreUnavailable && !p.heartbeat.StoreUnavailable
+	p.lastHeard, p.heartbeat, p.silent, p.overdue, p.unresponsive = ev.Now, ev.Heartbeat, false, false, false
+	s.trackNewer(ev.Now, p)
 	effects := make([]crevent.Effect, 0, 3)
-	if ev.Beat.Target != "" {
-		effects = append(effects, Tell{Target: ev.Beat.Target, Told: ev.Beat.Told()})
+	if ev.Heartbeat.Target != "" {
+		effects = append(effects, UpdateTarget{Target: ev.Heartbeat.Target, Status: ev.Heartbeat.TargetStatus()})
 	}
-	if fresh {
-		effects = append(effects, s.view(ev.Now))
+	if changed {
+		effects = append(effects, s.publishView(ev.Now))
 	}
-	if lost {
-		effects = append(effects, s.renew(ev.Now)...)
+	if newlyUnavailable {
+		effects = append(effects, s.renewWatches(ev.Now)...)
 	}
 	return append(effects, s.pull(ev.Now)...)
 }
@@ -216,45 +218,45 @@
 func (s *State) tick(now crid.Instant) []crevent.Effect {
 	changed := s.registry.Sweep(now)
 	for d, p := range s.peers {
-		if !p.listed && (p.heard == 0 || now.Sub(p.heard) > forgetPeer) {
+		if !p.known && (p.lastHeard == 0 || now.Sub(p.lastHeard) > peerRetention) {
 			delete(s.peers, d)
 			changed = true
 			continue
 		}
-		if p.since == 0 {
-			p.since = now // a seed
+		if p.knownSince == 0 {
+			p.knownSince = now // a seed
 		}
-		silent, missing := p.dumb || s.silent(now, p), s.overdue(now, p)
-		if silent != p.isSilent || missing != p.missing {
-			p.isSilent, p.missing = silent, missing
+		silent, overdue := p.unresponsive || s.missesHeartbeats(now, p), s.isOverdue(now, p)
+		if silent != p.silent || overdue != p.overdue {
+			p.silent, p.overdue = silent, overdue
 			changed = true
 		}
 	}
-	effects := s.beats(now)
+	effects := s.dueHeartbeats(now)
 	if changed {
-		effects = append(effects, s.view(now))
+		effects = append(effects, s.publishView(now))
 	}
 	return append(effects, s.pull(now)...)
 }
 
-func (s *State) view(_ crid.Instant) UseView {
+func (s *State) publishView(_ crid.Instant) PublishView {
 	v := &View{
-		Plan:     s.plan,
-		Listed:   s.listed,
-		Targets:  make(map[crid.Service][]crplace.Candidate),
-		Size:     1,
-		Known:    1,
-		Heard:    1,
-		Silent:   make(map[crid.Daemon]bool),
-		Stopping: s.stopping,
-		Readers:  s.readers(),
-		Lookers:  s.lookers(),
-		Coming:   s.coming(),
+		Plan:           s.plan,
+		HasRecords:     s.hasRecords,
+		Targets:        make(map[crid.Service][]crplace.Candidate),
+		Size:           1,
+		Confirmed:      1,
+		Reachable:      1,
+		Silent:         make(map[crid.Daemon]bool),
+		Stopping:       s.stopping,
+		Readers:        s.readers(),
+		StoreReaders:   s.storeReaders(),
+		ReadersPending: s.readersPending(),
 	}
 	for _, r := range s.registry.Records() {
 		if r.Address == s.params.Address {
 			own := r
-			v.Own = &own
+			v.OwnRecord = &own
 		}
 		if r.Leaving {
 			continue
@@ -265,44 +267,43 @@
 	}
 	for _, d := range slices.Sorted(maps.Keys(s.peers)) {
 		p := s.peers[d]
-		if p.listed {
+		if p.known {
 			v.Size++
 		}
-		if s.counts(p) {
-			v.Known++
+		if s.isMember(p) {
+			v.Confirmed++
 		}
-		if s.counts(p) && !p.isSilent && !p.missing {
-			v.Heard++
+		if s.isMember(p) && !p.silent && !p.overdue {
+			v.Reachable++
 		}
-		if p.isSilent {
+		if p.silent {
 			v.Silent[d] = true
 		}
-		if p.beat.Stopping {
+		if p.heartbeat.Stopping {
 			continue
 		}
-		if p.heard != 0 && !p.isSilent {
-			v.Daemons = append(v.Daemons, d)
+		if p.lastHeard != 0 && !p.silent {
+			v.Live = append(v.Live, d)
 		}
 		if p.mayBeUp() {
 			v.Owners = append(v.Owners, d)
 		}
-		if p.mayBeUp() || p.recorded {
+		if p.mayBeUp() || p.hasRecord {
 			v.Members = append(v.Members, d)
 		}
 	}
-	// A daemon that stops gives its accounts up as its peers take them over. If it
-	// went on as their owner, each stopping daemon would hand out their rate
-	// once more to its own callers.
-	if !s.stopping || len(v.Daemons) == 0 {
-		v.Daemons = append(v.Daemons, s.params.Self)
+	// Peers take over the accounts of a stopping daemon. If it went on as their owner,
+	// each stopping daemon would hand out their rate once more to its own callers.
+	if !s.stopping || len(v.Live) == 0 {
+		v.Live = append(v.Live, s.params.Self)
 		v.Owners = append(v.Owners, s.params.Self)
 		v.Members = append(v.Members, s.params.Self)
 	}
-	if len(v.Daemons) <= 1 {
-		v.Owners = slices.Clone(v.Daemons) // nobody is heard who could be asked
+	if len(v.Live) <= 1 {
+		v.Owners = slices.Clone(v.Live) // no owner can be asked
 	}
-	slices.Sort(v.Daemons)
+	slices.Sort(v.Live)
 	slices.Sort(v.Owners)
 	slices.Sort(v.Members)
-	return UseView{View: v}
+	return PublishView{View: v}
 }
--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -19,7 +19,7 @@
 func params() crmesh.Params {
 	return crmesh.Params{
 		Self: "10.0.0.1", Domain: "a", Service: "booking", Address: "10.0.0.1:80", Seeds: []crid.Daemon{"10.0.0.9"},
-		Beat: 400 * time.Millisecond, Far: time.Second, Lapse: 1700 * time.Millisecond,
+		LocalInterval: 400 * time.Millisecond, RemoteInterval: time.Second, RecordGrace: 1700 * time.Millisecond,
 	}
 }
 
@@ -30,8 +30,8 @@
 	return p
 }
 
-func listed() crmesh.Listed {
-	ev := crmesh.Listed{Now: start, Revision: 5}
+func recordsListed() crmesh.RecordsListed {
+	ev := crmesh.RecordsListed{Now: start, Revision: 5}
 	for i := 1; i <= 3; i++ {
 		domain := crid.Domain("a")
 		if i%2 == 0 {
@@ -50,7 +50,7 @@
 func views(effects []crevent.Effect) []*crmesh.View {
 	var out []*crmesh.View
 	for _, e := range effects {
-		if v, ok := e.(crmesh.UseView); ok {
+		if v, ok := e.(crmesh.PublishView); ok {
 			out = append(out, v.View)
 		}
 	}
@@ -70,106 +70,105 @@
 func renewals(effects []crevent.Effect) int {
 	n := 0
 	for _, e := range effects {
-		if _, ok := e.(crmesh.Renew); ok {
+		if _, ok := e.(crmesh.RenewWatches); ok {
 			n++
 		}
 	}
 	return n
 }
 
-func beats(effects []crevent.Effect) []crid.Daemon {
+func heartbeats(effects []crevent.Effect) []crid.Daemon {
 	var out []crid.Daemon
 	for _, e := range effects {
-		if b, ok := e.(crmesh.SendBeat); ok {
+		if b, ok := e.(crmesh.SendHeartbeats); ok {
 			out = append(out, b.To...)
 		}
 	}
 	return out
 }
 
-// A daemon that lags, or a store that answers from the past, shows an older plan
-// after a newer one is in force. A key that was withdrawn would work again.
-func TestAnOlderPlanNeverComesBack(t *testing.T) {
+// A lagging store or peer delivers an older plan after a newer one. If it came into
+// force, a withdrawn key would work again.
+func TestOlderPlanIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	g.Expect(views(s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)}))).To(gomega.HaveLen(1))
-	g.Expect(s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 5)})).To(gomega.BeEmpty())
-	g.Expect(s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)})).To(gomega.BeEmpty())
-	v := views(s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 8)}))
+	g.Expect(views(s.Step(crmesh.PlanReceived{Now: start, Plan: plan(t, 7)}))).To(gomega.HaveLen(1))
+	g.Expect(s.Step(crmesh.PlanReceived{Now: start, Plan: plan(t, 5)})).To(gomega.BeEmpty())
+	g.Expect(s.Step(crmesh.PlanReceived{Now: start, Plan: plan(t, 7)})).To(gomega.BeEmpty())
+	v := views(s.Step(crmesh.PlanReceived{Now: start, Plan: plan(t, 8)}))
 	g.Expect(v[0].Plan.Version()).To(gomega.Equal(uint64(8)))
 }
 
-func TestTheListNamesPeersAndOwnTarget(t *testing.T) {
+func TestRecordsNamePeersAndOwnTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	v := views(s.Step(listed()))[0]
+	v := views(s.Step(recordsListed()))[0]
 	g.Expect(v.Targets["booking"]).To(gomega.HaveLen(3))
-	g.Expect(v.Own.Target).To(gomega.Equal(crid.Target("t1")))
+	g.Expect(v.OwnRecord.Target).To(gomega.Equal(crid.Target("t1")))
 	g.Expect(v.Size).To(gomega.Equal(4), "itself, two peers and the seed")
 }
 
-// The store turns this daemon away while a peer reads a newer plan there, with a
-// key withdrawn. Without the peer's copy the key would work on for as long.
-func TestWhatTheStoreDoesNotGiveIsFetchedFromAPeer(t *testing.T) {
+// The store does not answer this daemon while a peer reads a newer plan. Without the
+// peer's copy, a withdrawn key would go on working.
+func TestNewerPlanIsPulledFromPeer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)})
-	s.Step(listed())
-	s.Step(crmesh.StoreLost{Now: start})
-	newer := crmesh.Beat{Version: 9, Revision: 5}
-	g.Expect(pulls(s.Step(crmesh.Heard{Now: start, From: "10.0.0.2", Beat: newer}))).To(gomega.BeEmpty())
-	g.Expect(pulls(s.Step(crmesh.Heard{Now: start.Add(700 * time.Millisecond), From: "10.0.0.2", Beat: newer}))).
+	s.Step(crmesh.PlanReceived{Now: start, Plan: plan(t, 7)})
+	s.Step(recordsListed())
+	s.Step(crmesh.StoreUnavailable{Now: start})
+	newer := crmesh.Heartbeat{PlanVersion: 9, RecordRevision: 5}
+	g.Expect(pulls(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.2", Heartbeat: newer}))).To(gomega.BeEmpty())
+	g.Expect(pulls(s.Step(crmesh.HeartbeatReceived{Now: start.Add(700 * time.Millisecond), From: "10.0.0.2", Heartbeat: newer}))).
 		To(gomega.Equal([]crid.Daemon{"10.0.0.2"}))
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(800 * time.Millisecond)}))).To(gomega.BeEmpty(), "not again at once")
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(1200 * time.Millisecond)}))).To(gomega.HaveLen(1))
 }
 
-// Copies are large, and bytes between domains are dear.
-func TestACopyComesFromTheSameDomainIfItCan(t *testing.T) {
+// Copies are large, and bytes between domains are expensive.
+func TestPullPrefersTheSameDomain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(listed())
-	newer := crmesh.Beat{Version: 9, Revision: 5}
-	s.Step(crmesh.Heard{Now: start, From: "10.0.0.3", Beat: newer})
-	s.Step(crmesh.Heard{Now: start.Add(100 * time.Millisecond), From: "10.0.0.2", Beat: newer})
+	s.Step(recordsListed())
+	newer := crmesh.Heartbeat{PlanVersion: 9, RecordRevision: 5}
+	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.3", Heartbeat: newer})
+	s.Step(crmesh.HeartbeatReceived{Now: start.Add(100 * time.Millisecond), From: "10.0.0.2", Heartbeat: newer})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(800 * time.Millisecond)}))).To(gomega.Equal([]crid.Daemon{"10.0.0.3"}))
 }
 
-// Every change reaches the daemons a few milliseconds apart. Were each one that
-// hears of it first by a beat to fetch it from a peer, each change would cost a
-// copy of everything.
-func TestWhatTheStoreBringsIsNotFetched(t *testing.T) {
+// Every change reaches the daemons a few milliseconds apart. If each daemon that learns
+// of it first by a heartbeat pulled it, each change would cost a full copy.
+func TestNoPullIfTheStoreCatchesUp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(crmesh.PlanRead{Now: start, Plan: plan(t, 7)})
-	s.Step(listed())
-	s.Step(crmesh.Heard{Now: start, From: "10.0.0.2", Beat: crmesh.Beat{Version: 9, Revision: 6}})
-	s.Step(crmesh.PlanRead{Now: start.Add(400 * time.Millisecond), Plan: plan(t, 9)})
-	s.Step(crmesh.Changed{Now: start.Add(400 * time.Millisecond), Revision: 6})
+	s.Step(crmesh.PlanReceived{Now: start, Plan: plan(t, 7)})
+	s.Step(recordsListed())
+	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{PlanVersion: 9, RecordRevision: 6}})
+	s.Step(crmesh.PlanReceived{Now: start.Add(400 * time.Millisecond), Plan: plan(t, 9)})
+	s.Step(crmesh.RecordsChanged{Now: start.Add(400 * time.Millisecond), Revision: 6})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(time.Second)}))).To(gomega.BeEmpty())
 }
 
-// A peer's machine dies. Its target must not be offered requests for as long as
-// its record takes to run out.
-func TestAPeerThatIsNotHeardCountsAsSilent(t *testing.T) {
+// A peer's machine fails. Its target must not be offered requests until its record
+// expires.
+func TestPeerWithoutHeartbeatsIsSilent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(listed())
-	v := views(s.Step(crmesh.Heard{Now: start, From: "10.0.0.3", Beat: crmesh.Beat{Target: "t3"}}))[0]
-	g.Expect(v.Daemons).To(gomega.Equal([]crid.Daemon{"10.0.0.1", "10.0.0.3"}))
+	s.Step(recordsListed())
+	v := views(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.3", Heartbeat: crmesh.Heartbeat{Target: "t3"}}))[0]
+	g.Expect(v.Live).To(gomega.Equal([]crid.Daemon{"10.0.0.1", "10.0.0.3"}))
 	g.Expect(views(s.Step(crevent.Tick{Now: start.Add(1100 * time.Millisecond)}))).To(gomega.BeEmpty())
 	v = views(s.Step(crevent.Tick{Now: start.Add(1300 * time.Millisecond)}))[0]
 	g.Expect(v.Silent).To(gomega.HaveKey(crid.Daemon("10.0.0.3")))
-	g.Expect(v.Daemons).To(gomega.Equal([]crid.Daemon{"10.0.0.1"}))
+	g.Expect(v.Live).To(gomega.Equal([]crid.Daemon{"10.0.0.1"}))
 }
 
-func TestBeatsGoOftenNearbyAndSeldomAfar(t *testing.T) {
+func TestHeartbeatIntervalDependsOnDomain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(listed())
+	s.Step(recordsListed())
 	count := map[crid.Daemon]int{}
 	for at := time.Duration(0); at < 10*time.Second; at += 100 * time.Millisecond {
-		for _, d := range beats(s.Step(crevent.Tick{Now: start.Add(at)})) {
+		for _, d := range heartbeats(s.Step(crevent.Tick{Now: start.Add(at)})) {
 			count[d]++
 		}
 	}
@@ -177,30 +176,30 @@
 	g.Expect(count["10.0.0.2"]).To(gomega.Equal(10), "another domain")
 }
 
-// A target turns sick between two beats. Peers have to know at once, or each of
-// them loses a request there first.
-func TestANudgeSendsABeatToAllAtOnce(t *testing.T) {
+// A target becomes sick between two heartbeats. If the peers learned that late, each of
+// them would lose a request there.
+func TestTargetChangeSendsUrgentHeartbeats(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(listed())
+	s.Step(recordsListed())
 	s.Step(crevent.Tick{Now: start})
-	g.Expect(beats(s.Step(crmesh.Nudge{Now: start.Add(60 * time.Millisecond)}))).To(gomega.HaveLen(3))
-	g.Expect(beats(s.Step(crmesh.Nudge{Now: start.Add(70 * time.Millisecond)}))).To(gomega.BeEmpty())
-	g.Expect(beats(s.Step(crevent.Tick{Now: start.Add(120 * time.Millisecond)}))).To(gomega.HaveLen(3), "what was held back")
+	g.Expect(heartbeats(s.Step(crmesh.TargetChanged{Now: start.Add(60 * time.Millisecond)}))).To(gomega.HaveLen(3))
+	g.Expect(heartbeats(s.Step(crmesh.TargetChanged{Now: start.Add(70 * time.Millisecond)}))).To(gomega.BeEmpty())
+	g.Expect(heartbeats(s.Step(crevent.Tick{Now: start.Add(120 * time.Millisecond)}))).To(gomega.HaveLen(3), "the deferred heartbeats")
 }
 
-// A process starts while the store is away. Its seeds are all it knows; through
-// them it learns plan and list.
-func TestAFreshDaemonLearnsFromItsSeeds(t *testing.T) {
+// A process that starts during an outage of the store knows only its seeds, and gets
+// plan and records through them.
+func TestNewDaemonPullsFromSeeds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	g.Expect(beats(s.Step(crevent.Tick{Now: start}))).To(gomega.Equal([]crid.Daemon{"10.0.0.9"}))
-	s.Step(crmesh.Heard{Now: start, From: "10.0.0.9", Beat: crmesh.Beat{Version: 3, Revision: 4}})
+	g.Expect(heartbeats(s.Step(crevent.Tick{Now: start}))).To(gomega.Equal([]crid.Daemon{"10.0.0.9"}))
+	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.9", Heartbeat: crmesh.Heartbeat{PlanVersion: 3, RecordRevision: 4}})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(700 * time.Millisecond)}))).To(gomega.Equal([]crid.Daemon{"10.0.0.9"}))
 }
 
-func large(n int) crmesh.Listed {
-	ev := crmesh.Listed{Now: start, Revision: 2}
+func largeFleet(n int) crmesh.RecordsListed {
+	ev := crmesh.RecordsListed{Now: start, Revision: 2}
 	for i := range n {
 		domain := crid.Domain("a")
 		if i%4 != 0 {
@@ -213,64 +212,63 @@
 	return ev
 }
 
-// Peers of another domain: one that offers requests all the time, and one that does
-// nothing.
-const asking, resting = "10.1.0.2", "10.1.0.3"
+// Peers of another domain: one that offers requests all the time, and one that offers
+// none.
+const offeringPeer, idlePeer = "10.1.0.2", "10.1.0.3"
 
-// farBeats plays half a minute of a daemon in a fleet of a size, and counts the beats that
-// the two far peers get.
-func farBeats(n int) (s *crmesh.State, asks, rests int) {
+// remoteHeartbeats runs half a minute of a daemon in a fleet of n daemons, and counts the
+// heartbeats to the two remote peers.
+func remoteHeartbeats(n int) (s *crmesh.State, offering, idle int) {
 	s = crmesh.New(params())
-	s.Step(large(n))
+	s.Step(largeFleet(n))
 	count := map[crid.Daemon]int{}
 	for at := time.Duration(0); at < 30*time.Second; at += 100 * time.Millisecond {
 		now := start.Add(at)
-		s.Step(crmesh.Asked{Now: now, From: asking})
-		for _, d := range beats(s.Step(crevent.Tick{Now: now})) {
+		s.Step(crmesh.OfferReceived{Now: now, From: offeringPeer})
+		for _, d := range heartbeats(s.Step(crevent.Tick{Now: now})) {
 			count[d]++
 		}
 	}
-	return s, count[asking], count[resting]
+	return s, count[offeringPeer], count[idlePeer]
 }
 
-// Beats of each daemon to all others grow with the square of the fleet, and bytes
-// between domains are dear. In a large one, only who offers requests hears often.
-func TestFarPeersOfALargeFleetHearOftenOnlyIfTheyOffer(t *testing.T) {
+// Heartbeats from all to all grow with the square of the fleet, and bytes between domains
+// are expensive. In a large fleet only peers that offer requests get them often.
+func TestLargeFleetSendsOftenOnlyToOfferingRemotePeers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s, asks, rests := farBeats(300)
-	g.Expect(asks).To(gomega.BeNumerically(">=", 23))
-	g.Expect(rests).To(gomega.BeNumerically("<=", 5))
-	g.Expect(rests).To(gomega.BeNumerically(">=", 4), "it must not count this daemon as silent")
-	urgent := beats(s.Step(crmesh.Nudge{Now: start.Add(30050 * time.Millisecond)}))
-	g.Expect(urgent).To(gomega.ContainElement(crid.Daemon(asking)))
-	g.Expect(urgent).NotTo(gomega.ContainElement(crid.Daemon(resting)))
+	s, offering, idle := remoteHeartbeats(300)
+	g.Expect(offering).To(gomega.BeNumerically(">=", 23))
+	g.Expect(idle).To(gomega.BeNumerically("<=", 5))
+	g.Expect(idle).To(gomega.BeNumerically(">=", 4), "or the peer counts this daemon as silent")
+	urgent := heartbeats(s.Step(crmesh.TargetChanged{Now: start.Add(30050 * time.Millisecond)}))
+	g.Expect(urgent).To(gomega.ContainElement(crid.Daemon(offeringPeer)))
+	g.Expect(urgent).NotTo(gomega.ContainElement(crid.Daemon(idlePeer)))
 }
 
-// A daemon of a large fleet must not spend its processor on beats.
-func TestBeatsOfALargeFleetStayBounded(t *testing.T) {
+// Heartbeats must not use up the processor of a daemon in a large fleet.
+func TestHeartbeatRateOfLargeFleetIsBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(large(1000))
+	s.Step(largeFleet(1000))
 	n := 0
 	for at := time.Duration(0); at < 20*time.Second; at += 100 * time.Millisecond {
-		n += len(beats(s.Step(crevent.Tick{Now: start.Add(at)})))
+		n += len(heartbeats(s.Step(crevent.Tick{Now: start.Add(at)})))
 	}
 	g.Expect(n).To(gomega.BeNumerically("<=", 20*250+1000))
 }
 
-// A change reaches one daemon of a domain first, and all others lack it. If they
-// all fetched it there at one time, its link would be full and most would get
-// nothing in time.
-func TestFetchesAreSpreadOverThePeersThatAreAhead(t *testing.T) {
+// A change reaches one daemon of a domain first. If all others pulled it there at one
+// time, its link would be saturated and most would get nothing in time.
+func TestPullsAreSpreadOverNewerPeers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	from := make(map[crid.Daemon]int)
 	for i := range 200 {
 		p := params()
 		p.Self, p.Seeds = crid.Daemon(fmt.Sprintf("10.9.0.%d", i)), nil
 		s := crmesh.New(p)
-		s.Step(listed())
+		s.Step(recordsListed())
 		for j := 1; j <= 3; j += 2 {
-			s.Step(crmesh.Heard{Now: start, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Beat: crmesh.Beat{Incarnation: 1, Revision: 9}})
+			s.Step(crmesh.HeartbeatReceived{Now: start, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 9}})
 		}
 		for _, d := range pulls(s.Step(crevent.Tick{Now: start.Add(800 * time.Millisecond)})) {
 			from[d]++
@@ -280,60 +278,58 @@
 	g.Expect(from["10.0.0.1"]).To(gomega.BeNumerically("~", 100, 40))
 }
 
-// The peer asked first does not answer. The next try goes elsewhere as a rule.
-func TestAFetchThatFailsIsTriedElsewhere(t *testing.T) {
+// The first peer does not answer. A later attempt goes to another one.
+func TestFailedPullIsRetriedAtAnotherPeer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := params()
 	p.Self = "10.0.0.7"
 	s := crmesh.New(p)
-	s.Step(listed())
+	s.Step(recordsListed())
 	for j := 1; j <= 3; j += 2 {
-		s.Step(crmesh.Heard{Now: start, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Beat: crmesh.Beat{Incarnation: 1, Revision: 9}})
+		s.Step(crmesh.HeartbeatReceived{Now: start, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 9}})
 	}
-	asked := make(map[crid.Daemon]bool)
+	from := make(map[crid.Daemon]bool)
 	for now := start.Add(100 * time.Millisecond); now < start.Add(5*time.Second); now = now.Add(100 * time.Millisecond) {
 		for _, d := range pulls(s.Step(crevent.Tick{Now: now})) {
-			asked[d] = true
+			from[d] = true
 		}
 		for j := 1; j <= 3; j += 2 {
-			s.Step(crmesh.Heard{Now: now, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Beat: crmesh.Beat{Incarnation: 1, Revision: 9}})
+			s.Step(crmesh.HeartbeatReceived{Now: now, From: crid.Daemon(fmt.Sprintf("10.0.0.%d", j)), Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 9}})
 		}
 	}
-	g.Expect(asked).To(gomega.HaveLen(2))
+	g.Expect(from).To(gomega.HaveLen(2))
 }
 
-// A daemon starts again and lists at a later revision than its peers, though no
-// record has changed since: the configuration had. If it told that revision, every
-// daemon of the fleet would fetch the whole list from it; a rolling restart of 88
-// daemons brought 750 fetches in half a minute.
-func TestAFreshListDoesNotLookLikeNews(t *testing.T) {
+// A restarted daemon lists the records at a later revision than its peers, though only
+// the configuration has changed. If it sent that revision, all daemons would pull the
+// records from it: 750 pulls in half a minute for a rolling restart of 88 daemons.
+func TestListingAtLaterRevisionCausesNoPull(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := params()
 	p.Self = "10.0.0.3"
-	fresh := crmesh.New(p)
-	ev := listed()
+	restarted := crmesh.New(p)
+	ev := recordsListed()
 	ev.Revision = 60
-	fresh.Step(ev)
-	var told []crid.Revision
-	for _, eff := range fresh.Step(crevent.Tick{Now: start}) {
-		if b, ok := eff.(crmesh.SendBeat); ok {
-			told = append(told, b.Revision)
+	restarted.Step(ev)
+	var sent []crid.Revision
+	for _, eff := range restarted.Step(crevent.Tick{Now: start}) {
+		if b, ok := eff.(crmesh.SendHeartbeats); ok {
+			sent = append(sent, b.RecordRevision)
 		}
 	}
-	g.Expect(told).NotTo(gomega.BeEmpty())
+	g.Expect(sent).NotTo(gomega.BeEmpty())
 	s := crmesh.New(params())
-	s.Step(listed())
-	s.Step(crmesh.Heard{Now: start, From: "10.0.0.3", Beat: crmesh.Beat{Incarnation: 2, Revision: told[0]}})
+	s.Step(recordsListed())
+	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.3", Heartbeat: crmesh.Heartbeat{Incarnation: 2, RecordRevision: sent[0]}})
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(time.Second)}))).To(gomega.BeEmpty())
 }
 
-// In a fleet of a hundred machines most bytes between domains are beats to peers that
-// have nothing to do with each other. They hear a few each minute, and those that make
-// offers as often as ever.
-func TestFarPeersOfAFleetOfAHundredHearSeldomIfTheyOfferNothing(t *testing.T) {
+// In a fleet of a hundred, most bytes between domains are heartbeats to peers without
+// offers. Those get few a minute, and peers with offers as many as in a small fleet.
+func TestFleetOfHundredSendsSeldomToIdleRemotePeers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, asks, rests := farBeats(100)
-	g.Expect(asks).To(gomega.BeNumerically(">=", 23))
-	g.Expect(rests).To(gomega.BeNumerically("<=", 6))
-	g.Expect(rests).To(gomega.BeNumerically(">=", 4), "it must not count this daemon as silent")
+	_, offering, idle := remoteHeartbeats(100)
+	g.Expect(offering).To(gomega.BeNumerically(">=", 23))
+	g.Expect(idle).To(gomega.BeNumerically("<=", 6))
+	g.Expect(idle).To(gomega.BeNumerically(">=", 4), "or the peer counts this daemon as silent")
 }
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -10,175 +10,176 @@
 	"camphorroad/core/crregistry"
 )
 
-// Beat is what a daemon tells its peers.
-type Beat struct {
-	_           struct{} `cbor:",toarray"`
-	Incarnation uint64
-	Target      crid.Target // empty: its target is not known
-	Load        int         // requests running and waiting
-	Slots       int
-	Sick        uint8         // probability, of 255
-	Typical     int64         // milliseconds of a request; zero: not known
-	Closed      bool          // its target takes nothing now
-	Stopping    bool          // the daemon is about to end
-	Lost        bool          // the store does not answer it
-	Version     uint64        // of the plan in force
-	Revision    crid.Revision // of the latest change of the list; zero: no list
+// Heartbeat is the state that a daemon sends its peers.
+type Heartbeat struct {
+	_                struct{} `cbor:",toarray"`
+	Incarnation      uint64
+	Target           crid.Target // empty: not known
+	Load             int         // requests running and waiting
+	Slots            int
+	Sick             uint8         // failure probability, of 255
+	TypicalMillis    int64         // typical duration of a request; zero: not known
+	Closed           bool          // the target accepts nothing now
+	Stopping         bool          // the daemon is about to end
+	StoreUnavailable bool          // the store does not answer the daemon
+	PlanVersion      uint64        // plan in force
+	RecordRevision   crid.Revision // latest change of the records; zero: none read
 }
 
-// Told is the beat as the board wants it.
-func (b Beat) Told() crplace.LoadReport {
+// TargetStatus returns the target's part of the heartbeat.
+func (b Heartbeat) TargetStatus() crplace.LoadReport {
 	return crplace.LoadReport{
 		Load:          b.Load,
 		Slots:         b.Slots,
 		UnhealthyProb: float64(b.Sick) / 255,
-		Typical:       time.Duration(b.Typical) * time.Millisecond,
+		Typical:       time.Duration(b.TypicalMillis) * time.Millisecond,
 		Closed:        b.Closed,
 	}
 }
 
 // Events.
 type (
-	// PlanRead is a plan read from the store or fetched from a peer.
-	PlanRead struct {
+	// PlanReceived is a plan read from the store or pulled from a peer.
+	PlanReceived struct {
 		Now  crid.Instant
 		Plan *crplan.Plan
 	}
-	// Listed is the whole list of records, read at a revision.
-	Listed struct {
+	// RecordsListed is the complete list of records at a revision.
+	RecordsListed struct {
 		Now      crid.Instant
 		Changes  []crregistry.Change
 		Revision crid.Revision
-		Peer     bool // fetched from a peer
+		FromPeer bool // pulled from a peer
 	}
-	// Changed are changes of the list that follow on the last revision.
-	Changed struct {
+	// RecordsChanged are the changes of the records since the last revision.
+	RecordsChanged struct {
 		Now      crid.Instant
 		Changes  []crregistry.Change
 		Revision crid.Revision
 	}
-	// StoreLost tells that the store cannot be read.
-	StoreLost struct {
-		Now   crid.Instant
-		Peers bool // as peers say that read it; this daemon has not tried itself
+	// StoreUnavailable tells that the store cannot be read.
+	StoreUnavailable struct {
+		Now             crid.Instant
+		ReportedByPeers bool // by peers that read it; this daemon has not tried itself
 	}
-	// StoreBack tells that the store can be read again.
-	StoreBack struct{ Now crid.Instant }
-	// Heard is a beat of a peer.
-	Heard struct {
-		Now  crid.Instant
-		From crid.Daemon
-		Beat Beat
+	// StoreAvailable tells that the store can be read again.
+	StoreAvailable struct{ Now crid.Instant }
+	// HeartbeatReceived is a heartbeat of a peer.
+	HeartbeatReceived struct {
+		Now       crid.Instant
+		From      crid.Daemon
+		Heartbeat Heartbeat
 	}
-	// Asked tells that a peer has offered a request.
-	Asked struct {
+	// OfferReceived tells that a peer has offered a request.
+	OfferReceived struct {
 		Now  crid.Instant
 		From crid.Daemon
 	}
-	// Unanswered tells that a peer did not answer a question and its repetition.
-	Unanswered struct {
-		Now crid.Instant
-		By  crid.Daemon
+	// TokenRequestUnanswered tells that a peer did not answer a token request and its retry.
+	TokenRequestUnanswered struct {
+		Now  crid.Instant
+		Peer crid.Daemon
 	}
-	// Nudge asks for a beat to all peers now: the target's state has changed.
-	Nudge struct{ Now crid.Instant }
+	// TargetChanged tells that the state of this daemon's target has changed. It causes
+	// urgent heartbeats.
+	TargetChanged struct{ Now crid.Instant }
 )
 
 // At implements crevent.Event.
-func (e PlanRead) At() crid.Instant { return e.Now }
+func (e PlanReceived) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
-func (e Listed) At() crid.Instant { return e.Now }
+func (e RecordsListed) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
-func (e Changed) At() crid.Instant { return e.Now }
+func (e RecordsChanged) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
-func (e StoreLost) At() crid.Instant { return e.Now }
+func (e StoreUnavailable) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
-func (e StoreBack) At() crid.Instant { return e.Now }
+func (e StoreAvailable) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
-func (e Heard) At() crid.Instant { return e.Now }
+func (e HeartbeatReceived) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
-func (e Asked) At() crid.Instant { return e.Now }
+func (e OfferReceived) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
-func (e Unanswered) At() crid.Instant { return e.Now }
+func (e TokenRequestUnanswered) At() crid.Instant { return e.Now }
 
 // At implements crevent.Event.
-func (e Nudge) At() crid.Instant { return e.Now }
+func (e TargetChanged) At() crid.Instant { return e.Now }
 
 // Effects.
 type (
-	// UseView gives traffic a new view.
-	UseView struct{ View *View }
-	// SendBeat sends a beat to peers; the shell fills in the target's state.
-	SendBeat struct {
-		To       []crid.Daemon
-		Stopping bool
-		Lost     bool
-		Version  uint64
-		Revision crid.Revision
+	// PublishView publishes a new view to traffic.
+	PublishView struct{ View *View }
+	// SendHeartbeats sends a heartbeat to peers. The shell fills in the target's state.
+	SendHeartbeats struct {
+		To               []crid.Daemon
+		Stopping         bool
+		StoreUnavailable bool          `cbor:"Lost" json:"Lost"`
+		PlanVersion      uint64        `cbor:"Version" json:"Version"`
+		RecordRevision   crid.Revision `cbor:"Revision" json:"Revision"`
 	}
-	// Tell passes a peer's word on its target to the board.
-	Tell struct {
+	// UpdateTarget passes the state of a peer's target to target selection.
+	UpdateTarget struct {
 		Target crid.Target
-		Told   crplace.LoadReport
+		Status crplace.LoadReport `cbor:"Told" json:"Told"`
 	}
-	// Pull fetches plan and list from a peer.
+	// Pull fetches plan and records from a peer.
 	Pull struct{ From crid.Daemon }
-	// Renew sends the watches anew that wait for changes: they may be deaf.
-	Renew struct{}
+	// RenewWatches replaces the watches on the store, which may have stopped delivering.
+	RenewWatches struct{}
 )
 
 // EffectName implements crevent.Effect.
-func (UseView) EffectName() string { return "view" }
+func (PublishView) EffectName() string { return "view" }
 
 // EffectName implements crevent.Effect.
-func (SendBeat) EffectName() string { return "beat" }
+func (SendHeartbeats) EffectName() string { return "beat" }
 
 // EffectName implements crevent.Effect.
-func (Tell) EffectName() string { return "tell" }
+func (UpdateTarget) EffectName() string { return "tell" }
 
 // EffectName implements crevent.Effect.
 func (Pull) EffectName() string { return "pull" }
 
 // EffectName implements crevent.Effect.
-func (Renew) EffectName() string { return "renew" }
+func (RenewWatches) EffectName() string { return "renew" }
 
-// View is what traffic reads. It is immutable.
+// View is an immutable snapshot of the state for traffic.
 type View struct {
-	Plan     *crplan.Plan // nil: none yet
-	Listed   bool         // a list of targets is known
-	Targets  map[crid.Service][]crplace.Candidate
-	Own      *crregistry.Record // the record of this daemon's target; nil: none
-	Daemons  []crid.Daemon      // this one and the peers that are alive, but for those that stop
-	Owners   []crid.Daemon      // as Daemons, and those whose first beat may still come
-	Members  []crid.Daemon      // as Owners, and those that a record names and that are not heard
-	Size     int                // daemons of the fleet, alive or not, and seeds
-	Known    int                // of these, without seeds that no record names and nobody hears
-	Heard    int                // of these, without those that are silent or were never heard in time
-	Readers  []crid.Daemon      // of the own domain, that read the store for it
-	Coming   bool               // peers of the own domain are to be heard for the first time, or none is listed at all
-	Lookers  int                // daemons of the fleet that read the store
-	Silent   map[crid.Daemon]bool
-	Stopping bool
+	Plan           *crplan.Plan // nil: none yet
+	HasRecords     bool         `cbor:"Listed" json:"Listed"` // the records have been read
+	Targets        map[crid.Service][]crplace.Candidate
+	OwnRecord      *crregistry.Record `cbor:"Own" json:"Own"`         // record of this daemon's target; nil: none
+	Live           []crid.Daemon      `cbor:"Daemons" json:"Daemons"` // this daemon and the peers that are up, without stopping ones
+	Owners         []crid.Daemon      // Live, and recorded peers whose first heartbeat may still come
+	Members        []crid.Daemon      // Owners, and recorded peers that are not heard
+	Size           int                // daemons of the fleet, up or not, and seeds
+	Confirmed      int                `cbor:"Known" json:"Known"` // Size without seeds that no record names and that are not heard
+	Reachable      int                `cbor:"Heard" json:"Heard"` // Confirmed without peers that are silent or whose first heartbeat is overdue
+	Readers        []crid.Daemon      // daemons of the own domain that read the store for it
+	ReadersPending bool               `cbor:"Coming" json:"Coming"`   // a peer of the own domain is still to be heard for the first time, or there are no records
+	StoreReaders   int                `cbor:"Lookers" json:"Lookers"` // daemons of the whole fleet that read the store
+	Silent         map[crid.Daemon]bool
+	Stopping       bool
 }
 
-// TokenStep is what a daemon with this view does about a token of an account.
+// TokenStep returns what a daemon with this view does about a token of an account.
 func (v *View) TokenStep(a crid.Account, self crid.Daemon, by crquota.Origin) crquota.Action {
 	return crquota.Decide(a, v.Members, v.Owners, self, by)
 }
 
-// Share is the part of an account's rate that this daemon hands out as its owner. While
-// it hears nobody it may be one of many that have just started, and each would hand out
-// the whole rate to its own callers.
-func (v *View) Share() float64 {
-	if len(v.Daemons) <= 1 {
-		return crquota.RateFraction(1, v.Known)
+// RateShare returns the part of an account's rate that this daemon hands out as its
+// owner. A daemon that hears no peer may be one of many that have just started, each of
+// which would hand out the whole rate to its own callers.
+func (v *View) RateShare() float64 {
+	if len(v.Live) <= 1 {
+		return crquota.RateFraction(1, v.Confirmed)
 	}
-	return crquota.RateFraction(v.Heard, v.Known)
+	return crquota.RateFraction(v.Reachable, v.Confirmed)
 }
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -16,20 +16,20 @@
 	"camphorroad/core/crregistry"
 )
 
-// domainOf plays the daemons of two domains, each with its own state, and
-// delivers their beats.
-type domainOf struct {
+// cluster runs the daemons of two domains, each with its own state, and delivers their
+// heartbeats.
+type cluster struct {
 	names  []crid.Daemon
 	states map[crid.Daemon]*crmesh.State
 	view   map[crid.Daemon]*crmesh.View
 	dead   map[crid.Daemon]bool
 	params map[crid.Daemon]crmesh.Params
-	list   crmesh.Listed
+	list   crmesh.RecordsListed
 }
 
-func newDomains(n int) *domainOf {
-	f := &domainOf{states: make(map[crid.Daemon]*crmesh.State), view: make(map[crid.Daemon]*crmesh.View), dead: make(map[crid.Daemon]bool), params: make(map[crid.Daemon]crmesh.Params)}
-	ev := crmesh.Listed{Now: start, Revision: 5}
+func newCluster(n int) *cluster {
+	c := &cluster{states: make(map[crid.Daemon]*crmesh.State), view: make(map[crid.Daemon]*crmesh.View), dead: make(map[crid.Daemon]bool), params: make(map[crid.Daemon]crmesh.Params)}
+	ev := crmesh.RecordsListed{Now: start, Revision: 5}
 	for i := range n {
 		address := fmt.Sprintf("10.0.1.%d:80", i)
 		target := crid.Target(fmt.Sprintf("t%d", i))
@@ -38,26 +38,26 @@
 		}})
 		p := params()
 		p.Seeds, p.Address, p.Self, p.Domain = nil, address, crmesh.DaemonOf(address), crid.Domain("ab"[i%2:i%2+1])
-		f.names = append(f.names, p.Self)
-		f.states[p.Self], f.params[p.Self] = crmesh.New(p), p
+		c.names = append(c.names, p.Self)
+		c.states[p.Self], c.params[p.Self] = crmesh.New(p), p
 	}
-	f.list = ev
-	for _, d := range f.names {
-		f.step(d, ev)
+	c.list = ev
+	for _, d := range c.names {
+		c.step(d, ev)
 	}
-	return f
+	return c
 }
 
-func (f *domainOf) step(d crid.Daemon, ev crevent.Event) {
-	for _, eff := range f.states[d].Step(ev) {
+func (c *cluster) step(d crid.Daemon, ev crevent.Event) {
+	for _, eff := range c.states[d].Step(ev) {
 		switch eff := eff.(type) {
-		case crmesh.UseView:
-			f.view[d] = eff.View
-		case crmesh.SendBeat:
+		case crmesh.PublishView:
+			c.view[d] = eff.View
+		case crmesh.SendHeartbeats:
 			for _, to := range eff.To {
-				if !f.dead[to] && !f.dead[d] {
-					f.step(to, crmesh.Heard{Now: ev.At(), From: d, Beat: crmesh.Beat{
-						Incarnation: 1, Stopping: eff.Stopping, Lost: eff.Lost, Revision: eff.Revision,
+				if !c.dead[to] && !c.dead[d] {
+					c.step(to, crmesh.HeartbeatReceived{Now: ev.At(), From: d, Heartbeat: crmesh.Heartbeat{
+						Incarnation: 1, Stopping: eff.Stopping, StoreUnavailable: eff.StoreUnavailable, RecordRevision: eff.RecordRevision,
 					}})
 				}
 			}
@@ -65,213 +65,212 @@
 	}
 }
 
-func (f *domainOf) run(from crid.Instant, d time.Duration) crid.Instant {
+func (c *cluster) run(from crid.Instant, d time.Duration) crid.Instant {
 	for end := from.Add(d); from < end; from = from.Add(100 * time.Millisecond) {
-		for _, name := range f.names {
-			if !f.dead[name] {
-				f.step(name, crevent.Tick{Now: from})
+		for _, name := range c.names {
+			if !c.dead[name] {
+				c.step(name, crevent.Tick{Now: from})
 			}
 		}
 	}
 	return from
 }
 
-// Each call of the store is paid for, and its rate does not grow with the fleet.
+// Each call of the store is paid for, and its rate limit does not grow with the fleet.
 // Two daemons of a domain read it, and all others there agree on which.
-func TestTwoDaemonsOfADomainReadTheStore(t *testing.T) {
+func TestTwoReadersPerDomain(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(12)
-	f.run(start, time.Second)
-	for i, d := range f.names {
-		g.Expect(f.view[d].Readers).To(gomega.HaveLen(2))
-		g.Expect(f.view[d].Readers).To(gomega.Equal(f.view[f.names[i%2]].Readers))
-		g.Expect(f.view[d].Lookers).To(gomega.Equal(4))
+	c := newCluster(12)
+	c.run(start, time.Second)
+	for i, d := range c.names {
+		g.Expect(c.view[d].Readers).To(gomega.HaveLen(2))
+		g.Expect(c.view[d].Readers).To(gomega.Equal(c.view[c.names[i%2]].Readers))
+		g.Expect(c.view[d].StoreReaders).To(gomega.Equal(4))
 	}
-	g.Expect(f.view[f.names[0]].Readers).NotTo(gomega.ContainElement(gomega.BeElementOf(f.view[f.names[1]].Readers)))
+	g.Expect(c.view[c.names[0]].Readers).NotTo(gomega.ContainElement(gomega.BeElementOf(c.view[c.names[1]].Readers)))
 }
 
-// A reader dies without a word. The daemons that read through it would learn of
-// nothing more; its beats stop, and within two seconds all have another.
-func TestASilentReaderIsReplaced(t *testing.T) {
+// A reader fails. The daemons that read through it would get no more changes; within two
+// seconds of missing heartbeats all have another reader.
+func TestSilentReaderIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(12)
-	now := f.run(start, time.Second)
-	gone := f.view[f.names[0]].Readers[0]
-	f.dead[gone] = true
-	f.run(now, 2*time.Second)
-	for i, d := range f.names {
-		if i%2 == 0 && d != gone {
-			g.Expect(f.view[d].Readers).To(gomega.HaveLen(2))
-			g.Expect(slices.Contains(f.view[d].Readers, gone)).To(gomega.BeFalse())
+	c := newCluster(12)
+	now := c.run(start, time.Second)
+	failed := c.view[c.names[0]].Readers[0]
+	c.dead[failed] = true
+	c.run(now, 2*time.Second)
+	for i, d := range c.names {
+		if i%2 == 0 && d != failed {
+			g.Expect(c.view[d].Readers).To(gomega.HaveLen(2))
+			g.Expect(slices.Contains(c.view[d].Readers, failed)).To(gomega.BeFalse())
 		}
 	}
 }
 
-// A reader that stops says so, and is no reader from that moment on.
-func TestAStoppingReaderHandsOver(t *testing.T) {
+// A stopping reader tells its peers, and is replaced at once.
+func TestStoppingReaderIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(12)
-	now := f.run(start, time.Second)
-	gone := f.view[f.names[0]].Readers[0]
-	f.step(gone, crevent.Stopping{Now: now})
-	for i, d := range f.names {
+	c := newCluster(12)
+	now := c.run(start, time.Second)
+	stopping := c.view[c.names[0]].Readers[0]
+	c.step(stopping, crevent.Stopping{Now: now})
+	for i, d := range c.names {
 		if i%2 == 0 {
-			g.Expect(f.view[d].Readers).NotTo(gomega.ContainElement(gone))
+			g.Expect(c.view[d].Readers).NotTo(gomega.ContainElement(stopping))
 		}
 	}
 }
 
-// A daemon that has just started knows no list yet: others must not read through
-// it, and it reads the store itself.
-func TestADaemonWithoutAListIsNoReader(t *testing.T) {
+// A daemon that has just started has no records. Others must not read through it, and it
+// reads the store itself.
+func TestDaemonWithoutRecordsIsNoReader(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	v := views(s.Step(crmesh.Heard{Now: start, From: "10.0.0.3", Beat: crmesh.Beat{Incarnation: 1}}))
+	v := views(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.3", Heartbeat: crmesh.Heartbeat{Incarnation: 1}}))
 	g.Expect(v).NotTo(gomega.BeEmpty())
 	g.Expect(v[len(v)-1].Readers).To(gomega.BeEmpty())
 }
 
-// The store turns a reader away and serves its neighbours. Another daemon of the
-// domain takes its place; the others would else hear of changes late.
-func TestAReaderThatTheStoreTurnsAwayIsReplaced(t *testing.T) {
+// The store rejects one reader and serves its neighbours. Another daemon of the domain
+// has to take its place, or the others learn of changes late.
+func TestReaderWithoutStoreIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(12)
-	now := f.run(start, time.Second)
-	gone := f.view[f.names[0]].Readers[0]
-	f.step(gone, crmesh.StoreLost{Now: now})
-	now = f.run(now, 200*time.Millisecond)
-	for i, d := range f.names {
+	c := newCluster(12)
+	now := c.run(start, time.Second)
+	rejected := c.view[c.names[0]].Readers[0]
+	c.step(rejected, crmesh.StoreUnavailable{Now: now})
+	now = c.run(now, 200*time.Millisecond)
+	for i, d := range c.names {
 		if i%2 == 0 {
-			g.Expect(f.view[d].Readers).To(gomega.HaveLen(2))
-			g.Expect(f.view[d].Readers).NotTo(gomega.ContainElement(gone))
+			g.Expect(c.view[d].Readers).To(gomega.HaveLen(2))
+			g.Expect(c.view[d].Readers).NotTo(gomega.ContainElement(rejected))
 		}
 	}
-	f.step(gone, crmesh.StoreBack{Now: now})
-	f.run(now, 200*time.Millisecond)
-	g.Expect(f.view[f.names[0]].Readers).To(gomega.ContainElement(gone))
+	c.step(rejected, crmesh.StoreAvailable{Now: now})
+	c.run(now, 200*time.Millisecond)
+	g.Expect(c.view[c.names[0]].Readers).To(gomega.ContainElement(rejected))
 }
 
-// A daemon hears from its readers that the store is away. It has not tried itself,
-// and does not tell others that the store does not answer it: all daemons of a
-// domain would then say so, and none would take the readers' place.
-func TestADaemonIsLostOnlyByItsOwnCalls(t *testing.T) {
+// A daemon learns from its readers that the store is unavailable. If it told others so
+// without an attempt of its own, all daemons of a domain would, and none would take the
+// readers' place.
+func TestStoreIsUnavailableOnlyByOwnCalls(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(12)
-	now := f.run(start, time.Second)
-	var reading crid.Daemon
-	for _, d := range f.names {
-		if !slices.Contains(f.view[d].Readers, d) {
-			reading = d
+	c := newCluster(12)
+	now := c.run(start, time.Second)
+	var follower crid.Daemon
+	for _, d := range c.names {
+		if !slices.Contains(c.view[d].Readers, d) {
+			follower = d
 		}
 	}
-	g.Expect(beats(f.states[reading].Step(crmesh.StoreLost{Now: now, Peers: true}))).To(gomega.BeEmpty())
+	g.Expect(heartbeats(c.states[follower].Step(crmesh.StoreUnavailable{Now: now, ReportedByPeers: true}))).To(gomega.BeEmpty())
 }
 
-// The store is away for all. Two daemons of a domain go on trying for the others.
-func TestInAnOutageForAllTheReadersStay(t *testing.T) {
+// In a full outage of the store, two daemons of a domain go on trying for the others.
+func TestReadersStayInFullStoreOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(12)
-	now := f.run(start, time.Second)
-	before := f.view[f.names[0]].Readers
-	for _, d := range f.names {
-		f.step(d, crmesh.StoreLost{Now: now})
+	c := newCluster(12)
+	now := c.run(start, time.Second)
+	before := c.view[c.names[0]].Readers
+	for _, d := range c.names {
+		c.step(d, crmesh.StoreUnavailable{Now: now})
 	}
-	f.run(now, 200*time.Millisecond)
-	g.Expect(f.view[f.names[0]].Readers).To(gomega.Equal(before))
+	c.run(now, 200*time.Millisecond)
+	g.Expect(c.view[c.names[0]].Readers).To(gomega.Equal(before))
 }
 
-// Several daemons are told to stop at one time, and still serve their callers for
-// seconds. Each account must have one owner for all of them; if a stopping daemon
-// kept its accounts for its own callers, an account of 15 a second ran 136 requests
-// in 5 s.
-func TestStoppingDaemonsAgreeOnTheOwners(t *testing.T) {
+// Several daemons stop at one time and still serve their callers for seconds. Each account
+// needs one owner for all of them. With stopping daemons as owners for their own callers,
+// an account of 15 requests a second ran 136 in 5 s.
+func TestStoppingDaemonsAgreeOnOwners(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(6)
-	now := f.run(start, 3*time.Second)
-	for _, d := range f.names[:4] {
-		f.step(d, crevent.Stopping{Now: now})
+	c := newCluster(6)
+	now := c.run(start, 3*time.Second)
+	for _, d := range c.names[:4] {
+		c.step(d, crevent.Stopping{Now: now})
 	}
-	f.run(now, 200*time.Millisecond)
-	for _, d := range f.names {
-		g.Expect(f.view[d].Daemons).To(gomega.Equal(f.names[4:]), "seen by %s", d)
+	c.run(now, 200*time.Millisecond)
+	for _, d := range c.names {
+		g.Expect(c.view[d].Live).To(gomega.Equal(c.names[4:]), "seen by %s", d)
 	}
 }
 
-// The last daemon of all stops. It keeps the accounts as long as it serves.
-func TestTheLastDaemonKeepsTheAccounts(t *testing.T) {
+// The last daemon of all keeps the accounts until it ends.
+func TestLastStoppingDaemonKeepsAccounts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := views(crmesh.New(params()).Step(crevent.Stopping{Now: start}))
-	g.Expect(v[len(v)-1].Daemons).To(gomega.Equal([]crid.Daemon{"10.0.0.1"}))
+	g.Expect(v[len(v)-1].Live).To(gomega.Equal([]crid.Daemon{"10.0.0.1"}))
 }
 
-// A daemon has just started, and peers of other domains have not sent it a beat yet:
-// in a fleet of a hundred that takes two seconds. If it took them for cut off, the
-// accounts that it owns would be held to a part of their rate after each restart.
-func TestAFreshDaemonDoesNotTakeItsPeersForCutOff(t *testing.T) {
+// Peers of other domains send their first heartbeat within two seconds in a fleet of a
+// hundred. If they counted as unreachable until then, each restart would hold the accounts
+// of the daemon to a part of their rate.
+func TestNewDaemonCountsPeersBeforeTheirFirstHeartbeat(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	v := views(s.Step(listed()))
-	g.Expect(v[len(v)-1].Heard).To(gomega.Equal(v[len(v)-1].Known))
+	v := views(s.Step(recordsListed()))
+	g.Expect(v[len(v)-1].Reachable).To(gomega.Equal(v[len(v)-1].Confirmed))
 	for at := time.Duration(0); at < 10*time.Second; at += 100 * time.Millisecond {
 		v = append(v, views(s.Step(crevent.Tick{Now: start.Add(at)}))...)
 	}
-	g.Expect(v[len(v)-1].Heard).To(gomega.Equal(1), "they were never heard")
+	g.Expect(v[len(v)-1].Reachable).To(gomega.Equal(1), "they were never heard")
 }
 
-// The owner of some accounts loses power. Peers of other domains would miss its
-// beats only after six seconds in a fleet of a hundred, and until then hold its
-// accounts to parts of their rate. Its silence to questions tells sooner.
-func TestAPeerThatAnswersNoQuestionsIsSilentSoon(t *testing.T) {
+// The owner of some accounts loses power. Peers of other domains would miss its heartbeats
+// only after six seconds in a fleet of a hundred, and hold its accounts to a part of their
+// rate until then. Unanswered token requests show the failure sooner.
+func TestPeerWithUnansweredRequestsIsSilentSoon(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(listed())
-	s.Step(crmesh.Heard{Now: start, From: "10.0.0.2", Beat: crmesh.Beat{Incarnation: 1, Revision: 5}})
-	g.Expect(s.Step(crmesh.Unanswered{Now: start.Add(100 * time.Millisecond), By: "10.0.0.2"})).To(gomega.BeEmpty())
-	v := views(s.Step(crmesh.Unanswered{Now: start.Add(1200 * time.Millisecond), By: "10.0.0.2"}))
+	s.Step(recordsListed())
+	s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}})
+	g.Expect(s.Step(crmesh.TokenRequestUnanswered{Now: start.Add(100 * time.Millisecond), Peer: "10.0.0.2"})).To(gomega.BeEmpty())
+	v := views(s.Step(crmesh.TokenRequestUnanswered{Now: start.Add(1200 * time.Millisecond), Peer: "10.0.0.2"}))
 	g.Expect(v).To(gomega.HaveLen(1))
 	g.Expect(v[0].Silent).To(gomega.HaveKey(crid.Daemon("10.0.0.2")))
 	for _, later := range views(s.Step(crevent.Tick{Now: start.Add(1300 * time.Millisecond)})) {
 		g.Expect(later.Silent).To(gomega.HaveKey(crid.Daemon("10.0.0.2")), "it stays silent")
 	}
-	v = views(s.Step(crmesh.Heard{Now: start.Add(1400 * time.Millisecond), From: "10.0.0.2", Beat: crmesh.Beat{Incarnation: 1, Revision: 5}}))
+	v = views(s.Step(crmesh.HeartbeatReceived{Now: start.Add(1400 * time.Millisecond), From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}}))
 	g.Expect(v[0].Silent).To(gomega.BeEmpty())
 }
 
-// The path to an owner is cut for questions and not for its beats. It lives, and
-// others reach it; were it taken for silent, its accounts would have two owners.
-func TestAPeerThatIsHeardIsNotSilent(t *testing.T) {
+// The path to an owner is cut for token requests but not for heartbeats. Other daemons
+// reach the owner; if it counted as silent, its accounts would have two owners.
+func TestPeerWithHeartbeatsIsNotSilent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(listed())
+	s.Step(recordsListed())
 	for at := time.Duration(0); at < 5*time.Second; at += 500 * time.Millisecond {
-		s.Step(crmesh.Heard{Now: start.Add(at), From: "10.0.0.2", Beat: crmesh.Beat{Incarnation: 1, Revision: 5}})
-		g.Expect(s.Step(crmesh.Unanswered{Now: start.Add(at + 100*time.Millisecond), By: "10.0.0.2"})).To(gomega.BeEmpty())
+		s.Step(crmesh.HeartbeatReceived{Now: start.Add(at), From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}})
+		g.Expect(s.Step(crmesh.TokenRequestUnanswered{Now: start.Add(at + 100*time.Millisecond), Peer: "10.0.0.2"})).To(gomega.BeEmpty())
 	}
 }
 
-// Seeds may name machines that are long gone. In a small fleet with three of them
-// accounts would be held to half of their rate for ever.
-func TestSeedsThatAreGoneAreNoPartOfTheFleet(t *testing.T) {
+// Seeds may name machines that are gone. Three of them in a small fleet would hold
+// accounts to half of their rate for ever.
+func TestDeadSeedsAreNotMembers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := params()
 	p.Seeds = []crid.Daemon{"10.0.9.1", "10.0.9.2", "10.0.9.3"}
 	s := crmesh.New(p)
-	v := views(s.Step(listed()))
-	g.Expect(v[len(v)-1].Known).To(gomega.Equal(3))
-	g.Expect(v[len(v)-1].Heard).To(gomega.Equal(3))
-	v = views(s.Step(crmesh.Heard{Now: start, From: "10.0.9.1", Beat: crmesh.Beat{Incarnation: 1, Revision: 5}}))
-	g.Expect(v[len(v)-1].Known).To(gomega.Equal(4))
+	v := views(s.Step(recordsListed()))
+	g.Expect(v[len(v)-1].Confirmed).To(gomega.Equal(3))
+	g.Expect(v[len(v)-1].Reachable).To(gomega.Equal(3))
+	v = views(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.9.1", Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}}))
+	g.Expect(v[len(v)-1].Confirmed).To(gomega.Equal(4))
 }
 
-// All machines of a domain start at one time. Until their beats are heard, each would
-// read the store for itself although a moment later two read it for all; one that
-// stands alone in its domain must not wait for anybody.
-func TestADaemonKnowsWhetherReadersAreToBeHeard(t *testing.T) {
+// All machines of a domain start at one time. Until their heartbeats arrive, each would
+// read the store itself, although two readers are enough a moment later. A daemon that is
+// alone in its domain must not wait.
+func TestReadersPending(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := crmesh.New(crmesh.Params{Self: "10.0.0.1", Domain: "a", Beat: time.Second, Far: time.Second})
+	s := crmesh.New(crmesh.Params{Self: "10.0.0.1", Domain: "a", LocalInterval: time.Second, RemoteInterval: time.Second})
 	view := func(effects []crevent.Effect) *crmesh.View {
 		for _, e := range effects {
-			if v, ok := e.(crmesh.UseView); ok {
+			if v, ok := e.(crmesh.PublishView); ok {
 				return v.View
 			}
 		}
@@ -282,79 +281,79 @@
 		for i := range records {
 			changes = append(changes, crregistry.Change{Key: string(records[i].Target), Revision: 1, Record: &records[i]})
 		}
-		return view(s.Step(crmesh.Listed{Now: start, Changes: changes, Revision: 2}))
+		return view(s.Step(crmesh.RecordsListed{Now: start, Changes: changes, Revision: 2}))
 	}
 	own := crregistry.Record{Target: "t1", Service: "s", Address: "10.0.0.1:80", Domain: "a", Slots: 1}
 	far := crregistry.Record{Target: "t2", Service: "s", Address: "10.0.0.2:80", Domain: "b", Slots: 1}
 	near := crregistry.Record{Target: "t3", Service: "s", Address: "10.0.0.3:80", Domain: "a", Slots: 1}
-	g.Expect(list().Coming).To(gomega.BeTrue())
-	g.Expect(list(own, far).Coming).To(gomega.BeFalse())
-	g.Expect(list(own, far, near).Coming).To(gomega.BeTrue())
-	v := view(s.Step(crmesh.Heard{Now: start, From: "10.0.0.3", Beat: crmesh.Beat{Revision: 2}}))
-	g.Expect(v.Coming).To(gomega.BeFalse())
+	g.Expect(list().ReadersPending).To(gomega.BeTrue())
+	g.Expect(list(own, far).ReadersPending).To(gomega.BeFalse())
+	g.Expect(list(own, far, near).ReadersPending).To(gomega.BeTrue())
+	v := view(s.Step(crmesh.HeartbeatReceived{Now: start, From: "10.0.0.3", Heartbeat: crmesh.Heartbeat{RecordRevision: 2}}))
+	g.Expect(v.ReadersPending).To(gomega.BeFalse())
 }
 
-// The store has lost all daemons' watches, and each finds out only when its own wait is over.
-func TestAPeerThatLosesTheStoreRenewsTheWatches(t *testing.T) {
+// The store has dropped all watches, and each daemon would detect it only at the end of its own wait.
+func TestWatchesAreRenewedWhenPeerLosesStore(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(listed())
-	hear := func(after time.Duration, lost bool) int {
-		return renewals(s.Step(crmesh.Heard{Now: start.Add(after), From: "10.0.0.2", Beat: crmesh.Beat{Lost: lost, Revision: 5}}))
+	s.Step(recordsListed())
+	renewalsAfter := func(after time.Duration, unavailable bool) int {
+		return renewals(s.Step(crmesh.HeartbeatReceived{Now: start.Add(after), From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{StoreUnavailable: unavailable, RecordRevision: 5}}))
 	}
-	g.Expect(hear(0, true)).To(gomega.BeZero(), "a peer heard for the first time may have lost it long ago")
-	g.Expect(hear(time.Second, false)).To(gomega.BeZero())
-	g.Expect(hear(2*time.Second, true)).To(gomega.Equal(1))
-	g.Expect(hear(2100*time.Millisecond, true)).To(gomega.BeZero(), "told already")
-	g.Expect(hear(2200*time.Millisecond, false)).To(gomega.BeZero())
-	g.Expect(hear(2300*time.Millisecond, true)).To(gomega.BeZero(), "not again at once")
+	g.Expect(renewalsAfter(0, true)).To(gomega.BeZero(), "at the first heartbeat the outage may be old")
+	g.Expect(renewalsAfter(time.Second, false)).To(gomega.BeZero())
+	g.Expect(renewalsAfter(2*time.Second, true)).To(gomega.Equal(1))
+	g.Expect(renewalsAfter(2100*time.Millisecond, true)).To(gomega.BeZero(), "the peer has reported it before")
+	g.Expect(renewalsAfter(2200*time.Millisecond, false)).To(gomega.BeZero())
+	g.Expect(renewalsAfter(2300*time.Millisecond, true)).To(gomega.BeZero(), "not again at once")
 }
 
-// A peer holds what this daemon's own watch should have told long ago.
-func TestWhatHasToBeFetchedRenewsTheWatches(t *testing.T) {
+// A peer holds a plan that this daemon's own watch should have delivered long ago.
+func TestPullRenewsWatches(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
-	s.Step(listed())
-	newer := crmesh.Heard{Now: start, From: "10.0.0.2", Beat: crmesh.Beat{Version: 9, Revision: 5}}
+	s.Step(recordsListed())
+	newer := crmesh.HeartbeatReceived{Now: start, From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{PlanVersion: 9, RecordRevision: 5}}
 	g.Expect(renewals(s.Step(newer))).To(gomega.BeZero())
 	g.Expect(renewals(s.Step(crevent.Tick{Now: start.Add(700 * time.Millisecond)}))).To(gomega.Equal(1))
 }
 
-// A daemon that has just started grants the tokens of accounts that a peer owns which it has not heard yet.
-func TestAFreshDaemonCountsOnListedPeersThatItHasNotHeardYet(t *testing.T) {
+// A daemon that has just started must not grant tokens of accounts whose owner it has not heard yet.
+func TestNewDaemonTreatsRecordedPeersAsOwners(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(6)
-	f.run(start, 3*time.Second)
-	fresh := f.names[2]
-	s := crmesh.New(f.params[fresh])
-	s.Step(f.list)
-	v := views(s.Step(crmesh.Heard{Now: start, From: f.names[0], Beat: crmesh.Beat{Incarnation: 1, Revision: 5}}))
+	c := newCluster(6)
+	c.run(start, 3*time.Second)
+	restarted := c.names[2]
+	s := crmesh.New(c.params[restarted])
+	s.Step(c.list)
+	v := views(s.Step(crmesh.HeartbeatReceived{Now: start, From: c.names[0], Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}}))
 	for n := range 20 {
 		a := crid.Account("account-" + strconv.Itoa(n))
-		step := v[len(v)-1].TokenStep(a, fresh, crquota.FromCaller)
-		if owner := crquota.Owner(a, f.names); owner != fresh {
+		step := v[len(v)-1].TokenStep(a, restarted, crquota.FromCaller)
+		if owner := crquota.Owner(a, c.names); owner != restarted {
 			g.Expect(step).To(gomega.Equal(crquota.Action{To: owner, Origin: crquota.FromPeer}))
 		} else {
 			g.Expect(step).To(gomega.Equal(crquota.Action{Grant: true}))
 		}
 	}
-	g.Expect(v[len(v)-1].Owners).To(gomega.Equal(f.view[f.names[0]].Owners))
-	g.Expect(v[len(v)-1].Members).To(gomega.Equal(f.view[f.names[0]].Members))
+	g.Expect(v[len(v)-1].Owners).To(gomega.Equal(c.view[c.names[0]].Owners))
+	g.Expect(v[len(v)-1].Members).To(gomega.Equal(c.view[c.names[0]].Members))
 	for at := time.Duration(0); at < 10*time.Second; at += 100 * time.Millisecond {
 		v = append(v, views(s.Step(crevent.Tick{Now: start.Add(at)}))...)
 	}
-	g.Expect(v[len(v)-1].Owners).To(gomega.Equal([]crid.Daemon{fresh}), "they were never heard")
+	g.Expect(v[len(v)-1].Owners).To(gomega.Equal([]crid.Daemon{restarted}), "they were never heard")
 }
 
-// All daemons start at one time, and each hands out the whole rate of the accounts to its own callers.
-func TestDaemonsThatHearNobodyHandOutTheRateOnce(t *testing.T) {
+// Daemons that start at one time must not each hand out the whole rate of the accounts to their own callers.
+func TestIsolatedDaemonsShareTheRate(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newDomains(6)
+	c := newCluster(6)
 	sum := 0.0
-	for _, d := range f.names {
-		sum += f.view[d].Share()
+	for _, d := range c.names {
+		sum += c.view[d].RateShare()
 	}
 	g.Expect(sum).To(gomega.BeNumerically("~", 1, 0.11))
-	f.run(start, 3*time.Second)
-	g.Expect(f.view[f.names[0]].Share()).To(gomega.Equal(1.0))
+	c.run(start, 3*time.Second)
+	g.Expect(c.view[c.names[0]].RateShare()).To(gomega.Equal(1.0))
 }
--- a/core/crregistry/crregistry_test.go
+++ b/core/crregistry/crregistry_test.go
@@ -12,11 +12,11 @@
 
 const (
 	start = crid.Instant(time.Hour)
-	lapse = 1700 * time.Millisecond
+	grace = 1700 * time.Millisecond
 )
 
 func record(target crid.Target, address string) *crregistry.Record {
-	return &crregistry.Record{Target: target, Service: "booking", Address: address, Slots: 4, Born: 1}
+	return &crregistry.Record{Target: target, Service: "booking", Address: address, Slots: 4, StartedMillis: 1}
 }
 
 func change(revision crid.Revision, r *crregistry.Record) crregistry.Change {
@@ -31,74 +31,74 @@
 	return out
 }
 
-// A record goes while the store is well: its target leaves, and new work sent
-// there would be lost with it.
-func TestARemovedRecordIsGoneAtOnce(t *testing.T) {
+// The record of a target that has left must go at once, or new requests sent there are
+// lost.
+func TestRemovedRecordIsDropped(t *testing.T) {
 	g := gomega.NewWithT(t)
-	reg := crregistry.New(lapse)
+	reg := crregistry.New(grace)
 	reg.Replace(start, []crregistry.Change{change(2, record("a", "1:1")), change(3, record("b", "2:1"))}, 3)
 	reg.Apply(start, []crregistry.Change{{Key: "servers/a", Revision: 4}}, 4)
 	g.Expect(names(reg)).To(gomega.Equal([]string{"b"}))
 }
 
-// The store was away, and records ran out although their targets live. Dropping
-// them on its return would leave callers without targets for two seconds.
-func TestRecordsMissingAfterAnOutageAreHeldForAMoment(t *testing.T) {
+// Records expire during an outage although their targets are up. If they were dropped at
+// its end, callers would have no targets for two seconds.
+func TestMissingRecordsAreKeptForGracePeriod(t *testing.T) {
 	g := gomega.NewWithT(t)
-	reg := crregistry.New(lapse)
+	reg := crregistry.New(grace)
 	reg.Replace(start, []crregistry.Change{change(2, record("a", "1:1")), change(3, record("b", "2:1"))}, 3)
-	reg.Lost()
-	reg.Returned(start.Add(5 * time.Second))
+	reg.MarkStoreUnavailable()
+	reg.MarkStoreAvailable(start.Add(5 * time.Second))
 	reg.Replace(start.Add(5*time.Second), []crregistry.Change{change(3, record("b", "2:1"))}, 9)
 	g.Expect(names(reg)).To(gomega.Equal([]string{"a", "b"}))
 	g.Expect(reg.Sweep(start.Add(6 * time.Second))).To(gomega.BeFalse())
-	g.Expect(reg.Sweep(start.Add(5*time.Second + lapse))).To(gomega.BeTrue())
+	g.Expect(reg.Sweep(start.Add(5*time.Second + grace))).To(gomega.BeTrue())
 	g.Expect(names(reg)).To(gomega.Equal([]string{"b"}))
 }
 
-// A record that comes back in that time stays.
-func TestARecordThatComesBackStays(t *testing.T) {
+// A record that is written again within the grace period stays.
+func TestRecordWrittenInGracePeriodStays(t *testing.T) {
 	g := gomega.NewWithT(t)
-	reg := crregistry.New(lapse)
+	reg := crregistry.New(grace)
 	reg.Replace(start, []crregistry.Change{change(2, record("a", "1:1"))}, 2)
-	reg.Lost()
-	reg.Returned(start.Add(5 * time.Second))
+	reg.MarkStoreUnavailable()
+	reg.MarkStoreAvailable(start.Add(5 * time.Second))
 	reg.Replace(start.Add(5*time.Second), nil, 9)
 	reg.Apply(start.Add(6*time.Second), []crregistry.Change{change(10, record("a", "1:1"))}, 10)
 	reg.Sweep(start.Add(time.Minute))
 	g.Expect(names(reg)).To(gomega.Equal([]string{"a"}))
 }
 
-// A target said that it leaves, and then went while the store was away. It did
-// not lapse: holding it would send work to a target that has ended.
-func TestALeavingRecordIsNotHeld(t *testing.T) {
+// A leaving target's record is removed during an outage. A grace period would send
+// requests to a target that has ended.
+func TestLeavingRecordGetsNoGracePeriod(t *testing.T) {
 	g := gomega.NewWithT(t)
-	reg := crregistry.New(lapse)
+	reg := crregistry.New(grace)
 	leaving := record("a", "1:1")
 	leaving.Leaving = true
 	reg.Replace(start, []crregistry.Change{change(2, leaving)}, 2)
-	reg.Lost()
-	reg.Returned(start.Add(time.Second))
+	reg.MarkStoreUnavailable()
+	reg.MarkStoreAvailable(start.Add(time.Second))
 	reg.Replace(start.Add(time.Second), nil, 9)
 	g.Expect(names(reg)).To(gomega.BeEmpty())
 }
 
-// An address passes to a target of another service before the old record has
-// gone. Work for the old one would reach a stranger.
-func TestAnAddressBelongsToTheLaterTarget(t *testing.T) {
+// An address passes to a target of another service before the old record is removed.
+// Requests for the old target would reach the new one.
+func TestAddressBelongsToLaterTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
-	reg := crregistry.New(lapse)
+	reg := crregistry.New(grace)
 	other := record("b", "1:1")
-	other.Service, other.Born = "dispatch", 2
+	other.Service, other.StartedMillis = "dispatch", 2
 	reg.Replace(start, []crregistry.Change{change(2, record("a", "1:1")), change(3, other)}, 3)
 	g.Expect(names(reg)).To(gomega.Equal([]string{"b"}))
 }
 
-// A peer's copy, or a page read earlier, tells of a record as it was before the
-// last change: an older word must not undo a newer one.
-func TestAnOlderWordChangesNothing(t *testing.T) {
+// A peer's copy, or a page read earlier, holds a record from before the last change. It
+// must not undo the change.
+func TestOlderRevisionIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
-	reg := crregistry.New(lapse)
+	reg := crregistry.New(grace)
 	leaving := record("a", "1:1")
 	leaving.Leaving = true
 	reg.Apply(start, []crregistry.Change{change(7, leaving)}, 7)
@@ -106,11 +106,11 @@
 	g.Expect(reg.Records()[0].Leaving).To(gomega.BeTrue())
 }
 
-// Somebody else wrote over a target's record. It names no target any more; all
-// other records hold.
-func TestAnUnreadableRecordNamesNoTarget(t *testing.T) {
+// A target's record is overwritten with an unreadable one. It names no target any more, and
+// all other records stay.
+func TestUnreadableRecordNamesNoTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
-	reg := crregistry.New(lapse)
+	reg := crregistry.New(grace)
 	reg.Replace(start, []crregistry.Change{change(2, record("a", "1:1")), change(3, record("b", "2:1"))}, 3)
 	reg.Apply(start, []crregistry.Change{{Key: "servers/a", Revision: 4}}, 4)
 	g.Expect(names(reg)).To(gomega.Equal([]string{"b"}))
--- a/core/crview/crview.go
+++ b/core/crview/crview.go
@@ -149,7 +149,7 @@
 	switch {
 	case inst.Leaving() || (ok && peer.Leaving):
 		return crroute.StatusLeaving
-	case ok && peer.Lost():
+	case ok && peer.Down():
 		return crroute.StatusEjected
 	}
 	return crroute.StatusReady
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -77,14 +77,14 @@
 		_ = s.peers.Send(eff.To, eff.Msg)
 	case crevent.Report:
 		s.log.Event(eff.Number, crlog.Fields(eff.Fields))
-	case crinstance.Listed:
+	case crinstance.ListUpdated:
 		s.listed(eff.List)
-	case crmember.Tenure:
-		s.contact = eff.Contact
+	case crmember.Lease:
+		s.contact = eff.ContactUntil
 		s.trust(eff.Now)
-	case crmember.Peers:
+	case crmember.PeersChanged:
 		s.in.Peers = eff.Peers
-		s.dirty = s.dirty || !eff.Passing // sampled peers are never lost, so the view is the same
+		s.dirty = s.dirty || !eff.SampledOnly // sampled peers are never lost, so the view is the same
 	case crconfig.Applied:
 		s.inForce(eff)
 	case crconfig.WatchPlatform, crconfig.ReadPlatform, crconfig.ReadList:
@@ -126,7 +126,7 @@
 }
 
 func (s *shell) inForce(eff crconfig.Applied) {
-	_ = s.loop.Post(crmember.Advertise{Now: eff.Now, Conf: uint64(eff.Snapshot.Revision())})
+	_ = s.loop.Post(crmember.AdvertiseConfig{Now: eff.Now, ConfigRevision: uint64(eff.Snapshot.Revision())})
 	first := s.view.Load() == nil
 	in := s.in
 	in.Snapshot = eff.Snapshot
--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -198,16 +198,16 @@
 func (f *fleet) add(id crid.Daemon, domain crid.Domain) {
 	m := &member{id: id, domain: domain, fleet: f, events: make(chan crevent.Event, 1024), inForce: make(map[uint64]time.Time)}
 	m.state = crmesh.New(crmesh.Params{
-		Self: id, Domain: domain, Service: "s", Address: string(id) + ":1", Beat: beatNear, Far: beatFar, Lapse: lapse,
+		Self: id, Domain: domain, Service: "s", Address: string(id) + ":1", LocalInterval: beatNear, RemoteInterval: beatFar, RecordGrace: lapse,
 	})
-	m.view.Store(&crmesh.View{Size: 1, Known: 1, Heard: 1})
+	m.view.Store(&crmesh.View{Size: 1, Confirmed: 1, Reachable: 1})
 	log := crlog.New(io.Discard, "info", string(id))
 	m.feed = crfeed.New(crfeed.Options{
 		Self: id, Store: line{f.store, id}, Peers: m, Clock: f.now, Log: log,
-		Readers: func() []crid.Daemon { return m.view.Load().Readers }, Coming: func() bool { return m.view.Load().Coming },
+		Readers: func() []crid.Daemon { return m.view.Load().Readers }, Coming: func() bool { return m.view.Load().ReadersPending },
 	})
 	m.follower = crwatch.New(crwatch.Options{
-		Store: m.feed, Decoder: versions{}, Clock: f.now, Emit: m.emit, Log: log, Lookers: func() int { return m.view.Load().Lookers },
+		Store: m.feed, Decoder: versions{}, Clock: f.now, Emit: m.emit, Log: log, Lookers: func() int { return m.view.Load().StoreReaders },
 	})
 	f.members[id] = m
 	f.store.register(m)
@@ -255,13 +255,13 @@
 func (m *member) step(ctx context.Context, ev crevent.Event) {
 	for _, eff := range m.state.Step(ev) {
 		switch eff := eff.(type) {
-		case crmesh.UseView:
+		case crmesh.PublishView:
 			m.use(eff.View)
-		case crmesh.SendBeat:
+		case crmesh.SendHeartbeats:
 			m.beat(eff)
 		case crmesh.Pull:
 			go m.pull(ctx, eff.From)
-		case crmesh.Renew:
+		case crmesh.RenewWatches:
 			m.follower.Renew()
 		}
 	}
@@ -296,16 +296,16 @@
 	return farDelay
 }
 
-func (m *member) beat(eff crmesh.SendBeat) {
+func (m *member) beat(eff crmesh.SendHeartbeats) {
 	for _, id := range eff.To {
 		d := m.fleet.members[id]
-		b := crmesh.Beat{
-			Incarnation: 1, Target: crid.Target("t-" + m.id), Slots: 1, Stopping: eff.Stopping, Lost: eff.Lost,
-			Version: eff.Version, Revision: eff.Revision,
+		b := crmesh.Heartbeat{
+			Incarnation: 1, Target: crid.Target("t-" + m.id), Slots: 1, Stopping: eff.Stopping, StoreUnavailable: eff.StoreUnavailable,
+			PlanVersion: eff.PlanVersion, RecordRevision: eff.RecordRevision,
 		}
 		time.AfterFunc(m.delay(d), func() {
 			select {
-			case d.events <- crmesh.Heard{Now: m.fleet.now(), From: m.id, Beat: b}:
+			case d.events <- crmesh.HeartbeatReceived{Now: m.fleet.now(), From: m.id, Heartbeat: b}:
 			default:
 			}
 		})
--- a/io/crlog/catalogue_member.go
+++ b/io/crlog/catalogue_member.go
@@ -5,12 +5,12 @@
 func memberEntries() []Entry {
 	return []Entry{
 		{
-			crmember.EventStandingGained, LevelInfo, "standing gained",
+			crmember.EventLeaseAcquired, LevelInfo, "standing gained",
 			"a majority of the list's voters answers",
 			"requests are served", none,
 		},
 		{
-			crmember.EventStandingLost, LevelWarn, "standing lost",
+			crmember.EventLeaseLost, LevelWarn, "standing lost",
 			"cut off, suspended, or the list changes",
 			"this daemon refuses requests as not run", "nothing if 200 follows in seconds; else mend the network",
 		},
@@ -45,7 +45,7 @@
 			none, none,
 		},
 		{
-			crmember.EventPeerLost, LevelWarn, "peer lost",
+			crmember.EventPeerUnreachable, LevelWarn, "peer lost",
 			"not heard both ways for a horizon; in fleets of more than 31 daemons told of voters only",
 			"work goes elsewhere", "look at the peer or the link",
 		},
--- a/io/crmesh/crmesh.go
+++ b/io/crmesh/crmesh.go
@@ -96,8 +96,8 @@
 func newExit(opts Options, l *crlog.Logger, loop *loop) *cregress.Exit {
 	x := cregress.New(cregress.Options{
 		Service: opts.Settings.Service, Address: opts.Settings.Target, Dialect: opts.Dialect, Clock: crclock.Now,
-		Log: l, Nudge: func() { loop.emit(crmesh.Nudge{Now: crclock.Now()}) },
-		Asked: func(from crid.Daemon) { loop.emit(crmesh.Asked{Now: crclock.Now(), From: from}) },
+		Log: l, Nudge: func() { loop.emit(crmesh.TargetChanged{Now: crclock.Now()}) },
+		Asked: func(from crid.Daemon) { loop.emit(crmesh.OfferReceived{Now: crclock.Now(), From: from}) },
 	})
 	return x
 }
@@ -112,7 +112,7 @@
 func newFeed(opts Options, loop *loop, peers *croffer.Client, l *crlog.Logger) *crfeed.Feed {
 	return crfeed.New(crfeed.Options{
 		Self: crid.Daemon(opts.Settings.Address), Store: opts.Store, Peers: peers, Clock: crclock.Now,
-		Readers: func() []crid.Daemon { return loop.view.Load().Readers }, Coming: func() bool { return loop.view.Load().Coming },
+		Readers: func() []crid.Daemon { return loop.view.Load().Readers }, Coming: func() bool { return loop.view.Load().ReadersPending },
 		Log: l,
 	})
 }
@@ -120,7 +120,7 @@
 func newFollower(opts Options, loop *loop, feed *crfeed.Feed, l *crlog.Logger) *crwatch.Follower {
 	return crwatch.New(crwatch.Options{
 		Store: feed, Decoder: opts.Decoder, Clock: crclock.Now, Emit: loop.emit, Log: l,
-		Lookers: func() int { return loop.view.Load().Lookers },
+		Lookers: func() int { return loop.view.Load().StoreReaders },
 	})
 }
 
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -176,7 +176,7 @@
 		return errors.New("stopping")
 	case v.Plan == nil:
 		return errors.New("no configuration yet")
-	case !v.Listed:
+	case !v.HasRecords:
 		return errors.New("no list of targets yet")
 	}
 	return nil
@@ -197,7 +197,7 @@
 	// capacity with it.
 	time.Sleep(min(settle, grace/2))
 	d.exit.Stop()
-	d.loop.emit(crmesh.Nudge{Now: crclock.Now()})
+	d.loop.emit(crmesh.TargetChanged{Now: crclock.Now()})
 	left := grace - time.Since(began)
 	last := time.AfterFunc(left-lastWord, d.entry.End)
 	defer last.Stop()
@@ -279,7 +279,7 @@
 	}
 	v := d.loop.view.Load()
 	out := dump{
-		Daemons: v.Daemons, Silent: slices.Sorted(maps.Keys(v.Silent)), Targets: v.Targets, Own: d.exit.Told(), Open: d.entry.Open(),
+		Daemons: v.Live, Silent: slices.Sorted(maps.Keys(v.Silent)), Targets: v.Targets, Own: d.exit.Told(), Open: d.entry.Open(),
 	}
 	if v.Plan != nil {
 		out.Plan = v.Plan.Label()
@@ -290,8 +290,8 @@
 func newChannel(opts Options, loop *loop, m *ownerMeter) (*crbeat.Channel, error) {
 	return crbeat.Listen(crbeat.Options{
 		Address: peerAddress(opts.Settings),
-		Heard: func(from crid.Daemon, b crmesh.Beat) {
-			loop.emit(crmesh.Heard{Now: crclock.Now(), From: from, Beat: b})
+		Heard: func(from crid.Daemon, b crmesh.Heartbeat) {
+			loop.emit(crmesh.HeartbeatReceived{Now: crclock.Now(), From: from, Heartbeat: b})
 		},
 		Grant: m.answer,
 	})
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -42,12 +42,12 @@
 	lp := &loop{
 		state: crmesh.New(crmesh.Params{
 			Self: crid.Daemon(s.Address), Domain: s.Domain, Service: s.Service, Address: s.Target, Seeds: seeds(s),
-			Beat: beatNear, Far: beatFar, Lapse: s.Bounds.LapseTime(),
+			LocalInterval: beatNear, RemoteInterval: beatFar, RecordGrace: s.Bounds.LapseTime(),
 		}),
 		events: make(chan crevent.Event, eventsWaiting),
 		log:    l,
 	}
-	lp.view.Store(&crmesh.View{Size: 1, Known: 1, Heard: 1})
+	lp.view.Store(&crmesh.View{Size: 1, Confirmed: 1, Reachable: 1})
 	return lp
 }
 
@@ -55,7 +55,7 @@
 // dropped when it lags, since the next one tells the same; all others wait.
 func (l *loop) emit(ev crevent.Event) {
 	switch ev.(type) {
-	case crmesh.Heard, crmesh.Nudge, crmesh.Asked, crmesh.Unanswered:
+	case crmesh.HeartbeatReceived, crmesh.TargetChanged, crmesh.OfferReceived, crmesh.TokenRequestUnanswered:
 		select {
 		case l.events <- ev:
 		default:
@@ -97,34 +97,34 @@
 func (d *daemon) perform(ctx context.Context) func(crevent.Effect) {
 	return func(eff crevent.Effect) {
 		switch eff := eff.(type) {
-		case crmesh.UseView:
+		case crmesh.PublishView:
 			d.use(eff.View)
-		case crmesh.SendBeat:
+		case crmesh.SendHeartbeats:
 			d.channel.Beat(eff.To, d.beat(eff))
-		case crmesh.Tell:
-			d.board.Report(eff.Target, eff.Told)
+		case crmesh.UpdateTarget:
+			d.board.Report(eff.Target, eff.Status)
 		case crmesh.Pull:
 			go d.pull(ctx, eff.From)
-		case crmesh.Renew:
+		case crmesh.RenewWatches:
 			d.follower.Renew()
 		}
 	}
 }
 
-func (d *daemon) beat(eff crmesh.SendBeat) crmesh.Beat {
+func (d *daemon) beat(eff crmesh.SendHeartbeats) crmesh.Heartbeat {
 	told := d.exit.Told()
-	return crmesh.Beat{
-		Incarnation: d.incarnation,
-		Target:      d.exit.Target(),
-		Load:        told.Load,
-		Slots:       told.Slots,
-		Sick:        uint8(told.UnhealthyProb * 255),
-		Typical:     told.Typical.Milliseconds(),
-		Closed:      told.Closed,
-		Stopping:    eff.Stopping,
-		Lost:        eff.Lost,
-		Version:     eff.Version,
-		Revision:    eff.Revision,
+	return crmesh.Heartbeat{
+		Incarnation:      d.incarnation,
+		Target:           d.exit.Target(),
+		Load:             told.Load,
+		Slots:            told.Slots,
+		Sick:             uint8(told.UnhealthyProb * 255),
+		TypicalMillis:    told.Typical.Milliseconds(),
+		Closed:           told.Closed,
+		Stopping:         eff.Stopping,
+		StoreUnavailable: eff.StoreUnavailable,
+		PlanVersion:      eff.PlanVersion,
+		RecordRevision:   eff.RecordRevision,
 	}
 }
 
@@ -150,17 +150,17 @@
 	before := d.loop.view.Swap(v)
 	d.entry.Use(v)
 	if !sameRecord(before, v) {
-		d.exit.Use(v.Own)
+		d.exit.Use(v.OwnRecord)
 	}
 	d.forget(v)
 	d.logView(before, v)
 }
 
 func sameRecord(a, b *crmesh.View) bool {
-	if a.Own == nil || b.Own == nil {
-		return a.Own == b.Own
+	if a.OwnRecord == nil || b.OwnRecord == nil {
+		return a.OwnRecord == b.OwnRecord
 	}
-	return *a.Own == *b.Own
+	return *a.OwnRecord == *b.OwnRecord
 }
 
 // forget drops what is kept of targets and daemons that are gone.
@@ -173,7 +173,7 @@
 			daemons[c.Daemon] = true
 		}
 	}
-	for _, id := range v.Daemons {
+	for _, id := range v.Live {
 		daemons[id] = true
 	}
 	d.board.Retain(targets)
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -62,7 +62,7 @@
 	if !known || a.Rate <= 0 {
 		return true, 0
 	}
-	share := v.Share()
+	share := v.RateShare()
 	return m.meter.Take(crclock.Now(), a.Name, a.Rate*share, a.Burst*share)
 }
 
@@ -109,7 +109,7 @@
 	v := q.loop.view.Load()
 	without := []crid.Daemon{step.To, q.self}
 	for range throughMost {
-		d := crquota.Relay(a.Name, v.Daemons, without...)
+		d := crquota.Relay(a.Name, v.Live, without...)
 		if d == "" {
 			break
 		}
@@ -168,7 +168,7 @@
 	defer q.mu.Unlock()
 	q.silent[w] = crclock.Now().Add(ownerRest)
 	if w.as != crquota.ToRelay {
-		q.loop.emit(crmesh.Unanswered{Now: crclock.Now(), By: w.to})
+		q.loop.emit(crmesh.TokenRequestUnanswered{Now: crclock.Now(), Peer: w.to})
 	}
 	q.log.Event(crlog.OwnerSilent, crlog.Fields{"peer": string(w.to), "account": string(a), "through": strconv.FormatBool(w.as == crquota.ToRelay)})
 }
--- a/io/crtrace/event.go
+++ b/io/crtrace/event.go
@@ -30,7 +30,7 @@
 		"started":   reflect.TypeFor[crevent.Started](),
 		"tick":      reflect.TypeFor[crevent.Tick](),
 		"stopping":  reflect.TypeFor[crevent.Stopping](),
-		"advertise": reflect.TypeFor[crmember.Advertise](),
+		"advertise": reflect.TypeFor[crmember.AdvertiseConfig](),
 		"watched":   reflect.TypeFor[crconfig.WatchResult](),
 		"used":      reflect.TypeFor[craccount.UsageDrained](),
 		"observed":  reflect.TypeFor[crhealth.Observed](),
@@ -187,7 +187,7 @@
 	switch eff := eff.(type) {
 	case crevent.Send:
 		return []any{eff.To, eff.Msg.MessageKind(), redactMessage(eff.Msg)}
-	case crinstance.Listed:
+	case crinstance.ListUpdated:
 		return []any{eff.Now, eff.List.Revision(), eff.List.Instances()}
 	case crconfig.Applied:
 		return []any{eff.Now, eff.Snapshot.Revision()}
--- a/io/crtrace/trace_test.go
+++ b/io/crtrace/trace_test.go
@@ -180,7 +180,7 @@
 		return crconfig.Applied{Snapshot: crpolicy.NewSnapshot(rev, nil, nil)}
 	}
 	tenure := func(list crid.Revision, until crid.Instant) crevent.Effect {
-		return crmember.Tenure{Active: list, Until: until}
+		return crmember.Lease{Active: list, Until: until}
 	}
 	grant := crevent.Send{To: "b", Msg: craccount.Grant{Items: []craccount.GrantItem{{Account: "a", Tokens: 1}}}}
 	for _, tt := range []struct {
@@ -194,9 +194,9 @@
 		{"tenure comes back", []crevent.Effect{tenure(2, 9), tenure(2, 0), tenure(2, 20)}, false},
 		{"tenure under an older list", []crevent.Effect{tenure(2, 9), tenure(0, 0), tenure(1, 20)}, true},
 		{"grant with tenure", []crevent.Effect{tenure(2, 11), grant}, false},
-		{"grant in a handover", []crevent.Effect{tenure(2, 9), crmember.Tenure{Now: 9, Bridge: 11}, grant}, false},
-		{"grant after the bridge", []crevent.Effect{crmember.Tenure{Now: 9, Bridge: 10}, grant}, true},
-		{"grant on a bridge that tenure ended", []crevent.Effect{crmember.Tenure{Active: 2, Until: 10, Bridge: 20}, grant}, true},
+		{"grant in a handover", []crevent.Effect{tenure(2, 9), crmember.Lease{Now: 9, JointUntil: 11}, grant}, false},
+		{"grant after the bridge", []crevent.Effect{crmember.Lease{Now: 9, JointUntil: 10}, grant}, true},
+		{"grant on a bridge that tenure ended", []crevent.Effect{crmember.Lease{Active: 2, Until: 10, JointUntil: 20}, grant}, true},
 		{"grant after tenure", []crevent.Effect{tenure(2, 10), grant}, true},
 		{"grant without tenure", []crevent.Effect{grant}, true},
 	} {
@@ -218,11 +218,11 @@
 	}
 	policy := crpolicy.NewSnapshot(1, []crpolicy.Service{{Name: "booking", Floor: 2}}, nil)
 	start := []crevent.Effect{
-		crinstance.Listed{List: crinstance.NewList(1, instances)},
+		crinstance.ListUpdated{List: crinstance.NewList(1, instances)},
 		crconfig.Applied{Snapshot: policy},
-		crmember.Peers{Peers: []crmember.Peer{{Daemon: "b", Reachable: true}, {Daemon: "c", Reachable: true}}},
+		crmember.PeersChanged{Peers: []crmember.Peer{{Daemon: "b", Reachable: true}, {Daemon: "c", Reachable: true}}},
 	}
-	lost := crmember.Peers{Peers: []crmember.Peer{{Daemon: "b", Reachable: true}, {Daemon: "c"}}}
+	lost := crmember.PeersChanged{Peers: []crmember.Peer{{Daemon: "b", Reachable: true}, {Daemon: "c"}}}
 	steer := func(weight int, ejected ...crid.Target) crevent.Effect {
 		s := crhealth.RoutingUpdate{Service: "booking"}
 		for _, target := range ejected {
@@ -295,7 +295,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	beat := crmember.Beat{Seq: 9, Inc: 1 << 60, Cur: 2, Floor: 2, Conf: 1, Echo: crmember.Echo{Inc: 1 << 59, Seq: 8}}
+	beat := crmember.Heartbeat{Seq: 9, Incarnation: 1 << 60, Newest: 2, LastActive: 2, ConfigRevision: 1, Echo: crmember.Echo{Incarnation: 1 << 59, Seq: 8}}
 	for b.Loop() {
 		rec.Event(crevent.Received{Now: 1, From: "booking-2", Msg: beat})
 		rec.Effects([]crevent.Effect{crevent.Send{To: "booking-2", Msg: beat}})
--- a/io/crwatch/track.go
+++ b/io/crwatch/track.go
@@ -157,10 +157,10 @@
 	t.mu.Unlock()
 	changes := t.changes(items)
 	if whole {
-		t.opts.Emit(crmesh.Listed{Now: now, Changes: changes, Revision: at})
+		t.opts.Emit(crmesh.RecordsListed{Now: now, Changes: changes, Revision: at})
 		return
 	}
-	t.opts.Emit(crmesh.Changed{Now: now, Changes: changes, Revision: at})
+	t.opts.Emit(crmesh.RecordsChanged{Now: now, Changes: changes, Revision: at})
 }
 
 // succeeded notes that the store has answered. Peers are told so only when its answer
@@ -228,10 +228,10 @@
 	}
 	now := t.opts.Clock()
 	if down {
-		t.opts.Emit(crmesh.StoreLost{Now: now, Peers: peers})
+		t.opts.Emit(crmesh.StoreUnavailable{Now: now, ReportedByPeers: peers})
 		return
 	}
-	t.opts.Emit(crmesh.StoreBack{Now: now})
+	t.opts.Emit(crmesh.StoreAvailable{Now: now})
 }
 
 func rounded(d time.Duration) string { return d.Round(time.Millisecond).String() }
