--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -314,7 +314,7 @@
 
 func (m *member) pull(ctx context.Context, from crid.Daemon) {
 	d := m.fleet.members[from]
-	have := m.follower.Have()
+	have := m.follower.Revisions()
 	time.Sleep(2 * m.delay(d))
 	if ctx.Err() != nil {
 		return
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -133,7 +133,7 @@
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	var c crwatch.Copy
-	if err := d.peers.Fetch(ctx, from, d.follower.Have(), &c); err != nil {
+	if err := d.peers.Fetch(ctx, from, d.follower.Revisions(), &c); err != nil {
 		d.log.Event(crlog.PeerCopyFailed, crlog.Fields{"peer": string(from), "error": err.Error()})
 		return
 	}
--- a/io/crwatch/copy.go
+++ b/io/crwatch/copy.go
@@ -12,8 +12,8 @@
 	Configuration crid.Revision
 }
 
-// Have returns how far this daemon is.
-func (f *Follower) Have() Have {
+// Revisions returns how far this daemon is.
+func (f *Follower) Revisions() Have {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return Have{Records: f.at[Records], Configuration: f.configuration()}
