--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -148,7 +148,7 @@
 
 // copyFor returns what a peer lacks of the store.
 func (d *daemon) copyFor(data []byte) (any, error) {
-	var have crwatch.Have
+	var have crwatch.Revisions
 	if err := cbor.Unmarshal(data, &have); err != nil {
 		return nil, fmt.Errorf("decode what the peer has: %w", err)
 	}
--- a/io/crwatch/copy.go
+++ b/io/crwatch/copy.go
@@ -5,18 +5,18 @@
 	"camphorroad/core/crmesh"
 )
 
-// Have says what a daemon holds of the store, for a peer that it asks for more.
-type Have struct {
+// Revisions says what a daemon holds of the store, for a peer that it asks for more.
+type Revisions struct {
 	_             struct{} `cbor:",toarray"`
 	Records       crid.Revision
 	Configuration crid.Revision
 }
 
 // Revisions returns how far this daemon is.
-func (f *Follower) Revisions() Have {
+func (f *Follower) Revisions() Revisions {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return Have{Records: f.at[Records], Configuration: f.configuration()}
+	return Revisions{Records: f.at[Records], Configuration: f.configuration()}
 }
 
 // configuration is the revision of the configuration held; zero: none.
@@ -38,7 +38,7 @@
 // Copy returns what is newer than what a peer has. A list of records and a
 // configuration are tens of kilobytes each; sent whole to all who lacked one of
 // them, they filled the link of a daemon that many asked at a time.
-func (f *Follower) Copy(peer Have) Copy {
+func (f *Follower) Copy(peer Revisions) Copy {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := Copy{Configuration: f.pack(f.newer(peer.Configuration))}
