--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -132,7 +132,7 @@
 func (d *daemon) pull(ctx context.Context, from crid.Daemon) {
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
-	var c crwatch.Copy
+	var c crwatch.Update
 	if err := d.peers.Fetch(ctx, from, d.follower.Revisions(), &c); err != nil {
 		d.log.Event(crlog.PeerCopyFailed, crlog.Fields{"peer": string(from), "error": err.Error()})
 		return
--- a/io/crwatch/copy.go
+++ b/io/crwatch/copy.go
@@ -28,8 +28,8 @@
 	return r
 }
 
-// Copy is what a daemon holds of the store that a peer lacks.
-type Copy struct {
+// Update is what a daemon holds of the store that a peer lacks.
+type Update struct {
 	Records         []Item        `cbor:"r"`
 	RecordsRevision crid.Revision `cbor:"n"` // zero: the peer's are as new
 	Configuration   []Item        `cbor:"c"`
@@ -38,10 +38,10 @@
 // Copy returns what is newer than what a peer has. A list of records and a
 // configuration are tens of kilobytes each; sent whole to all who lacked one of
 // them, they filled the link of a daemon that many asked at a time.
-func (f *Follower) Copy(peer Revisions) Copy {
+func (f *Follower) Copy(peer Revisions) Update {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c := Copy{Configuration: f.pack(f.newer(peer.Configuration))}
+	c := Update{Configuration: f.pack(f.newer(peer.Configuration))}
 	if f.at[Records] <= peer.Records {
 		return c
 	}
@@ -53,7 +53,7 @@
 }
 
 // Take takes what a peer held, where it is newer.
-func (f *Follower) Take(c Copy) error {
+func (f *Follower) Take(c Update) error {
 	now := f.opts.Clock()
 	configuration, err := Unpack(c.Configuration)
 	if err != nil {
