--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -152,7 +152,7 @@
 	if err := cbor.Unmarshal(data, &have); err != nil {
 		return nil, fmt.Errorf("decode what the peer has: %w", err)
 	}
-	return d.follower.Copy(have), nil
+	return d.follower.UpdateFor(have), nil
 }
 
 // pagesAddress is where operators read state and metrics.
--- a/io/crwatch/copy.go
+++ b/io/crwatch/copy.go
@@ -35,10 +35,10 @@
 	Configuration   []Item        `cbor:"c"`
 }
 
-// Copy returns what is newer than what a peer has. A list of records and a
+// UpdateFor returns what is newer than what a peer has. A list of records and a
 // configuration are tens of kilobytes each; sent whole to all who lacked one of
 // them, they filled the link of a daemon that many asked at a time.
-func (f *Follower) Copy(peer Revisions) Update {
+func (f *Follower) UpdateFor(peer Revisions) Update {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := Update{Configuration: f.pack(f.newer(peer.Configuration))}
--- a/io/crwatch/history_test.go
+++ b/io/crwatch/history_test.go
@@ -154,10 +154,10 @@
 	s := &store{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5, watch: make(chan answer)}
 	f := follow(t, s)
 	g.Eventually(func() error { _, _, err := f.Held(crwatch.Records); return err }).Should(gomega.Succeed())
-	c := f.Copy(crwatch.Revisions{Records: 3})
+	c := f.UpdateFor(crwatch.Revisions{Records: 3})
 	g.Expect(keys(c.Records)).To(gomega.Equal([]string{"a"}))
 	g.Expect(c.RecordsRevision).To(gomega.Equal(crid.Revision(5)))
-	c = f.Copy(crwatch.Revisions{Records: 5})
+	c = f.UpdateFor(crwatch.Revisions{Records: 5})
 	g.Expect(c.Records).To(gomega.BeEmpty())
 	g.Expect(c.RecordsRevision).To(gomega.BeZero())
 }
