--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -319,7 +319,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	_ = m.follower.Take(d.follower.UpdateFor(have)) // what this store holds can be decoded
+	_ = m.follower.Apply(d.follower.UpdateFor(have)) // what this store holds can be decoded
 }
 
 var errSilent = errors.New("no answer")
--- a/io/crwatch/copy.go
+++ b/io/crwatch/copy.go
@@ -52,8 +52,8 @@
 	return c
 }
 
-// Take takes what a peer held, where it is newer.
-func (f *Follower) Take(c Update) error {
+// Apply takes what a peer held, where it is newer.
+func (f *Follower) Apply(c Update) error {
 	now := f.opts.Clock()
 	configuration, err := Unpack(c.Configuration)
 	if err != nil {
