--- a/io/crfeed/crfeed.go
+++ b/io/crfeed/crfeed.go
@@ -256,7 +256,7 @@
 		}
 	}
 	if away && !f.mayLook(q.Scope) {
-		return nil, 0, crwatch.ErrAway
+		return nil, 0, crwatch.ErrUnavailable
 	}
 	return nil, 0, errDirect
 }
--- a/io/crfeed/crfeed_test.go
+++ b/io/crfeed/crfeed_test.go
@@ -149,7 +149,7 @@
 	_, _, err := r.watch(t)
 	g.Expect(err).To(gomega.MatchError("busy"))
 	_, _, err = r.watch(t)
-	g.Expect(err).To(gomega.MatchError(crwatch.ErrAway))
+	g.Expect(err).To(gomega.MatchError(crwatch.ErrUnavailable))
 	g.Expect(r.store.calls).To(gomega.Equal(1))
 	r.now = r.now.Add(3 * time.Second)
 	_, _, err = r.watch(t)
--- a/io/crwatch/history.go
+++ b/io/crwatch/history.go
@@ -8,8 +8,8 @@
 	"camphorroad/core/crid"
 )
 
-// ErrAway tells that the store cannot be read at present.
-var ErrAway = errors.New("the store is away")
+// ErrUnavailable tells that the store cannot be read at present.
+var ErrUnavailable = errors.New("the store is away")
 
 // firstRevision is the least revision of a store that was ever written to.
 const firstRevision crid.Revision = 1
@@ -57,7 +57,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.away[scope] {
-		return nil, 0, ErrAway
+		return nil, 0, ErrUnavailable
 	}
 	items := make([]Item, 0, len(f.values[scope]))
 	for _, i := range f.values[scope] {
@@ -67,7 +67,7 @@
 }
 
 // Since returns the changes of a scope after a revision, packed, as soon as there
-// are any, or none after the wait. It ends at once with [ErrAway] when the store is lost:
+// are any, or none after the wait. It ends at once with [ErrUnavailable] when the store is lost:
 // records that run out then do not mean that their targets leave, and a peer has
 // to know.
 func (f *Follower) Since(ctx context.Context, scope Scope, after crid.Revision, wait time.Duration) ([]Item, crid.Revision, error) {
@@ -102,7 +102,7 @@
 		// A newer one counts wherever it came from: a peer, as a rule, if the
 		// store is away.
 	case f.away[scope]:
-		return nil, 0, nil, ErrAway
+		return nil, 0, nil, ErrUnavailable
 	case scope == Records:
 		items, err = f.history.after(after)
 	}
--- a/io/crwatch/history_test.go
+++ b/io/crwatch/history_test.go
@@ -134,7 +134,7 @@
 			told <- err
 		}
 	}
-	g.Eventually(told, 3*time.Second).Should(gomega.Receive(gomega.MatchError(crwatch.ErrAway)))
+	g.Eventually(told, 3*time.Second).Should(gomega.Receive(gomega.MatchError(crwatch.ErrUnavailable)))
 }
 
 // A reader that has not listed yet knows nothing, which must not look like a store
@@ -143,7 +143,7 @@
 	g := gomega.NewWithT(t)
 	f := crwatch.New(crwatch.Options{})
 	_, _, err := f.Held(crwatch.Records)
-	g.Expect(err).To(gomega.MatchError(crwatch.ErrAway))
+	g.Expect(err).To(gomega.MatchError(crwatch.ErrUnavailable))
 }
 
 // Many daemons lack a change at one time. Each is sent only what is newer than
@@ -252,7 +252,7 @@
 				return
 			}
 			items, _, err := f.Held(crwatch.Records)
-			if errors.Is(err, crwatch.ErrAway) {
+			if errors.Is(err, crwatch.ErrUnavailable) {
 				served <- 1
 				return
 			}
--- a/io/crwatch/track.go
+++ b/io/crwatch/track.go
@@ -197,7 +197,7 @@
 		t.Renew()
 		t.pause = 0 // the call took long enough to spare the store
 	}
-	if silent || now.Sub(t.failing) >= lostAfter || errors.Is(err, ErrAway) {
+	if silent || now.Sub(t.failing) >= lostAfter || errors.Is(err, ErrUnavailable) {
 		t.lost(err)
 	}
 	t.pause = min(max(2*t.pause, retryFirst), retryMost)
@@ -207,7 +207,7 @@
 // lost notes that the store cannot be read: once as peers say, and once more as
 // this daemon's own calls show.
 func (t *track) lost(err error) {
-	peers := errors.Is(err, ErrAway)
+	peers := errors.Is(err, ErrUnavailable)
 	if t.told && (t.own || peers) {
 		return
 	}
