--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -207,7 +207,7 @@
 		Readers: func() []crid.Daemon { return m.view.Load().Readers }, Coming: func() bool { return m.view.Load().Coming },
 	})
 	m.follower = crwatch.New(crwatch.Options{
-		Store: m.feed, Decoder: versions{}, Clock: f.now, Emit: m.emit, Log: log, Lookers: func() int { return m.view.Load().Lookers },
+		Store: m.feed, Decoder: versions{}, Clock: f.now, Emit: m.emit, Log: log, ReaderCount: func() int { return m.view.Load().Lookers },
 	})
 	f.members[id] = m
 	f.store.register(m)
--- a/io/crmesh/crmesh.go
+++ b/io/crmesh/crmesh.go
@@ -120,7 +120,7 @@
 func newFollower(opts Options, loop *loop, feed *crfeed.Feed, l *crlog.Logger) *crwatch.Follower {
 	return crwatch.New(crwatch.Options{
 		Store: feed, Decoder: opts.Decoder, Clock: crclock.Now, Emit: loop.emit, Log: l,
-		Lookers: func() int { return loop.view.Load().Lookers },
+		ReaderCount: func() int { return loop.view.Load().Lookers },
 	})
 }
 
--- a/io/crwatch/crwatch.go
+++ b/io/crwatch/crwatch.go
@@ -101,7 +101,7 @@
 	Decoder Decoder
 	Clock   func() crid.Instant
 	Emit    func(crevent.Event)
-	Lookers func() int // daemons of the fleet that read the store
+	ReaderCount func() int // daemons of the fleet that read the store
 	Log     *crlog.Logger
 }
 
--- a/io/crwatch/history_test.go
+++ b/io/crwatch/history_test.go
@@ -62,7 +62,7 @@
 	t.Helper()
 	q := crlog.NewQueue()
 	f := crwatch.New(crwatch.Options{
-		Store: s, Decoder: decoder{}, Clock: crclock.Now, Emit: func(crevent.Event) {}, Lookers: func() int { return 6 },
+		Store: s, Decoder: decoder{}, Clock: crclock.Now, Emit: func(crevent.Event) {}, ReaderCount: func() int { return 6 },
 		Log: crlog.New(q, "info", "test"),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -246,7 +246,7 @@
 	var f *crwatch.Follower
 	served := make(chan int, 1)
 	f = crwatch.New(crwatch.Options{
-		Store: s, Decoder: decoder{}, Clock: crclock.Now, Lookers: func() int { return 1 }, Log: crlog.New(q, "info", "test"),
+		Store: s, Decoder: decoder{}, Clock: crclock.Now, ReaderCount: func() int { return 1 }, Log: crlog.New(q, "info", "test"),
 		Emit: func(ev crevent.Event) {
 			if _, ok := ev.(crmesh.StoreBack); !ok {
 				return
--- a/io/crwatch/renew_test.go
+++ b/io/crwatch/renew_test.go
@@ -69,7 +69,7 @@
 		began := time.Now()
 		f := crwatch.New(crwatch.Options{
 			Store: s, Decoder: decoder{}, Clock: func() crid.Instant { return crid.Instant(time.Hour + time.Since(began)) },
-			Emit: func(crevent.Event) {}, Lookers: func() int { return 6 }, Log: crlog.New(io.Discard, "info", "test"),
+			Emit: func(crevent.Event) {}, ReaderCount: func() int { return 6 }, Log: crlog.New(io.Discard, "info", "test"),
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), d)
 		defer cancel()
--- a/io/crwatch/track.go
+++ b/io/crwatch/track.go
@@ -100,7 +100,7 @@
 		t.renewed, t.aligned = false, true
 		return waitLeast
 	}
-	turn := min(lookEvery*time.Duration(max(t.opts.Lookers(), 1)), waitMost*2/3)
+	turn := min(lookEvery*time.Duration(max(t.opts.ReaderCount(), 1)), waitMost*2/3)
 	if t.aligned {
 		t.aligned = false
 		return waitLeast + rand.N(max(turn-waitLeast, 1))
