--- a/io/crmesh/meters.go
+++ b/io/crmesh/meters.go
@@ -65,8 +65,8 @@
 		"store.calls.total":                      d.feed.Calls,
 		"feed.asked.total":                       d.feed.Asked,
 		"store.faults.total":                     d.follower.Faults,
-		"store.records.quiet.milliseconds":       func() int64 { return d.follower.Quiet(crwatch.Records).Milliseconds() },
-		"store.configuration.quiet.milliseconds": func() int64 { return d.follower.Quiet(crwatch.Configuration).Milliseconds() },
+		"store.records.quiet.milliseconds":       func() int64 { return d.follower.SinceLastRead(crwatch.Records).Milliseconds() },
+		"store.configuration.quiet.milliseconds": func() int64 { return d.follower.SinceLastRead(crwatch.Configuration).Milliseconds() },
 	} {
 		// The library refuses only a name that is taken, which none of these is.
 		_ = d.metrics.Register(name, metrics.NewFunctionalGauge(read))
--- a/io/crwatch/crwatch.go
+++ b/io/crwatch/crwatch.go
@@ -171,8 +171,8 @@
 // reads it.
 func (f *Follower) Faults() int64 { return f.faults.Load() }
 
-// Quiet is the time since a scope was read last, from the store or a reader.
-func (f *Follower) Quiet(scope Scope) time.Duration {
+// SinceLastRead is the time since a scope was read last, from the store or a reader.
+func (f *Follower) SinceLastRead(scope Scope) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.opts.Clock().Sub(f.heard[scope])
--- a/io/crwatch/track.go
+++ b/io/crwatch/track.go
@@ -214,7 +214,7 @@
 	t.told, t.own = true, !peers
 	t.setAway(t.scope, true)
 	t.opts.Log.Event(crlog.StoreLost, crlog.Fields{
-		"scope": t.scope.String(), "error": err.Error(), "quiet": rounded(t.Quiet(t.scope)),
+		"scope": t.scope.String(), "error": err.Error(), "quiet": rounded(t.SinceLastRead(t.scope)),
 	})
 	t.mark(true, peers)
 }
