--- a/io/crmesh/meters.go
+++ b/io/crmesh/meters.go
@@ -64,7 +64,7 @@
 		"plan.version":                           d.planVersion,
 		"store.calls.total":                      d.feed.Calls,
 		"feed.asked.total":                       d.feed.Asked,
-		"store.faults.total":                     d.follower.Faults,
+		"store.faults.total":                     d.follower.Failures,
 		"store.records.quiet.milliseconds":       func() int64 { return d.follower.SinceLastRead(crwatch.Records).Milliseconds() },
 		"store.configuration.quiet.milliseconds": func() int64 { return d.follower.SinceLastRead(crwatch.Configuration).Milliseconds() },
 	} {
--- a/io/crwatch/crwatch.go
+++ b/io/crwatch/crwatch.go
@@ -167,9 +167,9 @@
 	}
 }
 
-// Faults is the number of calls that failed, of the store or of a peer that
+// Failures is the number of calls that failed, of the store or of a peer that
 // reads it.
-func (f *Follower) Faults() int64 { return f.faults.Load() }
+func (f *Follower) Failures() int64 { return f.faults.Load() }
 
 // SinceLastRead is the time since a scope was read last, from the store or a reader.
 func (f *Follower) SinceLastRead(scope Scope) time.Duration {
