--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -262,7 +262,7 @@
 		case crmesh.Pull:
 			go m.pull(ctx, eff.From)
 		case crmesh.Renew:
-			m.follower.Renew()
+			m.follower.RestartWatches()
 		}
 	}
 }
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -106,7 +106,7 @@
 		case crmesh.Pull:
 			go d.pull(ctx, eff.From)
 		case crmesh.Renew:
-			d.follower.Renew()
+			d.follower.RestartWatches()
 		}
 	}
 }
--- a/io/crwatch/crwatch.go
+++ b/io/crwatch/crwatch.go
@@ -152,9 +152,9 @@
 // errRenewed ends a watch that is to be sent anew.
 var errRenewed = errors.New("the watch is sent anew")
 
-// Renew sends the watches anew that wait for changes. One whose answer will never
+// RestartWatches sends the watches anew that wait for changes. One whose answer will never
 // come leaves this daemon deaf until its wait is over.
-func (f *Follower) Renew() {
+func (f *Follower) RestartWatches() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.interrupt(errRenewed)
--- a/io/crwatch/renew_test.go
+++ b/io/crwatch/renew_test.go
@@ -122,7 +122,7 @@
 	var renewed time.Time
 	play(t, s, 10*turn, func(f *crwatch.Follower) {
 		renewed = time.Now()
-		f.Renew()
+		f.RestartWatches()
 		synctest.Wait()
 	})
 	for scope, began := range s.began {
@@ -142,7 +142,7 @@
 	for range 20 {
 		s := newMute()
 		play(t, s, 10*turn, func(f *crwatch.Follower) {
-			f.Renew()
+			f.RestartWatches()
 			synctest.Wait()
 		})
 		for scope, waits := range s.waits {
--- a/io/crwatch/track.go
+++ b/io/crwatch/track.go
@@ -194,7 +194,7 @@
 	}
 	silent := errors.Is(err, context.DeadlineExceeded)
 	if silent {
-		t.Renew()
+		t.RestartWatches()
 		t.pause = 0 // the call took long enough to spare the store
 	}
 	if silent || now.Sub(t.failing) >= lostAfter || errors.Is(err, ErrUnavailable) {
