--- a/io/crwatch/crwatch.go
+++ b/io/crwatch/crwatch.go
@@ -53,7 +53,7 @@
 	Value    []byte        `cbor:"v"`
 	Revision crid.Revision `cbor:"r"`
 	Removed  bool          `cbor:"d,omitempty"`
-	Packed   bool          `cbor:"z,omitempty"` // the value is packed, on its way between daemons
+	Compressed   bool          `cbor:"z,omitempty"` // the value is packed, on its way between daemons
 }
 
 // ErrCompacted tells that the store no longer has the history asked for.
--- a/io/crwatch/history_test.go
+++ b/io/crwatch/history_test.go
@@ -189,7 +189,7 @@
 // A damaged value must not be taken for a configuration.
 func TestADamagedValueIsAnError(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, err := crwatch.Unpack([]crwatch.Item{{Key: "op", Value: []byte("no such form"), Packed: true}})
+	_, err := crwatch.Unpack([]crwatch.Item{{Key: "op", Value: []byte("no such form"), Compressed: true}})
 	g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring("op")))
 }
 
--- a/io/crwatch/pack.go
+++ b/io/crwatch/pack.go
@@ -35,7 +35,7 @@
 		if len(i.Value) < packFrom {
 			continue
 		}
-		items[n].Value, items[n].Packed = f.packedValue(i), true
+		items[n].Value, items[n].Compressed = f.packedValue(i), true
 	}
 	return items
 }
@@ -56,7 +56,7 @@
 // Unpack returns items as the store told them.
 func Unpack(items []Item) ([]Item, error) {
 	for n, i := range items {
-		if !i.Packed {
+		if !i.Compressed {
 			continue
 		}
 		value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(i.Value)), maxUnpacked+1))
@@ -66,7 +66,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("unpack %s: %w", i.Key, err)
 		}
-		items[n].Value, items[n].Packed = value, false
+		items[n].Value, items[n].Compressed = value, false
 	}
 	return items, nil
 }
