--- a/io/crfeed/crfeed.go
+++ b/io/crfeed/crfeed.go
@@ -241,7 +241,7 @@
 		}
 		var items []crwatch.Item
 		if err == nil {
-			items, err = crwatch.Unpack(page.Items)
+			items, err = crwatch.Decompress(page.Items)
 		}
 		switch {
 		case err != nil:
--- a/io/crwatch/copy.go
+++ b/io/crwatch/copy.go
@@ -55,7 +55,7 @@
 // Apply takes what a peer held, where it is newer.
 func (f *Follower) Apply(c Update) error {
 	now := f.opts.Clock()
-	configuration, err := Unpack(c.Configuration)
+	configuration, err := Decompress(c.Configuration)
 	if err != nil {
 		return err
 	}
--- a/io/crwatch/history_test.go
+++ b/io/crwatch/history_test.go
@@ -178,7 +178,7 @@
 			size += len(i.Value)
 		}
 		g.Expect(size).To(gomega.BeNumerically("<", len(large)/10))
-		whole, err := crwatch.Unpack(items)
+		whole, err := crwatch.Decompress(items)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(whole).To(gomega.ConsistOf(
 			crwatch.Item{Key: "a", Revision: 4, Value: large}, crwatch.Item{Key: "b", Revision: 5, Value: []byte("small")},
@@ -189,7 +189,7 @@
 // A damaged value must not be taken for a configuration.
 func TestADamagedValueIsAnError(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, err := crwatch.Unpack([]crwatch.Item{{Key: "op", Value: []byte("no such form"), Compressed: true}})
+	_, err := crwatch.Decompress([]crwatch.Item{{Key: "op", Value: []byte("no such form"), Compressed: true}})
 	g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring("op")))
 }
 
--- a/io/crwatch/pack.go
+++ b/io/crwatch/pack.go
@@ -53,8 +53,8 @@
 	return b.Bytes()
 }
 
-// Unpack returns items as the store told them.
-func Unpack(items []Item) ([]Item, error) {
+// Decompress returns items as the store told them.
+func Decompress(items []Item) ([]Item, error) {
 	for n, i := range items {
 		if !i.Compressed {
 			continue
