--- a/io/crfeed/crfeed.go
+++ b/io/crfeed/crfeed.go
@@ -76,8 +76,8 @@
 	Feed(ctx context.Context, d crid.Daemon, q croffer.FeedQuery) (croffer.FeedPage, error)
 }
 
-// Held is what a reader knows of the store.
-type Held interface {
+// Source is what a reader knows of the store.
+type Source interface {
 	Held(scope crwatch.Scope) ([]crwatch.Item, crid.Revision, error)
 	Since(ctx context.Context, scope crwatch.Scope, after crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error)
 }
@@ -340,7 +340,7 @@
 // Serve answers a daemon that reads through this one. One that reads through
 // others itself must not: two daemons that read through each other would both
 // wait for ever.
-func (f *Feed) Serve(ctx context.Context, held Held, q croffer.FeedQuery) croffer.FeedPage {
+func (f *Feed) Serve(ctx context.Context, held Source, q croffer.FeedQuery) croffer.FeedPage {
 	if !slices.Contains(f.opts.Readers(), f.opts.Self) {
 		return croffer.FeedPage{State: croffer.FeedElsewhere}
 	}
