--- a/io/crfeed/crfeed.go
+++ b/io/crfeed/crfeed.go
@@ -89,7 +89,7 @@
 	Peers   Peers
 	Readers func() []crid.Daemon // of the own domain; none: not known yet
 	Clock   func() crid.Instant
-	Coming  func() bool // others of the own domain are to be heard for the first time
+	PeersPending  func() bool // others of the own domain are to be heard for the first time
 	Log     *crlog.Logger
 }
 
@@ -207,7 +207,7 @@
 	f.mu.Lock()
 	last, now := f.read[scope], f.opts.Clock()
 	f.mu.Unlock()
-	if now.Sub(f.began) >= settle || now.Sub(last) >= settlePause || !f.opts.Coming() {
+	if now.Sub(f.began) >= settle || now.Sub(last) >= settlePause || !f.opts.PeersPending() {
 		return false
 	}
 	return !slices.ContainsFunc(f.opts.Readers(), func(d crid.Daemon) bool { return d != f.opts.Self })
--- a/io/crfeed/crfeed_test.go
+++ b/io/crfeed/crfeed_test.go
@@ -62,7 +62,7 @@
 	r := &rig{store: &store{}, peers: &peers{pages: make(map[crid.Daemon]croffer.FeedPage)}, readers: readers, now: start}
 	r.feed = crfeed.New(crfeed.Options{
 		Self: "self", Store: r.store, Peers: r.peers, Readers: func() []crid.Daemon { return r.readers }, Clock: func() crid.Instant { return r.now },
-		Coming: func() bool { return false }, Log: crlog.New(io.Discard, "info", "self"),
+		PeersPending: func() bool { return false }, Log: crlog.New(io.Discard, "info", "self"),
 	})
 	return r
 }
@@ -238,7 +238,7 @@
 	r := &rig{store: &store{}, peers: &peers{pages: map[crid.Daemon]croffer.FeedPage{"a": served()}}, readers: []crid.Daemon{"self"}, now: start}
 	r.feed = crfeed.New(crfeed.Options{
 		Self: "self", Store: r.store, Peers: r.peers, Readers: func() []crid.Daemon { return r.readers },
-		Clock: func() crid.Instant { return r.now }, Coming: func() bool { return coming }, Log: crlog.New(io.Discard, "info", "self"),
+		Clock: func() crid.Instant { return r.now }, PeersPending: func() bool { return coming }, Log: crlog.New(io.Discard, "info", "self"),
 	})
 	_, _, err := r.feed.List(t.Context(), crwatch.Records)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -204,7 +204,7 @@
 	log := crlog.New(io.Discard, "info", string(id))
 	m.feed = crfeed.New(crfeed.Options{
 		Self: id, Store: line{f.store, id}, Peers: m, Clock: f.now, Log: log,
-		Readers: func() []crid.Daemon { return m.view.Load().Readers }, Coming: func() bool { return m.view.Load().Coming },
+		Readers: func() []crid.Daemon { return m.view.Load().Readers }, PeersPending: func() bool { return m.view.Load().Coming },
 	})
 	m.follower = crwatch.New(crwatch.Options{
 		Store: m.feed, Decoder: versions{}, Clock: f.now, Emit: m.emit, Log: log, ReaderCount: func() int { return m.view.Load().Lookers },
