--- a/io/crfeed/crfeed.go
+++ b/io/crfeed/crfeed.go
@@ -127,8 +127,8 @@
 // for changes they would hold up its planned stop.
 func (f *Feed) Stop() { f.end() }
 
-// Calls is the number of calls of the store itself so far.
-func (f *Feed) Calls() int64 { return f.calls.Load() }
+// StoreCalls is the number of calls of the store itself so far.
+func (f *Feed) StoreCalls() int64 { return f.calls.Load() }
 
 // Asked is the number of questions to readers so far.
 func (f *Feed) Asked() int64 { return f.asked.Load() }
