--- a/io/crfeed/crfeed.go
+++ b/io/crfeed/crfeed.go
@@ -130,8 +130,8 @@
 // StoreCalls is the number of calls of the store itself so far.
 func (f *Feed) StoreCalls() int64 { return f.calls.Load() }
 
-// Asked is the number of questions to readers so far.
-func (f *Feed) Asked() int64 { return f.asked.Load() }
+// ReaderQueries is the number of questions to readers so far.
+func (f *Feed) ReaderQueries() int64 { return f.asked.Load() }
 
 // List implements [crwatch.Store].
 func (f *Feed) List(ctx context.Context, scope crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
--- a/io/crmesh/meters.go
+++ b/io/crmesh/meters.go
@@ -63,7 +63,7 @@
 		"peers.alive":                            func() int64 { return int64(len(d.loop.view.Load().Daemons) - 1) },
 		"plan.version":                           d.planVersion,
 		"store.calls.total":                      d.feed.StoreCalls,
-		"feed.asked.total":                       d.feed.Asked,
+		"feed.asked.total":                       d.feed.ReaderQueries,
 		"store.faults.total":                     d.follower.Failures,
 		"store.records.quiet.milliseconds":       func() int64 { return d.follower.SinceLastRead(crwatch.Records).Milliseconds() },
 		"store.configuration.quiet.milliseconds": func() int64 { return d.follower.SinceLastRead(crwatch.Configuration).Milliseconds() },
