--- a/io/crplatform/client.go
+++ b/io/crplatform/client.go
@@ -99,7 +99,7 @@
 		list, err = c.pages(ctx)
 	}
 	if errors.Is(err, errTorn) {
-		return crinstance.List{}, oops.Wrapf(ErrAway, "%v", err)
+		return crinstance.List{}, oops.Wrapf(ErrUnavailable, "%v", err)
 	}
 	return list, err
 }
@@ -134,7 +134,7 @@
 		return err
 	}
 	if err := json.Unmarshal(data, v); err != nil {
-		return oops.Wrapf(ErrAway, "unreadable answer: %v", err)
+		return oops.Wrapf(ErrUnavailable, "unreadable answer: %v", err)
 	}
 	return nil
 }
@@ -146,7 +146,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, oops.Wrapf(ErrAway, "%v", err)
+		return nil, oops.Wrapf(ErrUnavailable, "%v", err)
 	}
 	defer resp.Body.Close()
 	switch resp.StatusCode {
@@ -154,11 +154,11 @@
 	case http.StatusNotFound:
 		return nil, oops.Wrapf(ErrNotFound, "%s", req.URL.Path)
 	default:
-		return nil, oops.Wrapf(ErrAway, "status %d", resp.StatusCode)
+		return nil, oops.Wrapf(ErrUnavailable, "status %d", resp.StatusCode)
 	}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, crconfig.MaxValueSize))
 	if err != nil {
-		return nil, oops.Wrapf(ErrAway, "%v", err)
+		return nil, oops.Wrapf(ErrUnavailable, "%v", err)
 	}
 	if len(data) >= crconfig.MaxValueSize {
 		return nil, oops.Wrapf(ErrTooLarge, "%s", req.URL.Path)
--- a/io/crplatform/client_test.go
+++ b/io/crplatform/client_test.go
@@ -101,8 +101,8 @@
 		fault lab.Fault
 		want  error
 	}{
-		"away":  {lab.Fault{Mode: lab.ModeAway}, crplatform.ErrAway},
-		"hang":  {lab.Fault{Mode: lab.ModeHang}, crplatform.ErrAway},
+		"away":  {lab.Fault{Mode: lab.ModeAway}, crplatform.ErrUnavailable},
+		"hang":  {lab.Fault{Mode: lab.ModeHang}, crplatform.ErrUnavailable},
 		"slow":  {lab.Fault{Mode: lab.ModeSlow, Delay: 10 * time.Millisecond}, nil},
 		"stale": {lab.Fault{Mode: lab.ModeStale}, crplatform.ErrStale},
 	} {
--- a/io/crplatform/platform.go
+++ b/io/crplatform/platform.go
@@ -26,8 +26,8 @@
 
 // Errors of every adapter; test with errors.Is.
 var (
-	// ErrAway: the platform gave no usable answer in time.
-	ErrAway = errors.New("platform is away")
+	// ErrUnavailable: the platform gave no usable answer in time.
+	ErrUnavailable = errors.New("platform is away")
 	// ErrNotFound: the platform does not hold what was asked for.
 	ErrNotFound = errors.New("not found on the platform")
 	// ErrTooLarge: the answer is over the platform's limit.
