--- a/io/crfeed/crfeed.go
+++ b/io/crfeed/crfeed.go
@@ -78,8 +78,8 @@
 
 // Source is what a reader knows of the store.
 type Source interface {
-	Held(scope crwatch.Scope) ([]crwatch.Item, crid.Revision, error)
-	Since(ctx context.Context, scope crwatch.Scope, after crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error)
+	Snapshot(scope crwatch.Scope) ([]crwatch.Item, crid.Revision, error)
+	ChangesAfter(ctx context.Context, scope crwatch.Scope, after crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error)
 }
 
 // Options are what a feed needs.
@@ -351,9 +351,9 @@
 	var at crid.Revision
 	var err error
 	if q.Whole {
-		items, at, err = held.Held(q.Scope)
+		items, at, err = held.Snapshot(q.Scope)
 	} else {
-		items, at, err = held.Since(ctx, q.Scope, q.After, min(q.Wait, feedWait))
+		items, at, err = held.ChangesAfter(ctx, q.Scope, q.After, min(q.Wait, feedWait))
 	}
 	switch {
 	case errors.Is(err, crwatch.ErrCompacted):
--- a/io/crfeed/crfeed_test.go
+++ b/io/crfeed/crfeed_test.go
@@ -184,9 +184,9 @@
 // held waits until its question is taken back.
 type held struct{}
 
-func (held) Held(crwatch.Scope) ([]crwatch.Item, crid.Revision, error) { return nil, 1, nil }
+func (held) Snapshot(crwatch.Scope) ([]crwatch.Item, crid.Revision, error) { return nil, 1, nil }
 
-func (held) Since(ctx context.Context, _ crwatch.Scope, _ crid.Revision, _ time.Duration) ([]crwatch.Item, crid.Revision, error) {
+func (held) ChangesAfter(ctx context.Context, _ crwatch.Scope, _ crid.Revision, _ time.Duration) ([]crwatch.Item, crid.Revision, error) {
 	<-ctx.Done()
 	return nil, 0, ctx.Err()
 }
--- /dev/null
+++ b/io/crwatch/compress.go
@@ -0,0 +1,72 @@
+package crwatch
+
+import (
+	"bytes"
+	"compress/flate"
+	"errors"
+	"fmt"
+	"io"
+
+	"camphorroad/core/crid"
+)
+
+const (
+	// minCompressBytes is the size from which a value is compressed for transfer
+	// between daemons. A configuration of 1,400 routes is half a megabyte, of which a
+	// link of 10 Mbit/s carries two a second, and a reader serves a dozen daemons.
+	// Compressed it is a tenth of that. Records are far smaller.
+	minCompressBytes = 4 << 10
+	// maxDecompressedBytes bounds the size of a decompressed value.
+	maxDecompressedBytes = 16 << 20
+)
+
+// errDecompressedSize means that a value exceeds maxDecompressedBytes.
+var errDecompressedSize = errors.New("the value is too large")
+
+// compressedValue caches the compressed form of a value for the next peer that asks.
+type compressedValue struct {
+	revision crid.Revision
+	value    []byte
+}
+
+// compress compresses large values in place. The caller holds the lock.
+func (f *Follower) compress(items []Item) []Item {
+	for n, i := range items {
+		if len(i.Value) < minCompressBytes {
+			continue
+		}
+		items[n].Value, items[n].Compressed = f.compressValue(i), true
+	}
+	return items
+}
+
+func (f *Follower) compressValue(i Item) []byte {
+	if c, ok := f.compressed[i.Key]; ok && c.revision == i.Revision {
+		return c.value
+	}
+	var b bytes.Buffer
+	// A bytes.Buffer accepts every write, and the level is a valid one.
+	w, _ := flate.NewWriter(&b, flate.BestSpeed)
+	_, _ = w.Write(i.Value)
+	_ = w.Close()
+	f.compressed[i.Key] = compressedValue{revision: i.Revision, value: b.Bytes()}
+	return b.Bytes()
+}
+
+// Decompress decompresses the compressed values of items in place.
+func Decompress(items []Item) ([]Item, error) {
+	for n, i := range items {
+		if !i.Compressed {
+			continue
+		}
+		value, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(i.Value)), maxDecompressedBytes+1))
+		if err == nil && len(value) > maxDecompressedBytes {
+			err = errDecompressedSize
+		}
+		if err != nil {
+			return nil, fmt.Errorf("unpack %s: %w", i.Key, err)
+		}
+		items[n].Value, items[n].Compressed = value, false
+	}
+	return items, nil
+}
--- a/io/crwatch/crwatch.go
+++ b/io/crwatch/crwatch.go
@@ -1,14 +1,21 @@
-// Package crwatch follows a store that can be read and watched, and turns what
-// it says into events of the control side.
+// Package crwatch keeps a local copy of a store that can be listed and watched, and
+// turns its changes into events of the control plane.
 //
-// One goroutine follows each [Scope]: it lists, then watches from there, and
-// lists again when the store has lost the history in between. Failures are told
-// once, and the calls are spaced so that a fleet does not overwhelm a store that
-// has just come back.
+// One goroutine follows each [Scope]: it lists the scope, watches it from the
+// revision of the list, and lists it again when the store has compacted the history
+// in between. An outage is logged once. Failed calls are retried with backoff, so
+// that a fleet does not overload a store that has just recovered.
+//
+// A daemon creates one [Follower]. Its [Store] is io/crfeed, which reads the store
+// directly or through another daemon; package platform implements the direct calls
+// and the [Decoder]. Peers read what a follower holds with [Follower.Snapshot],
+// [Follower.ChangesAfter] and [Follower.UpdateFor].
 //
 // # Usage
 //
-//	f := crwatch.New(crwatch.Options{Store: store, Decoder: decoder, Clock: crclock.Now, Emit: events.Send, Log: log})
+//	f := crwatch.New(crwatch.Options{
+//		Store: store, Decoder: decoder, Clock: crclock.Now, Emit: events.Send, ReaderCount: readers, Log: log,
+//	})
 //	err := f.Run(ctx, crwatch.Records)
 package crwatch
 
@@ -33,7 +40,7 @@
 
 // The scopes.
 const (
-	// Records are what targets say of themselves.
+	// Records are the records of targets.
 	Records Scope = iota + 1
 	// Configuration is the operator's newest plan.
 	Configuration
@@ -49,138 +56,141 @@
 
 // Item is a key with its value.
 type Item struct {
-	Key      string        `cbor:"k"`
-	Value    []byte        `cbor:"v"`
-	Revision crid.Revision `cbor:"r"`
-	Removed  bool          `cbor:"d,omitempty"`
-	Compressed   bool          `cbor:"z,omitempty"` // the value is packed, on its way between daemons
+	Key        string        `cbor:"k"`
+	Value      []byte        `cbor:"v"`
+	Revision   crid.Revision `cbor:"r"`
+	Removed    bool          `cbor:"d,omitempty"`
+	Compressed bool          `cbor:"z,omitempty"` // the value is compressed for transfer between daemons
 }
 
-// ErrCompacted tells that the store no longer has the history asked for.
+// ErrCompacted means that the store has discarded the history asked for.
 var ErrCompacted = errors.New("the store has lost this history")
 
-// Store is a store that can be read and watched.
+// Store is a store that can be listed and watched.
 type Store interface {
-	// List returns all items of a scope, and the revision from which a watch
-	// tells whatever the list may lack.
+	// List returns all items of a scope, and the revision to watch from. A watch
+	// from there returns every change that the list may lack.
 	List(ctx context.Context, scope Scope) ([]Item, crid.Revision, error)
-	// Watch returns the changes after a revision, as soon as there are any, or
-	// none after the wait; and the revision to go on from.
+	// Watch returns the changes after a revision as soon as there are any, or
+	// none when the wait is over, and the revision to continue from.
 	Watch(ctx context.Context, scope Scope, after crid.Revision, wait time.Duration) ([]Item, crid.Revision, error)
 }
 
-// Decoder turns values into what the project knows.
+// Decoder decodes the values of items.
 type Decoder interface {
 	Record(i Item) (crregistry.Record, error)
 	Plan(value []byte) (*crplan.Plan, error)
 }
 
 const (
-	// lookEvery is the time between two fresh watches of the whole fleet. A
-	// store may leave waiting watches deaf to some changes; a fresh one learns
-	// that their history is gone, and peers then learn of the change by beats.
-	// Each call is paid for, so that the daemons that read the store take turns.
-	lookEvery = 500 * time.Millisecond
-	// waitLeast and waitMost bound the time for which a watch waits; the store
-	// allows no more than the latter.
-	waitLeast = 200 * time.Millisecond
-	waitMost  = 30 * time.Second
-	// retryFirst and retryMost bound the pause after a failed call. The store
-	// has to be found again well within the time after its return in which
-	// daemons count as in touch, three seconds.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 800 * time.Millisecond
-	// lostAfter is the time of failures after which the store counts as away:
-	// a single reset is no outage.
-	lostAfter = 300 * time.Millisecond
+	// fleetWatchInterval is the mean time between the starts of two watches of a
+	// scope, over all daemons that read the store. The store may not deliver some
+	// changes to pending watches; a new watch then fails as compacted, and peers learn
+	// of the change from beats. Each call is billed, so the readers take turns.
+	fleetWatchInterval = 500 * time.Millisecond
+	// minWait and maxWait bound the wait of a watch. The store allows no wait above
+	// maxWait.
+	minWait = 200 * time.Millisecond
+	maxWait = 30 * time.Second
+	// minBackoff and maxBackoff bound the backoff after a failed call. Daemons count as
+	// in contact within three seconds of the store's recovery, so the store has to be
+	// reached again well within that time.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
+	// outageThreshold is the time of continuous failures after which the store counts
+	// as unavailable. A single connection reset is no outage.
+	outageThreshold = 300 * time.Millisecond
 )
 
-// Options are what a follower needs.
+// Options are the dependencies of a follower.
 type Options struct {
-	Store   Store
-	Decoder Decoder
-	Clock   func() crid.Instant
-	Emit    func(crevent.Event)
+	Store       Store
+	Decoder     Decoder
+	Clock       func() crid.Instant
+	Emit        func(crevent.Event)
 	ReaderCount func() int // daemons of the fleet that read the store
-	Log     *crlog.Logger
+	Log         *crlog.Logger
 }
 
-// Follower follows a store. Its methods may be called from several goroutines.
+// Follower follows a store. It is safe for concurrent use.
 type Follower struct {
-	opts   Options
-	mu     sync.Mutex
-	values map[Scope]map[string]Item
-	at     map[Scope]crid.Revision
-	faults atomic.Int64
-	heard  map[Scope]crid.Instant            // the last answer, or the start of the scope
-	losses int                               // times that the store was found to have lost history
-	cancel map[Scope]context.CancelCauseFunc // of the scopes' long watches
-
-	history history           // of the records
-	packs   map[string]packed // by key
-	away    map[Scope]bool    // cannot be read at present, or was not read yet
-	changed chan struct{}     // closed at the next change
+	opts        Options
+	mu          sync.Mutex
+	values      map[Scope]map[string]Item
+	revisions   map[Scope]crid.Revision
+	failures    atomic.Int64
+	lastRead    map[Scope]crid.Instant            // the last answer, or the start of the scope
+	compactions int                               // times that the store reported compacted history
+	cancels     map[Scope]context.CancelCauseFunc // of the scopes' long watches
+
+	history     history                    // of the records
+	compressed  map[string]compressedValue // by key
+	unavailable map[Scope]bool             // cannot be read at present, or was not read yet
+	changed     chan struct{}              // closed at the next change
 }
 
 // New returns a follower.
 func New(opts Options) *Follower {
 	return &Follower{
-		opts:   opts,
-		values: map[Scope]map[string]Item{Records: {}, Configuration: {}},
-		at:     make(map[Scope]crid.Revision),
-		heard:  make(map[Scope]crid.Instant),
-		cancel: make(map[Scope]context.CancelCauseFunc),
-
-		packs:   make(map[string]packed),
-		away:    map[Scope]bool{Records: true, Configuration: true},
-		changed: make(chan struct{}),
+		opts:      opts,
+		values:    map[Scope]map[string]Item{Records: {}, Configuration: {}},
+		revisions: make(map[Scope]crid.Revision),
+		lastRead:  make(map[Scope]crid.Instant),
+		cancels:   make(map[Scope]context.CancelCauseFunc),
+
+		compressed:  make(map[string]compressedValue),
+		unavailable: map[Scope]bool{Records: true, Configuration: true},
+		changed:     make(chan struct{}),
 	}
 }
 
 // Run follows a scope until the context ends.
 func (f *Follower) Run(ctx context.Context, scope Scope) error {
-	t := &track{Follower: f, scope: scope}
-	t.answered()
+	s := &scopeFollower{Follower: f, scope: scope}
+	s.recordAnswer()
 	for ctx.Err() == nil {
-		if err := t.round(ctx); err != nil && ctx.Err() == nil {
-			t.failed(ctx, err)
+		if err := s.poll(ctx); err != nil && ctx.Err() == nil {
+			s.failed(ctx, err)
 		}
 	}
 	return nil
 }
 
-// errRenewed ends a watch that is to be sent anew.
-var errRenewed = errors.New("the watch is sent anew")
+// errRestarted is the cause that cancels a watch which is to be sent again.
+var errRestarted = errors.New("the watch is sent again")
 
-// RestartWatches sends the watches anew that wait for changes. One whose answer will never
-// come leaves this daemon deaf until its wait is over.
+// RestartWatches cancels the pending watches and sends them again. A daemon whose
+// watch was lost would otherwise learn of no change until the wait of that watch is
+// over.
 func (f *Follower) RestartWatches() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.interrupt(errRenewed)
+	f.cancelWatches(errRestarted)
 }
 
-// interrupt ends the watches that wait. The caller holds the lock.
-func (f *Follower) interrupt(cause error) {
-	for _, cancel := range f.cancel {
+// cancelWatches cancels the pending watches. The caller holds the lock.
+func (f *Follower) cancelWatches(cause error) {
+	for _, cancel := range f.cancels {
 		cancel(cause)
 	}
 }
 
-// Failures is the number of calls that failed, of the store or of a peer that
+// Failures returns the number of failed calls, of the store or of a peer that
 // reads it.
-func (f *Follower) Failures() int64 { return f.faults.Load() }
+func (f *Follower) Failures() int64 { return f.failures.Load() }
 
-// SinceLastRead is the time since a scope was read last, from the store or a reader.
+// SinceLastRead returns the time since a scope was last read, from the store or
+// through a reader.
 func (f *Follower) SinceLastRead(scope Scope) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.opts.Clock().Sub(f.heard[scope])
+	return f.opts.Clock().Sub(f.lastRead[scope])
 }
 
-// store keeps raw items; whole says that they are all there are.
-func (f *Follower) store(scope Scope, items []Item, at crid.Revision, whole bool) {
-	if whole {
+// storeItems keeps the items as they were read. With complete, they replace all items
+// of the scope. The caller holds the lock.
+func (f *Follower) storeItems(scope Scope, items []Item, revision crid.Revision, complete bool) {
+	if complete {
 		f.values[scope] = make(map[string]Item, len(items))
 	}
 	for _, i := range items {
@@ -190,26 +200,26 @@
 		}
 		f.values[scope][i.Key] = i
 	}
-	f.at[scope] = max(f.at[scope], at)
+	f.revisions[scope] = max(f.revisions[scope], revision)
 	switch {
-	case scope == Records && whole:
-		f.history.restart(at)
+	case scope == Records && complete:
+		f.history.reset(revision)
 	case scope == Records:
 		f.history.add(items)
 	}
-	if len(items) > 0 || whole {
-		f.wake()
+	if len(items) > 0 || complete {
+		f.notifyWaiters()
 	}
 }
 
-func (f *Follower) changes(items []Item) []crregistry.Change {
+func (f *Follower) decodeChanges(items []Item) []crregistry.Change {
 	out := make([]crregistry.Change, 0, len(items))
 	for _, i := range items {
 		c := crregistry.Change{Key: i.Key, Revision: i.Revision}
 		if !i.Removed {
 			r, err := f.opts.Decoder.Record(i)
 			if err != nil {
-				f.opts.Log.Event(crlog.RecordBad, crlog.Fields{"key": i.Key, "rev": revision(i.Revision), "error": err.Error()})
+				f.opts.Log.Event(crlog.RecordBad, crlog.Fields{"key": i.Key, "rev": formatRevision(i.Revision), "error": err.Error()})
 			} else {
 				c.Record = &r
 			}
@@ -219,20 +229,21 @@
 	return out
 }
 
-// plan decodes a configuration; one that is refused leaves the former in force.
-func (f *Follower) plan(now crid.Instant, i Item) {
+// applyPlan decodes a configuration. One that is rejected leaves the previous one in
+// force.
+func (f *Follower) applyPlan(now crid.Instant, i Item) {
 	if i.Removed {
 		return
 	}
 	p, err := f.opts.Decoder.Plan(i.Value)
 	if err != nil {
-		f.opts.Log.Event(crlog.PlanBad, crlog.Fields{"rev": revision(i.Revision), "error": err.Error()})
+		f.opts.Log.Event(crlog.PlanBad, crlog.Fields{"rev": formatRevision(i.Revision), "error": err.Error()})
 		return
 	}
 	f.mu.Lock()
-	f.store(Configuration, []Item{i}, i.Revision, false)
+	f.storeItems(Configuration, []Item{i}, i.Revision, false)
 	f.mu.Unlock()
 	f.opts.Emit(crmesh.PlanRead{Now: now, Plan: p})
 }
 
-func revision(r crid.Revision) string { return strconv.FormatUint(uint64(r), 10) }
+func formatRevision(r crid.Revision) string { return strconv.FormatUint(uint64(r), 10) }
--- a/io/crwatch/history_test.go
+++ b/io/crwatch/history_test.go
@@ -21,8 +21,8 @@
 	"camphorroad/io/crwatch"
 )
 
-// store plays what a test hands it.
-type store struct {
+// fakeStore lists fixed items, and answers each watch with the next answer of a test.
+type fakeStore struct {
 	mu    sync.Mutex
 	list  []crwatch.Item
 	at    crid.Revision
@@ -35,13 +35,13 @@
 	err   error
 }
 
-func (s *store) List(context.Context, crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
+func (s *fakeStore) List(context.Context, crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list, s.at, nil
 }
 
-func (s *store) Watch(ctx context.Context, _ crwatch.Scope, _ crid.Revision, _ time.Duration) ([]crwatch.Item, crid.Revision, error) {
+func (s *fakeStore) Watch(ctx context.Context, _ crwatch.Scope, _ crid.Revision, _ time.Duration) ([]crwatch.Item, crid.Revision, error) {
 	select {
 	case a := <-s.watch:
 		return a.items, a.at, a.err
@@ -85,163 +85,161 @@
 	return out
 }
 
-func TestPeersAreToldOfChangesInTheirOrder(t *testing.T) {
+func TestChangesAfterKeepsTheOrderOfChanges(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := &store{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5, watch: make(chan answer)}
+	s := &fakeStore{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5, watch: make(chan answer)}
 	f := follow(t, s)
 	s.watch <- answer{items: []crwatch.Item{{Key: "b", Revision: 6}, {Key: "a", Revision: 7, Removed: true}}, at: 8}
-	items, at, err := f.Since(t.Context(), crwatch.Records, 5, time.Second)
+	items, at, err := f.ChangesAfter(t.Context(), crwatch.Records, 5, time.Second)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(keys(items)).To(gomega.Equal([]string{"b", "a"}))
 	g.Expect(at).To(gomega.Equal(crid.Revision(8)))
-	items, _, err = f.Since(t.Context(), crwatch.Records, 6, time.Second)
+	items, _, err = f.ChangesAfter(t.Context(), crwatch.Records, 6, time.Second)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(keys(items)).To(gomega.Equal([]string{"a"}))
-	whole, _, err := f.Held(crwatch.Records)
+	snapshot, _, err := f.Snapshot(crwatch.Records)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(keys(whole)).To(gomega.Equal([]string{"b"}))
+	g.Expect(keys(snapshot)).To(gomega.Equal([]string{"b"}))
 }
 
-// A list tells what there is and not what went before it. A peer that asks for
-// changes from before the list would keep what was removed for ever.
-func TestChangesFromBeforeAListAreNotTold(t *testing.T) {
+// A list does not contain what was removed before it. A peer that continued from an
+// earlier revision would keep the removed items for ever.
+func TestChangesBeforeAListAreCompacted(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := &store{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5, watch: make(chan answer)}
+	s := &fakeStore{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5, watch: make(chan answer)}
 	f := follow(t, s)
 	g.Eventually(func() error {
-		_, _, err := f.Since(t.Context(), crwatch.Records, 3, time.Millisecond)
+		_, _, err := f.ChangesAfter(t.Context(), crwatch.Records, 3, time.Millisecond)
 		return err
 	}).Should(gomega.MatchError(crwatch.ErrCompacted))
 }
 
-// The store is lost while a peer waits for changes through this daemon. Records
-// that run out in the outage do not mean that their targets leave, so the peer
-// must hear of the outage at once, before it hears of them.
-func TestAWaitingPeerIsToldThatTheStoreIsLost(t *testing.T) {
+// The store fails while a peer waits for changes through this daemon. The peer must
+// learn of the outage before records expire, or it takes their targets for leaving.
+func TestChangesAfterEndsWhenTheStoreBecomesUnavailable(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := &store{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5, watch: make(chan answer)}
+	s := &fakeStore{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5, watch: make(chan answer)}
 	f := follow(t, s)
-	g.Eventually(func() error { _, _, err := f.Held(crwatch.Records); return err }).Should(gomega.Succeed())
-	told := make(chan error, 1)
+	g.Eventually(func() error { _, _, err := f.Snapshot(crwatch.Records); return err }).Should(gomega.Succeed())
+	result := make(chan error, 1)
 	go func() {
-		_, _, err := f.Since(t.Context(), crwatch.Records, 5, time.Minute)
-		told <- err
+		_, _, err := f.ChangesAfter(t.Context(), crwatch.Records, 5, time.Minute)
+		result <- err
 	}()
 	for range 6 {
 		select {
 		case s.watch <- answer{err: errors.New("reset")}:
-		case err := <-told:
-			told <- err
+		case err := <-result:
+			result <- err
 		}
 	}
-	g.Eventually(told, 3*time.Second).Should(gomega.Receive(gomega.MatchError(crwatch.ErrUnavailable)))
+	g.Eventually(result, 3*time.Second).Should(gomega.Receive(gomega.MatchError(crwatch.ErrUnavailable)))
 }
 
-// A reader that has not listed yet knows nothing, which must not look like a store
+// The empty state of a reader before its first list must not look like a store
 // without targets.
-func TestNothingIsServedBeforeTheFirstList(t *testing.T) {
+func TestSnapshotIsUnavailableBeforeTheFirstList(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := crwatch.New(crwatch.Options{})
-	_, _, err := f.Held(crwatch.Records)
+	_, _, err := f.Snapshot(crwatch.Records)
 	g.Expect(err).To(gomega.MatchError(crwatch.ErrUnavailable))
 }
 
-// Many daemons lack a change at one time. Each is sent only what is newer than
-// what it has; whole lists to all of them filled the link of the one that was
-// asked.
-func TestACopyHoldsOnlyWhatThePeerLacks(t *testing.T) {
+// Many daemons lack a change at the same time. Complete lists for all of them would
+// saturate the link of the daemon that they ask.
+func TestAnUpdateHoldsOnlyWhatThePeerLacks(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := &store{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5, watch: make(chan answer)}
+	s := &fakeStore{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5, watch: make(chan answer)}
 	f := follow(t, s)
-	g.Eventually(func() error { _, _, err := f.Held(crwatch.Records); return err }).Should(gomega.Succeed())
-	c := f.UpdateFor(crwatch.Revisions{Records: 3})
-	g.Expect(keys(c.Records)).To(gomega.Equal([]string{"a"}))
-	g.Expect(c.RecordsRevision).To(gomega.Equal(crid.Revision(5)))
-	c = f.UpdateFor(crwatch.Revisions{Records: 5})
-	g.Expect(c.Records).To(gomega.BeEmpty())
-	g.Expect(c.RecordsRevision).To(gomega.BeZero())
+	g.Eventually(func() error { _, _, err := f.Snapshot(crwatch.Records); return err }).Should(gomega.Succeed())
+	u := f.UpdateFor(crwatch.Revisions{Records: 3})
+	g.Expect(keys(u.Records)).To(gomega.Equal([]string{"a"}))
+	g.Expect(u.RecordsRevision).To(gomega.Equal(crid.Revision(5)))
+	u = f.UpdateFor(crwatch.Revisions{Records: 5})
+	g.Expect(u.Records).To(gomega.BeEmpty())
+	g.Expect(u.RecordsRevision).To(gomega.BeZero())
 }
 
 // A configuration of half a megabyte goes from a reader to a dozen daemons over a
-// link of 10 Mbit/s. Sent as it is, the last of them had it five seconds later.
-func TestLargeValuesTravelPacked(t *testing.T) {
+// link of 10 Mbit/s. Uncompressed, the last of them gets it five seconds later.
+func TestLargeValuesAreSentCompressed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	large := []byte(strings.Repeat(`{"name":"route","path-prefix":"/abc/"},`, 10000))
-	s := &store{list: []crwatch.Item{{Key: "a", Revision: 4, Value: large}, {Key: "b", Revision: 5, Value: []byte("small")}}, at: 5, watch: make(chan answer)}
+	s := &fakeStore{list: []crwatch.Item{{Key: "a", Revision: 4, Value: large}, {Key: "b", Revision: 5, Value: []byte("small")}}, at: 5, watch: make(chan answer)}
 	f := follow(t, s)
-	g.Eventually(func() error { _, _, err := f.Held(crwatch.Records); return err }).Should(gomega.Succeed())
+	g.Eventually(func() error { _, _, err := f.Snapshot(crwatch.Records); return err }).Should(gomega.Succeed())
 	for range 2 {
-		items, _, err := f.Held(crwatch.Records)
+		items, _, err := f.Snapshot(crwatch.Records)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		size := 0
 		for _, i := range items {
 			size += len(i.Value)
 		}
 		g.Expect(size).To(gomega.BeNumerically("<", len(large)/10))
-		whole, err := crwatch.Decompress(items)
+		decompressed, err := crwatch.Decompress(items)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(whole).To(gomega.ConsistOf(
+		g.Expect(decompressed).To(gomega.ConsistOf(
 			crwatch.Item{Key: "a", Revision: 4, Value: large}, crwatch.Item{Key: "b", Revision: 5, Value: []byte("small")},
 		))
 	}
 }
 
-// A damaged value must not be taken for a configuration.
-func TestADamagedValueIsAnError(t *testing.T) {
+// A corrupt value must not be taken for a configuration.
+func TestDecompressRejectsACorruptValue(t *testing.T) {
 	g := gomega.NewWithT(t)
 	_, err := crwatch.Decompress([]crwatch.Item{{Key: "op", Value: []byte("no such form"), Compressed: true}})
 	g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring("op")))
 }
 
-// waits records how long each watch of a silent store would wait.
-type waits struct {
-	store
-	asked chan time.Duration
+// watchRecorder records the waits of watches, and answers none of them.
+type watchRecorder struct {
+	fakeStore
+	waits chan time.Duration
 }
 
-func (s *waits) Watch(ctx context.Context, _ crwatch.Scope, _ crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error) {
+func (s *watchRecorder) Watch(ctx context.Context, _ crwatch.Scope, _ crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error) {
 	select {
-	case s.asked <- wait:
+	case s.waits <- wait:
 	case <-ctx.Done():
 	}
 	return nil, 0, errors.New("no answer")
 }
 
-// The store is silent for some seconds, and a watch that is sent then is never
-// answered. A daemon that waits three seconds for each learns of a configuration
-// only long after the store is back, and refuses callers by an old one meanwhile.
-func TestWatchesOfASilentStoreAreShort(t *testing.T) {
+// A watch that is sent while the store does not answer is never answered. With waits of
+// three seconds, a daemon would refuse callers by an old configuration long after the
+// store has recovered.
+func TestWatchesAreShortWhileTheStoreDoesNotAnswer(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := &waits{store: store{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5}, asked: make(chan time.Duration)}
+	s := &watchRecorder{fakeStore: fakeStore{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5}, waits: make(chan time.Duration)}
 	follow(t, s)
-	<-s.asked
+	<-s.waits
 	for range 3 {
-		g.Expect(<-s.asked).To(gomega.BeNumerically("<=", 200*time.Millisecond))
+		g.Expect(<-s.waits).To(gomega.BeNumerically("<=", 200*time.Millisecond))
 	}
 }
 
-// late fails its first calls, and then lists.
-type late struct {
-	store
+// recoveringStore fails its first lists, and then answers.
+type recoveringStore struct {
+	fakeStore
 	mu    sync.Mutex
 	calls int
 }
 
-func (s *late) List(ctx context.Context, scope crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
+func (s *recoveringStore) List(ctx context.Context, scope crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.calls++; s.calls <= 6 {
 		return nil, 0, errors.New("no answer")
 	}
-	return s.store.List(ctx, scope)
+	return s.fakeStore.List(ctx, scope)
 }
 
-// A reader starts while the store is away, and peers ask it all the while. At the
-// moment at which the store answers it has no list yet; told an empty one, its peers
-// would refuse all callers for want of targets.
-func TestAListIsServedOnlyOnceItIsTakenIn(t *testing.T) {
+// A reader starts during an outage, and peers query it all the time. If it served its
+// empty list between the store's first answer and the application of that answer, the
+// peers would have no targets and refuse all callers.
+func TestAListIsServedOnlyAfterItIsApplied(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := &late{store: store{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5, watch: make(chan answer)}}
+	s := &recoveringStore{fakeStore: fakeStore{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5, watch: make(chan answer)}}
 	q := crlog.NewQueue()
 	var f *crwatch.Follower
 	served := make(chan int, 1)
@@ -251,7 +249,7 @@
 			if _, ok := ev.(crmesh.StoreBack); !ok {
 				return
 			}
-			items, _, err := f.Held(crwatch.Records)
+			items, _, err := f.Snapshot(crwatch.Records)
 			if errors.Is(err, crwatch.ErrUnavailable) {
 				served <- 1
 				return
--- /dev/null
+++ b/io/crwatch/scope.go
@@ -0,0 +1,245 @@
+package crwatch
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"time"
+
+	"camphorroad/core/crid"
+	"camphorroad/core/crmesh"
+	"camphorroad/io/crclock"
+	"camphorroad/io/crlog"
+)
+
+// scopeFollower follows one scope.
+type scopeFollower struct {
+	*Follower
+	scope        Scope
+	listed       bool
+	listedAt     int // Follower.compactions when the scope was listed
+	after        crid.Revision
+	aligned      bool         // the last watch ended together with those of the other daemons
+	restarted    bool         // the last watch was canceled to be sent again
+	failingSince crid.Instant // zero: calls do not fail
+	lossReported bool         // the store was reported as unavailable
+	ownLoss      bool         // reported because of this daemon's own calls
+	backoff      time.Duration
+}
+
+// poll makes one call, a list or a watch, and applies its answer.
+func (s *scopeFollower) poll(ctx context.Context) error {
+	if !s.upToDate() {
+		return s.list(ctx)
+	}
+	items, revision, err := s.watch(ctx)
+	switch {
+	case errors.Is(err, errInterrupted):
+		return nil
+	case errors.Is(err, ErrCompacted):
+		s.historyCompacted()
+		return nil
+	case err != nil:
+		return err
+	}
+	s.succeeded()
+	if revision == 0 {
+		return nil
+	}
+	s.after = max(revision, s.after)
+	if len(items) == 0 {
+		s.advance(revision)
+	} else {
+		s.aligned = true
+		s.apply(items, revision, false)
+	}
+	s.setUnavailable(s.scope, false)
+	return nil
+}
+
+// advance records that nothing changed up to a revision, so that a daemon that reads
+// through this one can continue from there by itself.
+func (s *scopeFollower) advance(revision crid.Revision) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.storeItems(s.scope, nil, revision, false)
+}
+
+// errInterrupted means that a watch was canceled without an answer.
+var errInterrupted = errors.New("the watch was interrupted")
+
+// watch waits for changes, or until it is canceled.
+func (s *scopeFollower) watch(ctx context.Context) ([]Item, crid.Revision, error) {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	wait := s.nextWait()
+	if wait > minWait {
+		s.mu.Lock()
+		s.cancels[s.scope] = cancel
+		s.mu.Unlock()
+	}
+	items, revision, err := s.opts.Store.Watch(ctx, s.scope, s.after, wait)
+	cause := context.Cause(ctx)
+	if err != nil && (errors.Is(cause, ErrCompacted) || errors.Is(cause, errRestarted)) {
+		s.restarted = errors.Is(cause, errRestarted)
+		return nil, 0, errInterrupted
+	}
+	return items, revision, err
+}
+
+// nextWait returns how long the next watch waits. A change ends the watches of all
+// daemons at the same moment, and so does a restart. The waits are random, so that the
+// daemons take turns again. The first wait after such a moment is short: if the store
+// stops answering just then, it loses all watches that follow, and the one that ends
+// first detects this for all daemons.
+//
+// While calls fail, a watch only has to find out whether the store answers again. A
+// watch that is sent while the store does not answer gets no answer later either. With
+// a long wait, this daemon would learn of no change for seconds after the store has
+// recovered, beyond the time in which a new configuration has to be in force.
+func (s *scopeFollower) nextWait() time.Duration {
+	if s.failingSince != 0 || s.restarted {
+		s.restarted, s.aligned = false, true
+		return minWait
+	}
+	turn := min(fleetWatchInterval*time.Duration(max(s.opts.ReaderCount(), 1)), maxWait*2/3)
+	if s.aligned {
+		s.aligned = false
+		return minWait + rand.N(max(turn-minWait, 1))
+	}
+	return turn/2 + rand.N(turn)
+}
+
+// historyCompacted causes all scopes to be listed again. The pending watches of the
+// other scopes may have missed changes of the same time, and would return them much
+// later.
+func (s *scopeFollower) historyCompacted() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.compactions++
+	s.cancelWatches(ErrCompacted)
+}
+
+// upToDate reports whether the scope was listed after the last compaction.
+func (s *scopeFollower) upToDate() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.listed && s.listedAt == s.compactions
+}
+
+func (s *scopeFollower) list(ctx context.Context) error {
+	s.mu.Lock()
+	compactions := s.compactions
+	s.mu.Unlock()
+	items, revision, err := s.opts.Store.List(ctx, s.scope)
+	if err != nil {
+		return err
+	}
+	s.succeeded()
+	s.listed, s.after, s.listedAt, s.aligned = true, revision, compactions, true
+	s.apply(items, revision, true)
+	s.setUnavailable(s.scope, false)
+	if revision == 0 {
+		// The store returned no revision to watch from.
+		s.listed = false
+		return crclock.Sleep(ctx, minBackoff)
+	}
+	return nil
+}
+
+// apply stores items and emits their event. With complete, they are all items of the
+// scope.
+func (s *scopeFollower) apply(items []Item, revision crid.Revision, complete bool) {
+	now := s.opts.Clock()
+	if s.scope == Configuration {
+		for _, i := range items {
+			s.applyPlan(now, i)
+		}
+		return
+	}
+	s.mu.Lock()
+	s.storeItems(Records, items, revision, complete)
+	s.mu.Unlock()
+	changes := s.decodeChanges(items)
+	if complete {
+		s.opts.Emit(crmesh.Listed{Now: now, Changes: changes, Revision: revision})
+		return
+	}
+	s.opts.Emit(crmesh.Changed{Now: now, Changes: changes, Revision: revision})
+}
+
+// succeeded records an answer of the store. The scope becomes available to peers only
+// after the answer was applied: a peer that asked before would get a list without
+// targets.
+func (s *scopeFollower) succeeded() {
+	quiet := s.recordAnswer()
+	s.failingSince, s.backoff = 0, 0
+	if !s.lossReported {
+		return
+	}
+	s.lossReported, s.ownLoss = false, false
+	s.opts.Log.Event(crlog.StoreBack, crlog.Fields{"scope": s.scope.String(), "quiet": roundToMillis(quiet)})
+	s.emitAvailability(false, false)
+}
+
+// recordAnswer records the time of an answer, and returns the time since the previous
+// one.
+func (s *scopeFollower) recordAnswer() time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.opts.Clock()
+	quiet := now.Sub(s.lastRead[s.scope])
+	s.lastRead[s.scope] = now
+	return quiet
+}
+
+// failed records a failed call, and waits for the backoff.
+func (s *scopeFollower) failed(ctx context.Context, err error) {
+	s.failures.Add(1)
+	now := s.opts.Clock()
+	if s.failingSince == 0 {
+		s.failingSince = now
+	}
+	timedOut := errors.Is(err, context.DeadlineExceeded)
+	if timedOut {
+		s.RestartWatches()
+		s.backoff = 0 // the call itself took long enough to spare the store
+	}
+	if timedOut || now.Sub(s.failingSince) >= outageThreshold || errors.Is(err, ErrUnavailable) {
+		s.reportLoss(err)
+	}
+	s.backoff = min(max(2*s.backoff, minBackoff), maxBackoff)
+	_ = crclock.Sleep(ctx, s.backoff/2+rand.N(s.backoff/2+1)) // Run notices the end of the context
+}
+
+// reportLoss reports that the store cannot be read: once because readers say so, and
+// once more when this daemon's own calls show it.
+func (s *scopeFollower) reportLoss(err error) {
+	peers := errors.Is(err, ErrUnavailable)
+	if s.lossReported && (s.ownLoss || peers) {
+		return
+	}
+	s.lossReported, s.ownLoss = true, !peers
+	s.setUnavailable(s.scope, true)
+	s.opts.Log.Event(crlog.StoreLost, crlog.Fields{
+		"scope": s.scope.String(), "error": err.Error(), "quiet": roundToMillis(s.SinceLastRead(s.scope)),
+	})
+	s.emitAvailability(true, peers)
+}
+
+// emitAvailability emits an event when the records cannot be read from the store any
+// more, and when they can again. With peers, the readers of this daemon reported the
+// loss.
+func (s *scopeFollower) emitAvailability(down, peers bool) {
+	if s.scope != Records {
+		return
+	}
+	now := s.opts.Clock()
+	if down {
+		s.opts.Emit(crmesh.StoreLost{Now: now, Peers: peers})
+		return
+	}
+	s.opts.Emit(crmesh.StoreBack{Now: now})
+}
+
+func roundToMillis(d time.Duration) string { return d.Round(time.Millisecond).String() }
--- /dev/null
+++ b/io/crwatch/scope_test.go
@@ -0,0 +1,186 @@
+package crwatch_test
+
+import (
+	"context"
+	"io"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/onsi/gomega"
+
+	"camphorroad/core/crevent"
+	"camphorroad/core/crid"
+	"camphorroad/io/crlog"
+	"camphorroad/io/crwatch"
+)
+
+// turn is the mean time between two watches of a daemon in a fleet with six readers.
+const turn = 3 * time.Second
+
+// silentStore answers lists, and stops answering watches once it is silent.
+type silentStore struct {
+	mu     sync.Mutex
+	waits  map[crwatch.Scope][]time.Duration
+	starts map[crwatch.Scope][]time.Time
+	silent bool
+}
+
+func newSilentStore() *silentStore {
+	return &silentStore{waits: make(map[crwatch.Scope][]time.Duration), starts: make(map[crwatch.Scope][]time.Time)}
+}
+
+func (s *silentStore) List(context.Context, crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
+	return []crwatch.Item{{Key: "a", Revision: 4}}, 5, nil
+}
+
+func (s *silentStore) Watch(ctx context.Context, scope crwatch.Scope, after crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error) {
+	s.mu.Lock()
+	s.waits[scope] = append(s.waits[scope], wait)
+	s.starts[scope] = append(s.starts[scope], time.Now())
+	silent := s.silent
+	s.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, wait+time.Second)
+	defer cancel()
+	if silent {
+		<-ctx.Done()
+		return nil, 0, ctx.Err()
+	}
+	select {
+	case <-ctx.Done():
+		return nil, 0, ctx.Err()
+	case <-time.After(wait):
+		return nil, after, nil
+	}
+}
+
+func (s *silentStore) stopAnswering() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.silent = true
+}
+
+// followFor follows a store for a duration of virtual time, and calls do halfway.
+func followFor(t *testing.T, s *silentStore, d time.Duration, do func(f *crwatch.Follower)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		start := time.Now()
+		f := crwatch.New(crwatch.Options{
+			Store: s, Decoder: decoder{}, Clock: func() crid.Instant { return crid.Instant(time.Hour + time.Since(start)) },
+			Emit: func(crevent.Event) {}, ReaderCount: func() int { return 6 }, Log: crlog.New(io.Discard, "info", "test"),
+		})
+		ctx, cancel := context.WithTimeout(t.Context(), d)
+		defer cancel()
+		for _, scope := range []crwatch.Scope{crwatch.Records, crwatch.Configuration} {
+			go func() {
+				if err := f.Run(ctx, scope); err != nil {
+					t.Error(err)
+				}
+			}()
+		}
+		time.Sleep(d / 2)
+		do(f)
+		<-ctx.Done()
+		synctest.Wait()
+	})
+}
+
+// If the watches of all daemons end at one moment, the fleet learns of no change for a whole turn.
+func TestWatchWaitsAreRandomized(t *testing.T) {
+	g := gomega.NewWithT(t)
+	s := newSilentStore()
+	followFor(t, s, 100*turn, func(*crwatch.Follower) {})
+	short, long := 0, 0
+	for _, wait := range s.waits[crwatch.Records][1:] {
+		g.Expect(wait).To(gomega.BeNumerically("~", turn, turn/2))
+		if wait < turn {
+			short++
+		} else {
+			long++
+		}
+	}
+	g.Expect(short).To(gomega.BeNumerically(">", 20))
+	g.Expect(long).To(gomega.BeNumerically(">", 20))
+}
+
+// If the store stops answering right after a change, all watches are lost, and the first to end detects it.
+func TestTheFirstWatchAfterAChangeIsShort(t *testing.T) {
+	g := gomega.NewWithT(t)
+	for range 20 {
+		s := newSilentStore()
+		followFor(t, s, turn, func(*crwatch.Follower) {})
+		g.Expect(s.waits[crwatch.Records][0]).To(gomega.BeNumerically("<=", turn))
+	}
+}
+
+// A daemon whose watch was lost learns of no change, although other daemons know of the loss.
+func TestRestartWatchesSendsPendingWatchesAgain(t *testing.T) {
+	g := gomega.NewWithT(t)
+	s := newSilentStore()
+	var restarted time.Time
+	followFor(t, s, 10*turn, func(f *crwatch.Follower) {
+		restarted = time.Now()
+		f.RestartWatches()
+		synctest.Wait()
+	})
+	for scope, starts := range s.starts {
+		n := 0
+		for i, at := range starts {
+			if at.Equal(restarted) && s.waits[scope][i] == 200*time.Millisecond {
+				n++
+			}
+		}
+		g.Expect(n).To(gomega.Equal(1), "one short watch of the %v", scope)
+	}
+}
+
+// A restart ends the watches of all daemons together. If the store stops answering right after it, all that follow are lost.
+func TestTheFirstLongWatchAfterARestartIsShort(t *testing.T) {
+	g := gomega.NewWithT(t)
+	for range 20 {
+		s := newSilentStore()
+		followFor(t, s, 10*turn, func(f *crwatch.Follower) {
+			f.RestartWatches()
+			synctest.Wait()
+		})
+		for scope, waits := range s.waits {
+			at := slices.Index(waits, 200*time.Millisecond)
+			g.Expect(at).To(gomega.BeNumerically(">=", 0))
+			g.Expect(waits[at+1]).To(gomega.BeNumerically("<=", turn), "of the %v", scope)
+		}
+	}
+}
+
+// The watch of one scope times out. The other scope would learn of no change until its own wait is over.
+func TestATimedOutWatchRestartsTheOther(t *testing.T) {
+	g := gomega.NewWithT(t)
+	s := newSilentStore()
+	followFor(t, s, 10*turn, func(*crwatch.Follower) { s.stopAnswering() })
+	first := make(map[crwatch.Scope]time.Time)
+	for scope, starts := range s.starts {
+		for i, at := range starts {
+			if s.waits[scope][i] <= 200*time.Millisecond && first[scope].IsZero() {
+				first[scope] = at
+			}
+		}
+	}
+	g.Expect(first[crwatch.Records]).To(gomega.BeTemporally("~", first[crwatch.Configuration], 100*time.Millisecond))
+}
+
+// A backoff after each watch that timed out would delay changes after the store has recovered.
+func TestATimedOutWatchIsSentAgainAtOnce(t *testing.T) {
+	g := gomega.NewWithT(t)
+	s := newSilentStore()
+	followFor(t, s, 20*turn, func(*crwatch.Follower) { s.stopAnswering() })
+	starts, waits := s.starts[crwatch.Records], s.waits[crwatch.Records]
+	timedOut := 0
+	for i := range waits[1:] {
+		if waits[i] == 200*time.Millisecond && waits[i+1] == 200*time.Millisecond {
+			timedOut++
+			g.Expect(starts[i+1].Sub(starts[i])).To(gomega.BeNumerically("<=", 1300*time.Millisecond))
+		}
+	}
+	g.Expect(timedOut).To(gomega.BeNumerically(">", 5))
+}
--- /dev/null
+++ b/io/crwatch/update.go
@@ -0,0 +1,76 @@
+package crwatch
+
+import (
+	"camphorroad/core/crid"
+	"camphorroad/core/crmesh"
+)
+
+// Revisions are the newest revisions of the store that a daemon holds. A daemon
+// sends them with a request for an [Update].
+type Revisions struct {
+	_             struct{} `cbor:",toarray"`
+	Records       crid.Revision
+	Configuration crid.Revision
+}
+
+// Revisions returns the newest revisions that this daemon holds.
+func (f *Follower) Revisions() Revisions {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return Revisions{Records: f.revisions[Records], Configuration: f.configurationRevision()}
+}
+
+// configurationRevision returns the revision of the configuration held; zero: none.
+func (f *Follower) configurationRevision() crid.Revision {
+	var r crid.Revision
+	for _, i := range f.values[Configuration] {
+		r = max(r, i.Revision)
+	}
+	return r
+}
+
+// Update is what a daemon holds of the store that a peer lacks.
+type Update struct {
+	Records         []Item        `cbor:"r"`
+	RecordsRevision crid.Revision `cbor:"n"` // zero: the peer's records are up to date
+	Configuration   []Item        `cbor:"c"`
+}
+
+// UpdateFor returns what is newer than a peer's revisions. A list of records and a
+// configuration are tens of kilobytes each. Sending both to every peer that lacks
+// one of them would saturate the link of a daemon with many such peers.
+func (f *Follower) UpdateFor(peer Revisions) Update {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	u := Update{Configuration: f.compress(f.configurationAfter(peer.Configuration))}
+	if f.revisions[Records] <= peer.Records {
+		return u
+	}
+	u.RecordsRevision = f.revisions[Records]
+	for _, i := range f.values[Records] {
+		u.Records = append(u.Records, i)
+	}
+	return u
+}
+
+// Apply applies the parts of a peer's update that are newer than what this daemon holds.
+func (f *Follower) Apply(u Update) error {
+	now := f.opts.Clock()
+	configuration, err := Decompress(u.Configuration)
+	if err != nil {
+		return err
+	}
+	for _, i := range configuration {
+		f.applyPlan(now, i)
+	}
+	f.mu.Lock()
+	newer := u.RecordsRevision > f.revisions[Records]
+	if newer {
+		f.storeItems(Records, u.Records, u.RecordsRevision, true)
+	}
+	f.mu.Unlock()
+	if newer {
+		f.opts.Emit(crmesh.Listed{Now: now, Changes: f.decodeChanges(u.Records), Revision: u.RecordsRevision, Peer: true})
+	}
+	return nil
+}
