--- a/io/crfeed/crfeed.go
+++ b/io/crfeed/crfeed.go
@@ -1,18 +1,25 @@
-// Package crfeed reads the store for a daemon: itself if it is a reader of its
-// domain, and through one of the readers otherwise.
+// Package crfeed limits the number of daemons that read the store. A daemon that is
+// one of the readers of its domain reads the store directly; any other daemon reads
+// it through one of the readers.
 //
-// The store counts and bills each call, and its rate does not grow with the
-// fleet. With two readers a domain the calls that a change costs do not grow with
-// the number of daemons.
+// The store counts and bills each call, and its rate limit does not grow with the
+// fleet. With two readers a domain, the number of calls that a change costs does not
+// grow with the number of daemons.
 //
-// A daemon whose readers do not answer reads the store itself, so that a reader's
-// fault costs calls and no time.
+// A daemon whose readers do not answer reads the store directly, so that the failure of
+// a reader costs calls but no time.
+//
+// [Feed] implements [crwatch.Store] for the follower of io/crwatch, which keeps the
+// local copy. [Feed.Serve] answers the queries of peers from that copy; io/croffer
+// carries queries and answers between daemons.
 //
 // # Usage
 //
-//	feed := crfeed.New(crfeed.Options{Self: self, Store: store, Peers: peers, Readers: readers, Clock: crclock.Now, Coming: coming, Log: log})
-//	items, at, err := feed.Watch(ctx, crwatch.Records, after, wait)
-//	page := feed.Serve(ctx, held, query)
+//	feed := crfeed.New(crfeed.Options{
+//		Self: self, Store: store, Peers: peers, Readers: readers, Clock: crclock.Now, PeersPending: pending, Log: log,
+//	})
+//	items, revision, err := feed.Watch(ctx, crwatch.Records, after, wait)
+//	page := feed.Serve(ctx, source, query)
 package crfeed
 
 import (
@@ -33,209 +40,208 @@
 )
 
 const (
-	// feedWait is how long a question to a reader waits for changes. A reader
-	// that hangs without losing its beats is left after this time; peers of
-	// other domains tell of changes meanwhile.
-	feedWait = 3 * time.Second
-	// feedTimeout is the time that a reader may take beyond the wait: a list of
+	// readerWait is how long a query to a reader waits for changes. A reader that
+	// hangs but still sends beats is abandoned after this time; until then, peers of
+	// other domains report changes.
+	readerWait = 3 * time.Second
+	// readerTimeout is the time that a reader may take beyond the wait: a list of
 	// a megabyte over a slow link, on a busy processor.
-	feedTimeout = 1200 * time.Millisecond
-	// restTime is how long a reader that did not answer is not asked again.
-	restTime = 2 * time.Second
-	// gather is the pause between two watches of the store after changes: a
-	// rolling replacement brings several changes a second, and one call takes
-	// them all. It is a part of the two seconds in which a change must be in
-	// force.
-	gather = 500 * time.Millisecond
-	// answerTime is how long the answer to a watch may take beyond its wait before the
-	// watch is given up early.
-	answerTime = 700 * time.Millisecond
-	// lookTime is the least time between a daemon's own calls while its readers
-	// say that the store is away and it answers this daemon neither.
-	lookTime = 2 * time.Second
-	// lookMost bounds the wait of such a call.
-	lookMost = 100 * time.Millisecond
-	// aloneTime is how long a daemon reads the store itself after its readers
-	// said that the store is away and it answered this daemon: a store that
-	// turns some machines away does so for seconds.
-	aloneTime = 10 * time.Second
-	// settle is how long a daemon counts as new. When all daemons start at one time
-	// none knows readers yet, and all are told of each other's targets as these
-	// come. If each watched the store as readers do meanwhile, that would cost more
-	// calls than the rest of a day.
-	settle = 6 * time.Second
-	// settlePause is the time between two calls of a new daemon that knows no other
-	// reader. It is a part of the time in which a change must be in force.
-	settlePause = 1500 * time.Millisecond
-	// settleStep is the time between looks for readers in it.
-	settleStep = 100 * time.Millisecond
+	readerTimeout = 1200 * time.Millisecond
+	// readerBackoff is how long a reader that did not answer is not queried again.
+	readerBackoff = 2 * time.Second
+	// batchInterval is the least time from a change to the next watch of the store. A
+	// rolling replacement causes several changes a second, and one call returns them
+	// all. It is a part of the two seconds in which a change must be in force.
+	batchInterval = 500 * time.Millisecond
+	// earlyTimeout is how long the answer to a watch may take beyond its wait before
+	// the watch is abandoned early.
+	earlyTimeout = 700 * time.Millisecond
+	// probeInterval is the least time between a daemon's direct calls while its
+	// readers report the store as unavailable and it does not answer this daemon
+	// either.
+	probeInterval = 2 * time.Second
+	// maxProbeWait bounds the wait of such a call.
+	maxProbeWait = 100 * time.Millisecond
+	// directTime is how long a daemon reads the store directly after the store
+	// answered it although its readers report the store as unavailable. A store that
+	// rejects some machines does so for seconds.
+	directTime = 10 * time.Second
+	// startupTime is how long a daemon counts as new. When all daemons start at the
+	// same time, none knows the readers yet, and all receive each other's targets one
+	// by one. If each of them watched the store like a reader meanwhile, that would
+	// cost more calls than the rest of a day.
+	startupTime = 6 * time.Second
+	// startupInterval is the time between two calls of a new daemon that knows no
+	// other reader. It is a part of the time in which a change must be in force.
+	startupInterval = 1500 * time.Millisecond
+	// startupPollInterval is the time between two checks for readers during startup.
+	startupPollInterval = 100 * time.Millisecond
 )
 
-// Peers asks other daemons.
+// Peers queries other daemons.
 type Peers interface {
 	Feed(ctx context.Context, d crid.Daemon, q croffer.FeedQuery) (croffer.FeedPage, error)
 }
 
-// Source is what a reader knows of the store.
+// Source is the copy of the store that a reader serves to its peers.
 type Source interface {
 	Snapshot(scope crwatch.Scope) ([]crwatch.Item, crid.Revision, error)
 	ChangesAfter(ctx context.Context, scope crwatch.Scope, after crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error)
 }
 
-// Options are what a feed needs.
+// Options are the dependencies of a feed.
 type Options struct {
-	Self    crid.Daemon
-	Store   crwatch.Store
-	Peers   Peers
-	Readers func() []crid.Daemon // of the own domain; none: not known yet
-	Clock   func() crid.Instant
-	PeersPending  func() bool // others of the own domain are to be heard for the first time
-	Log     *crlog.Logger
+	Self         crid.Daemon
+	Store        crwatch.Store
+	Peers        Peers
+	Readers      func() []crid.Daemon // of the own domain; none: not known yet
+	Clock        func() crid.Instant
+	PeersPending func() bool // other daemons of the own domain were not heard yet
+	Log          *crlog.Logger
 }
 
-// Feed is a store read by as few daemons as possible. It is safe for concurrent
-// use.
+// Feed reads the store directly or through a reader. It is safe for concurrent use.
 type Feed struct {
-	opts   Options
-	began  crid.Instant
-	calls  atomic.Int64
-	asked  atomic.Int64
-	mu     sync.Mutex
-	rests  map[crid.Daemon]crid.Instant   // until when a reader is not asked
-	looked map[crwatch.Scope]crid.Instant // the last own call while the readers said that the store is away
-	news   map[crwatch.Scope]crid.Instant // when the store told changes last
-	read   map[crwatch.Scope]crid.Instant // the last call
-	gaveUp map[crwatch.Scope]bool         // the last watch was given up early
-	alone  crid.Instant                   // until when no reader is asked
-	ending context.Context                //nolint:containedctx // ends what waits here for peers
-	end    context.CancelFunc
+	opts          Options
+	started       crid.Instant
+	storeCalls    atomic.Int64
+	queries       atomic.Int64
+	mu            sync.Mutex
+	backoffUntil  map[crid.Daemon]crid.Instant   // until when a reader is not queried
+	lastProbe     map[crwatch.Scope]crid.Instant // the last direct call while the readers reported the store as unavailable
+	lastChange    map[crwatch.Scope]crid.Instant // when the store last returned changes
+	lastCall      map[crwatch.Scope]crid.Instant
+	timedOutEarly map[crwatch.Scope]bool // the last watch was abandoned early
+	directUntil   crid.Instant           // until when no reader is queried
+	stopping      context.Context        //nolint:containedctx // ends the pending queries of peers
+	stop          context.CancelFunc
 }
 
 var _ crwatch.Store = (*Feed)(nil)
 
 // New returns a feed.
 func New(opts Options) *Feed {
-	ending, end := context.WithCancel(context.Background())
+	stopping, stop := context.WithCancel(context.Background())
 	return &Feed{
-		opts: opts, began: opts.Clock(), rests: make(map[crid.Daemon]crid.Instant), looked: make(map[crwatch.Scope]crid.Instant),
-		news: make(map[crwatch.Scope]crid.Instant), read: make(map[crwatch.Scope]crid.Instant), gaveUp: make(map[crwatch.Scope]bool),
-		ending: ending, end: end,
+		opts: opts, started: opts.Clock(), backoffUntil: make(map[crid.Daemon]crid.Instant), lastProbe: make(map[crwatch.Scope]crid.Instant),
+		lastChange: make(map[crwatch.Scope]crid.Instant), lastCall: make(map[crwatch.Scope]crid.Instant), timedOutEarly: make(map[crwatch.Scope]bool),
+		stopping: stopping, stop: stop,
 	}
 }
 
-// Stop sends the daemons that read through this one elsewhere, at once. Waiting
-// for changes they would hold up its planned stop.
-func (f *Feed) Stop() { f.end() }
+// Stop ends the pending queries of peers, so that they query another daemon at once.
+// Waiting for changes, they would delay the planned stop of this daemon.
+func (f *Feed) Stop() { f.stop() }
 
-// StoreCalls is the number of calls of the store itself so far.
-func (f *Feed) StoreCalls() int64 { return f.calls.Load() }
+// StoreCalls returns the number of direct calls of the store so far.
+func (f *Feed) StoreCalls() int64 { return f.storeCalls.Load() }
 
-// ReaderQueries is the number of questions to readers so far.
-func (f *Feed) ReaderQueries() int64 { return f.asked.Load() }
+// ReaderQueries returns the number of queries to readers so far.
+func (f *Feed) ReaderQueries() int64 { return f.queries.Load() }
 
 // List implements [crwatch.Store].
 func (f *Feed) List(ctx context.Context, scope crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
-	items, at, err := f.through(ctx, croffer.FeedQuery{Scope: scope, Whole: true})
-	if !errors.Is(err, errDirect) {
-		return items, at, err
+	items, revision, err := f.readThrough(ctx, croffer.FeedQuery{Scope: scope, Whole: true})
+	if !errors.Is(err, errReadDirectly) {
+		return items, revision, err
 	}
-	f.call(scope)
-	items, at, err = f.opts.Store.List(ctx, scope)
-	f.answered(scope, err)
-	return items, at, err
+	f.recordCall(scope)
+	items, revision, err = f.opts.Store.List(ctx, scope)
+	f.recordResult(scope, err)
+	return items, revision, err
 }
 
 // Watch implements [crwatch.Store].
 func (f *Feed) Watch(ctx context.Context, scope crwatch.Scope, after crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error) {
-	items, at, err := f.through(ctx, croffer.FeedQuery{Scope: scope, After: after, Wait: feedWait})
-	if !errors.Is(err, errDirect) {
-		return items, at, err
+	items, revision, err := f.readThrough(ctx, croffer.FeedQuery{Scope: scope, After: after, Wait: readerWait})
+	if !errors.Is(err, errReadDirectly) {
+		return items, revision, err
 	}
-	if f.settling(scope) {
-		return nil, after, crclock.Sleep(ctx, settleStep)
+	if f.startingUp(scope) {
+		return nil, after, crclock.Sleep(ctx, startupPollInterval)
 	}
-	if err := f.pause(ctx, scope); err != nil {
+	if err := f.awaitBatch(ctx, scope); err != nil {
 		return nil, 0, err
 	}
-	f.call(scope)
-	items, at, err = f.direct(ctx, scope, after, f.lookWait(scope, wait))
-	f.answered(scope, err)
+	f.recordCall(scope)
+	items, revision, err = f.watchDirectly(ctx, scope, after, f.boundWait(scope, wait))
+	f.recordResult(scope, err)
 	if len(items) > 0 {
-		f.told(scope)
+		f.recordChange(scope)
 	}
-	return items, at, err
+	return items, revision, err
 }
 
-// direct watches the store itself. A watch that is given up early is followed by one
-// with all the time of the store's client, so that a slow store is still read.
-func (f *Feed) direct(ctx context.Context, scope crwatch.Scope, after crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error) {
-	early := f.early(scope)
+// watchDirectly watches the store. A watch that was abandoned early is followed by one
+// with the whole timeout of the store's client, so that a slow store is still read.
+func (f *Feed) watchDirectly(ctx context.Context, scope crwatch.Scope, after crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error) {
+	early := f.endsEarly(scope)
 	if early {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, wait+answerTime)
+		ctx, cancel = context.WithTimeout(ctx, wait+earlyTimeout)
 		defer cancel()
 	}
-	items, at, err := f.opts.Store.Watch(ctx, scope, after, wait)
+	items, revision, err := f.opts.Store.Watch(ctx, scope, after, wait)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.gaveUp[scope] = early && errors.Is(err, context.DeadlineExceeded)
-	return items, at, err
+	f.timedOutEarly[scope] = early && errors.Is(err, context.DeadlineExceeded)
+	return items, revision, err
 }
 
-// early reports whether the next watch is to be given up early.
-func (f *Feed) early(scope crwatch.Scope) bool {
+// endsEarly reports whether earlyTimeout applies to the next watch.
+func (f *Feed) endsEarly(scope crwatch.Scope) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.gaveUp[scope]
+	return !f.timedOutEarly[scope]
 }
 
-// pause waits until the store may be watched again after changes.
-func (f *Feed) pause(ctx context.Context, scope crwatch.Scope) error {
+// awaitBatch waits until batchInterval has passed since the last change.
+func (f *Feed) awaitBatch(ctx context.Context, scope crwatch.Scope) error {
 	f.mu.Lock()
-	last, ok := f.news[scope]
+	last, ok := f.lastChange[scope]
 	f.mu.Unlock()
-	left := gather - f.opts.Clock().Sub(last)
+	left := batchInterval - f.opts.Clock().Sub(last)
 	if !ok || left <= 0 {
 		return nil
 	}
 	return crclock.Sleep(ctx, left)
 }
 
-// settling reports whether this daemon is new, knows no other reader yet, and has just
-// read a scope.
-func (f *Feed) settling(scope crwatch.Scope) bool {
+// startingUp reports whether this daemon is new, knows no other reader yet, and has
+// called the store for a scope within startupInterval.
+func (f *Feed) startingUp(scope crwatch.Scope) bool {
 	f.mu.Lock()
-	last, now := f.read[scope], f.opts.Clock()
+	last, now := f.lastCall[scope], f.opts.Clock()
 	f.mu.Unlock()
-	if now.Sub(f.began) >= settle || now.Sub(last) >= settlePause || !f.opts.PeersPending() {
+	if now.Sub(f.started) >= startupTime || now.Sub(last) >= startupInterval || !f.opts.PeersPending() {
 		return false
 	}
 	return !slices.ContainsFunc(f.opts.Readers(), func(d crid.Daemon) bool { return d != f.opts.Self })
 }
 
-// call counts a call of the store itself.
-func (f *Feed) call(scope crwatch.Scope) {
-	f.calls.Add(1)
+// recordCall counts a direct call of the store.
+func (f *Feed) recordCall(scope crwatch.Scope) {
+	f.storeCalls.Add(1)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.read[scope] = f.opts.Clock()
+	f.lastCall[scope] = f.opts.Clock()
 }
 
-// told notes that the store has told changes.
-func (f *Feed) told(scope crwatch.Scope) {
+// recordChange records that the store has returned changes.
+func (f *Feed) recordChange(scope crwatch.Scope) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.news[scope] = f.opts.Clock()
+	f.lastChange[scope] = f.opts.Clock()
 }
 
-// errDirect tells that the store has to be read by this daemon itself.
-var errDirect = errors.New("no reader answers")
+// errReadDirectly means that this daemon has to read the store directly.
+var errReadDirectly = errors.New("no reader answers")
 
-// through asks the readers one after the other.
-func (f *Feed) through(ctx context.Context, q croffer.FeedQuery) ([]crwatch.Item, crid.Revision, error) {
-	away := false
-	for _, d := range f.sources() {
-		page, err := f.ask(ctx, d, q)
+// readThrough queries the readers one after the other.
+func (f *Feed) readThrough(ctx context.Context, q croffer.FeedQuery) ([]crwatch.Item, crid.Revision, error) {
+	unavailable := false
+	for _, d := range f.readersToQuery() {
+		page, err := f.query(ctx, d, q)
 		if ctx.Err() != nil {
 			return nil, 0, ctx.Err()
 		}
@@ -246,31 +252,32 @@
 		switch {
 		case err != nil:
 			f.opts.Log.Event(crlog.ReaderSilent, crlog.Fields{"reader": string(d), "scope": q.Scope.String(), "error": err.Error()})
-			f.rest(d)
+			f.backOff(d)
 		case page.State == croffer.FeedServed:
 			return items, max(page.At, q.After), nil
 		case page.State == croffer.FeedCompacted:
 			return nil, 0, crwatch.ErrCompacted
 		case page.State == croffer.FeedAway:
-			away = true
+			unavailable = true
 		}
 	}
-	if away && !f.mayLook(q.Scope) {
+	if unavailable && !f.allowProbe(q.Scope) {
 		return nil, 0, crwatch.ErrUnavailable
 	}
-	return nil, 0, errDirect
+	return nil, 0, errReadDirectly
 }
 
-func (f *Feed) ask(ctx context.Context, d crid.Daemon, q croffer.FeedQuery) (croffer.FeedPage, error) {
-	ctx, cancel := context.WithTimeout(ctx, q.Wait+feedTimeout)
+func (f *Feed) query(ctx context.Context, d crid.Daemon, q croffer.FeedQuery) (croffer.FeedPage, error) {
+	ctx, cancel := context.WithTimeout(ctx, q.Wait+readerTimeout)
 	defer cancel()
-	f.asked.Add(1)
+	f.queries.Add(1)
 	return f.opts.Peers.Feed(ctx, d, q)
 }
 
-// sources are the readers to ask, in this daemon's order, so that each has half
-// of the others; none if this daemon is a reader itself.
-func (f *Feed) sources() []crid.Daemon {
+// readersToQuery returns the readers to query, in an order that depends on this daemon,
+// so that each of two readers serves half of the others. It returns none if this daemon
+// is a reader itself.
+func (f *Feed) readersToQuery() []crid.Daemon {
 	readers := f.opts.Readers()
 	if slices.Contains(readers, f.opts.Self) {
 		return nil
@@ -278,82 +285,85 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.opts.Clock()
-	if now.Before(f.alone) {
+	if now.Before(f.directUntil) {
 		return nil
 	}
 	out := make([]crid.Daemon, 0, len(readers))
 	first := int(xxhash.Sum64String(string(f.opts.Self)) % uint64(max(len(readers), 1)))
 	for i := range readers {
 		d := readers[(first+i)%len(readers)]
-		if !now.Before(f.rests[d]) {
+		if !now.Before(f.backoffUntil[d]) {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-func (f *Feed) rest(d crid.Daemon) {
+// backOff excludes a reader from queries for readerBackoff.
+func (f *Feed) backOff(d crid.Daemon) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.opts.Clock()
-	for other, until := range f.rests {
+	for other, until := range f.backoffUntil {
 		if until < now {
-			delete(f.rests, other)
+			delete(f.backoffUntil, other)
 		}
 	}
-	f.rests[d] = now.Add(restTime)
+	f.backoffUntil[d] = now.Add(readerBackoff)
 }
 
-// answered notes that the store answers this daemon although its readers say that
-// it is away.
-func (f *Feed) answered(scope crwatch.Scope, err error) {
+// recordResult makes this daemon read the store directly for directTime if a probe was
+// answered: the store then answers this daemon although its readers report it as
+// unavailable.
+func (f *Feed) recordResult(scope crwatch.Scope, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err == nil && f.looked[scope] != 0 {
-		f.alone = f.opts.Clock().Add(aloneTime)
-		delete(f.looked, scope)
+	if err == nil && f.lastProbe[scope] != 0 {
+		f.directUntil = f.opts.Clock().Add(directTime)
+		delete(f.lastProbe, scope)
 	}
 }
 
-// lookWait is how long a watch waits that is to find out whether the store
-// answers this daemon: it must not wait for a change to know.
-func (f *Feed) lookWait(scope crwatch.Scope, wait time.Duration) time.Duration {
+// boundWait bounds the wait of a watch that is a probe: whether the store answers this
+// daemon must be known without waiting for a change.
+func (f *Feed) boundWait(scope crwatch.Scope, wait time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.looked[scope] != 0 {
-		return min(wait, lookMost)
+	if f.lastProbe[scope] != 0 {
+		return min(wait, maxProbeWait)
 	}
 	return wait
 }
 
-func (f *Feed) mayLook(scope crwatch.Scope) bool {
+// allowProbe reports whether a direct call may probe the store now, and records it.
+func (f *Feed) allowProbe(scope crwatch.Scope) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.opts.Clock()
-	if last := f.looked[scope]; last != 0 && now.Sub(last) < lookTime {
+	if last := f.lastProbe[scope]; last != 0 && now.Sub(last) < probeInterval {
 		return false
 	}
-	f.looked[scope] = now
+	f.lastProbe[scope] = now
 	return true
 }
 
-// Serve answers a daemon that reads through this one. One that reads through
-// others itself must not: two daemons that read through each other would both
-// wait for ever.
-func (f *Feed) Serve(ctx context.Context, held Source, q croffer.FeedQuery) croffer.FeedPage {
+// Serve answers the query of a daemon that reads through this one. A daemon that is no
+// reader must not serve: two daemons that read through each other would both wait for
+// ever.
+func (f *Feed) Serve(ctx context.Context, source Source, q croffer.FeedQuery) croffer.FeedPage {
 	if !slices.Contains(f.opts.Readers(), f.opts.Self) {
 		return croffer.FeedPage{State: croffer.FeedElsewhere}
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(f.ending, cancel)()
+	defer context.AfterFunc(f.stopping, cancel)()
 	var items []crwatch.Item
-	var at crid.Revision
+	var revision crid.Revision
 	var err error
 	if q.Whole {
-		items, at, err = held.Snapshot(q.Scope)
+		items, revision, err = source.Snapshot(q.Scope)
 	} else {
-		items, at, err = held.ChangesAfter(ctx, q.Scope, q.After, min(q.Wait, feedWait))
+		items, revision, err = source.ChangesAfter(ctx, q.Scope, q.After, min(q.Wait, readerWait))
 	}
 	switch {
 	case errors.Is(err, crwatch.ErrCompacted):
@@ -363,5 +373,5 @@
 	case err != nil:
 		return croffer.FeedPage{State: croffer.FeedAway}
 	}
-	return croffer.FeedPage{State: croffer.FeedServed, Items: items, At: at}
+	return croffer.FeedPage{State: croffer.FeedServed, Items: items, At: revision}
 }
--- a/io/crfeed/crfeed_test.go
+++ b/io/crfeed/crfeed_test.go
@@ -18,30 +18,30 @@
 
 const start = crid.Instant(time.Hour)
 
-// store counts its calls.
-type store struct {
+// fakeStore counts its calls.
+type fakeStore struct {
 	calls int
 	err   error
 }
 
-func (s *store) List(context.Context, crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
+func (s *fakeStore) List(context.Context, crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
 	s.calls++
-	return []crwatch.Item{{Key: "own", Revision: 9}}, 9, s.err
+	return []crwatch.Item{{Key: "direct", Revision: 9}}, 9, s.err
 }
 
-func (s *store) Watch(context.Context, crwatch.Scope, crid.Revision, time.Duration) ([]crwatch.Item, crid.Revision, error) {
+func (s *fakeStore) Watch(context.Context, crwatch.Scope, crid.Revision, time.Duration) ([]crwatch.Item, crid.Revision, error) {
 	s.calls++
-	return []crwatch.Item{{Key: "own", Revision: 9}}, 9, s.err
+	return []crwatch.Item{{Key: "direct", Revision: 9}}, 9, s.err
 }
 
-// peers answer as told; one without an answer is unreachable.
-type peers struct {
-	pages map[crid.Daemon]croffer.FeedPage
-	asked []crid.Daemon
+// fakePeers answer queries with fixed pages; a peer without a page is unreachable.
+type fakePeers struct {
+	pages   map[crid.Daemon]croffer.FeedPage
+	queried []crid.Daemon
 }
 
-func (p *peers) Feed(_ context.Context, d crid.Daemon, _ croffer.FeedQuery) (croffer.FeedPage, error) {
-	p.asked = append(p.asked, d)
+func (p *fakePeers) Feed(_ context.Context, d crid.Daemon, _ croffer.FeedQuery) (croffer.FeedPage, error) {
+	p.queried = append(p.queried, d)
 	page, ok := p.pages[d]
 	if !ok {
 		return croffer.FeedPage{}, errors.New("no answer")
@@ -49,232 +49,233 @@
 	return page, nil
 }
 
-// rig is a feed with its surroundings.
-type rig struct {
+// fixture is a feed with fake dependencies.
+type fixture struct {
 	feed    *crfeed.Feed
-	store   *store
-	peers   *peers
+	store   *fakeStore
+	peers   *fakePeers
 	readers []crid.Daemon
 	now     crid.Instant
 }
 
-func newRig(readers ...crid.Daemon) *rig {
-	r := &rig{store: &store{}, peers: &peers{pages: make(map[crid.Daemon]croffer.FeedPage)}, readers: readers, now: start}
-	r.feed = crfeed.New(crfeed.Options{
-		Self: "self", Store: r.store, Peers: r.peers, Readers: func() []crid.Daemon { return r.readers }, Clock: func() crid.Instant { return r.now },
+func newFixture(readers ...crid.Daemon) *fixture {
+	f := &fixture{store: &fakeStore{}, peers: &fakePeers{pages: make(map[crid.Daemon]croffer.FeedPage)}, readers: readers, now: start}
+	f.feed = crfeed.New(crfeed.Options{
+		Self: "self", Store: f.store, Peers: f.peers, Readers: func() []crid.Daemon { return f.readers }, Clock: func() crid.Instant { return f.now },
 		PeersPending: func() bool { return false }, Log: crlog.New(io.Discard, "info", "self"),
 	})
-	return r
+	return f
 }
 
-func (r *rig) watch(t *testing.T) ([]crwatch.Item, crid.Revision, error) {
+func (f *fixture) watch(t *testing.T) ([]crwatch.Item, crid.Revision, error) {
 	t.Helper()
-	return r.feed.Watch(t.Context(), crwatch.Records, 4, time.Second)
+	return f.feed.Watch(t.Context(), crwatch.Records, 4, time.Second)
 }
 
-func served() croffer.FeedPage {
-	return croffer.FeedPage{State: croffer.FeedServed, Items: []crwatch.Item{{Key: "far", Revision: 7}}, At: 7}
+func servedPage() croffer.FeedPage {
+	return croffer.FeedPage{State: croffer.FeedServed, Items: []crwatch.Item{{Key: "remote", Revision: 7}}, At: 7}
 }
 
-func TestADaemonReadsThroughItsReaders(t *testing.T) {
+func TestADaemonReadsThroughAReader(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRig("a", "b")
-	r.peers.pages["a"], r.peers.pages["b"] = served(), served()
-	items, at, err := r.watch(t)
+	f := newFixture("a", "b")
+	f.peers.pages["a"], f.peers.pages["b"] = servedPage(), servedPage()
+	items, at, err := f.watch(t)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(items).To(gomega.Equal([]crwatch.Item{{Key: "far", Revision: 7}}))
+	g.Expect(items).To(gomega.Equal([]crwatch.Item{{Key: "remote", Revision: 7}}))
 	g.Expect(at).To(gomega.Equal(crid.Revision(7)))
-	g.Expect(r.store.calls).To(gomega.Equal(0))
+	g.Expect(f.store.calls).To(gomega.Equal(0))
 }
 
-func TestAReaderReadsTheStoreItself(t *testing.T) {
+func TestAReaderReadsTheStoreDirectly(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRig("a", "self")
-	items, _, err := r.watch(t)
+	f := newFixture("a", "self")
+	items, _, err := f.watch(t)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(items[0].Key).To(gomega.Equal("own"))
-	g.Expect(r.peers.asked).To(gomega.BeEmpty())
+	g.Expect(items[0].Key).To(gomega.Equal("direct"))
+	g.Expect(f.peers.queried).To(gomega.BeEmpty())
 }
 
-// Both readers of a domain die at one time. Nobody there would hear of a withdrawn
-// key until their beats are missed; so each daemon reads the store itself at once,
-// and does not try the dead ones again for a while.
-func TestWithoutReadersTheStoreIsReadAtOnce(t *testing.T) {
+// Both readers of a domain fail at the same time. Until their beats are missed, no daemon
+// there would learn of a withdrawn key; so each reads the store directly at once, and does
+// not query the failed readers again for a while.
+func TestTheStoreIsReadDirectlyWhenNoReaderAnswers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRig("a", "b")
-	items, _, err := r.watch(t)
+	f := newFixture("a", "b")
+	items, _, err := f.watch(t)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(items[0].Key).To(gomega.Equal("own"))
-	g.Expect(r.peers.asked).To(gomega.HaveLen(2))
-	r.now = r.now.Add(time.Second)
-	_, _, err = r.watch(t)
+	g.Expect(items[0].Key).To(gomega.Equal("direct"))
+	g.Expect(f.peers.queried).To(gomega.HaveLen(2))
+	f.now = f.now.Add(time.Second)
+	_, _, err = f.watch(t)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(r.peers.asked).To(gomega.HaveLen(2))
-	r.now = r.now.Add(3 * time.Second)
-	_, _, err = r.watch(t)
+	g.Expect(f.peers.queried).To(gomega.HaveLen(2))
+	f.now = f.now.Add(3 * time.Second)
+	_, _, err = f.watch(t)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(r.peers.asked).To(gomega.HaveLen(4))
+	g.Expect(f.peers.queried).To(gomega.HaveLen(4))
 }
 
-// The store turns the readers away and serves everybody else. What a daemon then
-// learns only now and then comes too late: a leaving target got requests for 2.6 s.
-// So once the store has answered, it reads the store itself for some seconds.
-func TestADaemonWhoseReadersAreTurnedAwayReadsTheStoreItself(t *testing.T) {
+// The store rejects the readers and serves everybody else. With occasional probes only, a
+// daemon learns of changes too late: a leaving target got requests for 2.6 s. So once a
+// probe was answered, the daemon reads the store directly for some seconds.
+func TestADaemonWhoseReadersAreRejectedReadsTheStoreDirectly(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRig("a", "b")
-	r.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedAway}
-	r.peers.pages["b"] = croffer.FeedPage{State: croffer.FeedAway}
+	f := newFixture("a", "b")
+	f.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedAway}
+	f.peers.pages["b"] = croffer.FeedPage{State: croffer.FeedAway}
 	for range 3 {
-		items, _, err := r.watch(t)
+		items, _, err := f.watch(t)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(items[0].Key).To(gomega.Equal("own"))
-		r.now = r.now.Add(time.Second)
+		g.Expect(items[0].Key).To(gomega.Equal("direct"))
+		f.now = f.now.Add(time.Second)
 	}
-	g.Expect(r.peers.asked).To(gomega.HaveLen(2))
-	r.now = r.now.Add(11 * time.Second)
-	r.peers.pages["a"], r.peers.pages["b"] = served(), served()
-	items, _, err := r.watch(t)
+	g.Expect(f.peers.queried).To(gomega.HaveLen(2))
+	f.now = f.now.Add(11 * time.Second)
+	f.peers.pages["a"], f.peers.pages["b"] = servedPage(), servedPage()
+	items, _, err := f.watch(t)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(items[0].Key).To(gomega.Equal("far"))
+	g.Expect(items[0].Key).To(gomega.Equal("remote"))
 }
 
-// The store is away for all. If each daemon tried as often as its readers do, the
-// calls of a whole fleet would meet the store on its return.
-func TestInAnOutageForAllADaemonLooksNowAndThen(t *testing.T) {
+// The store is unavailable to all. If each daemon called it as often as the readers do,
+// it would recover under the calls of the whole fleet.
+func TestADaemonSpacesItsProbesInAnOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRig("a", "b")
-	r.store.err = errors.New("busy")
-	r.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedAway}
-	r.peers.pages["b"] = croffer.FeedPage{State: croffer.FeedAway}
-	_, _, err := r.watch(t)
+	f := newFixture("a", "b")
+	f.store.err = errors.New("busy")
+	f.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedAway}
+	f.peers.pages["b"] = croffer.FeedPage{State: croffer.FeedAway}
+	_, _, err := f.watch(t)
 	g.Expect(err).To(gomega.MatchError("busy"))
-	_, _, err = r.watch(t)
+	_, _, err = f.watch(t)
 	g.Expect(err).To(gomega.MatchError(crwatch.ErrUnavailable))
-	g.Expect(r.store.calls).To(gomega.Equal(1))
-	r.now = r.now.Add(3 * time.Second)
-	_, _, err = r.watch(t)
+	g.Expect(f.store.calls).To(gomega.Equal(1))
+	f.now = f.now.Add(3 * time.Second)
+	_, _, err = f.watch(t)
 	g.Expect(err).To(gomega.MatchError("busy"))
-	g.Expect(r.store.calls).To(gomega.Equal(2))
+	g.Expect(f.store.calls).To(gomega.Equal(2))
 }
 
-// One reader is turned away by the store and the other is served: it has the news.
-func TestTheOtherReaderIsAskedWhenOneIsTurnedAway(t *testing.T) {
+// The store rejects one reader and serves the other, which has the changes.
+func TestTheOtherReaderIsQueriedWhenOneIsRejected(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRig("a", "b")
-	r.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedAway}
-	r.peers.pages["b"] = served()
+	f := newFixture("a", "b")
+	f.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedAway}
+	f.peers.pages["b"] = servedPage()
 	for range 2 {
-		items, _, err := r.watch(t)
+		items, _, err := f.watch(t)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(items[0].Key).To(gomega.Equal("far"))
+		g.Expect(items[0].Key).To(gomega.Equal("remote"))
 	}
-	g.Expect(r.store.calls).To(gomega.Equal(0))
+	g.Expect(f.store.calls).To(gomega.Equal(0))
 }
 
-// A reader has forgotten the changes asked for. Going on from its newest one would
-// miss what was removed in between, so that the caller has to list anew.
-func TestForgottenChangesAreListedAnew(t *testing.T) {
+// A reader has dropped the changes asked for. Continuing from its newest change would miss
+// what was removed in between, so the caller has to list again.
+func TestWatchReturnsCompactedWhenAReaderDroppedTheChanges(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRig("a")
-	r.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedCompacted}
-	_, _, err := r.watch(t)
+	f := newFixture("a")
+	f.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedCompacted}
+	_, _, err := f.watch(t)
 	g.Expect(err).To(gomega.MatchError(crwatch.ErrCompacted))
 }
 
-// held waits until its question is taken back.
-type held struct{}
+// blockingSource returns no changes before the query is canceled.
+type blockingSource struct{}
 
-func (held) Snapshot(crwatch.Scope) ([]crwatch.Item, crid.Revision, error) { return nil, 1, nil }
+func (blockingSource) Snapshot(crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
+	return nil, 1, nil
+}
 
-func (held) ChangesAfter(ctx context.Context, _ crwatch.Scope, _ crid.Revision, _ time.Duration) ([]crwatch.Item, crid.Revision, error) {
+func (blockingSource) ChangesAfter(ctx context.Context, _ crwatch.Scope, _ crid.Revision, _ time.Duration) ([]crwatch.Item, crid.Revision, error) {
 	<-ctx.Done()
 	return nil, 0, ctx.Err()
 }
 
 // Two daemons that read through each other would both wait for ever.
-func TestOnlyAReaderServes(t *testing.T) {
+func TestOnlyAReaderServesQueries(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRig("a", "b")
-	g.Expect(r.feed.Serve(t.Context(), held{}, croffer.FeedQuery{Scope: 1}).State).To(gomega.Equal(croffer.FeedElsewhere))
+	f := newFixture("a", "b")
+	g.Expect(f.feed.Serve(t.Context(), blockingSource{}, croffer.FeedQuery{Scope: 1}).State).To(gomega.Equal(croffer.FeedElsewhere))
 }
 
-// A reader is told to stop while others wait through it for changes. It would stay
-// until their time is up and be killed; they are sent elsewhere at once.
-func TestAStoppingReaderSendsItsDaemonsElsewhere(t *testing.T) {
+// A reader is stopped while peers wait through it for changes. If it waited for them to
+// time out, it would be killed; it ends their queries at once.
+func TestStopEndsPendingQueries(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRig("self")
+	f := newFixture("self")
 	go func() {
 		time.Sleep(30 * time.Millisecond)
-		r.feed.Stop()
+		f.feed.Stop()
 	}()
-	g.Expect(r.feed.Serve(t.Context(), held{}, croffer.FeedQuery{Scope: 1, Wait: time.Minute}).State).To(gomega.Equal(croffer.FeedElsewhere))
+	g.Expect(f.feed.Serve(t.Context(), blockingSource{}, croffer.FeedQuery{Scope: 1, Wait: time.Minute}).State).To(gomega.Equal(croffer.FeedElsewhere))
 }
 
-// A rolling replacement brings several changes a second. A watch after each would
-// be a paid call for each; one each half second takes them all.
-func TestWatchesOfTheStoreAreSpacedAfterChanges(t *testing.T) {
+// A rolling replacement causes several changes a second. A watch after each would be a
+// billed call for each; one watch every half second returns them all.
+func TestDirectWatchesAreSpacedAfterChanges(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRig("self")
-	_, _, err := r.watch(t)
+	f := newFixture("self")
+	_, _, err := f.watch(t)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	_, _, err = r.feed.Watch(ctx, crwatch.Records, 9, time.Second)
+	_, _, err = f.feed.Watch(ctx, crwatch.Records, 9, time.Second)
 	g.Expect(err).To(gomega.MatchError(context.DeadlineExceeded))
-	g.Expect(r.store.calls).To(gomega.Equal(1))
-	r.now = r.now.Add(600 * time.Millisecond)
-	_, _, err = r.watch(t)
+	g.Expect(f.store.calls).To(gomega.Equal(1))
+	f.now = f.now.Add(600 * time.Millisecond)
+	_, _, err = f.watch(t)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(r.store.calls).To(gomega.Equal(2))
+	g.Expect(f.store.calls).To(gomega.Equal(2))
 }
 
-// All machines of a domain start at one time, and none knows who reads the store for
-// it. Each would watch for itself, and be told of the others' targets one by one; the
-// store turns away what is above its rate. A new daemon looks for changes now and
-// then until a reader is heard, and watches all the time only if none is.
-func TestANewDaemonWaitsForItsReaders(t *testing.T) {
+// All daemons of a domain start at the same time and know no readers. Constant watches by
+// all, answered for each new target, would exceed the store's rate limit. A new daemon
+// spaces its calls until a reader is heard, and watches constantly only if none is expected.
+func TestANewDaemonSpacesItsCallsUntilAReaderIsHeard(t *testing.T) {
 	g := gomega.NewWithT(t)
-	coming := true
-	r := &rig{store: &store{}, peers: &peers{pages: map[crid.Daemon]croffer.FeedPage{"a": served()}}, readers: []crid.Daemon{"self"}, now: start}
-	r.feed = crfeed.New(crfeed.Options{
-		Self: "self", Store: r.store, Peers: r.peers, Readers: func() []crid.Daemon { return r.readers },
-		Clock: func() crid.Instant { return r.now }, PeersPending: func() bool { return coming }, Log: crlog.New(io.Discard, "info", "self"),
+	pending := true
+	f := &fixture{store: &fakeStore{}, peers: &fakePeers{pages: map[crid.Daemon]croffer.FeedPage{"a": servedPage()}}, readers: []crid.Daemon{"self"}, now: start}
+	f.feed = crfeed.New(crfeed.Options{
+		Self: "self", Store: f.store, Peers: f.peers, Readers: func() []crid.Daemon { return f.readers },
+		Clock: func() crid.Instant { return f.now }, PeersPending: func() bool { return pending }, Log: crlog.New(io.Discard, "info", "self"),
 	})
-	_, _, err := r.feed.List(t.Context(), crwatch.Records)
+	_, _, err := f.feed.List(t.Context(), crwatch.Records)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(r.store.calls).To(gomega.Equal(1))
-	items, at, err := r.watch(t)
+	g.Expect(f.store.calls).To(gomega.Equal(1))
+	items, at, err := f.watch(t)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(items).To(gomega.BeEmpty())
-	g.Expect(at).To(gomega.Equal(crid.Revision(4)), "it goes on from where it was")
-	g.Expect(r.store.calls).To(gomega.Equal(1))
+	g.Expect(at).To(gomega.Equal(crid.Revision(4)), "the watch continues from the same revision")
+	g.Expect(f.store.calls).To(gomega.Equal(1))
 
-	r.readers = []crid.Daemon{"a", "b"}
-	items, _, err = r.watch(t)
+	f.readers = []crid.Daemon{"a", "b"}
+	items, _, err = f.watch(t)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(items[0].Key).To(gomega.Equal("far"))
+	g.Expect(items[0].Key).To(gomega.Equal("remote"))
 
-	r.readers = []crid.Daemon{"self"}
-	r.now = start.Add(1500 * time.Millisecond)
-	items, _, err = r.watch(t)
+	f.readers = []crid.Daemon{"self"}
+	f.now = start.Add(1500 * time.Millisecond)
+	items, _, err = f.watch(t)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(items[0].Key).To(gomega.Equal("own"))
-	g.Expect(r.store.calls).To(gomega.Equal(2))
-	items, _, err = r.watch(t)
+	g.Expect(items[0].Key).To(gomega.Equal("direct"))
+	g.Expect(f.store.calls).To(gomega.Equal(2))
+	items, _, err = f.watch(t)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(items).To(gomega.BeEmpty())
 
-	coming = false
-	items, _, err = r.watch(t)
+	pending = false
+	items, _, err = f.watch(t)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(items[0].Key).To(gomega.Equal("own"), "there is nobody to wait for")
+	g.Expect(items[0].Key).To(gomega.Equal("direct"), "there are no peers to wait for")
 
-	coming = true
-	r.now = start.Add(6 * time.Second)
+	pending = true
+	f.now = start.Add(6 * time.Second)
 	for range 2 {
-		items, _, err = r.watch(t)
+		items, _, err = f.watch(t)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(items[0].Key).To(gomega.Equal("own"), "it is not new any more")
-		r.now = r.now.Add(time.Second)
+		g.Expect(items[0].Key).To(gomega.Equal("direct"), "the startup time is over")
+		f.now = f.now.Add(time.Second)
 	}
 }
--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -24,27 +24,27 @@
 )
 
 const (
-	nearDelay   = time.Millisecond        // one way, within a domain
-	farDelay    = 3 * time.Millisecond    // one way, between domains
-	storeDelay  = 2 * time.Millisecond    // one way
-	callTimeout = 1500 * time.Millisecond // of a call of the store, beyond its wait
-	startWithin = 300 * time.Millisecond
-	beatNear    = 400 * time.Millisecond
-	beatFar     = time.Second
-	lapse       = 1600 * time.Millisecond
-	tick        = 100 * time.Millisecond
+	localDelay    = time.Millisecond        // one way, within a domain
+	remoteDelay   = 3 * time.Millisecond    // one way, between domains
+	storeDelay    = 2 * time.Millisecond    // one way
+	callTimeout   = 1500 * time.Millisecond // of a store call, beyond its wait
+	maxStartDelay = 300 * time.Millisecond
+	localBeat     = 400 * time.Millisecond
+	remoteBeat    = time.Second
+	lapse         = 1600 * time.Millisecond
+	tick          = 100 * time.Millisecond
 )
 
-// silence is a time in which the store answers nobody, or not those named. Calls that
-// wait as it begins get no answer either, however long they wait.
+// silence is a period in which the store answers no daemon, or only some. Calls that are
+// pending when it begins get no answer either, however long they wait.
 type silence struct {
-	from, until time.Time
-	only        map[crid.Daemon]bool // nil: all
-	spares      bool                 // calls that came before it, and end after it, are answered
+	from, until   time.Time
+	only          map[crid.Daemon]bool // the daemons that get no answer; nil: all
+	sparesPending bool                 // calls that came before it, and end after it, are answered
 }
 
-// backing is a store in virtual time.
-type backing struct {
+// virtualStore is a store in virtual time.
+type virtualStore struct {
 	mu       sync.Mutex
 	revision crid.Revision
 	records  []crwatch.Item
@@ -53,73 +53,73 @@
 	silences []silence
 }
 
-func newBacking() *backing { return &backing{changed: make(chan struct{})} }
+func newVirtualStore() *virtualStore { return &virtualStore{changed: make(chan struct{})} }
 
-func (b *backing) publish(version int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.revision++
-	b.plan = crwatch.Item{Key: "plan", Value: []byte(strconv.Itoa(version)), Revision: b.revision}
-	close(b.changed)
-	b.changed = make(chan struct{})
+func (s *virtualStore) publish(version int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.revision++
+	s.plan = crwatch.Item{Key: "plan", Value: []byte(strconv.Itoa(version)), Revision: s.revision}
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // register adds the record of a daemon's target before the fleet starts.
-func (b *backing) register(d *member) {
-	b.revision++
-	b.records = append(b.records, crwatch.Item{Key: string(d.id), Value: []byte(d.domain), Revision: b.revision})
+func (s *virtualStore) register(d *member) {
+	s.revision++
+	s.records = append(s.records, crwatch.Item{Key: string(d.id), Value: []byte(d.domain), Revision: s.revision})
 }
 
-// mute reports whether a call that came at a time gets no answer now.
-func (b *backing) mute(by crid.Daemon, came time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// unanswered reports whether a call that came at a time gets no answer now.
+func (s *virtualStore) unanswered(by crid.Daemon, came time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	for _, s := range b.silences {
-		if s.spares && came.Before(s.from) && !now.Before(s.until) {
+	for _, p := range s.silences {
+		if p.sparesPending && came.Before(p.from) && !now.Before(p.until) {
 			continue
 		}
-		if (s.only == nil || s.only[by]) && !now.Before(s.from) && came.Before(s.until) {
+		if (p.only == nil || p.only[by]) && !now.Before(p.from) && came.Before(p.until) {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *backing) since(scope crwatch.Scope, after crid.Revision) ([]crwatch.Item, crid.Revision, <-chan struct{}) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (s *virtualStore) changesAfter(scope crwatch.Scope, after crid.Revision) ([]crwatch.Item, crid.Revision, <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var out []crwatch.Item
-	for _, i := range b.items(scope) {
+	for _, i := range s.items(scope) {
 		if i.Revision > after {
 			out = append(out, i)
 		}
 	}
-	return out, b.revision, b.changed
+	return out, s.revision, s.changed
 }
 
-func (b *backing) items(scope crwatch.Scope) []crwatch.Item {
+func (s *virtualStore) items(scope crwatch.Scope) []crwatch.Item {
 	if scope == crwatch.Records {
-		return b.records
+		return s.records
 	}
-	return []crwatch.Item{b.plan}
+	return []crwatch.Item{s.plan}
 }
 
-// line is a daemon's way to the store.
-type line struct {
-	*backing
+// storeClient is a daemon's client of the store.
+type storeClient struct {
+	*virtualStore
 	by crid.Daemon
 }
 
-func (l line) List(ctx context.Context, scope crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
-	return l.call(ctx, scope, 0, 0)
+func (c storeClient) List(ctx context.Context, scope crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
+	return c.call(ctx, scope, 0, 0)
 }
 
-func (l line) Watch(ctx context.Context, scope crwatch.Scope, after crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error) {
-	return l.call(ctx, scope, after, wait)
+func (c storeClient) Watch(ctx context.Context, scope crwatch.Scope, after crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error) {
+	return c.call(ctx, scope, after, wait)
 }
 
-func (l line) call(ctx context.Context, scope crwatch.Scope, after crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error) {
+func (c storeClient) call(ctx context.Context, scope crwatch.Scope, after crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
 	time.Sleep(storeDelay)
@@ -127,7 +127,7 @@
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	for {
-		items, at, changed := l.since(scope, after)
+		items, at, changed := c.changesAfter(scope, after)
 		if len(items) == 0 && wait > 0 {
 			select {
 			case <-ctx.Done():
@@ -137,7 +137,7 @@
 			case <-end.C:
 			}
 		}
-		if l.mute(l.by, came) {
+		if c.unanswered(c.by, came) {
 			<-ctx.Done()
 			return nil, 0, ctx.Err()
 		}
@@ -146,13 +146,14 @@
 	}
 }
 
-type versions struct{}
+// versionDecoder decodes a plan from its version number alone.
+type versionDecoder struct{}
 
-func (versions) Record(i crwatch.Item) (crregistry.Record, error) {
+func (versionDecoder) Record(i crwatch.Item) (crregistry.Record, error) {
 	return crregistry.Record{Target: crid.Target("t-" + i.Key), Service: "s", Address: i.Key + ":1", Domain: crid.Domain(i.Value), Slots: 1}, nil
 }
 
-func (versions) Plan(value []byte) (*crplan.Plan, error) {
+func (versionDecoder) Plan(value []byte) (*crplan.Plan, error) {
 	n, err := strconv.ParseUint(string(value), 10, 64)
 	if err != nil {
 		return nil, err
@@ -160,7 +161,7 @@
 	return crplan.New(n, nil, nil, nil, crplan.Limits{})
 }
 
-// member is a daemon of a fleet in virtual time: its control side without traffic.
+// member is a daemon of a fleet in virtual time: its control plane without traffic.
 type member struct {
 	id       crid.Daemon
 	domain   crid.Domain
@@ -176,14 +177,14 @@
 
 // fleet is a number of daemons that read one store.
 type fleet struct {
-	store   *backing
+	store   *virtualStore
 	members map[crid.Daemon]*member
-	began   time.Time
+	started time.Time
 }
 
-// newFleet returns a fleet with domains of these sizes.
+// newFleet returns a fleet with one domain per size.
 func newFleet(sizes ...int) *fleet {
-	f := &fleet{store: newBacking(), members: make(map[crid.Daemon]*member), began: time.Now()}
+	f := &fleet{store: newVirtualStore(), members: make(map[crid.Daemon]*member), started: time.Now()}
 	for n, size := range sizes {
 		for i := range size {
 			f.add(crid.Daemon(fmt.Sprintf("10.%d.0.%d", n+1, i+1)), crid.Domain("d"+strconv.Itoa(n)))
@@ -193,34 +194,34 @@
 	return f
 }
 
-func (f *fleet) now() crid.Instant { return crid.Instant(time.Hour + time.Since(f.began)) }
+func (f *fleet) now() crid.Instant { return crid.Instant(time.Hour + time.Since(f.started)) }
 
 func (f *fleet) add(id crid.Daemon, domain crid.Domain) {
 	m := &member{id: id, domain: domain, fleet: f, events: make(chan crevent.Event, 1024), inForce: make(map[uint64]time.Time)}
 	m.state = crmesh.New(crmesh.Params{
-		Self: id, Domain: domain, Service: "s", Address: string(id) + ":1", Beat: beatNear, Far: beatFar, Lapse: lapse,
+		Self: id, Domain: domain, Service: "s", Address: string(id) + ":1", Beat: localBeat, Far: remoteBeat, Lapse: lapse,
 	})
 	m.view.Store(&crmesh.View{Size: 1, Known: 1, Heard: 1})
 	log := crlog.New(io.Discard, "info", string(id))
 	m.feed = crfeed.New(crfeed.Options{
-		Self: id, Store: line{f.store, id}, Peers: m, Clock: f.now, Log: log,
+		Self: id, Store: storeClient{f.store, id}, Peers: m, Clock: f.now, Log: log,
 		Readers: func() []crid.Daemon { return m.view.Load().Readers }, PeersPending: func() bool { return m.view.Load().Coming },
 	})
 	m.follower = crwatch.New(crwatch.Options{
-		Store: m.feed, Decoder: versions{}, Clock: f.now, Emit: m.emit, Log: log, ReaderCount: func() int { return m.view.Load().Lookers },
+		Store: m.feed, Decoder: versionDecoder{}, Clock: f.now, Emit: m.emit, Log: log, ReaderCount: func() int { return m.view.Load().Lookers },
 	})
 	f.members[id] = m
 	f.store.register(m)
 }
 
-// run plays the fleet for a time.
+// run runs the fleet for a duration of virtual time.
 func (f *fleet) run(t *testing.T, d time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	defer cancel()
 	var tasks sync.WaitGroup
 	for _, m := range f.members {
-		delay := rand.N(startWithin)
+		delay := rand.N(maxStartDelay)
 		tasks.Go(func() { m.loop(ctx) })
 		for _, scope := range []crwatch.Scope{crwatch.Records, crwatch.Configuration} {
 			tasks.Go(func() {
@@ -232,7 +233,7 @@
 		}
 	}
 	tasks.Wait()
-	time.Sleep(time.Minute) // what is still on its way
+	time.Sleep(time.Minute) // messages in flight
 }
 
 func (m *member) emit(ev crevent.Event) { m.events <- ev }
@@ -276,8 +277,8 @@
 	}
 }
 
-// took returns when a version or a later one was in force first; zero: never.
-func (m *member) took(version int) time.Time {
+// inForceSince returns when this version or a later one was first in force; zero: never.
+func (m *member) inForceSince(version int) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var first time.Time
@@ -291,9 +292,9 @@
 
 func (m *member) delay(d *member) time.Duration {
 	if m.domain == d.domain {
-		return nearDelay
+		return localDelay
 	}
-	return farDelay
+	return remoteDelay
 }
 
 func (m *member) beat(eff crmesh.SendBeat) {
@@ -319,16 +320,16 @@
 	if ctx.Err() != nil {
 		return
 	}
-	_ = m.follower.Apply(d.follower.UpdateFor(have)) // what this store holds can be decoded
+	_ = m.follower.Apply(d.follower.UpdateFor(have)) // all values of virtualStore can be decoded
 }
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
 // Feed implements crfeed.Peers.
 func (m *member) Feed(ctx context.Context, id crid.Daemon, q croffer.FeedQuery) (croffer.FeedPage, error) {
 	d := m.fleet.members[id]
 	if d == nil {
-		return croffer.FeedPage{}, errSilent
+		return croffer.FeedPage{}, errNoAnswer
 	}
 	time.Sleep(m.delay(d))
 	page := d.feed.Serve(ctx, d.follower, q)
--- a/io/crfeed/outage_test.go
+++ b/io/crfeed/outage_test.go
@@ -19,148 +19,148 @@
 const (
 	// applyTime is the time in which a confirmed change has to be in force.
 	applyTime = 2 * time.Second
-	// calmTime is the time after a disruption in which none is owed.
-	calmTime = 3 * time.Second
-	// settled is when a fleet that has just started has found its readers.
-	settled = 12 * time.Second
-	// played is the time of a play.
-	played = 35 * time.Second
-	// gathered is the time from a change to a silence that swallows the watches after it.
-	gathered = 450 * time.Millisecond
-	// plays is the number of plays of a test.
-	plays = 20
+	// recoveryTime is the time after an outage in which no change is due.
+	recoveryTime = 3 * time.Second
+	// startupTime is the time after which a new fleet has found its readers.
+	startupTime = 12 * time.Second
+	// runTime is the virtual time of a run.
+	runTime = 35 * time.Second
+	// changeLead is the time from a change to a silence that loses the watches after it.
+	changeLead = 450 * time.Millisecond
+	// runs is the number of runs of a test.
+	runs = 20
 )
 
-// Versions: the first is in force at the start.
+// Versions of the plan. Version 1 is in force at the start.
 const (
-	changedBefore = 2
-	firstAfter    = 3
+	versionBeforeOutage = 2
+	firstVersionAfter   = 3
 )
 
-// lateness is by how much the last daemon was late with a change.
+// lateness is the delay of the change that came into force latest after it was due.
 type lateness struct {
 	daemon  crid.Daemon
 	version int
-	late    time.Duration
+	delay   time.Duration
 }
 
-// trouble is how often, and for how long, a store falls silent.
-type trouble struct {
+// outageParams are the number and durations of the silences of a store.
+type outageParams struct {
 	times             int
 	shortest, longest time.Duration
-	changed           bool // a change comes just before, and only the watches after it are lost
+	afterChange       bool // a change comes just before, and only the watches after it are lost
 }
 
-// silences draws the times in which the store is silent.
-func (o trouble) silences(r *rand.Rand, began time.Time) []silence {
+// silences returns random periods in which the store is silent.
+func (p outageParams) silences(r *rand.Rand, start time.Time) []silence {
 	draw := func(least, most time.Duration) time.Duration {
 		return least + time.Duration(r.Int64N(int64(most-least)))
 	}
-	at := began.Add(draw(settled, settled+5*time.Second))
-	out := make([]silence, 0, o.times)
-	for range o.times {
-		until := at.Add(draw(o.shortest, o.longest))
-		out = append(out, silence{from: at, until: until, spares: o.changed})
+	at := start.Add(draw(startupTime, startupTime+5*time.Second))
+	out := make([]silence, 0, p.times)
+	for range p.times {
+		until := at.Add(draw(p.shortest, p.longest))
+		out = append(out, silence{from: at, until: until, sparesPending: p.afterChange})
 		at = until.Add(draw(0, 2*time.Second))
 	}
 	return out
 }
 
-// outage plays a fleet whose store falls silent, with changes in series after its
-// return, and returns the change that was in force last, by its bound.
-func outage(t *testing.T, seed uint64, o trouble, sizes ...int) lateness {
+// runOutage runs a fleet whose store falls silent, with a series of changes after the
+// outage, and returns the change with the largest lateness.
+func runOutage(t *testing.T, seed uint64, p outageParams, sizes ...int) lateness {
 	t.Helper()
 	r := rand.New(rand.NewPCG(seed, 0))
 	f := newFleet(sizes...)
-	f.store.silences = o.silences(r, f.began)
-	until := f.store.silences[o.times-1].until
-	if o.changed {
-		time.AfterFunc(time.Until(f.store.silences[0].from.Add(-gathered)), func() { f.store.publish(changedBefore) })
+	f.store.silences = p.silences(r, f.started)
+	until := f.store.silences[p.times-1].until
+	if p.afterChange {
+		time.AfterFunc(time.Until(f.store.silences[0].from.Add(-changeLead)), func() { f.store.publish(versionBeforeOutage) })
 	}
 	var confirmed []time.Time
 	at := until.Add(100 * time.Millisecond)
-	for at.Before(until.Add(calmTime)) {
-		version := len(confirmed) + firstAfter
+	for at.Before(until.Add(recoveryTime)) {
+		version := len(confirmed) + firstVersionAfter
 		confirmed = append(confirmed, at)
 		time.AfterFunc(time.Until(at), func() { f.store.publish(version) })
 		at = at.Add(50*time.Millisecond + time.Duration(r.Int64N(int64(time.Second))))
 	}
-	f.run(t, played)
-	worst := lateness{late: -played}
+	f.run(t, runTime)
+	worst := lateness{delay: -runTime}
 	for i, at := range confirmed {
 		due := at.Add(applyTime)
-		if calm := until.Add(calmTime); due.Before(calm) {
+		if calm := until.Add(recoveryTime); due.Before(calm) {
 			due = calm
 		}
 		for _, m := range f.members {
-			took := m.took(i + firstAfter)
-			if took.IsZero() {
-				took = f.began.Add(played)
+			since := m.inForceSince(i + firstVersionAfter)
+			if since.IsZero() {
+				since = f.started.Add(runTime)
 			}
-			if late := took.Sub(due); late > worst.late {
-				worst = lateness{m.id, i + firstAfter, late}
+			if delay := since.Sub(due); delay > worst.delay {
+				worst = lateness{m.id, i + firstVersionAfter, delay}
 			}
 		}
 	}
 	return worst
 }
 
-// outages plays a number of outages and reports each in which a change was late.
-func outages(t *testing.T, o trouble) {
+// checkOutages runs a number of outages and reports each in which a change was late.
+func checkOutages(t *testing.T, p outageParams) {
 	t.Helper()
-	for seed := range uint64(plays) {
+	for seed := range uint64(runs) {
 		var worst lateness
-		synctest.Test(t, func(t *testing.T) { worst = outage(t, seed, o, 7, 7, 4, 4) })
-		if worst.late > 0 {
-			t.Errorf("seed %d: %s had version %d in force %v late", seed, worst.daemon, worst.version, worst.late)
+		synctest.Test(t, func(t *testing.T) { worst = runOutage(t, seed, p, 7, 7, 4, 4) })
+		if worst.delay > 0 {
+			t.Errorf("seed %d: %s had version %d in force %v too late", seed, worst.daemon, worst.version, worst.delay)
 		}
 	}
 }
 
-// Watches sent into a silent store leave their readers deaf long after its return.
+// Readers whose watches were sent during a long silence would learn of no change long after it.
 func TestAChangeIsInForceInTimeAfterALongSilence(t *testing.T) {
-	outages(t, trouble{times: 1, shortest: 4 * time.Second, longest: 7 * time.Second})
+	checkOutages(t, outageParams{times: 1, shortest: 4 * time.Second, longest: 7 * time.Second})
 }
 
-// Watches that a short silence swallowed leave their readers deaf until their wait is over.
+// Readers whose watches were lost in a short silence would learn of no change until the wait is over.
 func TestAChangeIsInForceInTimeAfterAShortSilence(t *testing.T) {
-	outages(t, trouble{times: 1, shortest: time.Millisecond, longest: 2 * time.Second})
+	checkOutages(t, outageParams{times: 1, shortest: time.Millisecond, longest: 2 * time.Second})
 }
 
-// A change ends all watches at one moment, and a silence right after it swallows all those that follow.
-func TestAChangeIsInForceInTimeAfterASilenceBehindAChange(t *testing.T) {
-	outages(t, trouble{times: 1, shortest: time.Second, longest: 2 * time.Second, changed: true})
+// A change ends all watches at one moment, and a silence right after it loses all those that follow.
+func TestAChangeIsInForceInTimeAfterASilenceThatFollowsAChange(t *testing.T) {
+	checkOutages(t, outageParams{times: 1, shortest: time.Second, longest: 2 * time.Second, afterChange: true})
 }
 
-// Pauses after each silent call add up while the store falls silent again and again.
-func TestAChangeIsInForceInTimeAfterSilencesInSeries(t *testing.T) {
-	outages(t, trouble{times: 4, shortest: time.Millisecond, longest: time.Second})
+// The backoff after each unanswered call grows while the store falls silent repeatedly.
+func TestAChangeIsInForceInTimeAfterRepeatedSilences(t *testing.T) {
+	checkOutages(t, outageParams{times: 4, shortest: time.Millisecond, longest: time.Second})
 }
 
-// hang answers no watch for as long as its client waits.
-type hang struct{ store }
+// hangingStore answers no watch before its client times out.
+type hangingStore struct{ fakeStore }
 
-func (h *hang) Watch(ctx context.Context, _ crwatch.Scope, _ crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error) {
-	h.calls++
+func (s *hangingStore) Watch(ctx context.Context, _ crwatch.Scope, _ crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error) {
+	s.calls++
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
 	<-ctx.Done()
 	return nil, 0, ctx.Err()
 }
 
-// A silent store is noticed late, or a slow one never read, if all watches are given the same time.
-func TestEachOtherWatchOfASilentStoreIsGivenUpEarly(t *testing.T) {
+// With one timeout for all watches, a silent store is detected late, or a slow one is never read.
+func TestEveryOtherWatchOfASilentStoreTimesOutEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		feed := crfeed.New(crfeed.Options{
-			Self: "self", Store: &hang{}, Peers: &peers{}, Readers: func() []crid.Daemon { return []crid.Daemon{"self"} },
+			Self: "self", Store: &hangingStore{}, Peers: &fakePeers{}, Readers: func() []crid.Daemon { return []crid.Daemon{"self"} },
 			Clock: func() crid.Instant { return start }, PeersPending: func() bool { return false }, Log: crlog.New(io.Discard, "info", "self"),
 		})
-		for _, took := range []time.Duration{1700 * time.Millisecond, 2500 * time.Millisecond, 1700 * time.Millisecond} {
-			began := time.Now()
+		for _, want := range []time.Duration{1700 * time.Millisecond, 2500 * time.Millisecond, 1700 * time.Millisecond} {
+			started := time.Now()
 			_, _, err := feed.Watch(t.Context(), crwatch.Records, 4, time.Second)
 			g.Expect(err).To(gomega.MatchError(context.DeadlineExceeded))
-			g.Expect(time.Since(began)).To(gomega.Equal(took))
+			g.Expect(time.Since(started)).To(gomega.Equal(want))
 		}
 	})
 }
