--- a/io/crpolicyfile/bundle.go
+++ b/io/crpolicyfile/bundle.go
@@ -12,13 +12,13 @@
 	"camphorroad/core/crpolicy"
 )
 
-// shardBytes is the size that values aim at. A change makes every daemon pull
-// one value and the manifest, so both should be small: at S bytes a value and
-// T in all, a change costs S + 60·T/S, least near S = sqrt(60·T), 45 KB for
-// the 33 MB of 410,000 accounts.
+// shardBytes is the preferred size of a value. A change makes every daemon fetch
+// one value and the manifest, so both should be small: with S bytes a value and
+// T bytes in all, a change costs S + 60·T/S bytes. The minimum is at S = sqrt(60·T),
+// 45 KB for the 33 MB of 410,000 accounts.
 const shardBytes = 32 << 10
 
-// The kinds of values, by which their names begin.
+// The kinds of values. The name of a value begins with its kind.
 const (
 	kindService = "service"
 	kindAccount = "account"
@@ -32,8 +32,8 @@
 	Data []byte
 }
 
-// Bundle is what one publishing step puts on the platform. Equal policies make
-// equal bytes, whatever the order of the files.
+// Bundle is what one publishing step puts on the platform. Its bytes depend on the
+// policies alone, not on the order of the files.
 type Bundle struct {
 	manifest []byte
 	values   []Value
@@ -42,14 +42,14 @@
 // Manifest returns the bytes of the manifest, which names all values.
 func (b Bundle) Manifest() []byte { return slices.Clone(b.manifest) }
 
-// Digest returns the digest of the manifest, and so of the whole bundle.
+// Digest returns the digest of the manifest, which identifies the whole bundle.
 func (b Bundle) Digest() crconfig.Digest { return crconfig.DigestOf(b.manifest) }
 
 // Values returns the values, sorted by name.
 func (b Bundle) Values() []Value { return slices.Clone(b.values) }
 
-// Build reads, validates and packs all policy files. The error is Problems
-// where the files are at fault.
+// Build reads, validates and packs all policy files. The error is of type [Problems]
+// if the files are invalid.
 func Build(files []File) (Bundle, error) {
 	policy, err := Read(files)
 	if err != nil {
@@ -58,17 +58,17 @@
 	return Pack(policy)
 }
 
-// Pack packs a validated policy.
+// Pack encodes a validated policy into values.
 func Pack(p Policy) (Bundle, error) {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
 		return Bundle{}, oops.Wrapf(err, "set up the encoder")
 	}
-	services, err := shards(mode, kindService, p.Services, func(s crpolicy.Service) string { return string(s.Name) })
+	services, err := packShards(mode, kindService, p.Services, func(s crpolicy.Service) string { return string(s.Name) })
 	if err != nil {
 		return Bundle{}, err
 	}
-	accounts, err := shards(mode, kindAccount, p.Accounts, func(a crpolicy.Account) string { return string(a.Name) })
+	accounts, err := packShards(mode, kindAccount, p.Accounts, func(a crpolicy.Account) string { return string(a.Name) })
 	if err != nil {
 		return Bundle{}, err
 	}
@@ -86,37 +86,37 @@
 	return b, nil
 }
 
-// shards spreads items over a power of two of values by the hash of their
-// names, so that a change of one item changes one value.
-func shards[T any](mode cbor.EncMode, kind string, items []T, name func(T) string) ([]Value, error) {
+// packShards distributes items by the hash of their names over a number of values that is
+// a power of two, so that a change of one item changes one value.
+func packShards[T any](mode cbor.EncMode, kind string, items []T, name func(T) string) ([]Value, error) {
 	if len(items) == 0 {
 		return nil, nil
 	}
 	sorted := slices.Clone(items)
 	slices.SortFunc(sorted, func(a, b T) int { return strings.Compare(name(a), name(b)) })
-	whole, err := mode.Marshal(sorted)
+	all, err := mode.Marshal(sorted)
 	if err != nil {
 		return nil, oops.Wrapf(err, "encode the %ss", kind)
 	}
 	count := 1
-	for count*shardBytes < len(whole) {
+	for count*shardBytes < len(all) {
 		count *= 2
 	}
-	parts := make([][]T, count)
+	shards := make([][]T, count)
 	for _, item := range sorted {
 		i := crpolicy.Shard(name(item), count)
-		parts[i] = append(parts[i], item)
+		shards[i] = append(shards[i], item)
 	}
-	return encodeShards(mode, kind, parts)
+	return encodeShards(mode, kind, shards)
 }
 
-func encodeShards[T any](mode cbor.EncMode, kind string, parts [][]T) ([]Value, error) {
+func encodeShards[T any](mode cbor.EncMode, kind string, shards [][]T) ([]Value, error) {
 	var values []Value
-	for i, part := range parts {
-		if len(part) == 0 {
+	for i, shard := range shards {
+		if len(shard) == 0 {
 			continue
 		}
-		data, err := mode.Marshal(part)
+		data, err := mode.Marshal(shard)
 		if err != nil {
 			return nil, oops.Wrapf(err, "encode a shard of %ss", kind)
 		}
--- a/io/crpolicyfile/check.go
+++ b/io/crpolicyfile/check.go
@@ -12,64 +12,63 @@
 	"camphorroad/core/crpolicy"
 )
 
-// Limits of a policy. They catch slips of the finger, and keep one file from
-// claiming what no fleet has.
+// Limits of a policy. They catch typing errors, and values that exceed any fleet.
 const (
-	maxName        = 63 // bytes
-	maxTargets     = 100_000
-	maxSlots       = 10_000
-	maxQueue       = 100_000
-	maxConnections = 100_000
-	maxRate        = 10_000_000 // requests a second
-	maxKeys        = 1_000      // keys of one account
-	minProbeEvery  = time.Second
-	maxTimeout     = time.Hour
+	maxNameBytes     = 63
+	maxTargets       = 100_000
+	maxSlots         = 10_000
+	maxQueue         = 100_000
+	maxConnections   = 100_000
+	maxRate          = 10_000_000 // requests a second
+	maxKeys          = 1_000      // of one account
+	minProbeInterval = time.Second
+	maxTimeout       = time.Hour
 )
 
 var (
-	methodShape = regexp.MustCompile(`^[A-Z]{1,20}$`)
-	headerShape = regexp.MustCompile(`^[A-Za-z0-9-]{1,64}$`)
-	hostShape   = regexp.MustCompile(`^[a-z0-9.-]{1,253}$`)
+	methodPattern = regexp.MustCompile(`^[A-Z]{1,20}$`)
+	headerPattern = regexp.MustCompile(`^[A-Za-z0-9-]{1,64}$`)
+	hostPattern   = regexp.MustCompile(`^[a-z0-9.-]{1,253}$`)
 )
 
 const hintName = "use lower-case letters, digits, dots, dashes and underscores, 63 at most"
 
-const hintClash = "issue a key of its own"
+const hintKeyConflict = "issue a key of its own"
 
-// registry remembers over all files what must be unique, with where it stood.
+// registry records what must be unique over all files, with the place of its first use.
 type registry struct {
 	services map[crid.Service]string
 	accounts map[crid.Account]string
 	keys     map[crpolicy.KeyHash]string
-	routes   map[match]string
+	routes   map[routeMatch]string
 }
 
-// match is what a route answers to, one method at a time.
-type match struct{ host, method, prefix string }
+// routeMatch is what a route matches, for one method.
+type routeMatch struct{ host, method, prefix string }
 
 func newRegistry() *registry {
 	return &registry{
 		services: make(map[crid.Service]string),
 		accounts: make(map[crid.Account]string),
 		keys:     make(map[crpolicy.KeyHash]string),
-		routes:   make(map[match]string),
+		routes:   make(map[routeMatch]string),
 	}
 }
 
-// checker validates policy types; keys in its findings are those of the files.
+// checker validates policy types. The keys of its problems are those of the policy files.
 type checker struct {
-	at   string // where the checked types stand, for the other side of a clash
-	seen *registry
-	add  func(key, what, hint string)
+	source string // file or value of the checked types, for the message of a later conflict
+	seen   *registry
+	add    func(key, what, hint string)
 }
 
-func (c checker) within(key string, n, low, high int) {
+func (c checker) checkRange(key string, n, low, high int) {
 	if n < low || n > high {
 		c.add(key, fmt.Sprintf("%d is out of range", n), fmt.Sprintf("use %d to %d", low, high))
 	}
 }
 
-func (c checker) span(key string, d, low, high time.Duration) {
+func (c checker) checkDuration(key string, d, low, high time.Duration) {
 	if d < low || d > high {
 		c.add(key, "missing, no duration, or out of range",
 			fmt.Sprintf("use a text such as \"2s\", from %s to %s", low, high))
@@ -82,10 +81,10 @@
 	}
 }
 
-// isName is written out, since every daemon runs it over all accounts at each
-// change, and a regular expression took a tenth of that time.
+// isName uses no regular expression: every daemon runs it over all accounts at each
+// change, and a regular expression would take a tenth of that time.
 func isName(name string) bool {
-	if name == "" || len(name) > maxName || strings.ContainsRune("._-", rune(name[0])) {
+	if name == "" || len(name) > maxNameBytes || strings.ContainsRune("._-", rune(name[0])) {
 		return false
 	}
 	for _, r := range name {
@@ -107,17 +106,17 @@
 	if first, ok := c.seen.services[svc.Name]; ok {
 		c.add("service.name", "the service is also in "+first, "keep one file a service")
 	}
-	c.seen.services[svc.Name] = c.at
-	c.within("service.floor", svc.Floor, 0, maxTargets)
-	c.within("service.slots", svc.Slots, 1, maxSlots)
-	c.within("service.queue", svc.Queue, 0, maxQueue)
-	c.within("service.connections", svc.Connections, 1, maxConnections)
+	c.seen.services[svc.Name] = c.source
+	c.checkRange("service.floor", svc.Floor, 0, maxTargets)
+	c.checkRange("service.slots", svc.Slots, 1, maxSlots)
+	c.checkRange("service.queue", svc.Queue, 0, maxQueue)
+	c.checkRange("service.connections", svc.Connections, 1, maxConnections)
 	if svc.Slots > svc.Connections && svc.Connections > 0 {
 		c.add("service.slots", "more slots than connections", "raise connections or lower slots")
 	}
 	c.path("service.health", svc.HealthPath)
 	c.path("service.load", svc.LoadPath)
-	if svc.IdentityEcho != "" && !headerShape.MatchString(svc.IdentityEcho) {
+	if svc.IdentityEcho != "" && !headerPattern.MatchString(svc.IdentityEcho) {
 		c.add("service.echo", "not the name of a header", "use letters, digits and dashes")
 	}
 	c.probe(svc.Probe)
@@ -129,8 +128,8 @@
 		return
 	}
 	c.path("probe.path", p.Path)
-	c.within("probe.status", p.Status, 100, 599)
-	c.span("probe.every", p.Interval, minProbeEvery, maxTimeout)
+	c.checkRange("probe.status", p.Status, 100, 599)
+	c.checkDuration("probe.every", p.Interval, minProbeInterval, maxTimeout)
 }
 
 func (c checker) routes(svc crpolicy.Service) {
@@ -145,17 +144,17 @@
 			c.add(key+".name", "the service has two routes of this name", "rename one")
 		}
 		names[rt.Name] = true
-		c.shadow(key, rt)
+		c.routeConflict(key, rt)
 	}
 }
 
 func (c checker) route(key string, rt crpolicy.Route) {
 	c.name(key+".name", string(rt.Name))
-	if rt.Host != "" && !hostShape.MatchString(rt.Host) {
+	if rt.Host != "" && !hostPattern.MatchString(rt.Host) {
 		c.add(key+".host", "not a host name", "use a lower-case host name without a port, or leave it out for any")
 	}
 	for i, m := range rt.Methods {
-		if !methodShape.MatchString(m) {
+		if !methodPattern.MatchString(m) {
 			c.add(key+".methods", "not an HTTP method", "use capitals, such as \"POST\"")
 		}
 		if slices.Contains(rt.Methods[:i], m) {
@@ -169,26 +168,26 @@
 		c.add(key+".class", "missing or unknown class",
 			"use \"once\" for what must run at most once, \"repeat\" for what is idempotent")
 	}
-	c.span(key+".timeout", rt.Timeout, time.Millisecond, maxTimeout)
+	c.checkDuration(key+".timeout", rt.Timeout, time.Millisecond, maxTimeout)
 }
 
-// shadow refuses a route whose match another one has already: which of the two
-// gets a request would hang on the order of the files.
-func (c checker) shadow(key string, rt crpolicy.Route) {
+// routeConflict rejects a route whose match another route already has. Otherwise, the
+// order of the files would decide which of the two gets a request.
+func (c checker) routeConflict(key string, rt crpolicy.Route) {
 	methods := rt.Methods
 	if len(methods) == 0 {
 		methods = []string{""}
 	}
-	clash := ""
+	conflict := ""
 	for _, method := range methods {
-		m := match{host: rt.Host, method: method, prefix: rt.Prefix}
+		m := routeMatch{host: rt.Host, method: method, prefix: rt.Prefix}
 		if first, ok := c.seen.routes[m]; ok {
-			clash = first
+			conflict = first
 		}
-		c.seen.routes[m] = fmt.Sprintf("%s of %s", rt.Name, c.at)
+		c.seen.routes[m] = fmt.Sprintf("%s of %s", rt.Name, c.source)
 	}
-	if clash != "" {
-		c.add(key+".prefix", "same host, prefix and method as route "+clash, "change one of the two")
+	if conflict != "" {
+		c.add(key+".prefix", "same host, prefix and method as route "+conflict, "change one of the two")
 	}
 }
 
@@ -197,20 +196,20 @@
 	if first, ok := c.seen.accounts[a.Name]; ok {
 		c.add(key+".name", "the account is also in "+first, "keep one")
 	}
-	c.seen.accounts[a.Name] = c.at
+	c.seen.accounts[a.Name] = c.source
 	if !(a.Rate > 0 && a.Rate <= maxRate) {
 		c.add(key+".rate", "missing or out of range", "use requests a second, above 0")
 	}
 	if !(a.Burst >= 1 && a.Burst <= maxRate) || math.IsInf(a.Burst, 0) {
 		c.add(key+".burst", "missing or out of range", "use requests, 1 at least")
 	}
-	c.within(key+".keys", len(a.Keys), 0, maxKeys)
+	c.checkRange(key+".keys", len(a.Keys), 0, maxKeys)
 	for _, hash := range a.Keys {
 		if first, ok := c.seen.keys[hash]; ok {
-			// Two owners of one key would make it a matter of luck whose
-			// account a request runs for.
-			c.add(key+".keys", fmt.Sprintf("the hash %x… also belongs to %s", hash[:4], first), hintClash)
+			// If two accounts had one key, the account of a request would be
+			// arbitrary.
+			c.add(key+".keys", fmt.Sprintf("the hash %x… also belongs to %s", hash[:4], first), hintKeyConflict)
 		}
-		c.seen.keys[hash] = fmt.Sprintf("account %s of %s", a.Name, c.at)
+		c.seen.keys[hash] = fmt.Sprintf("account %s of %s", a.Name, c.source)
 	}
 }
--- a/io/crpolicyfile/file.go
+++ b/io/crpolicyfile/file.go
@@ -14,7 +14,7 @@
 	"camphorroad/core/crpolicy"
 )
 
-// File is a policy file's name, as it shows in errors, and its bytes.
+// File is a policy file: its name as printed in errors, and its bytes.
 type File struct {
 	Name string
 	Data []byte
@@ -67,23 +67,23 @@
 	Account []fileAccount `toml:"account"`
 }
 
-// Read parses and validates all files together. The error is of type Problems
-// and holds every fault found.
+// Read parses and validates all files together. The error is of type [Problems]
+// and holds every problem.
 func Read(files []File) (Policy, error) {
 	var (
-		policy Policy
-		ps     Problems
+		policy   Policy
+		problems Problems
 	)
 	seen := newRegistry()
 	for _, f := range files {
 		r := reader{file: f, index: newIndex(f.Data), seen: seen}
 		r.read(&policy)
-		ps = append(ps, r.problems...)
+		problems = append(problems, r.problems...)
 	}
 	if len(files) == 0 {
-		ps = append(ps, Problem{Key: "-", What: "no policy file given", Hint: "name at least one"})
+		problems = append(problems, Problem{Key: "-", What: "no policy file given", Hint: "name at least one"})
 	}
-	return policy, ps.err()
+	return policy, problems.err()
 }
 
 // reader turns one file into policy types.
@@ -95,9 +95,9 @@
 }
 
 func (r *reader) add(key, what, hint string) {
-	at := r.index.find(key)
+	pos := r.index.find(key)
 	r.problems = append(r.problems, Problem{
-		File: r.file.Name, Line: at.line, Column: at.column, Key: key, What: what, Hint: hint,
+		File: r.file.Name, Line: pos.line, Column: pos.column, Key: key, What: what, Hint: hint,
 	})
 }
 
@@ -106,7 +106,7 @@
 	if !r.decode(&c) {
 		return
 	}
-	check := checker{at: r.file.Name, seen: r.seen, add: r.add}
+	check := checker{source: r.file.Name, seen: r.seen, add: r.add}
 	switch {
 	case c.Service != nil:
 		svc := r.service(c)
@@ -124,7 +124,8 @@
 	}
 }
 
-// decode reads the file strictly; it reports whether the content is usable.
+// decode decodes the file and rejects unknown keys. It reports whether the content can
+// be validated.
 func (r *reader) decode(c *fileContent) bool {
 	dec := toml.NewDecoder(bytes.NewReader(r.file.Data))
 	dec.DisallowUnknownFields()
@@ -132,15 +133,15 @@
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
 		for i := range unknown.Errors {
-			r.addDecode(&unknown.Errors[i], "unknown key", "remove it, or correct its spelling")
+			r.addDecodeError(&unknown.Errors[i], "unknown key", "remove it, or correct its spelling")
 		}
 		return true
 	}
 	var bad *toml.DecodeError
 	if errors.As(err, &bad) {
-		// The library's text can quote the value, and a value can be a key
-		// that was pasted by mistake; so only its place is told.
-		r.addDecode(bad, "not readable as TOML of the expected type", "correct the syntax or the type of the value")
+		// The library's message may quote the value, and the value may be a plain
+		// key that was pasted by mistake. So only its position is reported.
+		r.addDecodeError(bad, "not readable as TOML of the expected type", "correct the syntax or the type of the value")
 		return false
 	}
 	if err != nil {
@@ -150,7 +151,7 @@
 	return true
 }
 
-func (r *reader) addDecode(e *toml.DecodeError, what, hint string) {
+func (r *reader) addDecodeError(e *toml.DecodeError, what, hint string) {
 	line, column := e.Position()
 	key := strings.Join(e.Key(), ".")
 	if key == "" {
@@ -203,9 +204,9 @@
 	}
 }
 
-// classOf returns zero for an unknown word, which validation refuses.
-func classOf(word string) crpolicy.Class {
-	switch word {
+// classOf returns zero for an unknown name, which validation rejects.
+func classOf(name string) crpolicy.Class {
+	switch name {
 	case "once":
 		return crpolicy.ClassOnce
 	case "repeat":
@@ -214,7 +215,7 @@
 	return 0
 }
 
-// duration returns zero for a text that is no duration, which validation refuses.
+// duration returns zero for a text that is no duration, which validation rejects.
 func duration(text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil {
@@ -228,7 +229,8 @@
 	for n, text := range fa.Keys {
 		hash, ok := parseHash(text)
 		if !ok {
-			// Naming the text would put a plain key into terminals and CI logs.
+			// The text is not quoted: it may be a plain key, which would end in
+			// terminals and CI logs.
 			key := fmt.Sprintf("account[%d].keys[%d]", i, n)
 			r.add(key, "not a SHA-256 in 64 lower-case hex digits", hintHash)
 			continue
--- a/io/crpolicyfile/index.go
+++ b/io/crpolicyfile/index.go
@@ -8,18 +8,18 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// position is a place in a file, from 1; zero for unknown.
+// position is a line and column of a file, from 1; zero: unknown.
 type position struct{ line, column int }
 
-// index maps a key such as route[2].timeout to where it stands, so that a value
-// that decoded well but is out of range can still be pointed at.
+// index maps a key such as route[2].timeout to its position, so that a problem of a value
+// that was decoded but is out of range has a position, too.
 type index struct {
-	places map[string]position
-	lines  []int // offset of each line's start
+	positions  map[string]position
+	lineStarts []int // offsets
 }
 
 func newIndex(data []byte) index {
-	ix := index{places: make(map[string]position), lines: lineStarts(data)}
+	ix := index{positions: make(map[string]position), lineStarts: findLineStarts(data)}
 	counts := make(map[string]int)
 	var p unstable.Parser
 	p.Reset(data)
@@ -34,17 +34,17 @@
 			table = fmt.Sprintf("%s[%d]", path, counts[path])
 			counts[path]++
 		case unstable.KeyValue:
-			ix.places[join(table, path)] = ix.position(offset)
+			ix.positions[join(table, path)] = ix.position(offset)
 			continue
 		default:
 			continue
 		}
-		ix.places[table] = ix.position(offset)
+		ix.positions[table] = ix.position(offset)
 	}
 	return ix
 }
 
-func lineStarts(data []byte) []int {
+func findLineStarts(data []byte) []int {
 	starts := []int{0}
 	for i, b := range data {
 		if b == '\n' {
@@ -78,21 +78,21 @@
 }
 
 func (ix index) position(offset int) position {
-	line := sort.Search(len(ix.lines), func(i int) bool { return ix.lines[i] > offset })
-	return position{line: line, column: offset - ix.lines[line-1] + 1}
+	line := sort.Search(len(ix.lineStarts), func(i int) bool { return ix.lineStarts[i] > offset })
+	return position{line: line, column: offset - ix.lineStarts[line-1] + 1}
 }
 
 func (ix index) has(key string) bool {
-	_, ok := ix.places[key]
+	_, ok := ix.positions[key]
 	return ok
 }
 
-// find returns the place of a key, else of the nearest table around it: a
-// missing key has no place of its own.
+// find returns the position of a key, or of the innermost table around it if the key is
+// missing.
 func (ix index) find(key string) position {
 	for key != "" {
-		if at, ok := ix.places[key]; ok {
-			return at
+		if pos, ok := ix.positions[key]; ok {
+			return pos
 		}
 		key = key[:max(strings.LastIndexAny(key, ".["), 0)]
 	}
--- a/io/crpolicyfile/load.go
+++ b/io/crpolicyfile/load.go
@@ -9,15 +9,15 @@
 	"camphorroad/core/crconfig"
 )
 
-// Errors of published bytes.
+// Errors of published values.
 var (
-	// ErrManifest: the bytes are no manifest.
+	// ErrManifest means that the bytes are no valid manifest.
 	ErrManifest = errors.New("not a manifest")
-	// ErrValue: a value is missing, altered or not decodable.
+	// ErrValue means that a value is missing, altered or cannot be decoded.
 	ErrValue = errors.New("bad value")
 )
 
-// They are crconfig's, so that core need not know this package.
+// The function types belong to crconfig, so that core does not import this package.
 var (
 	_ crconfig.Parser = ParseManifest
 	_ crconfig.Loader = Load
--- a/io/crpolicyfile/load_bench_test.go
+++ b/io/crpolicyfile/load_bench_test.go
@@ -12,8 +12,7 @@
 	"camphorroad/io/crpolicyfile"
 )
 
-// BenchmarkLoad tells what putting a configuration in force costs a daemon, and
-// how large it is on the wire.
+// BenchmarkLoad measures the time to load a configuration, and its size on the wire.
 func BenchmarkLoad(b *testing.B) {
 	for _, n := range []int{8, 20_000, 410_000} {
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
@@ -21,7 +20,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			m, values := loadable(b, bundle)
+			m, values := unpackBundle(b, bundle)
 			total := 0
 			for _, data := range values {
 				total += len(data)
@@ -38,9 +37,9 @@
 	}
 }
 
-// BenchmarkChange tells what a change of one account costs a daemon that has the
-// former configuration in force: to load it, and to find the accounts that may
-// differ, next to a walk through all.
+// BenchmarkChange measures a change of one account in a daemon with the previous
+// configuration in force: to load it, and to find the accounts that may differ, compared
+// with a walk through all.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{20_000, 410_000} {
 		policy := manyAccounts(n)
@@ -53,16 +52,16 @@
 			return pub.publish(b, policy)
 		}
 		m, values := change(b)
-		former, err := load(rev, m, values)
+		previous, err := load(rev, m, values)
 		if err != nil {
 			b.Fatal(err)
 		}
-		snap := former
+		snap := previous
 		b.Run(fmt.Sprintf("accounts=%d/load", n), func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
 				m, values := change(b)
-				former = snap
+				previous = snap
 				b.StartTimer()
 				if snap, err = load(rev, m, values); err != nil {
 					b.Fatal(err)
@@ -71,27 +70,27 @@
 		})
 		b.Run(fmt.Sprintf("accounts=%d/since", n), func(b *testing.B) {
 			for b.Loop() {
-				walk(former, snap.AccountsSince(former))
+				walk(previous, snap.AccountsSince(previous))
 			}
 		})
 		b.Run(fmt.Sprintf("accounts=%d/walk", n), func(b *testing.B) {
 			for b.Loop() {
-				walk(former, snap.Accounts())
+				walk(previous, snap.Accounts())
 			}
 		})
 	}
 }
 
-// walk looks every account up in the former configuration, as craccount does.
-func walk(former *crpolicy.Snapshot, accounts []crpolicy.Account) {
+// walk looks up every account in the previous configuration, as craccount does.
+func walk(previous *crpolicy.Snapshot, accounts []crpolicy.Account) {
 	for _, a := range accounts {
-		former.Account(a.Name)
+		previous.Account(a.Name)
 	}
 }
 
-// BenchmarkHeld tells the memory of a configuration in force, with the bytes of
-// its values for peers, and what a look-up of a key costs.
-func BenchmarkHeld(b *testing.B) {
+// BenchmarkSnapshot measures the memory of a configuration in force, with the bytes of
+// its values for peers, and the time to look up a key.
+func BenchmarkSnapshot(b *testing.B) {
 	const accounts = 410_000
 	for _, keys := range []int{1, 2} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
@@ -104,7 +103,7 @@
 				b.Fatal(err)
 			}
 			before := heap()
-			m, values := loadable(b, bundle)
+			m, values := unpackBundle(b, bundle)
 			for name, data := range values {
 				values[name] = bytes.Clone(data)
 			}
@@ -113,14 +112,14 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			held := heap() - before
+			used := heap() - before
 			h := crpolicy.HashKey("account-000007")
 			for b.Loop() {
 				if _, ok := snap.AccountByKey(h); !ok {
 					b.Fatal("not found")
 				}
 			}
-			b.ReportMetric(float64(held)/accounts, "B/account")
+			b.ReportMetric(float64(used)/accounts, "B/account")
 			for _, v := range []any{policy, bundle, values, load} {
 				runtime.KeepAlive(v)
 			}
@@ -128,7 +127,7 @@
 	}
 }
 
-// heap collects twice, since pools of buffers outlive one collection.
+// heap returns the live heap. It collects twice, since buffer pools survive one collection.
 func heap() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/io/crpolicyfile/loader.go
+++ b/io/crpolicyfile/loader.go
@@ -16,19 +16,19 @@
 	"camphorroad/core/crpolicy"
 )
 
-// Load is the daemon's own validation: it checks every value against its digest,
-// decodes all, applies the rules that the publishing step applied, and indexes
-// them. One fault refuses the whole.
+// Load validates a published configuration in the daemon: it checks every value against
+// its digest, decodes it, applies the rules of the publishing step, and indexes the
+// result. One problem rejects the whole configuration.
 func Load(rev crid.Revision, m crconfig.Manifest, values map[string][]byte) (*crpolicy.Snapshot, error) {
 	return NewLoader().Load(rev, m, values)
 }
 
-// Loader is Load for one configuration after another. It keeps the decoded form
-// of the one that it accepted last, and what a value alone decides is not decided
-// again while its digest stays. It accepts what Load accepts, and gives the same;
-// of several faults it may tell another one. It is owned by one goroutine.
+// Loader loads successive configurations. It caches the decoded values of the last one
+// that it accepted, and does not decode or check a value on its own again while its
+// digest is the same. It accepts what [Load] accepts, with the same result; of several
+// problems it may report another one. It must be used by one goroutine only.
 type Loader struct {
-	kept     map[string]value // by name
+	cached   map[string]value // by name
 	shards   int              // of accounts
 	services []crpolicy.Service
 	snapshot *crpolicy.Snapshot
@@ -41,7 +41,7 @@
 // Decoded returns the number of values decoded so far.
 func (l *Loader) Decoded() int { return l.decoded }
 
-// value is the checked and decoded form of one published value.
+// value is one published value, checked and decoded.
 type value struct {
 	digest   crconfig.Digest
 	data     []byte
@@ -50,20 +50,20 @@
 	accounts *crpolicy.Part // nil for a value of services
 }
 
-// is reports whether this is the value that an entry names and data holds.
-func (v value) is(e crconfig.Entry, data []byte) bool {
+// matches reports whether this is the value of an entry, decoded from the same slice.
+func (v value) matches(e crconfig.Entry, data []byte) bool {
 	return v.digest == e.Digest && len(data) > 0 && len(v.data) == len(data) && &v.data[0] == &data[0]
 }
 
-// Load validates and indexes a configuration; see the function Load.
+// Load validates and indexes a configuration like the function [Load].
 func (l *Loader) Load(rev crid.Revision, m crconfig.Manifest, values map[string][]byte) (*crpolicy.Snapshot, error) {
 	mode, err := decoder()
 	if err != nil {
 		return nil, err
 	}
-	n := loading{Loader: Loader{kept: make(map[string]value, len(m.Entries))}, former: l, mode: mode}
+	n := loading{Loader: Loader{cached: make(map[string]value, len(m.Entries))}, previous: l, mode: mode}
 	for _, e := range m.Entries {
-		if err := n.take(e, values[e.Name]); err != nil {
+		if err := n.loadValue(e, values[e.Name]); err != nil {
 			return nil, err
 		}
 	}
@@ -83,22 +83,22 @@
 // loading is a configuration that is being validated.
 type loading struct {
 	Loader
-	former   *Loader
+	previous *Loader
 	mode     cbor.DecMode
 	problems Problems
 }
 
-// changed reports whether a value differs from the former configuration's.
+// changed reports whether a value differs from the previous configuration's.
 func (n *loading) changed(name string) bool {
-	former, ok := n.former.kept[name]
-	return !ok || former.digest != n.kept[name].digest
+	previous, ok := n.previous.cached[name]
+	return !ok || previous.digest != n.cached[name].digest
 }
 
-// take finds or decodes one value.
-func (n *loading) take(e crconfig.Entry, data []byte) error {
-	v, ok := n.former.kept[e.Name]
-	if ok && v.is(e, data) && len(data) == e.Size {
-		n.kept[e.Name] = v
+// loadValue takes one value from the cache, or checks and decodes it.
+func (n *loading) loadValue(e crconfig.Entry, data []byte) error {
+	v, ok := n.previous.cached[e.Name]
+	if ok && v.matches(e, data) && len(data) == e.Size {
+		n.cached[e.Name] = v
 		return nil
 	}
 	if len(data) != e.Size || crconfig.DigestOf(data) != e.Digest {
@@ -110,7 +110,7 @@
 	}
 	v.digest = e.Digest
 	v.data = data
-	n.kept[e.Name] = v
+	n.cached[e.Name] = v
 	n.decoded++
 	return nil
 }
@@ -155,22 +155,22 @@
 }
 
 func (n *loading) checker(name string, seen *registry) checker {
-	return checker{at: name, seen: seen, add: func(key, what, hint string) {
+	return checker{source: name, seen: seen, add: func(key, what, hint string) {
 		n.problems = append(n.problems, Problem{File: name, Key: key, What: what, Hint: hint})
 	}}
 }
 
-// checkShards checks that every account is in the shard that its name belongs
-// in. An account in two shards would have whichever rate is looked up, and this
-// finds it without a look at the other shards.
+// checkShards checks that every account is in the shard that the hash of its name
+// selects. This detects an account in two shards, which would have two rates, without a
+// search of the other shards.
 func (n *loading) checkShards(entries []crconfig.Entry) {
 	n.shards = 1
 	for _, e := range entries {
-		n.shards = max(n.shards, 1<<bits.Len(uint(n.kept[e.Name].shard)))
+		n.shards = max(n.shards, 1<<bits.Len(uint(n.cached[e.Name].shard)))
 	}
 	for _, e := range entries {
-		v := n.kept[e.Name]
-		if v.accounts == nil || (n.shards == n.former.shards && !n.changed(e.Name)) {
+		v := n.cached[e.Name]
+		if v.accounts == nil || (n.shards == n.previous.shards && !n.changed(e.Name)) {
 			continue
 		}
 		if stray, ok := v.accounts.Misplaced(v.shard, n.shards); ok {
@@ -180,32 +180,32 @@
 	}
 }
 
-// checkServices checks all services together where one value of them changed:
-// their names and routes must not clash over values.
+// checkServices checks all services together if one of their values changed: their
+// names and routes must not conflict between values.
 func (n *loading) checkServices(entries []crconfig.Entry) {
 	var services []string
 	for _, e := range entries {
-		if n.kept[e.Name].accounts == nil {
+		if n.cached[e.Name].accounts == nil {
 			services = append(services, e.Name)
 		}
 	}
-	if n.former.snapshot != nil && !slices.ContainsFunc(services, n.changed) && len(services) == n.former.serviceValues() {
-		n.services = n.former.services
+	if n.previous.snapshot != nil && !slices.ContainsFunc(services, n.changed) && len(services) == n.previous.serviceValues() {
+		n.services = n.previous.services
 		return
 	}
 	seen := newRegistry()
 	for _, name := range services {
 		check := n.checker(name, seen)
-		for _, svc := range n.kept[name].services {
+		for _, svc := range n.cached[name].services {
 			check.service(svc)
 		}
-		n.services = append(n.services, n.kept[name].services...)
+		n.services = append(n.services, n.cached[name].services...)
 	}
 }
 
 func (l *Loader) serviceValues() int {
 	count := 0
-	for _, v := range l.kept {
+	for _, v := range l.cached {
 		if v.accounts == nil {
 			count++
 		}
@@ -213,18 +213,18 @@
 	return count
 }
 
-// assemble indexes the whole, which finds keys that two accounts have.
+// assemble indexes the configuration, which detects keys that two accounts have.
 func (n *loading) assemble(rev crid.Revision) error {
 	parts := make([]*crpolicy.Part, n.shards)
-	for _, v := range n.kept {
+	for _, v := range n.cached {
 		if v.accounts != nil {
 			parts[v.shard] = v.accounts
 		}
 	}
-	snapshot, err := crpolicy.Assemble(n.former.snapshot, rev, n.services, parts)
-	var clash *crpolicy.KeyConflict
-	if errors.As(err, &clash) {
-		n.checker(shardName(kindAccount, clash.Part), nil).add("account.keys", clash.Error(), hintClash)
+	snapshot, err := crpolicy.Assemble(n.previous.snapshot, rev, n.services, parts)
+	var conflict *crpolicy.KeyConflict
+	if errors.As(err, &conflict) {
+		n.checker(shardName(kindAccount, conflict.Part), nil).add("account.keys", conflict.Error(), hintKeyConflict)
 		return n.problems.err()
 	}
 	n.snapshot = snapshot
--- a/io/crpolicyfile/loader_test.go
+++ b/io/crpolicyfile/loader_test.go
@@ -13,7 +13,7 @@
 	"camphorroad/io/crpolicyfile"
 )
 
-// manyAccounts makes accounts with one key each.
+// manyAccounts returns n accounts with one key each.
 func manyAccounts(n int) crpolicyfile.Policy {
 	var p crpolicyfile.Policy
 	for i := range n {
@@ -25,10 +25,10 @@
 	return p
 }
 
-// publisher packs policies, and hands out values with an unchanged digest as the
-// same bytes, as a daemon holds them.
+// publisher packs policies. It returns values with an unchanged digest as the same
+// slice, like a daemon, which keeps them.
 type publisher struct {
-	held map[crconfig.Digest][]byte
+	published map[crconfig.Digest][]byte
 }
 
 func (p *publisher) publish(t testing.TB, policy crpolicyfile.Policy) (crconfig.Manifest, map[string][]byte) {
@@ -37,22 +37,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, values := loadable(t, bundle)
-	held := make(map[crconfig.Digest][]byte)
+	m, values := unpackBundle(t, bundle)
+	published := make(map[crconfig.Digest][]byte)
 	for name, data := range values {
 		digest := crconfig.DigestOf(data)
-		if former, ok := p.held[digest]; ok {
-			values[name] = former
+		if previous, ok := p.published[digest]; ok {
+			values[name] = previous
 		}
-		held[digest] = values[name]
+		published[digest] = values[name]
 	}
-	p.held = held
+	p.published = published
 	return m, values
 }
 
-// One account of many gets another rate. Were all values decoded again, a fleet
-// of 410,000 accounts would stop its control for more than a second at each of
-// 11,000 changes a day.
+// The rate of one account changes. If all values were decoded again, the control plane
+// of a fleet with 410,000 accounts would stall for more than a second at each of 11,000
+// changes a day.
 func TestChangeOfOneAccountDecodesOneValue(t *testing.T) {
 	policy := manyAccounts(2_000)
 	var pub publisher
@@ -74,16 +74,16 @@
 	}
 }
 
-// Accounts and keys come, go and move, also to where they clash. If what is kept
-// from the former configuration showed through, a withdrawn key would go on, a
-// new one would be refused, or two accounts would share one.
-func TestKeptFormGivesWhatAFreshLoadGives(t *testing.T) {
+// Accounts and keys are added, removed and moved, also into conflicts. If the cache of the
+// previous configuration leaked into the next one, a withdrawn key would stay valid, a
+// new one would be rejected, or two accounts would share one.
+func TestCachedLoadEqualsAFreshLoad(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	policy := manyAccounts(700)
 	policy.Services = []crpolicy.Service{validService("booking", "/b"), validService("dispatch", "/d")}
 	var pub publisher
 	l := crpolicyfile.NewLoader()
-	refused := 0
+	rejected := 0
 	for rev := crid.Revision(1); rev <= 40; rev++ {
 		next := crpolicyfile.Policy{Services: slices.Clone(policy.Services), Accounts: slices.Clone(policy.Accounts)}
 		edit(rng, &next, int(rev))
@@ -94,14 +94,14 @@
 			t.Fatalf("revision %d: %v, a fresh load: %v", rev, gotErr, wantErr)
 		}
 		if gotErr != nil {
-			refused++
+			rejected++
 			continue
 		}
 		compare(t, rev, got, want, policy, next)
 		policy = next
 	}
-	if refused < 5 || refused > 30 {
-		t.Errorf("%d of 40 were refused, so one of the two was hardly tried", refused)
+	if rejected < 5 || rejected > 30 {
+		t.Errorf("%d of 40 were rejected, so either acceptance or rejection was hardly tested", rejected)
 	}
 }
 
@@ -111,35 +111,35 @@
 	}}
 }
 
-// edit changes a policy in one of the ways that operators do.
+// edit makes one random change of the kinds that operators make.
 func edit(rng *rand.Rand, p *crpolicyfile.Policy, mark int) {
 	i, j := rng.IntN(len(p.Accounts)), rng.IntN(len(p.Accounts))
 	a, b := &p.Accounts[i], p.Accounts[j]
 	switch rng.IntN(7) {
-	case 0: // the key is withdrawn
+	case 0: // the keys are withdrawn
 		a.Keys = nil
-	case 1: // another one is issued
+	case 1: // another key is issued
 		a.Keys = append(slices.Clone(a.Keys), crpolicy.HashKey(fmt.Sprint("new", mark)))
-	case 2: // the key of another account is given too
+	case 2: // the keys of another account are added
 		a.Keys = append(slices.Clone(a.Keys), b.Keys...)
-	case 3: // keys change hands
+	case 3: // two accounts swap their keys
 		a.Keys, p.Accounts[j].Keys = b.Keys, a.Keys
-	case 4: // the account ends
+	case 4: // the account is removed
 		p.Accounts = slices.Delete(p.Accounts, i, i+1)
-	case 5: // many come, so that the number of values may change
+	case 5: // many accounts are added, so that the number of values may change
 		more := manyAccounts(1_200).Accounts[len(p.Accounts):]
 		p.Accounts = append(p.Accounts, more[:min(len(more), 150)]...)
-	case 6: // a service changes, and may clash with the other
+	case 6: // a service changes, and may conflict with the other
 		p.Services[0].Routes[0].Prefix = []string{"/b", "/c", "/d"}[rng.IntN(3)]
 	}
 }
 
-func compare(t *testing.T, rev crid.Revision, got, want *crpolicy.Snapshot, former, next crpolicyfile.Policy) {
+func compare(t *testing.T, rev crid.Revision, got, want *crpolicy.Snapshot, previous, next crpolicyfile.Policy) {
 	t.Helper()
 	if got.Revision() != rev || !reflect.DeepEqual(got.Services(), want.Services()) || !reflect.DeepEqual(got.Accounts(), want.Accounts()) {
 		t.Fatalf("revision %d differs from a fresh load", rev)
 	}
-	for _, a := range slices.Concat(former.Accounts, next.Accounts) {
+	for _, a := range slices.Concat(previous.Accounts, next.Accounts) {
 		for _, k := range a.Keys {
 			g, gok := got.AccountByKey(k)
 			w, wok := want.AccountByKey(k)
@@ -157,9 +157,9 @@
 	}
 }
 
-// A publisher other than ours puts an account into a second value. Both rates
-// could be in force, each at some daemons.
-func TestAccountInTwoValuesIsRefused(t *testing.T) {
+// A foreign publisher puts an account into two values. Each of the two rates could be in
+// force in some daemons.
+func TestAccountInTwoValuesIsRejected(t *testing.T) {
 	var pub publisher
 	_, values := pub.publish(t, manyAccounts(700))
 	var m crconfig.Manifest
--- a/io/crpolicyfile/policyfile_test.go
+++ b/io/crpolicyfile/policyfile_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestAllFaultsOfAllFilesAreTold(t *testing.T) {
+func TestAllProblemsOfAllFilesAreReported(t *testing.T) {
 	_, err := crpolicyfile.Build(read(t, "booking.toml", "accounts.toml", "bad.toml", "type.toml"))
 	if err == nil {
 		t.Fatal("bad files were accepted")
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	if one.Digest() != two.Digest() {
-		t.Error("the order of the files shows in the digest")
+		t.Error("the digest depends on the order of the files")
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "manifest\t%s\n", one.Digest())
@@ -77,7 +77,7 @@
 	golden(t, "bundle.golden", b.String())
 }
 
-func loadable(t testing.TB, b crpolicyfile.Bundle) (crconfig.Manifest, map[string][]byte) {
+func unpackBundle(t testing.TB, b crpolicyfile.Bundle) (crconfig.Manifest, map[string][]byte) {
 	t.Helper()
 	m, err := crpolicyfile.ParseManifest(b.Manifest())
 	if err != nil {
@@ -90,12 +90,12 @@
 	return m, values
 }
 
-func TestLoadReturnsWhatWasBuilt(t *testing.T) {
+func TestLoadReturnsTheBuiltPolicy(t *testing.T) {
 	b, err := crpolicyfile.Build(read(t, "booking.toml", "accounts.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, values := loadable(t, b)
+	m, values := unpackBundle(t, b)
 	snap, err := crpolicyfile.Load(7, m, values)
 	if err != nil {
 		t.Fatal(err)
@@ -109,19 +109,19 @@
 	}
 }
 
-// A value is cut short or altered on its way, or a publisher skips validation.
-// Without the second validation callers would meet half of a policy.
-func TestLoadRefusesWhole(t *testing.T) {
+// A value is truncated or altered in transit, or a publisher skips validation. Without
+// the validation in the daemon, a part of a policy would be in force.
+func TestLoadRejectsTheWholeConfiguration(t *testing.T) {
 	b, err := crpolicyfile.Build(read(t, "booking.toml", "accounts.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, values := loadable(t, b)
-	unchecked, err := crpolicyfile.Pack(crpolicyfile.Policy{Accounts: []crpolicy.Account{{Name: "a", Rate: -1, Burst: 1}}})
+	m, values := unpackBundle(t, b)
+	notValidated, err := crpolicyfile.Pack(crpolicyfile.Policy{Accounts: []crpolicy.Account{{Name: "a", Rate: -1, Burst: 1}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	um, uvalues := loadable(t, unchecked)
+	invalid, invalidValues := unpackBundle(t, notValidated)
 	altered := map[string][]byte{}
 	for name, data := range values {
 		altered[name] = append([]byte{data[0] ^ 1}, data[1:]...)
@@ -132,7 +132,7 @@
 	}{
 		"missing value": {m, nil},
 		"altered value": {m, altered},
-		"invalid rate":  {um, uvalues},
+		"invalid rate":  {invalid, invalidValues},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := crpolicyfile.Load(1, tc.m, tc.values); err == nil {
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestEveryValueStaysUnderTheLimit(t *testing.T) {
+func TestEveryValueIsBelowTheSizeLimit(t *testing.T) {
 	p := manyAccounts(20_000)
 	b, err := crpolicyfile.Pack(p)
 	if err != nil {
--- a/io/crpolicyfile/problem.go
+++ b/io/crpolicyfile/problem.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Problem is one fault of a policy file, with what to do about it.
+// Problem is an error in a policy file, with a hint how to correct it.
 type Problem struct {
 	File   string `json:"file"`
-	Line   int    `json:"line"`   // from 1; zero where the file as a whole is meant
+	Line   int    `json:"line"`   // from 1; zero: the whole file
 	Column int    `json:"column"` // from 1, in bytes
 	Key    string `json:"key"`    // such as route[2].timeout, counted from zero
 	What   string `json:"what"`
-	Hint   string `json:"hint"` // what to do
+	Hint   string `json:"hint"`
 }
 
 // Error returns the problem on one line.
@@ -22,10 +22,10 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s; %s", p.File, p.Line, p.Column, p.Key, p.What, p.Hint)
 }
 
-// Problems holds every fault found, sorted by file, line and column.
+// Problems holds all problems, sorted by file, line and column.
 type Problems []Problem
 
-// Error returns one line a problem.
+// Error returns one line for each problem.
 func (ps Problems) Error() string {
 	lines := make([]string, 0, len(ps))
 	for _, p := range ps {
