--- a/io/crplatform/client.go
+++ b/io/crplatform/client.go
@@ -18,13 +18,13 @@
 	"camphorroad/core/crinstance"
 )
 
-// maxPages bounds the list: 64 MB, far above 5,500 instances in 2 MB.
+// maxPages bounds the list to 64 MB. 5,500 instances take 2 MB.
 const maxPages = 64
 
-// errTorn tells that the list changed between two of its pages.
-var errTorn = errors.New("the list changed while it was read")
+// errListChanged means that the list changed between two of its pages.
+var errListChanged = errors.New("the list changed while it was read")
 
-// Client speaks the platform's HTTP protocol. It is safe for concurrent use.
+// Client is a client of the platform's HTTP API. It is safe for concurrent use.
 type Client struct {
 	base string
 	http *http.Client
@@ -32,7 +32,7 @@
 
 var _ Port = (*Client)(nil)
 
-// Option changes a client.
+// Option configures a client.
 type Option func(*Client)
 
 // WithTransport sets the transport, such as one with TLS settings.
@@ -50,7 +50,7 @@
 		base: strings.TrimRight(base, "/"),
 		http: &http.Client{
 			Transport: http.DefaultTransport.(*http.Transport).Clone(),
-			// A redirect would be a second call that nobody has budgeted.
+			// A redirect would be a second call, beyond the budget for calls.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}
@@ -60,10 +60,10 @@
 	return c, nil
 }
 
-// Close drops idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Watch implements Port.
+// Watch implements [Port].
 func (c *Client) Watch(ctx context.Context, after crid.Revision, wait time.Duration) (crconfig.Head, error) {
 	query := url.Values{
 		"after": {strconv.FormatUint(uint64(after), 10)},
@@ -79,7 +79,7 @@
 	return head, nil
 }
 
-// Value implements Port.
+// Value implements [Port].
 func (c *Client) Value(ctx context.Context, name string, digest crconfig.Digest) ([]byte, error) {
 	data, err := c.get(ctx, "/v1/value/"+name+"?digest="+digest.String())
 	if err != nil {
@@ -91,20 +91,20 @@
 	return data, nil
 }
 
-// Instances implements Port. It starts over, once, when the list changes
+// Instances implements [Port]. It reads the list a second time if the list changed
 // between two pages.
 func (c *Client) Instances(ctx context.Context) (crinstance.List, error) {
-	list, err := c.pages(ctx)
-	if errors.Is(err, errTorn) {
-		list, err = c.pages(ctx)
+	list, err := c.readPages(ctx)
+	if errors.Is(err, errListChanged) {
+		list, err = c.readPages(ctx)
 	}
-	if errors.Is(err, errTorn) {
+	if errors.Is(err, errListChanged) {
 		return crinstance.List{}, oops.Wrapf(ErrUnavailable, "%v", err)
 	}
 	return list, err
 }
 
-func (c *Client) pages(ctx context.Context) (crinstance.List, error) {
+func (c *Client) readPages(ctx context.Context) (crinstance.List, error) {
 	var (
 		all   []crinstance.Instance
 		rev   crid.Revision
@@ -116,7 +116,7 @@
 			return crinstance.List{}, err
 		}
 		if n > 0 && page.Rev != rev {
-			return crinstance.List{}, errTorn
+			return crinstance.List{}, errListChanged
 		}
 		rev = page.Rev
 		all = append(all, page.Instances...)
--- a/io/crplatform/client_test.go
+++ b/io/crplatform/client_test.go
@@ -51,7 +51,7 @@
 	return b
 }
 
-func TestReadWhatWasPublished(t *testing.T) {
+func TestClientReadsPublishedValuesAndInstances(t *testing.T) {
 	p, c := start(t)
 	ctx := t.Context()
 	b := publish(t, p, "one")
@@ -89,14 +89,14 @@
 		t.Errorf("head %+v, %v", head, err)
 	}
 	if p.Counts().Watch != 1 {
-		t.Errorf("a waiting watch counted %d times", p.Counts().Watch)
+		t.Errorf("a pending watch was counted %d times", p.Counts().Watch)
 	}
 }
 
-// The service that holds the configuration restarts, is restored from a backup,
-// or stops answering. The daemon must tell these apart: it waits out an absence,
-// and never takes an older revision for news.
-func TestFaultsHaveTheirOwnErrors(t *testing.T) {
+// The platform restarts, stops answering, or is restored from a backup. The daemon must
+// distinguish these: it waits for an unavailable platform, and never accepts an older
+// revision as a change.
+func TestWatchDistinguishesFaults(t *testing.T) {
 	for name, tc := range map[string]struct {
 		fault lab.Fault
 		want  error
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestAnswersAreBoundedAndChecked(t *testing.T) {
+func TestValueChecksSizeAndDigest(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/v1/value/large":
--- a/io/crplatform/perform.go
+++ b/io/crplatform/perform.go
@@ -10,13 +10,13 @@
 	"camphorroad/core/crid"
 )
 
-// Clock reads the daemon's suspend-counting clock.
+// Clock returns the time of the daemon's clock, which counts suspended time.
 type Clock func() crid.Instant
 
-// Perform carries out an effect of crconfig that calls the platform, and returns
-// the event that answers it. It reports false for any other effect. It waits for
-// the answer, for at most timeout or, for a watch, its own, so it belongs in a
-// goroutine of its own.
+// Perform executes an effect of core/crconfig that calls the platform, and returns the
+// event with its result. It reports false for any other effect. It blocks until the
+// answer or the timeout, which a watch brings along, so it should run in its own
+// goroutine.
 func Perform(ctx context.Context, port Port, now Clock, timeout time.Duration, effect crevent.Effect) (crevent.Event, bool) {
 	switch e := effect.(type) {
 	case crconfig.WatchPlatform:
@@ -38,7 +38,7 @@
 	return nil, false
 }
 
-// FaultOf turns an error of a Port into core's word for it.
+// FaultOf returns the fault of core/crconfig for an error of a [Port].
 func FaultOf(err error) crconfig.Fault {
 	switch {
 	case err == nil:
--- a/io/crplatform/perform_test.go
+++ b/io/crplatform/perform_test.go
@@ -13,9 +13,9 @@
 	lab "camphorroad/lab/crplatform"
 )
 
-// TestReducerReadsThePlatform joins the reducer, the adapter, the stand-in and
-// the policy values: one daemon, alone on the list, reads its configuration.
-func TestReducerReadsThePlatform(t *testing.T) {
+// One daemon, alone on the list, reads its configuration with core/crconfig, the client
+// and the simulated platform.
+func TestPerformLoadsAConfiguration(t *testing.T) {
 	p, c := start(t)
 	p.SetInstances([]crinstance.Instance{{Daemon: "self", Domain: "m", State: crinstance.StateLive}})
 	publish(t, p, "one")
@@ -31,8 +31,8 @@
 				w.Wait = min(w.Wait, 10*time.Millisecond)
 				e = w
 			}
-			if answer, ok := crplatform.Perform(t.Context(), c, clock, time.Second, e); ok {
-				step(answer)
+			if result, ok := crplatform.Perform(t.Context(), c, clock, time.Second, e); ok {
+				step(result)
 			}
 		}
 	}
@@ -53,6 +53,6 @@
 		step(crevent.Tick{Now: now})
 	}
 	if s.Revision() != 12 {
-		t.Errorf("went to %d", s.Revision())
+		t.Errorf("revision changed to %d", s.Revision())
 	}
 }
--- a/io/crplatform/platform.go
+++ b/io/crplatform/platform.go
@@ -1,10 +1,14 @@
-// Package crplatform reads what the users' platform publishes: values and the
-// list of instances, each under the platform's one growing revision.
+// Package crplatform reads what the users' platform publishes over HTTP: policy values
+// and the list of instances. Both share one increasing revision.
 //
-// [Port] is what the rest of the daemon uses; [Client] is its adapter for the
-// HTTP protocol of docs/operate/platform.md. The platform can only be read and
-// watched, and it counts every call, so nothing here retries: who reads, and
-// when again, is decided by core/crconfig.
+// io/crdaemon uses [Port]; [Client] implements it for the HTTP protocol of
+// docs/operate/platform.md. The platform can only be read and watched, and it counts
+// every call, so this package does not retry: core/crconfig decides which daemons read
+// and when, and [Perform] executes its effects.
+//
+// Package platform is another adapter: it decodes the headers, records and
+// configuration in the platform's key-value store for io/crmesh. Package
+// lab/crplatform is the simulated platform of the tests.
 //
 // # Usage
 //
@@ -24,29 +28,29 @@
 	"camphorroad/core/crinstance"
 )
 
-// Errors of every adapter; test with errors.Is.
+// Errors of all implementations of [Port], for errors.Is.
 var (
-	// ErrUnavailable: the platform gave no usable answer in time.
+	// ErrUnavailable means that the platform gave no usable answer in time.
 	ErrUnavailable = errors.New("platform is away")
-	// ErrNotFound: the platform does not hold what was asked for.
+	// ErrNotFound means that the platform does not have the requested value.
 	ErrNotFound = errors.New("not found on the platform")
-	// ErrTooLarge: the answer is over the platform's limit.
+	// ErrTooLarge means that the answer exceeds the platform's limit.
 	ErrTooLarge = errors.New("platform answer is too large")
-	// ErrStale: the platform answered from before what it had said earlier, or
-	// with other bytes than the digest names.
+	// ErrStale means that the platform answered with an older revision than before, or
+	// with bytes that do not match the digest.
 	ErrStale = errors.New("platform is stale")
 )
 
-// ManifestName is the name of the value that names all others.
+// ManifestName is the name of the value that lists all others.
 const ManifestName = "manifest"
 
-// Port is the platform as the daemon uses it. All calls end with their context.
+// Port reads and watches the platform. All calls end with their context.
 type Port interface {
-	// Watch returns the platform's newest head once its revision is above
-	// after, or the unchanged head when wait has passed. A head older than
-	// after comes back together with ErrStale.
+	// Watch returns the platform's newest head as soon as its revision is above
+	// after, or the unchanged head when wait is over. A head older than after is
+	// returned together with ErrStale.
 	Watch(ctx context.Context, after crid.Revision, wait time.Duration) (crconfig.Head, error)
-	// Value returns the bytes of a named value that have the digest.
+	// Value returns the bytes of a named value. They match the digest.
 	Value(ctx context.Context, name string, digest crconfig.Digest) ([]byte, error)
 	// Instances returns the newest list of instances.
 	Instances(ctx context.Context) (crinstance.List, error)
@@ -56,5 +60,5 @@
 type Page struct {
 	Rev       crid.Revision         `json:"rev"`
 	Instances []crinstance.Instance `json:"instances"`
-	Next      crid.Daemon           `json:"next,omitempty"` // ask again after this one; empty: the end
+	Next      crid.Daemon           `json:"next,omitempty"` // the next page begins after this daemon; empty: this is the last page
 }
