--- a/io/crplatform/client_test.go
+++ b/io/crplatform/client_test.go
@@ -101,10 +101,10 @@
 		fault lab.Fault
 		want  error
 	}{
-		"away":  {lab.Fault{Mode: lab.ModeAway}, crplatform.ErrUnavailable},
-		"hang":  {lab.Fault{Mode: lab.ModeHang}, crplatform.ErrUnavailable},
-		"slow":  {lab.Fault{Mode: lab.ModeSlow, Delay: 10 * time.Millisecond}, nil},
-		"stale": {lab.Fault{Mode: lab.ModeStale}, crplatform.ErrStale},
+		"unavailable": {lab.Fault{Mode: lab.ModeAway}, crplatform.ErrUnavailable},
+		"hang":        {lab.Fault{Mode: lab.ModeHang}, crplatform.ErrUnavailable},
+		"slow":        {lab.Fault{Mode: lab.ModeSlow, Delay: 10 * time.Millisecond}, nil},
+		"stale":       {lab.Fault{Mode: lab.ModeStale}, crplatform.ErrStale},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, c := start(t)
--- a/io/crplatform/platform.go
+++ b/io/crplatform/platform.go
@@ -31,7 +31,7 @@
 // Errors of all implementations of [Port], for errors.Is.
 var (
 	// ErrUnavailable means that the platform gave no usable answer in time.
-	ErrUnavailable = errors.New("platform is away")
+	ErrUnavailable = errors.New("platform is unavailable")
 	// ErrNotFound means that the platform does not have the requested value.
 	ErrNotFound = errors.New("not found on the platform")
 	// ErrTooLarge means that the answer exceeds the platform's limit.
--- a/io/crpolicyfile/check.go
+++ b/io/crpolicyfile/check.go
@@ -71,7 +71,7 @@
 func (c checker) checkDuration(key string, d, low, high time.Duration) {
 	if d < low || d > high {
 		c.add(key, "missing, no duration, or out of range",
-			fmt.Sprintf("use a text such as \"2s\", from %s to %s", low, high))
+			fmt.Sprintf("use a string such as \"2s\", from %s to %s", low, high))
 	}
 }
 
@@ -104,7 +104,7 @@
 func (c checker) service(svc crpolicy.Service) {
 	c.name("service.name", string(svc.Name))
 	if first, ok := c.seen.services[svc.Name]; ok {
-		c.add("service.name", "the service is also in "+first, "keep one file a service")
+		c.add("service.name", "the service is also in "+first, "use one file per service")
 	}
 	c.seen.services[svc.Name] = c.source
 	c.checkRange("service.floor", svc.Floor, 0, maxTargets)
--- a/io/crpolicyfile/file.go
+++ b/io/crpolicyfile/file.go
@@ -174,7 +174,7 @@
 		IdentityEcho: c.Service.Echo,
 	}
 	if !r.index.has("service.floor") {
-		r.add("service.floor", "missing", "state the healthy targets below which ejecting must not push")
+		r.add("service.floor", "missing", "give the least number of healthy targets that ejection must leave")
 	}
 	if c.Probe != nil {
 		svc.Probe = crpolicy.Probe{
@@ -184,7 +184,7 @@
 			Interval: duration(c.Probe.Every),
 		}
 		if c.Probe.Path == "" {
-			r.add("probe.path", "missing", "give the path to ask, such as \"/probe\"")
+			r.add("probe.path", "missing", "give the path to request, such as \"/probe\"")
 		}
 	}
 	for _, fr := range c.Routes {
