--- a/io/crmesh/crmesh.go
+++ b/io/crmesh/crmesh.go
@@ -112,7 +112,7 @@
 func newFeed(opts Options, loop *loop, peers *croffer.Client, l *crlog.Logger) *crfeed.Feed {
 	return crfeed.New(crfeed.Options{
 		Self: crid.Daemon(opts.Settings.Address), Store: opts.Store, Peers: peers, Clock: crclock.Now,
-		Readers: func() []crid.Daemon { return loop.view.Load().Readers }, Coming: func() bool { return loop.view.Load().ReadersPending },
+		Readers: func() []crid.Daemon { return loop.view.Load().Readers }, PeersPending: func() bool { return loop.view.Load().ReadersPending },
 		Log: l,
 	})
 }
@@ -120,7 +120,7 @@
 func newFollower(opts Options, loop *loop, feed *crfeed.Feed, l *crlog.Logger) *crwatch.Follower {
 	return crwatch.New(crwatch.Options{
 		Store: feed, Decoder: opts.Decoder, Clock: crclock.Now, Emit: loop.emit, Log: l,
-		Lookers: func() int { return loop.view.Load().StoreReaders },
+		ReaderCount: func() int { return loop.view.Load().StoreReaders },
 	})
 }
 
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -106,7 +106,7 @@
 		case crmesh.Pull:
 			go d.pull(ctx, eff.From)
 		case crmesh.RenewWatches:
-			d.follower.Renew()
+			d.follower.RestartWatches()
 		}
 	}
 }
@@ -132,15 +132,15 @@
 func (d *daemon) pull(ctx context.Context, from crid.Daemon) {
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
-	var c crwatch.Copy
-	if err := d.peers.Fetch(ctx, from, d.follower.Have(), &c); err != nil {
+	var c crwatch.Update
+	if err := d.peers.Fetch(ctx, from, d.follower.Revisions(), &c); err != nil {
 		d.log.Event(crlog.PeerCopyFailed, crlog.Fields{"peer": string(from), "error": err.Error()})
 		return
 	}
 	d.log.Event(crlog.PeerCopied, crlog.Fields{
 		"peer": string(from), "rev": strconv.FormatUint(uint64(c.RecordsRevision), 10),
 	})
-	if err := d.follower.Take(c); err != nil {
+	if err := d.follower.Apply(c); err != nil {
 		d.log.Event(crlog.PeerCopyFailed, crlog.Fields{"peer": string(from), "error": err.Error()})
 	}
 }
--- a/io/crmesh/meters.go
+++ b/io/crmesh/meters.go
@@ -62,11 +62,11 @@
 		"peers.silent":                           func() int64 { return int64(len(d.loop.view.Load().Silent)) },
 		"peers.alive":                            func() int64 { return int64(len(d.loop.view.Load().Live) - 1) },
 		"plan.version":                           d.planVersion,
-		"store.calls.total":                      d.feed.Calls,
-		"feed.asked.total":                       d.feed.Asked,
-		"store.faults.total":                     d.follower.Faults,
-		"store.records.quiet.milliseconds":       func() int64 { return d.follower.Quiet(crwatch.Records).Milliseconds() },
-		"store.configuration.quiet.milliseconds": func() int64 { return d.follower.Quiet(crwatch.Configuration).Milliseconds() },
+		"store.calls.total":                      d.feed.StoreCalls,
+		"feed.asked.total":                       d.feed.ReaderQueries,
+		"store.faults.total":                     d.follower.Failures,
+		"store.records.quiet.milliseconds":       func() int64 { return d.follower.SinceLastRead(crwatch.Records).Milliseconds() },
+		"store.configuration.quiet.milliseconds": func() int64 { return d.follower.SinceLastRead(crwatch.Configuration).Milliseconds() },
 	} {
 		// The library refuses only a name that is taken, which none of these is.
 		_ = d.metrics.Register(name, metrics.NewFunctionalGauge(read))
