--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -13,7 +13,7 @@
 	MeshCut         = 608
 	StoreLost       = 610
 	StoreBack       = 611
-	RecordBad       = 612
+	RecordInvalid       = 612
 	PlanBad         = 613
 	PlanInForce     = 614
 	TargetsChanged  = 615
@@ -68,7 +68,7 @@
 		},
 		{StoreBack, LevelInfo, "store regained", "the store answers again", none, none},
 		{
-			RecordBad, LevelWarn, "record not usable",
+			RecordInvalid, LevelWarn, "record not usable",
 			"a record in the store lacks something or is not readable", "its target gets no work; all others do", "find its writer by the key",
 		},
 		{
--- a/io/crwatch/crwatch.go
+++ b/io/crwatch/crwatch.go
@@ -209,7 +209,7 @@
 		if !i.Removed {
 			r, err := f.opts.Decoder.Record(i)
 			if err != nil {
-				f.opts.Log.Event(crlog.RecordBad, crlog.Fields{"key": i.Key, "rev": revision(i.Revision), "error": err.Error()})
+				f.opts.Log.Event(crlog.RecordInvalid, crlog.Fields{"key": i.Key, "rev": revision(i.Revision), "error": err.Error()})
 			} else {
 				c.Record = &r
 			}
