--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -10,7 +10,7 @@
 	SettingsRead    = 605
 	SettingsBad     = 606
 	LogDropped      = 607
-	MeshCut         = 608
+	MeshDrainIncomplete         = 608
 	StoreLost       = 610
 	StoreBack       = 611
 	RecordInvalid       = 612
@@ -59,7 +59,7 @@
 			"more was logged than standard output took", "lines are missing; requests were not held up", "read standard output faster",
 		},
 		{
-			MeshCut, LevelWarn, "stop cut requests",
+			MeshDrainIncomplete, LevelWarn, "stop cut requests",
 			"requests were still in progress when the grace ended", "those requests were cut", none,
 		},
 		{
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -211,7 +211,7 @@
 	// The library looks for open connections half a second apart at times, so that it
 	// may not have seen that the last request has ended.
 	if err != nil && (d.entry.Open() > 0 || !d.exit.Idle()) {
-		d.log.Event(crlog.MeshCut, crlog.Fields{"open": strconv.FormatInt(d.entry.Open(), 10), "error": err.Error()})
+		d.log.Event(crlog.MeshDrainIncomplete, crlog.Fields{"open": strconv.FormatInt(d.entry.Open(), 10), "error": err.Error()})
 	}
 	for _, page := range s.pages {
 		_ = page.Close() // whoever reads them asks again
