--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -8,7 +8,7 @@
 	MeshStopped     = 603
 	MeshPaused      = 604
 	SettingsRead    = 605
-	SettingsBad     = 606
+	SettingsRejected     = 606
 	LogDropped      = 607
 	MeshDrainIncomplete         = 608
 	StoreLost       = 610
@@ -51,7 +51,7 @@
 		},
 		{SettingsRead, LevelInfo, "settings read", "SIGHUP", "the file was checked; what changed acts at the next start", none},
 		{
-			SettingsBad, LevelError, "settings refused",
+			SettingsRejected, LevelError, "settings refused",
 			"SIGHUP, but the file is wrong", "the former settings stay", "mend the file and send SIGHUP again",
 		},
 		{
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -256,7 +256,7 @@
 			continue
 		}
 		if _, err := d.opts.Read(); err != nil {
-			d.log.Event(crlog.SettingsBad, crlog.Fields{"error": err.Error()})
+			d.log.Event(crlog.SettingsRejected, crlog.Fields{"error": err.Error()})
 			continue
 		}
 		d.log.Event(crlog.SettingsRead, nil)
