--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -12,7 +12,7 @@
 	LogDropped      = 607
 	MeshDrainIncomplete         = 608
 	StoreLost       = 610
-	StoreBack       = 611
+	StoreRecovered       = 611
 	RecordInvalid       = 612
 	PlanBad         = 613
 	PlanInForce     = 614
@@ -66,7 +66,7 @@
 			StoreLost, LevelWarn, "store lost",
 			"the store does not answer, or turns this daemon away", "what is known stays in force; newer versions come from peers", "mend the store or the network to it",
 		},
-		{StoreBack, LevelInfo, "store regained", "the store answers again", none, none},
+		{StoreRecovered, LevelInfo, "store regained", "the store answers again", none, none},
 		{
 			RecordInvalid, LevelWarn, "record not usable",
 			"a record in the store lacks something or is not readable", "its target gets no work; all others do", "find its writer by the key",
--- a/io/crwatch/track.go
+++ b/io/crwatch/track.go
@@ -172,7 +172,7 @@
 		return
 	}
 	t.told, t.own = false, false
-	t.opts.Log.Event(crlog.StoreBack, crlog.Fields{"scope": t.scope.String(), "quiet": rounded(quiet)})
+	t.opts.Log.Event(crlog.StoreRecovered, crlog.Fields{"scope": t.scope.String(), "quiet": rounded(quiet)})
 	t.mark(false, false)
 }
 
