--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -14,7 +14,7 @@
 	StoreLost       = 610
 	StoreRecovered       = 611
 	RecordInvalid       = 612
-	PlanBad         = 613
+	PlanRejected         = 613
 	PlanInForce     = 614
 	TargetsChanged  = 615
 	PeerCopied      = 616
@@ -72,7 +72,7 @@
 			"a record in the store lacks something or is not readable", "its target gets no work; all others do", "find its writer by the key",
 		},
 		{
-			PlanBad, LevelError, "configuration not taken",
+			PlanRejected, LevelError, "configuration not taken",
 			"the store's configuration is wrong", "the former one stays in force whole", "read the field `error` and publish again",
 		},
 		{PlanInForce, LevelInfo, "plan in force", "a newer configuration was read", "new routes, keys and limits act", none},
--- a/io/crwatch/crwatch.go
+++ b/io/crwatch/crwatch.go
@@ -226,7 +226,7 @@
 	}
 	p, err := f.opts.Decoder.Plan(i.Value)
 	if err != nil {
-		f.opts.Log.Event(crlog.PlanBad, crlog.Fields{"rev": revision(i.Revision), "error": err.Error()})
+		f.opts.Log.Event(crlog.PlanRejected, crlog.Fields{"rev": revision(i.Revision), "error": err.Error()})
 		return
 	}
 	f.mu.Lock()
