--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -17,7 +17,7 @@
 	PlanRejected         = 613
 	PlanInForce     = 614
 	TargetsChanged  = 615
-	PeerCopied      = 616
+	CopiedFromPeer      = 616
 	PeerCopyFailed  = 617
 	ReadersChanged  = 618
 	ReaderSilent    = 619
@@ -78,7 +78,7 @@
 		{PlanInForce, LevelInfo, "plan in force", "a newer configuration was read", "new routes, keys and limits act", none},
 		{TargetsChanged, LevelInfo, "targets changed", "targets came, went or are leaving", none, none},
 		{
-			PeerCopied, LevelInfo, "copied from a peer",
+			CopiedFromPeer, LevelInfo, "copied from a peer",
 			"a peer held something newer while the store did not give it", none, none,
 		},
 		{
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -137,7 +137,7 @@
 		d.log.Event(crlog.PeerCopyFailed, crlog.Fields{"peer": string(from), "error": err.Error()})
 		return
 	}
-	d.log.Event(crlog.PeerCopied, crlog.Fields{
+	d.log.Event(crlog.CopiedFromPeer, crlog.Fields{
 		"peer": string(from), "rev": strconv.FormatUint(uint64(c.RecordsRevision), 10),
 	})
 	if err := d.follower.Take(c); err != nil {
