--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -22,7 +22,7 @@
 	ReadersChanged  = 618
 	ReaderSilent    = 619
 	PeerSilent      = 620
-	PeerHeard       = 621
+	PeerRecovered       = 621
 	TargetJudged    = 630
 	RunEnded        = 631
 	OfferRefused    = 632
@@ -98,7 +98,7 @@
 			PeerSilent, LevelWarn, "peers silent",
 			"beats of these peers did not come", "their targets are used last", "look at the network between the machines if it lasts",
 		},
-		{PeerHeard, LevelInfo, "peers heard again", "beats came again", none, none},
+		{PeerRecovered, LevelInfo, "peers heard again", "beats came again", none, none},
 		{
 			TargetJudged, LevelInfo, "target judged",
 			"answers moved the probability that the target is sick over the limit, or below it",
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -195,7 +195,7 @@
 		d.log.Event(crlog.PeerSilent, crlog.Fields{"peers": names(v.Silent)})
 	}
 	if len(v.Silent) < len(before.Silent) {
-		d.log.Event(crlog.PeerHeard, crlog.Fields{"silent": names(v.Silent)})
+		d.log.Event(crlog.PeerRecovered, crlog.Fields{"silent": names(v.Silent)})
 	}
 }
 
