--- a/command/log/log.go
+++ b/command/log/log.go
@@ -228,7 +228,7 @@
 	}
 	entry := slices.Contains(c.entries, l.daemon)
 	switch l.event {
-	case crlog.TargetJudged:
+	case crlog.TargetSuspicionChanged:
 		return slices.Contains(c.targets, l.fields["target"])
 	case crlog.OwnerSilent:
 		return entry && slices.Contains(c.accounts, l.fields["account"])
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -320,7 +320,7 @@
 	if !changed {
 		return
 	}
-	x.opts.Log.Event(crlog.TargetJudged, crlog.Fields{
+	x.opts.Log.Event(crlog.TargetSuspicionChanged, crlog.Fields{
 		"target": string(x.Target()), "before": crlog.Percent(before), "sick": crlog.Percent(after), "request": id,
 	})
 	x.opts.Nudge()
--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -23,7 +23,7 @@
 	ReaderSilent    = 619
 	PeerSilent      = 620
 	PeerRecovered       = 621
-	TargetJudged    = 630
+	TargetSuspicionChanged    = 630
 	RunEnded        = 631
 	OfferRefused    = 632
 	RequestFailed   = 640
@@ -100,7 +100,7 @@
 		},
 		{PeerRecovered, LevelInfo, "peers heard again", "beats came again", none, none},
 		{
-			TargetJudged, LevelInfo, "target judged",
+			TargetSuspicionChanged, LevelInfo, "target judged",
 			"answers moved the probability that the target is sick over the limit, or below it",
 			"above it, only idempotent requests try the target now and then", none,
 		},
