--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -279,7 +279,7 @@
 		return
 	}
 	if _, err := w.Write(a.body); err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
-		q.opts.Log.Event(crlog.CallerGone, crlog.Fields{"request": q.caller.ID, "error": err.Error()})
+		q.opts.Log.Event(crlog.CallerDisconnected, crlog.Fields{"request": q.caller.ID, "error": err.Error()})
 	}
 }
 
--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -27,7 +27,7 @@
 	RunEnded        = 631
 	OfferRefused    = 632
 	RequestFailed   = 640
-	CallerGone      = 641
+	CallerDisconnected      = 641
 	RequestRepeated = 642
 	RequestServed   = 643
 	OwnerSilent     = 650
@@ -118,7 +118,7 @@
 			"a request was refused, failed, or its caller left",
 			"its caller has the status and the reason named", none,
 		},
-		{CallerGone, LevelInfo, "caller gone", "the caller's connection ended before its answer was written", none, none},
+		{CallerDisconnected, LevelInfo, "caller gone", "the caller's connection ended before its answer was written", none, none},
 		{
 			RequestRepeated, LevelInfo, "request sent again",
 			"an idempotent request failed at a target", "it is sent to another one", none,
