--- a/io/cringress/dispatch.go
+++ b/io/cringress/dispatch.go
@@ -97,7 +97,7 @@
 	}
 	if d.repeat {
 		d.opts.Meter.Repeated()
-		d.opts.Log.Event(crlog.RequestRepeated, crlog.Fields{
+		d.opts.Log.Event(crlog.RequestRetried, crlog.Fields{
 			"request": d.caller.ID, "service": string(d.service), "target": string(choice.Target), "choice": choice.Why(), "after": d.last.reason,
 		})
 	}
--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -28,7 +28,7 @@
 	OfferRefused    = 632
 	RequestFailed   = 640
 	CallerDisconnected      = 641
-	RequestRepeated = 642
+	RequestRetried = 642
 	RequestServed   = 643
 	OwnerSilent     = 650
 )
@@ -120,7 +120,7 @@
 		},
 		{CallerDisconnected, LevelInfo, "caller gone", "the caller's connection ended before its answer was written", none, none},
 		{
-			RequestRepeated, LevelInfo, "request sent again",
+			RequestRetried, LevelInfo, "request sent again",
 			"an idempotent request failed at a target", "it is sent to another one", none,
 		},
 		{
