--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -301,7 +301,7 @@
 		d.log.Event(crlog.CallersRefused, crlog.Fields{"error": err.Error()})
 		return
 	}
-	d.log.Event(crlog.CallersTaken, crlog.Fields{"service": readyWord(d.shell.checkService())})
+	d.log.Event(crlog.CallersAccepted, crlog.Fields{"service": readyWord(d.shell.checkService())})
 	d.shell.listening.Store(true)
 	if d.cert == nil {
 		_ = d.callers.Serve(ln)
--- a/io/crlog/catalogue_process.go
+++ b/io/crlog/catalogue_process.go
@@ -8,7 +8,7 @@
 	DaemonStopped   = 103
 	DaemonPaused    = 104
 	DrainIncomplete = 105
-	CallersTaken    = 106
+	CallersAccepted    = 106
 	CallersRefused  = 107
 	PeerMessageBad  = 120
 	CertReloaded    = 130
@@ -51,7 +51,7 @@
 			"those requests were cut", "raise limits.draintime if their answers take longer by design",
 		},
 		{
-			CallersTaken, LevelInfo, "callers can connect",
+			CallersAccepted, LevelInfo, "callers can connect",
 			"the daemon can serve, or could not for 15 seconds after its start; its field service says which",
 			"connections are taken from now on", "look at the ready page if service is not yes",
 		},
