--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -298,7 +298,7 @@
 	}
 	ln, err := at.Listen()
 	if err != nil {
-		d.log.Event(crlog.CallersRefused, crlog.Fields{"error": err.Error()})
+		d.log.Event(crlog.CallerListenFailed, crlog.Fields{"error": err.Error()})
 		return
 	}
 	d.log.Event(crlog.CallersAccepted, crlog.Fields{"service": readyWord(d.shell.checkService())})
--- a/io/crlog/catalogue_process.go
+++ b/io/crlog/catalogue_process.go
@@ -9,7 +9,7 @@
 	DaemonPaused    = 104
 	DrainIncomplete = 105
 	CallersAccepted    = 106
-	CallersRefused  = 107
+	CallerListenFailed  = 107
 	PeerMessageBad  = 120
 	CertReloaded    = 130
 	CertReloadError = 131
@@ -56,7 +56,7 @@
 			"connections are taken from now on", "look at the ready page if service is not yes",
 		},
 		{
-			CallersRefused, LevelError, "callers can not connect",
+			CallerListenFailed, LevelError, "callers can not connect",
 			"the system did not let the daemon listen at listen.http",
 			"nobody can call this daemon; it still runs what others forward to its targets", "restart it",
 		},
