--- a/io/crlog/catalogue_process.go
+++ b/io/crlog/catalogue_process.go
@@ -10,7 +10,7 @@
 	DrainIncomplete = 105
 	CallersAccepted    = 106
 	CallerListenFailed  = 107
-	PeerMessageBad  = 120
+	PeerMessageInvalid  = 120
 	CertReloaded    = 130
 	CertReloadError = 131
 	TargetUnknown   = 140
@@ -61,7 +61,7 @@
 			"nobody can call this daemon; it still runs what others forward to its targets", "restart it",
 		},
 		{
-			PeerMessageBad, LevelWarn, "peer message refused",
+			PeerMessageInvalid, LevelWarn, "peer message refused",
 			"a daemon sent what this version can not read",
 			"nothing, for minutes during a roll-out of a new version", "find the daemon with another version if it lasts",
 		},
