--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -350,7 +350,7 @@
 		err = errors.Join(err, d.cert.Reload())
 	}
 	if err != nil {
-		d.log.Event(crlog.CertReloadError, crlog.Fields{"error": err.Error()})
+		d.log.Event(crlog.CertReloadFailed, crlog.Fields{"error": err.Error()})
 		return
 	}
 	d.log.Event(crlog.CertReloaded, nil)
--- a/io/crlog/catalogue_process.go
+++ b/io/crlog/catalogue_process.go
@@ -12,7 +12,7 @@
 	CallerListenFailed  = 107
 	PeerMessageInvalid  = 120
 	CertReloaded    = 130
-	CertReloadError = 131
+	CertReloadFailed = 131
 	TargetUnknown   = 140
 	ViewRefused     = 141
 	TraceStopped    = 150
@@ -71,7 +71,7 @@
 			"new sessions use the new certificate", none,
 		},
 		{
-			CertReloadError, LevelError, "certificates not reloaded",
+			CertReloadFailed, LevelError, "certificates not reloaded",
 			"SIGHUP, but the files could not be read or do not fit",
 			"the former certificate stays in use", "mend the files and send SIGHUP again",
 		},
