--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -132,7 +132,7 @@
 	in.Snapshot = eff.Snapshot
 	view, err := crview.Build(in)
 	if err != nil {
-		s.log.Event(crlog.ViewRefused, crlog.Fields{"error": err.Error()})
+		s.log.Event(crlog.RoutesRejected, crlog.Fields{"error": err.Error()})
 		return
 	}
 	s.in = in
--- a/io/crlog/catalogue_process.go
+++ b/io/crlog/catalogue_process.go
@@ -14,7 +14,7 @@
 	CertReloaded    = 130
 	CertReloadFailed = 131
 	TargetUnknown   = 140
-	ViewRefused     = 141
+	RoutesRejected     = 141
 	TraceStopped    = 150
 )
 
@@ -81,7 +81,7 @@
 			"the target gets no work", "publish the service's policy or mend the settings",
 		},
 		{
-			ViewRefused, LevelError, "routes refused",
+			RoutesRejected, LevelError, "routes refused",
 			"a configuration came whose routes can not be served together",
 			"the former routes stay in force", "run `camphorroad policy check` on the files and publish again",
 		},
