--- a/io/crlog/catalogue.go
+++ b/io/crlog/catalogue.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// Level is the weight of an event for whoever is on call.
+// Level is the severity of an event, as seen by the operator on call.
 type Level uint8
 
 // The levels of events.
 const (
 	LevelDebug Level = iota + 1
-	LevelInfo        // ordinary: nothing is lost
-	LevelWarn        // something is lost, and comes back by itself
-	LevelError       // somebody has to act
+	LevelInfo        // normal operation, no loss
+	LevelWarn        // degraded, recovers without intervention
+	LevelError       // needs an operator
 )
 
-// String returns the level's name.
+// String returns the name of the level as it stands in log lines.
 func (l Level) String() string { return l.logrus().String() }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -28,62 +28,62 @@
 	Number int    `json:"number"`
 	Level  Level  `json:"level"`
 	Name   string `json:"name"`   // the log line's message
-	Cause  string `json:"cause"`  // what brings it about
-	Notice string `json:"notice"` // what callers or operators notice
-	Action string `json:"action"` // what to do
+	Cause  string `json:"cause"`  // condition under which it is logged
+	Notice string `json:"notice"` // effect on callers or operators
+	Action string `json:"action"` // what the operator should do
 }
 
-// none stands where nothing is noticed, or nothing is to be done.
+// none is the text of an empty Notice or Action.
 const none = "nothing"
 
-// Catalogue lists every event that the daemon can log, by number.
+// Catalogue returns every event that the daemon can log, in order of number.
 func Catalogue() []Entry {
 	return slices.Concat(processEntries(), memberEntries(), accountEntries(), healthEntries(), configEntries(), meshEntries())
 }
 
-// area is a range of numbers with its heading in the documentation.
-type area struct {
+// numberRange is a range of event numbers and its heading in docs/events.md.
+type numberRange struct {
 	title string
 	first int
 }
 
-func areas() []area {
-	return []area{
+func numberRanges() []numberRange {
+	return []numberRange{
 		{"The process, 100 to 199", 100},
-		{"Membership and standing, 200 to 249", 200},
+		{"Membership, 200 to 249", 200},
 		{"Account limits, 300 to 349", 300},
-		{"Sick targets, 400 to 449", 400},
+		{"Outlier detection, 400 to 449", 400},
 		{"Configuration, 500 to 549", 500},
-		{"Joined by the store's records, 600 to 699", 600},
+		{"Daemons started by camphorroad join, 600 to 699", 600},
 	}
 }
 
-const preamble = `# Numbered events of the log
+const pagePreamble = `# Log events
 
-Made from the catalogue by ` + "`camphorroad events list --markdown`" + `; do not edit it by hand.
-An event is logged as one JSON line with its number in the field ` + "`event`" + `. No event carries a key.
+Generated from the catalogue in io/crlog by ` + "`camphorroad events list --markdown`" + `; do not edit by hand.
+Each event is logged as one JSON line with its number in the field ` + "`event`" + `. No event contains a client key.
 
-| level | for whoever is on call |
+| level | meaning for the operator on call |
 | --- | --- |
-| info | ordinary: nothing is lost |
-| warning | something is lost, and comes back by itself |
-| error | somebody has to act, always by mending or publishing, never on the fleet itself |
+| info | normal operation, no loss |
+| warning | degraded, recovers without intervention |
+| error | needs an operator: repair the cause or publish a correction; the fleet itself needs no intervention |
 `
 
-// Markdown writes the catalogue as the page docs/events.md.
+// Markdown writes the catalogue in the form of docs/events.md.
 func Markdown(w io.Writer) error {
-	if _, err := io.WriteString(w, preamble); err != nil {
+	if _, err := io.WriteString(w, pagePreamble); err != nil {
 		return err
 	}
 	entries := Catalogue()
-	for i, a := range areas() {
-		last := len(areas()) == i+1
+	for i, a := range numberRanges() {
+		last := len(numberRanges()) == i+1
 		n := len(entries)
 		if !last {
-			next := areas()[i+1].first
+			next := numberRanges()[i+1].first
 			n = slices.IndexFunc(entries, func(e Entry) bool { return e.Number >= next })
 		}
-		if err := section(w, a.title, entries[:n]); err != nil {
+		if err := writeSection(w, a.title, entries[:n]); err != nil {
 			return err
 		}
 		entries = entries[n:]
@@ -91,9 +91,9 @@
 	return nil
 }
 
-func section(w io.Writer, title string, entries []Entry) error {
-	const head = "\n## %s\n\n| number | level | event | cause | what is noticed | what to do |\n| --- | --- | --- | --- | --- | --- |\n"
-	if _, err := fmt.Fprintf(w, head, title); err != nil {
+func writeSection(w io.Writer, title string, entries []Entry) error {
+	const header = "\n## %s\n\n| number | level | event | cause | effect | action |\n| --- | --- | --- | --- | --- | --- |\n"
+	if _, err := fmt.Fprintf(w, header, title); err != nil {
 		return err
 	}
 	for _, e := range entries {
--- a/io/crlog/catalogue_health.go
+++ b/io/crlog/catalogue_health.go
@@ -6,43 +6,43 @@
 	return []Entry{
 		{
 			crhealth.EventEjected, LevelWarn, "target ejected",
-			"the arbiter found a target wrong, failing, slow or stalled beside its peers; `detail` gives cause and hold-off",
-			"no new work goes to the target", "nothing at once; look at the target",
+			"the arbiter found a target wrong, failing, slow or stalled compared with its peers; `detail` gives the cause and the ejection time",
+			"the target gets no new requests", "none immediately; check the target",
 		},
 		{
 			crhealth.EventReturned, LevelInfo, "target returned",
-			"the hold-off is over, or the floor needs the target",
-			"work comes back, a tenth at first", none,
+			"the ejection time is over, or the target is needed to keep the floor",
+			"the target gets requests again, at a tenth of its weight at first", none,
 		},
 		{
 			crhealth.EventFloorHolds, LevelError, "floor holds",
-			"a target is sick, but ejecting it would break the floor",
-			"callers still meet the sick target", "repair it, add targets, or publish a lower floor",
+			"a target is sick, but ejecting it would leave fewer targets than the floor",
+			"requests still go to the sick target", "repair it, add targets, or publish a lower floor",
 		},
 		{
 			crhealth.EventArbiterStarted, LevelInfo, "arbiter started",
-			"this daemon has begun to decide for a service",
-			"verdicts come from it", none,
+			"this daemon became the arbiter of a service",
+			"this daemon sends the verdicts for the service", none,
 		},
 		{
 			crhealth.EventArbiterStopped, LevelInfo, "arbiter stopped",
-			"this daemon lost standing, or the list names another",
-			"a pause of about two seconds in ejections", "nothing; if it repeats, look at standing",
+			"this daemon lost the membership lease, or the list of instances selects another arbiter",
+			"no ejections for about two seconds", "none; if it repeats, check for 201",
 		},
 		{
 			crhealth.EventVerdictExpired, LevelWarn, "verdict expired",
-			"the arbiter was silent for 1.5 s",
-			"ejected targets get work from this entry again", "look for a daemon that is down but still listed",
+			"no verdict arrived from the arbiter for 1.5 s",
+			"ejected targets get requests from this daemon again", "look for a daemon that is down but still listed",
 		},
 		{
-			crhealth.EventHoldExtended, LevelWarn, "hold extended",
-			"probes of an ejected target still fail",
-			"it stays out", "repair the target",
+			crhealth.EventHoldExtended, LevelWarn, "ejection extended",
+			"probes of an ejected target still fail at the end of its ejection time",
+			"the target stays ejected", "repair the target",
 		},
 		{
-			crhealth.EventDigestsLate, LevelWarn, "digests late",
-			"evidence exceeds the budget of bytes",
-			"sick targets are found later", "see the limits in design note 05",
+			crhealth.EventDigestsLate, LevelWarn, "health digests late",
+			"the health digests exceed the byte budget",
+			"sick targets are detected later", "see the limits in design note 05",
 		},
 	}
 }
--- a/io/crlog/catalogue_member.go
+++ b/io/crlog/catalogue_member.go
@@ -5,64 +5,64 @@
 func memberEntries() []Entry {
 	return []Entry{
 		{
-			crmember.EventStandingGained, LevelInfo, "standing gained",
-			"a majority of the list's voters answers",
+			crmember.EventStandingGained, LevelInfo, "membership lease acquired",
+			"a majority of the voters of the list answers",
 			"requests are served", none,
 		},
 		{
-			crmember.EventStandingLost, LevelWarn, "standing lost",
-			"cut off, suspended, or the list changes",
-			"this daemon refuses requests as not run", "nothing if 200 follows in seconds; else mend the network",
+			crmember.EventStandingLost, LevelWarn, "membership lease lost",
+			"the daemon is partitioned or was suspended, or the list is being replaced",
+			"this daemon refuses requests as not run", "none if 200 follows within seconds; otherwise repair the network",
 		},
 		{
 			crmember.EventListAdopted, LevelInfo, "list adopted",
-			"a newer list from the platform or a peer",
-			"refusals for up to some seconds", none,
+			"a newer list arrived from the platform or a peer",
+			"requests may be refused for a few seconds", none,
 		},
 		{
 			crmember.EventListIgnored, LevelWarn, "older list ignored",
-			"the platform went back, or this reader lags behind what peers told",
-			none, "look at the platform if it repeats",
+			"the platform returned an older list, or this reader is behind its peers",
+			none, "check the platform if it repeats",
 		},
 		{
 			crmember.EventListsFull, LevelError, "too many lists",
-			"32 lists without one becoming active; peers hold many different ones",
-			"refusals", "mend the network: a majority is away",
+			"32 lists are pending and none became active; peers hold many different lists",
+			"requests are refused", "repair the network: a majority of the voters is unreachable",
 		},
 		{
-			crmember.EventRecovered, LevelInfo, "recovered",
-			"a restarted daemon has caught up from its peers",
+			crmember.EventRecovered, LevelInfo, "membership recovered",
+			"this daemon has caught up with its peers after a restart",
 			none, none,
 		},
 		{
 			crmember.EventColdStart, LevelWarn, "cold start",
-			"a majority of the voters started anew",
-			"refusals before it", "nothing; if it was no planned start, find what stopped them",
+			"a majority of the voters restarted",
+			"requests were refused until then", "none after a planned start; otherwise find out why the voters stopped",
 		},
 		{
 			crmember.EventPeerReachable, LevelInfo, "peer reachable",
-			"heard both ways",
+			"messages pass in both directions",
 			none, none,
 		},
 		{
 			crmember.EventPeerLost, LevelWarn, "peer lost",
-			"not heard both ways for a horizon; in fleets of more than 31 daemons told of voters only",
-			"work goes elsewhere", "look at the peer or the link",
+			"no messages in both directions for the lease horizon; in fleets of more than 31 daemons logged for voters only",
+			"its targets get no requests from this daemon", "check the peer and the network path to it",
 		},
 		{
 			crmember.EventPeerLeaving, LevelInfo, "peer leaving",
-			"the peer was asked to stop",
+			"the peer is shutting down",
 			none, none,
 		},
 		{
 			crmember.EventPeerRestarted, LevelInfo, "peer restarted",
-			"a new incarnation answers",
+			"the peer answers with a new incarnation",
 			none, none,
 		},
 		{
 			crmember.EventNotListed, LevelWarn, "not listed",
 			"the newest list does not name this daemon",
-			"refusals at this daemon", "publish its instance, or stop it",
+			"this daemon refuses requests", "publish its instance, or stop it",
 		},
 	}
 }
--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -1,135 +1,136 @@
 package crlog
 
-// Events of a daemon that has joined a fleet by the store's records, 600 to 699.
+// Events 600 to 699, logged by daemons that find their fleet through records in
+// the store (io/crmesh).
 const (
-	MeshStarted     = 600
-	MeshReady       = 601
-	MeshStopping    = 602
-	MeshStopped     = 603
-	MeshPaused      = 604
-	SettingsRead    = 605
-	SettingsRejected     = 606
-	LogDropped      = 607
-	MeshDrainIncomplete         = 608
-	StoreLost       = 610
-	StoreRecovered       = 611
-	RecordInvalid       = 612
-	PlanRejected         = 613
-	PlanInForce     = 614
-	TargetsChanged  = 615
-	CopiedFromPeer      = 616
-	PeerCopyFailed  = 617
-	ReadersChanged  = 618
-	ReaderSilent    = 619
-	PeerSilent      = 620
-	PeerRecovered       = 621
-	TargetSuspicionChanged    = 630
-	RunEnded        = 631
-	OfferRefused    = 632
-	RequestFailed   = 640
-	CallerDisconnected      = 641
-	RequestRetried = 642
-	RequestServed   = 643
-	OwnerSilent     = 650
+	MeshStarted            = 600
+	MeshReady              = 601
+	MeshStopping           = 602
+	MeshStopped            = 603
+	MeshPaused             = 604
+	SettingsRead           = 605
+	SettingsRejected       = 606
+	LogDropped             = 607
+	MeshDrainIncomplete    = 608
+	StoreLost              = 610
+	StoreRecovered         = 611
+	RecordInvalid          = 612
+	PlanRejected           = 613
+	PlanInForce            = 614
+	TargetsChanged         = 615
+	CopiedFromPeer         = 616
+	PeerCopyFailed         = 617
+	ReadersChanged         = 618
+	ReaderSilent           = 619
+	PeerSilent             = 620
+	PeerRecovered          = 621
+	TargetSuspicionChanged = 630
+	RunEnded               = 631
+	OfferRefused           = 632
+	RequestFailed          = 640
+	CallerDisconnected     = 641
+	RequestRetried         = 642
+	RequestServed          = 643
+	OwnerSilent            = 650
 )
 
 func meshEntries() []Entry {
 	return []Entry{
 		{
-			MeshStarted, LevelInfo, "daemon joined",
-			"the process began", "it is not ready until it has a configuration and a list of targets (601)", none,
+			MeshStarted, LevelInfo, "daemon started",
+			"the process started", "the daemon is not ready until it has a configuration and a list of targets (601)", none,
 		},
-		{MeshReady, LevelInfo, "ready for callers", "configuration and list are known", "callers are served", none},
+		{MeshReady, LevelInfo, "daemon ready", "the configuration and the list of targets are known", "requests are served", none},
 		{
-			MeshStopping, LevelInfo, "stopping",
-			"SIGTERM or SIGINT", "the ready page says no, and nothing new runs on the target; what runs goes on", none,
+			MeshStopping, LevelInfo, "draining",
+			"SIGTERM or SIGINT", "the readiness check fails and the target gets no new requests; requests in flight continue", none,
 		},
-		{MeshStopped, LevelInfo, "left", "the stop ended", none, none},
+		{MeshStopped, LevelInfo, "daemon stopped", "the drain ended", none, none},
 		{
-			MeshPaused, LevelWarn, "daemon was paused",
-			"the process did not run for longer than a second", "its requests waited", "look for an overcommitted machine if it repeats",
+			MeshPaused, LevelWarn, "process was paused",
+			"the process did not run for more than a second", "its requests were delayed", "if it repeats, check whether the machine is overcommitted",
 		},
-		{SettingsRead, LevelInfo, "settings read", "SIGHUP", "the file was checked; what changed acts at the next start", none},
+		{SettingsRead, LevelInfo, "settings read", "SIGHUP", "the file was checked; changes apply at the next start", none},
 		{
-			SettingsRejected, LevelError, "settings refused",
-			"SIGHUP, but the file is wrong", "the former settings stay", "mend the file and send SIGHUP again",
+			SettingsRejected, LevelError, "settings rejected",
+			"SIGHUP, but the file is invalid", "the previous settings stay in use", "correct the file and send SIGHUP again",
 		},
 		{
 			LogDropped, LevelWarn, "log lines dropped",
-			"more was logged than standard output took", "lines are missing; requests were not held up", "read standard output faster",
+			"lines were logged faster than standard output was read", "lines are missing; requests were not delayed", "read standard output faster",
 		},
 		{
-			MeshDrainIncomplete, LevelWarn, "stop cut requests",
-			"requests were still in progress when the grace ended", "those requests were cut", none,
+			MeshDrainIncomplete, LevelWarn, "drain timed out",
+			"requests were still in flight at the end of the grace period", "those requests were aborted", none,
 		},
 		{
 			StoreLost, LevelWarn, "store lost",
-			"the store does not answer, or turns this daemon away", "what is known stays in force; newer versions come from peers", "mend the store or the network to it",
+			"the store does not answer, or rejects this daemon", "known records and configuration stay in use; newer ones come from peers", "repair the store or the network path to it",
 		},
-		{StoreRecovered, LevelInfo, "store regained", "the store answers again", none, none},
+		{StoreRecovered, LevelInfo, "store recovered", "the store answers again", none, none},
 		{
-			RecordInvalid, LevelWarn, "record not usable",
-			"a record in the store lacks something or is not readable", "its target gets no work; all others do", "find its writer by the key",
+			RecordInvalid, LevelWarn, "record rejected",
+			"a record in the store is incomplete or cannot be decoded", "its target gets no requests; other targets are not affected", "find the writer of the record by the field `key`",
 		},
 		{
-			PlanRejected, LevelError, "configuration not taken",
-			"the store's configuration is wrong", "the former one stays in force whole", "read the field `error` and publish again",
+			PlanRejected, LevelError, "configuration rejected",
+			"the configuration in the store is invalid", "the previous configuration stays active as a whole", "read the field `error`, correct the configuration and publish again",
 		},
-		{PlanInForce, LevelInfo, "plan in force", "a newer configuration was read", "new routes, keys and limits act", none},
-		{TargetsChanged, LevelInfo, "targets changed", "targets came, went or are leaving", none, none},
+		{PlanInForce, LevelInfo, "configuration applied", "a newer configuration was read", "the new routes, keys and limits apply", none},
+		{TargetsChanged, LevelInfo, "targets changed", "targets were added or removed, or are shutting down", none, none},
 		{
 			CopiedFromPeer, LevelInfo, "copied from a peer",
-			"a peer held something newer while the store did not give it", none, none,
+			"a peer had newer records or a newer configuration while the store was unavailable", none, none,
 		},
 		{
 			PeerCopyFailed, LevelWarn, "copy from a peer failed",
-			"the peer did not answer", "another one is asked", none,
+			"the peer did not answer", "another peer is asked", none,
 		},
 		{
 			ReadersChanged, LevelInfo, "readers changed",
-			"daemons of the domain came, went, or are turned away by the store", "the daemons named read the store for the domain", none,
+			"daemons of the domain were added or removed, or are rejected by the store", "the daemons in the event read the store for the domain", none,
 		},
 		{
 			ReaderSilent, LevelWarn, "reader silent",
-			"a reader of the domain did not answer a question about the store", "another one is asked, or the store itself",
-			"look at the network between the machines if it lasts",
+			"a reader of the domain did not answer a query", "another reader is queried, or the store itself",
+			"if it persists, check the network between the machines",
 		},
 		{
 			PeerSilent, LevelWarn, "peers silent",
-			"beats of these peers did not come", "their targets are used last", "look at the network between the machines if it lasts",
+			"no heartbeats arrived from these peers", "their targets are used as a last resort", "if it persists, check the network between the machines",
 		},
-		{PeerRecovered, LevelInfo, "peers heard again", "beats came again", none, none},
+		{PeerRecovered, LevelInfo, "peers recovered", "heartbeats arrive again", none, none},
 		{
 			TargetSuspicionChanged, LevelInfo, "target judged",
-			"answers moved the probability that the target is sick over the limit, or below it",
-			"above it, only idempotent requests try the target now and then", none,
+			"the probability that the target is sick, estimated from its answers, rose above the threshold or fell below it",
+			"above the threshold, the target gets only occasional idempotent requests", none,
 		},
 		{
 			RunEnded, LevelInfo, "run ended",
-			"a request left its target without a success, or is one of the sample", "none beyond what its entry says (640, 643)", none,
+			"a request on a target ended without success, or is part of the log sample", "see the event of the entry daemon (640, 643)", none,
 		},
 		{
 			OfferRefused, LevelInfo, "offer refused",
-			"an exit did not take a request; a bounded number a second", "it did not run, and its entry may go elsewhere",
-			"compare wait with patience and load with slots: add targets if they are full for long",
+			"an exit daemon refused a request; logged a limited number of times a second", "the request was not run; the entry daemon may try another target",
+			"compare `wait` with `patience` and `load` with `slots`; add targets if they stay full",
 		},
 		{
 			RequestFailed, LevelInfo, "request not served",
-			"a request was refused, failed, or its caller left",
-			"its caller has the status and the reason named", none,
+			"a request was refused or failed, or its caller disconnected",
+			"the caller got the status and the reason in the event", none,
 		},
-		{CallerDisconnected, LevelInfo, "caller gone", "the caller's connection ended before its answer was written", none, none},
+		{CallerDisconnected, LevelInfo, "caller disconnected", "the connection of the caller closed before the response was written", none, none},
 		{
 			RequestRetried, LevelInfo, "request sent again",
-			"an idempotent request failed at a target", "it is sent to another one", none,
+			"an idempotent request failed at a target", "it is sent to another target", none,
 		},
 		{
 			RequestServed, LevelInfo, "request served",
-			"a request was answered well, and is one of the sample", none, none,
+			"a request succeeded and is part of the log sample", none, none,
 		},
 		{
-			OwnerSilent, LevelWarn, "account's owner silent",
-			"the daemon that keeps an account's tokens did not answer, or, `through`, one that was to ask it", "another daemon is asked to ask it; if that fails, too, the account is held to this daemon's part of its rate", none,
+			OwnerSilent, LevelWarn, "account owner silent",
+			"the daemon that owns the account's token bucket did not answer, or the relay in the field `through` did not", "the query is relayed through another daemon; if that also fails, the account is limited to this daemon's fraction of its rate", none,
 		},
 	}
 }
--- a/io/crlog/catalogue_test.go
+++ b/io/crlog/catalogue_test.go
@@ -16,11 +16,11 @@
 	"camphorroad/io/crlog"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 const page = "../../docs/events.md"
 
-func TestCataloguePageIsCurrent(t *testing.T) {
+func TestEventsPageIsCurrent(t *testing.T) {
 	var b bytes.Buffer
 	if err := crlog.Markdown(&b); err != nil {
 		t.Fatal(err)
@@ -39,35 +39,34 @@
 	}
 }
 
-func TestCatalogueIsInOrderAndComplete(t *testing.T) {
+func TestCatalogueIsOrderedAndComplete(t *testing.T) {
 	last := 0
 	for _, e := range crlog.Catalogue() {
 		if e.Number <= last {
-			t.Errorf("%d stands after %d", e.Number, last)
+			t.Errorf("event %d follows %d", e.Number, last)
 		}
 		last = e.Number
 		for _, cell := range []string{e.Name, e.Cause, e.Notice, e.Action} {
 			if cell == "" || strings.ContainsAny(cell, "|\n") {
-				t.Errorf("%d has an empty cell or one that breaks the table: %q", e.Number, cell)
+				t.Errorf("event %d has a cell that is empty or breaks the table: %q", e.Number, cell)
 			}
 		}
 		if e.Level < crlog.LevelDebug || e.Level > crlog.LevelError {
-			t.Errorf("%d has no level", e.Number)
+			t.Errorf("event %d has an invalid level", e.Number)
 		}
 	}
 }
 
-// A reducer that reports a number which nobody has described leaves whoever is
-// on call with a bare number. The constants are read from the source, so that a
-// new one can not be forgotten.
+// An event without an entry is logged as a bare number. The constants are read
+// from the source of core/, so that a new one cannot be missed.
 func TestEveryCoreEventIsCatalogued(t *testing.T) {
 	known := make(map[int]bool)
 	for _, e := range crlog.Catalogue() {
 		known[e.Number] = true
 	}
-	numbers := coreNumbers(t)
+	numbers := coreEventNumbers(t)
 	if len(numbers) < 30 {
-		t.Fatalf("only %d event constants were found in core", len(numbers))
+		t.Fatalf("found only %d event constants in core", len(numbers))
 	}
 	for name, n := range numbers {
 		if !known[n] {
@@ -78,8 +77,9 @@
 
 var eventName = regexp.MustCompile(`^(Event|Number)[A-Z]`)
 
-// coreNumbers finds the constants EventX and NumberX of the core packages.
-func coreNumbers(t *testing.T) map[string]int {
+// coreEventNumbers returns the values of the constants EventX and NumberX of the
+// packages under core/, by name.
+func coreEventNumbers(t *testing.T) map[string]int {
 	t.Helper()
 	files, err := filepath.Glob("../../core/*/*.go")
 	if err != nil {
@@ -96,7 +96,7 @@
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
 			if spec, ok := n.(*ast.ValueSpec); ok {
-				collect(numbers, file.Name.Name, spec)
+				addEventNumbers(numbers, file.Name.Name, spec)
 			}
 			return true
 		})
@@ -104,7 +104,7 @@
 	return numbers
 }
 
-func collect(numbers map[string]int, pkg string, spec *ast.ValueSpec) {
+func addEventNumbers(numbers map[string]int, pkg string, spec *ast.ValueSpec) {
 	for i, name := range spec.Names {
 		if !eventName.MatchString(name.Name) || i >= len(spec.Values) {
 			continue
--- a/io/crlog/crlog.go
+++ b/io/crlog/crlog.go
@@ -1,6 +1,7 @@
-// Package crlog writes the daemon's log: numbered events as JSON lines on
-// standard error, each number described in one catalogue that the documentation
-// and `camphorroad events list` are made from.
+// Package crlog writes the log of a daemon: numbered events as JSON lines. The
+// catalogue describes each number; docs/events.md and `camphorroad events list`
+// are generated from it. Both kinds of daemon, io/crdaemon and io/crmesh, log
+// through it. The command package log reads these lines back.
 //
 // # Usage
 //
@@ -17,32 +18,34 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Fields are an event's details. A client key must never be among them.
+// Fields are the details of an event. They must never contain a client key.
 type Fields map[string]string
 
-// Percent writes a probability as it stands in the fields of events.
+// Percent formats a probability for a field of an event, in whole percent.
 func Percent(p float64) string { return strconv.Itoa(int(p*100+0.5)) + "%" }
 
-// timeFormat has milliseconds: the lines of one request on two daemons lie few of
-// them apart.
+// timeFormat includes milliseconds: the lines that two daemons log for one
+// request are only a few milliseconds apart.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// sampled is the share of the requests that went well of which lines are written,
-// one in so many. At 20,000 requests in the 30 s of a busy day of a fleet that
-// is 20 lines a second in all.
-const sampled = 32
+// successSampleInterval is the number of successful requests of which one is
+// logged. At 20,000 requests in 30 s over the whole fleet these are about 20
+// lines a second in total.
+const successSampleInterval = 32
 
-// Sampled reports whether a request that goes well is logged. All daemons take the
-// same ones, so that a request's lines are there whole or not at all.
-func Sampled(request string) bool { return xxhash.Sum64String(request)%sampled == 0 }
+// Sampled reports whether a request is logged when it succeeds. The result depends
+// on the request ID only, so all daemons log the same requests, and the lines of
+// a request are either all present or all absent.
+func Sampled(request string) bool { return xxhash.Sum64String(request)%successSampleInterval == 0 }
 
-// Logger writes events of the catalogue. It is safe for concurrent use.
+// Logger logs events of the catalogue. It is safe for concurrent use.
 type Logger struct {
-	entry *logrus.Entry
-	known map[int]Entry
+	entry     *logrus.Entry
+	catalogue map[int]Entry
 }
 
-// New returns a logger at the given level; an unknown level means info.
+// New returns a logger that writes to w at the given level. An unknown level means
+// info. The daemon's name is a field of each line.
 func New(w io.Writer, level, daemon string) *Logger {
 	l := logrus.New()
 	l.SetOutput(w)
@@ -50,15 +53,15 @@
 	if parsed, err := logrus.ParseLevel(level); err == nil {
 		l.SetLevel(parsed)
 	}
-	known := make(map[int]Entry)
+	catalogue := make(map[int]Entry)
 	for _, e := range Catalogue() {
-		known[e.Number] = e
+		catalogue[e.Number] = e
 	}
-	return &Logger{entry: l.WithField("daemon", daemon), known: known}
+	return &Logger{entry: l.WithField("daemon", daemon), catalogue: catalogue}
 }
 
-// Event logs a numbered event at its catalogued level. A number that is not
-// catalogued is logged as a warning, so that it can not go unseen.
+// Event logs the event with the given number at the level of its entry. A number
+// without an entry is logged as a warning, so that it is noticed.
 func (l *Logger) Event(number int, fields Fields) {
 	data := make(logrus.Fields, len(fields)+1)
 	data["event"] = number
@@ -66,7 +69,7 @@
 		data[k] = v
 	}
 	entry := l.entry.WithFields(data)
-	known, ok := l.known[number]
+	known, ok := l.catalogue[number]
 	if !ok {
 		entry.Warn(fmt.Sprintf("event %d is missing from the catalogue", number))
 		return
--- a/io/crlog/queue.go
+++ b/io/crlog/queue.go
@@ -6,19 +6,19 @@
 	"sync/atomic"
 )
 
-// queueLines is the number of lines that may wait for a slow reader: a second of
-// a daemon under heavy load.
+// queueLines is the number of lines that are buffered for a slow reader: about one
+// second of output of a daemon under heavy load.
 const queueLines = 1024
 
-// Queue is a writer that never blocks. Lines that its reader does not take in
-// time are dropped and counted: a stalled reader of the log must not stall the
-// requests that the lines are about.
+// Queue is a writer that never blocks. It buffers lines until Run writes them.
+// Lines that do not fit into the buffer are dropped and counted: a stalled reader
+// of the log must not delay requests.
 type Queue struct {
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
-// NewQueue returns a queue; Run empties it.
+// NewQueue returns an empty queue. Nothing is written out until Run is called.
 func NewQueue() *Queue { return &Queue{lines: make(chan []byte, queueLines)} }
 
 // Write implements io.Writer. It never fails.
@@ -35,7 +35,7 @@
 // Dropped returns the number of lines dropped since the last call.
 func (q *Queue) Dropped() int64 { return q.dropped.Swap(0) }
 
-// Run writes lines until the context ends, then those that still wait.
+// Run writes buffered lines to w until ctx ends, then flushes the rest.
 func (q *Queue) Run(ctx context.Context, w io.Writer) error {
 	for {
 		select {
--- a/io/crlog/queue_test.go
+++ b/io/crlog/queue_test.go
@@ -11,23 +11,23 @@
 	"camphorroad/io/crlog"
 )
 
-// stalled is a reader of the log that takes nothing.
-type stalled struct{ release chan struct{} }
+// blockedWriter blocks each write until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stalled) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-// Nobody reads standard output any more. Lines are lost and counted; what writes
-// them, a request, goes on.
-func TestAStalledReaderStallsNoWriter(t *testing.T) {
+// When nothing reads standard output, lines are dropped and counted, and requests
+// that log are not delayed.
+func TestQueueWriteDoesNotBlock(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := crlog.NewQueue()
-	reader := stalled{release: make(chan struct{})}
+	w := blockedWriter{release: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- q.Run(ctx, reader) }()
+	go func() { ended <- q.Run(ctx, w) }()
 	log := crlog.New(q, "info", "d1")
 	began := time.Now()
 	for range 5000 {
@@ -35,13 +35,13 @@
 	}
 	g.Expect(time.Since(began)).To(gomega.BeNumerically("<", 3*time.Second))
 	g.Expect(q.Dropped()).To(gomega.BeNumerically(">", 3000))
-	g.Expect(q.Dropped()).To(gomega.BeZero(), "told once")
-	close(reader.release)
+	g.Expect(q.Dropped()).To(gomega.BeZero(), "Dropped resets the count")
+	close(w.release)
 	cancel()
 	g.Expect(<-ended).To(gomega.Succeed())
 }
 
-func TestWhatWaitsIsWrittenAtTheEnd(t *testing.T) {
+func TestRunFlushesAfterCancel(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := crlog.NewQueue()
 	log := crlog.New(q, "info", "d1")
@@ -55,8 +55,8 @@
 	g.Expect(bytes.Count(out.Bytes(), []byte("\n"))).To(gomega.Equal(10))
 }
 
-// BenchmarkEvent is the cost of one line of a failed request to the goroutine
-// that writes it.
+// BenchmarkEvent measures the cost of logging one failed request, as seen by the
+// goroutine that logs it.
 func BenchmarkEvent(b *testing.B) {
 	q := crlog.NewQueue()
 	ctx, cancel := context.WithCancel(context.Background())
