--- a/io/crsettings/fault.go
+++ b/io/crsettings/fault.go
@@ -12,8 +12,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Fault is one thing wrong with the settings, and what to do about it.
-type Fault struct {
+// Problem is one thing wrong with the settings, and what to do about it.
+type Problem struct {
 	File string // empty when the text came from no file
 	Line int    // zero when the key is not in the file, nor its table
 	Key  string
@@ -21,7 +21,7 @@
 }
 
 // Error implements error.
-func (f Fault) Error() string {
+func (f Problem) Error() string {
 	at := f.File
 	if f.Line > 0 {
 		at = fmt.Sprintf("%s:%d", f.File, f.Line)
@@ -37,7 +37,7 @@
 }
 
 // Faults are all faults of one file, by line.
-type Faults []Fault
+type Faults []Problem
 
 // Error implements error, a fault a line.
 func (fs Faults) Error() string {
@@ -112,7 +112,7 @@
 	if _, given := c.at[key]; given && c.unread[line] {
 		return
 	}
-	c.faults = append(c.faults, Fault{Line: line, Key: key, What: fmt.Sprintf(format, args...)})
+	c.faults = append(c.faults, Problem{Line: line, Key: key, What: fmt.Sprintf(format, args...)})
 }
 
 // err returns the faults by line, those without one last; nil for none.
@@ -120,7 +120,7 @@
 	if len(c.faults) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(c.faults, func(a, b Fault) int {
+	slices.SortStableFunc(c.faults, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(bit(a.Line == 0), bit(b.Line == 0)), cmp.Compare(a.Line, b.Line))
 	})
 	return c.faults
@@ -171,7 +171,7 @@
 func (c *collector) decodeFault(err error) {
 	var dec *toml.DecodeError
 	if !errors.As(err, &dec) {
-		c.faults = append(c.faults, Fault{What: err.Error()})
+		c.faults = append(c.faults, Problem{What: err.Error()})
 		return
 	}
 	row, _ := dec.Position()
@@ -179,7 +179,7 @@
 	if m := wrongType.FindStringSubmatch(what); m != nil {
 		what = "a TOML " + m[1] + " stands where " + wanted(m[2]) + " should"
 	}
-	c.faults = append(c.faults, Fault{Line: row, Key: strings.Join(dec.Key(), "."), What: "can not be read: " + what})
+	c.faults = append(c.faults, Problem{Line: row, Key: strings.Join(dec.Key(), "."), What: "can not be read: " + what})
 }
 
 // wrongType finds the types in the decoder's words, which name Go's.
@@ -201,6 +201,6 @@
 	}
 	for _, e := range strict.Errors {
 		row, _ := e.Position()
-		c.faults = append(c.faults, Fault{Line: row, Key: strings.Join(e.Key(), "."), What: "is no setting; remove it or mend its name"})
+		c.faults = append(c.faults, Problem{Line: row, Key: strings.Join(e.Key(), "."), What: "is no setting; remove it or mend its name"})
 	}
 }
