--- a/io/crsettings/crsettings.go
+++ b/io/crsettings/crsettings.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// Load reads and checks a file. Its error is [Faults] where the text is at fault:
+// Load reads and checks a file. Its error is [Problems] where the text is at fault:
 // all faults at once, each with file, line, key and what to do.
 func Load(path string) (Settings, error) {
 	b, err := os.ReadFile(path)
@@ -131,7 +131,7 @@
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	cfg, err := Parse(b)
-	var faults Faults
+	var faults Problems
 	if errors.As(err, &faults) {
 		for i := range faults {
 			faults[i].File = path
--- a/io/crsettings/fault.go
+++ b/io/crsettings/fault.go
@@ -36,11 +36,11 @@
 	return at + ": " + text
 }
 
-// Faults are all faults of one file, by line.
-type Faults []Problem
+// Problems are all faults of one file, by line.
+type Problems []Problem
 
 // Error implements error, a fault a line.
-func (fs Faults) Error() string {
+func (fs Problems) Error() string {
 	lines := make([]string, 0, len(fs))
 	for _, f := range fs {
 		lines = append(lines, f.Error())
@@ -99,7 +99,7 @@
 // collector gathers faults.
 type collector struct {
 	at     keyIndex
-	faults Faults
+	faults Problems
 	unread map[int]bool // lines whose value could not be read: nothing more is said of them
 }
 
