--- a/io/crsettings/check.go
+++ b/io/crsettings/check.go
@@ -7,24 +7,24 @@
 	"strconv"
 )
 
-// check finds all faults of meaning.
+// check validates the decoded settings and adds all problems to c.
 func (s Settings) check(c *collector) {
-	need := func(key, value, hint string) {
+	require := func(key, value, hint string) {
 		if value == "" {
-			c.add(key, "is missing; %s", hint)
+			c.addProblem(key, "is missing; %s", hint)
 		}
 	}
-	need("name", s.Name, "give the instance's name as the platform lists it")
-	need("domain", s.Domain, "give the failure domain as the platform lists it")
-	c.addr("listen.http", s.Listen.HTTP)
-	c.addr("listen.peer", s.Listen.Peer)
-	c.addr("listen.admin", s.Listen.Admin)
-	c.http("platform.url", s.Platform.URL)
-	need("tls.cert", s.TLS.Cert, "give the PEM file of this daemon's certificate")
-	need("tls.key", s.TLS.Key, "give the PEM file of its key")
-	need("tls.ca", s.TLS.CA, "give the PEM file of the fleet's authority")
+	require("name", s.Name, "give the instance's name as the platform lists it")
+	require("domain", s.Domain, "give the failure domain as the platform lists it")
+	c.checkAddr("listen.http", s.Listen.HTTP)
+	c.checkAddr("listen.peer", s.Listen.Peer)
+	c.checkAddr("listen.admin", s.Listen.Admin)
+	c.checkURL("platform.url", s.Platform.URL)
+	require("tls.cert", s.TLS.Cert, "give the PEM file of this daemon's certificate")
+	require("tls.key", s.TLS.Key, "give the PEM file of the certificate's key")
+	require("tls.ca", s.TLS.CA, "give the PEM file of the fleet's certificate authority")
 	if (s.TLS.CallerCert == "") != (s.TLS.CallerKey == "") {
-		c.add("tls.callercert", "and tls.callerkey go together; give both or neither")
+		c.addProblem("tls.callercert", "and tls.callerkey must be set together; give both or neither")
 	}
 	s.checkTargets(c)
 	s.checkLimits(c)
@@ -36,55 +36,56 @@
 	for i, t := range s.Targets {
 		key := fmt.Sprintf("target[%d]", i)
 		if t.Name == "" {
-			c.add(key+".name", "is missing; give the target's name as the platform lists it")
+			c.addProblem(key+".name", "is missing; give the target's name as the platform lists it")
 		}
 		if t.Service == "" {
-			c.add(key+".service", "is missing; give the name of a published service")
+			c.addProblem(key+".service", "is missing; give the name of a published service")
 		}
 		if t.Name != "" && seen[t.Name] {
-			c.add(key+".name", "%q is given twice; each target has a name of its own", t.Name)
+			c.addProblem(key+".name", "%q is given twice; target names must be unique", t.Name)
 		}
 		seen[t.Name] = true
-		c.addr(key+".addr", t.Addr)
+		c.checkAddr(key+".addr", t.Addr)
 	}
 }
 
 func (s Settings) checkLimits(c *collector) {
 	positive := func(key string, ok bool) {
 		if !ok {
-			c.add(key, "must be above zero")
+			c.addProblem(key, "must be above zero")
 		}
 	}
 	positive("platform.fleet", s.Platform.Fleet > 0)
 	positive("limits.headerbytes", s.Limits.HeaderBytes > 0)
-	c.duration("limits.headertime", s.Limits.HeaderTime)
-	c.duration("limits.bodyidle", s.Limits.BodyIdle)
-	c.duration("limits.draintime", s.Limits.DrainTime)
+	c.checkDuration("limits.headertime", s.Limits.HeaderTime)
+	c.checkDuration("limits.bodyidle", s.Limits.BodyIdle)
+	c.checkDuration("limits.draintime", s.Limits.DrainTime)
 	positive("limits.holdinflight", s.Limits.HoldInFlight > 0)
 	positive("trace.size", s.Trace.Size > 0)
 	if s.Limits.ReplayBytes < 0 {
-		c.add("limits.replaybytes", "must not be below zero; 0 keeps no body for another attempt")
+		c.addProblem("limits.replaybytes", "must not be negative; 0 buffers no request body for retries")
 	}
 	switch s.Log.Level {
 	case "debug", "info", "warn", "error":
 	default:
-		c.add("log.level", "%q is no level; write debug, info, warn or error", s.Log.Level)
+		c.addProblem("log.level", "%q is not a log level; write debug, info, warn or error", s.Log.Level)
 	}
 }
 
-func (c *collector) duration(key string, d Duration) {
+func (c *collector) checkDuration(key string, d Duration) {
 	switch {
-	case d.wrong != "":
-		c.add(key, "%q is no duration; write for example \"250ms\"", d.wrong)
+	case d.invalid != "":
+		c.addProblem(key, "%q is not a duration; write for example \"250ms\"", d.invalid)
 	case d.Duration <= 0:
-		c.add(key, "must be above zero")
+		c.addProblem(key, "must be above zero")
 	}
 }
 
-// addr checks an address by number: names would need a resolver at start.
-func (c *collector) addr(key, value string) {
+// checkAddr checks a host:port whose host is empty or an IP address. Host names are
+// rejected because they would need a resolver at start.
+func (c *collector) checkAddr(key, value string) {
 	if value == "" {
-		c.add(key, "is missing; write for example \"127.0.0.1:8000\"")
+		c.addProblem(key, "is missing; write for example \"127.0.0.1:8000\"")
 		return
 	}
 	host, port, err := net.SplitHostPort(value)
@@ -92,21 +93,21 @@
 		_, err = strconv.ParseUint(port, 10, 16)
 	}
 	if err != nil {
-		c.add(key, "%q is no host:port; write for example \"127.0.0.1:8000\"", value)
+		c.addProblem(key, "%q is not a host:port address; write for example \"127.0.0.1:8000\"", value)
 		return
 	}
 	if host != "" && net.ParseIP(host) == nil {
-		c.add(key, "%q names its host; give it by IP number", value)
+		c.addProblem(key, "%q contains a host name; give an IP address", value)
 	}
 }
 
-func (c *collector) http(key, value string) {
+func (c *collector) checkURL(key, value string) {
 	if value == "" {
-		c.add(key, "is missing; write for example \"http://127.0.0.1:7100\"")
+		c.addProblem(key, "is missing; write for example \"http://127.0.0.1:7100\"")
 		return
 	}
 	u, err := url.Parse(value)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		c.add(key, "%q is no http URL; write for example \"http://127.0.0.1:7100\"", value)
+		c.addProblem(key, "%q is not an HTTP URL; write for example \"http://127.0.0.1:7100\"", value)
 	}
 }
--- a/io/crsettings/crsettings.go
+++ b/io/crsettings/crsettings.go
@@ -1,5 +1,7 @@
-// Package crsettings reads a daemon's settings: one TOML file, every key
-// checked, unknown keys refused.
+// Package crsettings reads the settings file of a daemon started by `camphorroad
+// serve` (io/crdaemon): one TOML file. Every key is validated, unknown keys are
+// rejected, and all problems are reported at once. Daemons started by
+// `camphorroad join` read theirs with io/crsite.
 //
 // # Usage
 //
@@ -16,7 +18,7 @@
 	"camphorroad/core/crid"
 )
 
-// Settings are the checked settings of one daemon.
+// Settings are the validated settings of one daemon.
 type Settings struct {
 	Name     string   `toml:"name"`
 	Domain   string   `toml:"domain"`
@@ -30,87 +32,87 @@
 	Policy   Policy   `toml:"policy"`
 }
 
-// Listen holds the addresses the daemon listens on, each host:port.
+// Listen holds the addresses that the daemon listens on, each as host:port.
 type Listen struct {
 	HTTP  string `toml:"http"`  // callers
 	Peer  string `toml:"peer"`  // other daemons, UDP
 	Admin string `toml:"admin"` // operators: state, metrics, health
 }
 
-// Platform says where the platform is read.
+// Platform configures access to the platform.
 type Platform struct {
 	URL   string `toml:"url"`
-	Fleet int    `toml:"fleet"` // daemons that may start at once; each reads the more slowly the more there are
+	Fleet int    `toml:"fleet"` // daemons that may start at the same time; each limits its reads to its part of the platform's rate
 }
 
-// TLS names PEM files. The peer certificate's DNS name is the daemon's name.
+// TLS holds paths of PEM files. The DNS name in Cert must be the daemon's name.
 type TLS struct {
 	Cert       string `toml:"cert"`
 	Key        string `toml:"key"`
 	CA         string `toml:"ca"`
-	CallerCert string `toml:"callercert"` // empty: callers come in clear text, h2c included
+	CallerCert string `toml:"callercert"` // empty: callers connect without TLS, by HTTP/1.1 or h2c
 	CallerKey  string `toml:"callerkey"`
 }
 
-// Target is an upstream beside this daemon.
+// Target is an upstream of this daemon's instance.
 type Target struct {
 	Name    string `toml:"name"`
 	Service string `toml:"service"`
 	Addr    string `toml:"addr"` // host:port of the upstream
 }
 
-// Log configures the log on standard error.
+// Log configures logging to standard error.
 type Log struct {
 	Level string `toml:"level"` // debug, info, warn, error
 }
 
-// Limits bound what callers can make the daemon hold.
+// Limits bound the memory and connections that callers can occupy.
 type Limits struct {
 	HeaderBytes  int      `toml:"headerbytes"`
-	HeaderTime   Duration `toml:"headertime"`   // a caller's request head must be whole by then
-	BodyIdle     Duration `toml:"bodyidle"`     // longest silence within a body, either way
-	DrainTime    Duration `toml:"draintime"`    // a planned stop gives up after this
-	ReplayBytes  int      `toml:"replaybytes"`  // of a request's body kept for another attempt
-	HoldInFlight int      `toml:"holdinflight"` // requests in flight at the entry
+	HeaderTime   Duration `toml:"headertime"`   // timeout for reading the header of a request
+	BodyIdle     Duration `toml:"bodyidle"`     // idle timeout while a request or response body is transferred
+	DrainTime    Duration `toml:"draintime"`    // timeout of a graceful shutdown
+	ReplayBytes  int      `toml:"replaybytes"`  // bytes of a request body buffered for retries
+	HoldInFlight int      `toml:"holdinflight"` // maximum number of requests in flight at this daemon as entry
 }
 
-// Trace records the control events for a replay. It is meant for finding faults:
-// instances have no disk to spare.
+// Trace configures the recording of control events for replay. It is meant for
+// debugging only: instances have no spare disk space.
 type Trace struct {
-	File string `toml:"file"` // written anew at each start; empty: nothing is recorded
-	Size int64  `toml:"size"` // bytes; recording stops there
+	File string `toml:"file"` // overwritten at each start; empty: no recording
+	Size int64  `toml:"size"` // recording stops at this size, in bytes
 }
 
-// Duration is a time.Duration that reads "250ms" and the like.
+// Duration is a time.Duration that is decoded from text such as "250ms".
 type Duration struct {
 	time.Duration
-	wrong string // what was written, where it is no duration
+	invalid string // the text, if it is not a duration
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. It does not fail: the
-// decoder would stop without telling the line, and the check tells it.
+// UnmarshalText implements encoding.TextUnmarshaler. It never fails: the decoder
+// would stop without reporting the line. The validation reports invalid text.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
-		*d = Duration{wrong: string(b)}
+		*d = Duration{invalid: string(b)}
 		return nil
 	}
 	*d = Duration{Duration: v}
 	return nil
 }
 
-// defaultFleet suits the fleets of today, of some thirty daemons.
-const defaultFleet = 100
+// defaultFleetSize is sufficient for fleets of about thirty daemons.
+const defaultFleetSize = 100
 
-// defaultTrace holds some hours of a small fleet's control events, in bytes.
-const defaultTrace = 64 << 20
+// defaultTraceBytes is enough for several hours of control events in a small fleet.
+const defaultTraceBytes = 64 << 20
 
-// Defaults are the settings before the file is read.
+// Defaults returns the settings that apply to keys missing from the file.
 func Defaults() Settings {
 	return Settings{
 		Log:      Log{Level: "info"},
-		Platform: Platform{Fleet: defaultFleet},
-		Trace:    Trace{Size: defaultTrace},
+		Platform: Platform{Fleet: defaultFleetSize},
+		Trace:    Trace{Size: defaultTraceBytes},
 		Policy:   defaultPolicy(),
 		Limits: Limits{
 			HeaderBytes:  32 << 10,
@@ -123,24 +125,24 @@
 	}
 }
 
-// Load reads and checks a file. Its error is [Problems] where the text is at fault:
-// all faults at once, each with file, line, key and what to do.
+// Load reads and validates a file. Invalid content is reported as [Problems]: all
+// problems at once, each with file, line, key and how to correct it.
 func Load(path string) (Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	cfg, err := Parse(b)
-	var faults Problems
-	if errors.As(err, &faults) {
-		for i := range faults {
-			faults[i].File = path
+	var problems Problems
+	if errors.As(err, &problems) {
+		for i := range problems {
+			problems[i].File = path
 		}
 	}
 	return cfg, err
 }
 
-// Parse reads and checks the text of a settings file.
+// Parse decodes and validates the text of a settings file.
 func Parse(b []byte) (Settings, error) {
 	c := newCollector(b)
 	var cfg Settings
@@ -153,5 +155,5 @@
 	return cfg, nil
 }
 
-// Daemon is the daemon's name.
+// Daemon returns the daemon's name as its identifier.
 func (s Settings) Daemon() crid.Daemon { return crid.Daemon(s.Name) }
--- a/io/crsettings/policy.go
+++ b/io/crsettings/policy.go
@@ -5,26 +5,28 @@
 	"strings"
 )
 
-// The words of Policy. Each first one is in service; the others are baselines.
+// Values of the fields of Policy. The first value of each group is the default;
+// the others are baselines for comparisons.
 const (
-	ChooseTwo        = "twochoices" // the less loaded of two random targets
-	ChooseRoundRobin = "roundrobin" // in turn, without regard to load or verdicts
+	ChooseTwo        = "twochoices" // the less loaded of two random targets (power of two choices)
+	ChooseRoundRobin = "roundrobin" // round robin, ignoring load and ejections
 
-	EjectPeers = "peers" // beside the peers, on the fleet's evidence
-	EjectFixed = "fixed" // by fixed thresholds, each daemon alone
-	EjectNone  = "none"  // never
+	EjectPeers = "peers" // outlier detection: targets are compared with their peers on evidence of the whole fleet
+	EjectFixed = "fixed" // fixed thresholds, decided by each daemon on its own evidence
+	EjectNone  = "none"  // no ejection
 
-	RateShares = "shares" // shares with owners, tokens moved on demand
-	RateSplit  = "split"  // each daemon has its part, nothing is exchanged
+	RateShares = "shares" // each share of the rate has an owner that grants tokens on demand
+	RateSplit  = "split"  // each daemon enforces a fixed fraction of the rate, without coordination
 )
 
-// Policy selects the ways of deciding. It is there for comparisons only: the
-// defaults are what is in service, and all daemons of a fleet must agree.
+// Policy selects the algorithms for load balancing, ejection and rate limiting.
+// Values other than the defaults are for comparisons only. All daemons of a fleet
+// must have the same policy.
 type Policy struct {
 	Choose  string `toml:"choose"`
 	Eject   string `toml:"eject"`
 	Rate    string `toml:"rate"`
-	Daemons int    `toml:"daemons"` // among which "split" divides an account's rate
+	Daemons int    `toml:"daemons"` // number of daemons among which "split" divides the rate of an account
 }
 
 func defaultPolicy() Policy {
@@ -32,15 +34,15 @@
 }
 
 func (p Policy) check(c *collector) {
-	oneOf := func(key, value string, words ...string) {
-		if !slices.Contains(words, value) {
-			c.add("policy."+key, "is %q and must be one of %s", value, strings.Join(words, ", "))
+	oneOf := func(key, value string, allowed ...string) {
+		if !slices.Contains(allowed, value) {
+			c.addProblem("policy."+key, "is %q and must be one of %s", value, strings.Join(allowed, ", "))
 		}
 	}
 	oneOf("choose", p.Choose, ChooseTwo, ChooseRoundRobin)
 	oneOf("eject", p.Eject, EjectPeers, EjectFixed, EjectNone)
 	oneOf("rate", p.Rate, RateShares, RateSplit)
 	if p.Rate == RateSplit && p.Daemons <= 0 {
-		c.add("policy.daemons", "must be above zero where rate is \"split\"")
+		c.addProblem("policy.daemons", "must be above zero if rate is \"split\"")
 	}
 }
--- a/io/crsettings/policy_test.go
+++ b/io/crsettings/policy_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A misspelt baseline that fell back to the policy in service would make a
-// comparison of the policy with itself, and whoever reads it would not notice.
-func TestUnknownPolicyIsRefusedWithItsLine(t *testing.T) {
+// If a misspelt baseline fell back to the default, a comparison would silently
+// compare the default policy with itself.
+func TestUnknownPolicyIsRejectedWithLine(t *testing.T) {
 	for text, want := range map[string]string{
 		"[policy]\nchoose = \"robin\"\n":  ":2: policy.choose",
 		"[policy]\neject = \"never\"\n":   ":2: policy.eject",
@@ -17,7 +17,7 @@
 	} {
 		_, err := Parse([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q gives %v, not %s", text, err, want)
+			t.Errorf("Parse(%q) = %v, want an error containing %s", text, err, want)
 		}
 	}
 }
--- a/io/crsettings/settings_test.go
+++ b/io/crsettings/settings_test.go
@@ -13,11 +13,11 @@
 	"camphorroad/io/crsettings"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Each file under testdata is loaded; its golden file holds all that is wrong
-// with it, or that it is right.
-func TestFaultsAreToldAtOnce(t *testing.T) {
+// The golden file beside each settings file under testdata holds all problems that
+// Load reports for it, or ok.
+func TestLoadReportsAllProblems(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	if err != nil || len(files) < 5 {
 		t.Fatalf("%d files: %v", len(files), err)
@@ -45,18 +45,18 @@
 	}
 }
 
-// settingsOf returns each key of the settings with its default, as the page
-// writes it.
-func settingsOf(v reflect.Value, prefix string, out map[string]string) {
+// collectDefaults adds each key of the settings in v to out, with its default in
+// the form that docs/operate/settings.md uses.
+func collectDefaults(v reflect.Value, prefix string, out map[string]string) {
 	for i := range v.NumField() {
 		tag := v.Type().Field(i).Tag.Get("toml")
 		field := v.Field(i)
 		_, text := field.Interface().(fmt.Stringer)
 		switch {
 		case field.Kind() == reflect.Slice:
-			settingsOf(reflect.New(field.Type().Elem()).Elem(), prefix+tag+".", out)
+			collectDefaults(reflect.New(field.Type().Elem()).Elem(), prefix+tag+".", out)
 		case field.Kind() == reflect.Struct && !text:
-			settingsOf(field, prefix+tag+".", out)
+			collectDefaults(field, prefix+tag+".", out)
 		case field.IsZero():
 			out[prefix+tag] = ""
 		default:
@@ -67,32 +67,31 @@
 
 var row = regexp.MustCompile("(?m)^\\| `([a-z.]+)` \\| ([^|]*) \\|")
 
-// A setting that the page does not tell, or tells with another default, misleads
-// whoever writes settings.
-func TestPageTellsEverySetting(t *testing.T) {
+// docs/operate/settings.md must list every setting with its default.
+func TestSettingsPageIsComplete(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operate/settings.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := make(map[string]string)
-	settingsOf(reflect.ValueOf(crsettings.Defaults()), "", want)
-	told := make(map[string]bool)
+	collectDefaults(reflect.ValueOf(crsettings.Defaults()), "", want)
+	documented := make(map[string]bool)
 	for _, cells := range row.FindAllStringSubmatch(string(page), -1) {
 		key, value := cells[1], cells[2]
-		told[key] = true
+		documented[key] = true
 		def, ok := want[key]
 		switch {
 		case !ok:
-			t.Errorf("the page tells %s, which is no setting", key)
+			t.Errorf("the page lists %s, which is not a setting", key)
 		case def == "" && value != "required" && value != "none":
-			t.Errorf("the page tells the default %s of %s, which has none", value, key)
+			t.Errorf("the page lists the default %s for %s, which has none", value, key)
 		case def != "" && value != def:
-			t.Errorf("the page tells the default %s of %s instead of %s", value, key, def)
+			t.Errorf("the page lists the default %s for %s, want %s", value, key, def)
 		}
 	}
 	for key := range want {
-		if !told[key] {
-			t.Errorf("the page does not tell %s", key)
+		if !documented[key] {
+			t.Errorf("the page does not list %s", key)
 		}
 	}
 }
