--- a/command/state/state_test.go
+++ b/command/state/state_test.go
@@ -15,7 +15,7 @@
 func TestShow(t *testing.T) {
 	srv := httptest.NewServer(cradmin.New(cradmin.Options{State: func(_ context.Context, part string) (any, error) {
 		if part == "health" {
-			return nil, cradmin.ErrNoPart
+			return nil, cradmin.ErrUnknownPart
 		}
 		return map[string]string{"asked": part}, nil
 	}}))
--- a/io/cradmin/cradmin.go
+++ b/io/cradmin/cradmin.go
@@ -15,8 +15,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// ErrNoPart tells that the state has no part of the name asked for.
-var ErrNoPart = errors.New("no such part of the state")
+// ErrUnknownPart tells that the state has no part of the name asked for.
+var ErrUnknownPart = errors.New("no such part of the state")
 
 // Options configure the pages.
 type Options struct {
@@ -48,7 +48,7 @@
 
 func state(c *gin.Context, dump func(ctx context.Context, part string) (any, error)) {
 	v, err := dump(c.Request.Context(), c.Query("part"))
-	if errors.Is(err, ErrNoPart) {
+	if errors.Is(err, ErrUnknownPart) {
 		c.JSON(http.StatusNotFound, gin.H{"error": err.Error()})
 		return
 	}
--- a/io/crdaemon/state.go
+++ b/io/crdaemon/state.go
@@ -74,7 +74,7 @@
 	one, ok := dump.Parts[part]
 	if !ok {
 		known := strings.Join(slices.Sorted(maps.Keys(dump.Parts)), ", ")
-		return nil, fmt.Errorf("%w: %q; this daemon has %s", cradmin.ErrNoPart, part, known)
+		return nil, fmt.Errorf("%w: %q; this daemon has %s", cradmin.ErrUnknownPart, part, known)
 	}
 	return one, nil
 }
--- a/io/crdaemon/state_test.go
+++ b/io/crdaemon/state_test.go
@@ -64,7 +64,7 @@
 			t.Errorf("part %s: %v, %v", part, v, err)
 		}
 	}
-	if _, err := d.state(t.Context(), "wallet"); !errors.Is(err, cradmin.ErrNoPart) {
+	if _, err := d.state(t.Context(), "wallet"); !errors.Is(err, cradmin.ErrUnknownPart) {
 		t.Errorf("an unknown part gives %v", err)
 	}
 }
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -275,7 +275,7 @@
 
 func (d *daemon) state(_ context.Context, part string) (any, error) {
 	if part != "" {
-		return nil, cradmin.ErrNoPart
+		return nil, cradmin.ErrUnknownPart
 	}
 	v := d.loop.view.Load()
 	out := dump{
