--- a/io/cradmin/cradmin.go
+++ b/io/cradmin/cradmin.go
@@ -1,9 +1,11 @@
-// Package cradmin serves operators: whether the daemon is ready, its state on
-// request, and its metrics. It is meant for the operators' network only.
+// Package cradmin provides the HTTP handler of a daemon's admin endpoints: /ready,
+// /state and /metrics. Both kinds of daemon, io/crdaemon and io/crmesh, serve it.
+// It has no authentication, so it must listen on the operators' network only.
 //
 // # Usage
 //
 //	h := cradmin.New(cradmin.Options{Ready: ready, State: dump, Metrics: registry})
+//	err := http.Serve(ln, h)
 package cradmin
 
 import (
@@ -15,19 +17,19 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// ErrUnknownPart tells that the state has no part of the name asked for.
+// ErrUnknownPart reports that the state has no part of the requested name.
 var ErrUnknownPart = errors.New("no such part of the state")
 
-// Options configure the pages.
+// Options configure the admin endpoints.
 type Options struct {
-	Ready func() error // nil: ready
-	// State returns the dump, or the part of it that is named; ErrNoPart where
-	// there is none of that name.
+	Ready func() error // returns nil if the daemon is ready, or the reason why not
+	// State returns the state dump, or only the named part if part is not empty. It
+	// returns ErrUnknownPart if there is no part of that name.
 	State   func(ctx context.Context, part string) (any, error)
 	Metrics metrics.Registry
 }
 
-// New returns the handler of the operators' pages.
+// New returns the handler of the admin endpoints.
 func New(opts Options) http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	router := gin.New()
--- a/io/cradmin/scrape.go
+++ b/io/cradmin/scrape.go
@@ -21,44 +21,44 @@
 
 func scrape(c *gin.Context, registry metrics.Registry) {
 	var b bytes.Buffer
-	expose(&b, registry)
+	writeMetrics(&b, registry)
 	c.Data(http.StatusOK, contentType, b.Bytes())
 }
 
-// expose writes the metrics as scrapers of text expositions read them, sorted by
-// name. A gauge whose name ends with total is told as a counter; a histogram
-// whose name ends with seconds holds nanoseconds and is told in seconds.
-func expose(w io.Writer, registry metrics.Registry) {
+// writeMetrics writes the metrics in the Prometheus text format, sorted by name. A
+// gauge whose name ends with _total is written as a counter. A histogram whose
+// name ends with _seconds contains nanoseconds and is written in seconds.
+func writeMetrics(w io.Writer, registry metrics.Registry) {
 	all := make(map[string]any)
-	registry.Each(func(name string, m any) { all[exposed(name)] = m })
+	registry.Each(func(name string, m any) { all[exposedName(name)] = m })
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		switch m := all[name].(type) {
 		case metrics.Counter:
-			plain(w, name, "counter", m.Count())
+			writeValue(w, name, "counter", m.Count())
 		case metrics.Gauge:
-			plain(w, name, kindOf(name), m.Value())
+			writeValue(w, name, typeOf(name), m.Value())
 		case metrics.Histogram:
-			summary(w, name, m.Snapshot())
+			writeSummary(w, name, m.Snapshot())
 		}
 	}
 }
 
-func exposed(name string) string {
+func exposedName(name string) string {
 	return prefix + strings.NewReplacer(".", "_", "-", "_").Replace(name)
 }
 
-func kindOf(name string) string {
+func typeOf(name string) string {
 	if strings.HasSuffix(name, "_total") {
 		return "counter"
 	}
 	return "gauge"
 }
 
-func plain(w io.Writer, name, kind string, value int64) {
+func writeValue(w io.Writer, name, kind string, value int64) {
 	_, _ = fmt.Fprintf(w, "# TYPE %s %s\n%s %d\n", name, kind, name, value)
 }
 
-func summary(w io.Writer, name string, h metrics.Histogram) {
+func writeSummary(w io.Writer, name string, h metrics.Histogram) {
 	unit := 1.0
 	if strings.HasSuffix(name, "_seconds") {
 		unit = float64(time.Second)
--- a/io/cradmin/scrape_test.go
+++ b/io/cradmin/scrape_test.go
@@ -12,9 +12,9 @@
 	"camphorroad/io/cradmin"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-func TestScrapePage(t *testing.T) {
+func TestMetricsPage(t *testing.T) {
 	r := metrics.NewRegistry()
 	metrics.NewRegisteredCounter("runs.failed.total", r).Inc(2)
 	metrics.NewRegisteredFunctionalGauge("retries.total", r, func() int64 { return 7 })
