--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -186,7 +186,7 @@
 // the ready page, and are served.
 func (d *daemon) drain(s servers) {
 	began := time.Now()
-	grace := d.opts.Settings.Bounds.GraceTime() - reserve
+	grace := d.opts.Settings.Bounds.GracePeriod() - reserve
 	d.log.Event(crlog.MeshStopping, crlog.Fields{"open": strconv.FormatInt(d.entry.Open(), 10)})
 	d.exit.Finish(crclock.Now().Add(grace))
 	d.feed.Stop()
--- a/io/crsite/crsite.go
+++ b/io/crsite/crsite.go
@@ -88,8 +88,8 @@
 	Window float64 `toml:"window"` // s
 }
 
-// GraceTime is the time between the order to stop and the kill.
-func (b Bounds) GraceTime() time.Duration { return time.Duration(b.Grace * float64(time.Second)) }
+// GracePeriod is the time between the order to stop and the kill.
+func (b Bounds) GracePeriod() time.Duration { return time.Duration(b.Grace * float64(time.Second)) }
 
 const (
 	// lapseMost is how long live targets may take to renew the records that ran
--- a/io/crsite/crsite_test.go
+++ b/io/crsite/crsite_test.go
@@ -40,7 +40,7 @@
 	s, err := crsite.Parse("boot.toml", []byte(good))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(s.Listen.Ports).To(gomega.Equal([]int{7660, 7675}))
-	g.Expect(s.Bounds.GraceTime()).To(gomega.Equal(6 * time.Second))
+	g.Expect(s.Bounds.GracePeriod()).To(gomega.Equal(6 * time.Second))
 	g.Expect(s.Bounds.WindowTime()).To(gomega.Equal(10 * time.Second))
 	g.Expect(s.Bounds.Ratio).To(gomega.Equal(0.2))
 }
