--- a/io/crmesh/crmesh.go
+++ b/io/crmesh/crmesh.go
@@ -106,7 +106,7 @@
 
 func newBudget(opts Options) *crbudget.Budget {
 	b := opts.Settings.Bounds
-	return crbudget.New(crbudget.Params{Ratio: b.Ratio, Slack: b.Slack, Window: b.WindowTime()})
+	return crbudget.New(crbudget.Params{Ratio: b.Ratio, Slack: b.Slack, Window: b.RetryWindow()})
 }
 
 func newFeed(opts Options, loop *loop, peers *croffer.Client, l *crlog.Logger) *crfeed.Feed {
--- a/io/crsite/crsite.go
+++ b/io/crsite/crsite.go
@@ -107,8 +107,8 @@
 	return min(lapseMost, time.Duration(b.Drain)*time.Millisecond-leaveMargin)
 }
 
-// WindowTime is the length of the window of repeats.
-func (b Bounds) WindowTime() time.Duration { return time.Duration(b.Window * float64(time.Second)) }
+// RetryWindow is the length of the window of repeats.
+func (b Bounds) RetryWindow() time.Duration { return time.Duration(b.Window * float64(time.Second)) }
 
 // Load reads and checks a settings file.
 func Load(file string) (Settings, error) {
--- a/io/crsite/crsite_test.go
+++ b/io/crsite/crsite_test.go
@@ -41,7 +41,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(s.Listen.Ports).To(gomega.Equal([]int{7660, 7675}))
 	g.Expect(s.Bounds.GracePeriod()).To(gomega.Equal(6 * time.Second))
-	g.Expect(s.Bounds.WindowTime()).To(gomega.Equal(10 * time.Second))
+	g.Expect(s.Bounds.RetryWindow()).To(gomega.Equal(10 * time.Second))
 	g.Expect(s.Bounds.Ratio).To(gomega.Equal(0.2))
 }
 
