--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -42,7 +42,7 @@
 	lp := &loop{
 		state: crmesh.New(crmesh.Params{
 			Self: crid.Daemon(s.Address), Domain: s.Domain, Service: s.Service, Address: s.Target, Seeds: seeds(s),
-			Beat: beatNear, Far: beatFar, Lapse: s.Bounds.LapseTime(),
+			Beat: beatNear, Far: beatFar, Lapse: s.Bounds.MissingRecordTTL(),
 		}),
 		events: make(chan crevent.Event, eventsWaiting),
 		log:    l,
--- a/io/crsite/crsite.go
+++ b/io/crsite/crsite.go
@@ -100,10 +100,10 @@
 	leaveMargin = 400 * time.Millisecond
 )
 
-// LapseTime is how long a record that went missing while the store was away is
+// MissingRecordTTL is how long a record that went missing while the store was away is
 // held after its return. A target that left in just that moment looks the same,
 // and has to be left in time; held longer, it would get work after it has ended.
-func (b Bounds) LapseTime() time.Duration {
+func (b Bounds) MissingRecordTTL() time.Duration {
 	return min(lapseMost, time.Duration(b.Drain)*time.Millisecond-leaveMargin)
 }
 
--- a/io/crsite/crsite_test.go
+++ b/io/crsite/crsite_test.go
@@ -50,7 +50,7 @@
 func TestALapsedRecordIsHeldForLessThanALeavingTargetServes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, drain := range []int{1000, 2000, 2500, 9000} {
-		held := crsite.Bounds{Drain: drain}.LapseTime()
+		held := crsite.Bounds{Drain: drain}.MissingRecordTTL()
 		g.Expect(held).To(gomega.BeNumerically("<=", time.Duration(drain)*time.Millisecond-300*time.Millisecond))
 		g.Expect(held).To(gomega.BeNumerically("<=", 2200*time.Millisecond))
 	}
