--- a/io/crmesh/crmesh.go
+++ b/io/crmesh/crmesh.go
@@ -146,7 +146,7 @@
 }
 
 func peerAddress(s crsite.Settings) string {
-	return net.JoinHostPort(s.PeerHost(), strconv.Itoa(s.Listen.Ports[0]))
+	return net.JoinHostPort(s.PeerListenHost(), strconv.Itoa(s.Listen.Ports[0]))
 }
 
 func group(ctx context.Context, tasks ...func(context.Context) error) *errgroup.Group {
--- a/io/crsite/crsite.go
+++ b/io/crsite/crsite.go
@@ -60,9 +60,9 @@
 	Host    string `toml:"host"`    // to listen at for peers; empty: the machine's address
 }
 
-// PeerHost is the address to listen at for peers. It differs from the machine's
+// PeerListenHost is the address to listen at for peers. It differs from the machine's
 // where peers come through a translated address.
-func (s Settings) PeerHost() string {
+func (s Settings) PeerListenHost() string {
 	if s.Listen.Host != "" {
 		return s.Listen.Host
 	}
--- a/io/crsite/crsite_test.go
+++ b/io/crsite/crsite_test.go
@@ -82,9 +82,9 @@
 	g := gomega.NewWithT(t)
 	s, err := crsite.Parse("boot.toml", []byte(good))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(s.PeerHost()).To(gomega.Equal("10.1.0.5"))
+	g.Expect(s.PeerListenHost()).To(gomega.Equal("10.1.0.5"))
 	s, err = crsite.Parse("boot.toml", []byte(strings.Replace(good, `ports =`, "host = \"10.9.0.5\"\nports =", 1)))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(s.PeerHost()).To(gomega.Equal("10.9.0.5"))
+	g.Expect(s.PeerListenHost()).To(gomega.Equal("10.9.0.5"))
 	g.Expect(s.Address).To(gomega.Equal("10.1.0.5"))
 }
