--- a/io/crsite/crsite.go
+++ b/io/crsite/crsite.go
@@ -1,5 +1,6 @@
-// Package crsite reads the settings of a daemon that joins a fleet: the file
-// that the operator's tooling writes at each start.
+// Package crsite reads the settings file of a daemon started by `camphorroad join`
+// (io/crmesh). The operator's tooling writes the file at each start. Daemons
+// started by `camphorroad serve` read theirs with io/crsettings.
 //
 // # Usage
 //
@@ -19,15 +20,15 @@
 	"camphorroad/core/crid"
 )
 
-// Defaults of bounds that the file leaves out.
+// Defaults of Bounds.
 const (
-	defaultDrain  = 2000 // ms: a leaving target takes no new work after this
-	defaultGrace  = 6    // s: from SIGTERM to the kill
+	defaultDrain  = 2000 // ms: time for which a leaving target still accepts requests
+	defaultGrace  = 6    // s: from SIGTERM to SIGKILL
 	defaultRatio  = 0.2
 	defaultWindow = 10 // s
 )
 
-// Error says what is wrong with the settings, and where.
+// Error reports an invalid settings file.
 type Error struct {
 	file, detail string
 }
@@ -35,33 +36,33 @@
 // Error implements error.
 func (e *Error) Error() string { return e.file + ": " + e.detail }
 
-// Settings are one daemon's settings.
+// Settings are the validated settings of one daemon.
 type Settings struct {
 	Name    string       `toml:"name"`
-	Address string       `toml:"address"` // of the machine, without a port
+	Address string       `toml:"address"` // IP address of the machine, without a port
 	Domain  crid.Domain  `toml:"domain"`
-	Service crid.Service `toml:"service"` // of the target beside it
-	Target  string       `toml:"target"`  // host and port of the target
-	Seeds   []string     `toml:"seeds"`   // host and port of other daemons
-	Log     string       `toml:"log"`     // level
+	Service crid.Service `toml:"service"` // service of the daemon's target
+	Target  string       `toml:"target"`  // host:port of the target
+	Seeds   []string     `toml:"seeds"`   // host:port of the control listeners of other daemons
+	Log     string       `toml:"log"`     // log level
 	Listen  Listen       `toml:"listen"`
 	Store   Store        `toml:"store"`
 	Limits  Limits       `toml:"limits"`
 	Bounds  Bounds       `toml:"bounds"`
 }
 
-// Listen are the addresses that the daemon listens at.
+// Listen holds the addresses that the daemon listens on.
 type Listen struct {
-	Caller  string `toml:"caller"`  // callers of this machine
-	Ready   string `toml:"ready"`   // the ready page
-	Control string `toml:"control"` // where seeds are asked
-	Pages   string `toml:"pages"`   // state and metrics; empty: at the second of Ports
-	Ports   []int  `toml:"ports"`   // first and last port between daemons
-	Host    string `toml:"host"`    // to listen at for peers; empty: the machine's address
+	Caller  string `toml:"caller"`  // callers on this machine
+	Ready   string `toml:"ready"`   // readiness endpoint
+	Control string `toml:"control"` // queries of daemons that use this one as a seed
+	Pages   string `toml:"pages"`   // admin endpoints, state and metrics; empty: the second of Ports
+	Ports   []int  `toml:"ports"`   // first and last port for traffic between daemons
+	Host    string `toml:"host"`    // IP address to listen on for peers; empty: Settings.Address
 }
 
-// PeerListenHost is the address to listen at for peers. It differs from the machine's
-// where peers come through a translated address.
+// PeerListenHost returns the IP address to listen on for peers. It differs from
+// Address if peers connect through network address translation.
 func (s Settings) PeerListenHost() string {
 	if s.Listen.Host != "" {
 		return s.Listen.Host
@@ -69,48 +70,50 @@
 	return s.Address
 }
 
-// Store is where records and configuration are read.
+// Store configures access to the store that holds records and configuration.
 type Store struct {
 	Address string `toml:"address"`
 }
 
-// Limits are the machine's.
+// Limits are the resource limits of the machine.
 type Limits struct {
 	Memory int `toml:"memory"` // MB
 }
 
-// Bounds are what the operator promises callers.
+// Bounds are the limits that the operator guarantees to callers.
 type Bounds struct {
-	Drain  int     `toml:"drain"`  // ms
-	Grace  float64 `toml:"grace"`  // s
-	Ratio  float64 `toml:"ratio"`  // repeats a request
-	Slack  float64 `toml:"slack"`  // repeats in a window besides
-	Window float64 `toml:"window"` // s
+	Drain  int     `toml:"drain"`  // ms for which a leaving target still accepts requests
+	Grace  float64 `toml:"grace"`  // s from SIGTERM to SIGKILL
+	Ratio  float64 `toml:"ratio"`  // retries allowed for each request
+	Slack  float64 `toml:"slack"`  // retries allowed in a window in addition to Ratio
+	Window float64 `toml:"window"` // s; length of the window in which retries are counted
 }
 
-// GracePeriod is the time between the order to stop and the kill.
+// GracePeriod returns the time between SIGTERM and SIGKILL.
 func (b Bounds) GracePeriod() time.Duration { return time.Duration(b.Grace * float64(time.Second)) }
 
 const (
-	// lapseMost is how long live targets may take to renew the records that ran
-	// out while the store was away: two seconds, and the way to the daemon.
-	lapseMost = 2200 * time.Millisecond
-	// leaveMargin is kept of the time in which a leaving target has to be left,
-	// for requests on their way.
-	leaveMargin = 400 * time.Millisecond
+	// maxMissingRecordTTL is the time in which running targets renew records that
+	// expired while the store was unavailable: two seconds, plus the time until the
+	// renewed record reaches the daemon.
+	maxMissingRecordTTL = 2200 * time.Millisecond
+	// drainMargin is subtracted from the drain time of a leaving target, for requests
+	// in transit.
+	drainMargin = 400 * time.Millisecond
 )
 
-// MissingRecordTTL is how long a record that went missing while the store was away is
-// held after its return. A target that left in just that moment looks the same,
-// and has to be left in time; held longer, it would get work after it has ended.
+// MissingRecordTTL returns how long a record that disappeared during an outage of
+// the store is kept after the store has recovered. The record of a target that
+// left at that moment looks the same as one that expired: kept longer than the
+// drain time, it would route requests to a target that has exited.
 func (b Bounds) MissingRecordTTL() time.Duration {
-	return min(lapseMost, time.Duration(b.Drain)*time.Millisecond-leaveMargin)
+	return min(maxMissingRecordTTL, time.Duration(b.Drain)*time.Millisecond-drainMargin)
 }
 
-// RetryWindow is the length of the window of repeats.
+// RetryWindow returns the length of the window in which retries are counted.
 func (b Bounds) RetryWindow() time.Duration { return time.Duration(b.Window * float64(time.Second)) }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(file string) (Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -119,7 +122,7 @@
 	return Parse(file, data)
 }
 
-// Parse reads and checks settings; the file's name is for errors.
+// Parse decodes and validates settings. The name of the file is used in errors.
 func Parse(file string, data []byte) (Settings, error) {
 	s := Settings{Log: "info", Bounds: Bounds{Drain: defaultDrain, Grace: defaultGrace, Ratio: defaultRatio, Window: defaultWindow}}
 	dec := toml.NewDecoder(bytes.NewReader(data))
@@ -127,7 +130,7 @@
 	if err := dec.Decode(&s); err != nil {
 		return Settings{}, &Error{file: file, detail: describe(err)}
 	}
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return Settings{}, &Error{file: file, detail: err.Error()}
 	}
 	return s, nil
@@ -137,7 +140,7 @@
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		row, column := strict.Errors[0].Position()
-		return fmt.Sprintf("line %d, column %d: the key %v is unknown", row, column, strict.Errors[0].Key())
+		return fmt.Sprintf("line %d, column %d: unknown key %v", row, column, strict.Errors[0].Key())
 	}
 	var decode *toml.DecodeError
 	if errors.As(err, &decode) {
@@ -147,12 +150,12 @@
 	return err.Error()
 }
 
-func (s *Settings) check() error {
+func (s *Settings) validate() error {
 	if net.ParseIP(s.Address) == nil {
-		return fmt.Errorf("address: %q is no IP address", s.Address)
+		return fmt.Errorf("address: %q is not an IP address", s.Address)
 	}
 	if s.Listen.Host != "" && net.ParseIP(s.Listen.Host) == nil {
-		return fmt.Errorf("listen.host: %q is no IP address", s.Listen.Host)
+		return fmt.Errorf("listen.host: %q is not an IP address", s.Listen.Host)
 	}
 	if s.Domain == "" {
 		return errors.New("domain: missing")
@@ -165,11 +168,11 @@
 	}
 	for _, key := range []string{"target", "listen.caller", "listen.ready", "store.address"} {
 		if _, _, err := net.SplitHostPort(addresses[key]); err != nil {
-			return fmt.Errorf("%s: %q is no address with a port", key, addresses[key])
+			return fmt.Errorf("%s: %q is not a host:port address", key, addresses[key])
 		}
 	}
 	if len(s.Listen.Ports) != 2 || s.Listen.Ports[1]-s.Listen.Ports[0] < 1 {
-		return errors.New("listen.ports: the first and the last of two ports or more are wanted")
+		return errors.New("listen.ports: need the first and the last port of a range of at least two")
 	}
 	if s.Bounds.Grace <= 0 || s.Bounds.Window <= 0 || s.Bounds.Ratio < 0 || s.Bounds.Slack < 0 || s.Bounds.Drain <= 0 {
 		return errors.New("bounds: drain, grace and window must be positive, ratio and slack not negative")
--- a/io/crsite/crsite_test.go
+++ b/io/crsite/crsite_test.go
@@ -10,7 +10,7 @@
 	"camphorroad/io/crsite"
 )
 
-const good = `
+const validSettings = `
 name = "side-1"
 address = "10.1.0.5"
 domain = "a"
@@ -35,9 +35,9 @@
 slack = 56
 `
 
-func TestSettingsAreReadWithDefaults(t *testing.T) {
+func TestParseAppliesDefaults(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s, err := crsite.Parse("boot.toml", []byte(good))
+	s, err := crsite.Parse("boot.toml", []byte(validSettings))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(s.Listen.Ports).To(gomega.Equal([]int{7660, 7675}))
 	g.Expect(s.Bounds.GracePeriod()).To(gomega.Equal(6 * time.Second))
@@ -45,18 +45,18 @@
 	g.Expect(s.Bounds.Ratio).To(gomega.Equal(0.2))
 }
 
-// A target leaves just as the store comes back. Its record is missing like those
-// that ran out, and must be dropped before the target may end.
-func TestALapsedRecordIsHeldForLessThanALeavingTargetServes(t *testing.T) {
+// A target leaves just as the store recovers. Its missing record looks like one that
+// expired during the outage, and must be dropped before the target exits.
+func TestMissingRecordTTLIsShorterThanDrain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, drain := range []int{1000, 2000, 2500, 9000} {
-		held := crsite.Bounds{Drain: drain}.MissingRecordTTL()
-		g.Expect(held).To(gomega.BeNumerically("<=", time.Duration(drain)*time.Millisecond-300*time.Millisecond))
-		g.Expect(held).To(gomega.BeNumerically("<=", 2200*time.Millisecond))
+		ttl := crsite.Bounds{Drain: drain}.MissingRecordTTL()
+		g.Expect(ttl).To(gomega.BeNumerically("<=", time.Duration(drain)*time.Millisecond-300*time.Millisecond))
+		g.Expect(ttl).To(gomega.BeNumerically("<=", 2200*time.Millisecond))
 	}
 }
 
-func TestWrongSettingsAreNamed(t *testing.T) {
+func TestInvalidSettingsAreReported(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
 		"syntax":      {`domain = "a"`, `domain = `, "line 4"},
 		"unknown key": {`domain = "a"`, `zone = "a"`, "zone"},
@@ -70,20 +70,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			_, err := crsite.Parse("boot.toml", []byte(strings.Replace(good, c.old, c.new, 1)))
+			_, err := crsite.Parse("boot.toml", []byte(strings.Replace(validSettings, c.old, c.new, 1)))
 			g.Expect(err).To(gomega.MatchError(gomega.And(gomega.ContainSubstring("boot.toml"), gomega.ContainSubstring(c.want))))
 		})
 	}
 }
 
-// Peers come through a translated address: the daemon is known by one address and
-// listens at another.
-func TestPeersMayComeThroughATranslatedAddress(t *testing.T) {
+// With network address translation, peers connect to one address and the daemon
+// listens on another.
+func TestPeerListenHostBehindNAT(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s, err := crsite.Parse("boot.toml", []byte(good))
+	s, err := crsite.Parse("boot.toml", []byte(validSettings))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(s.PeerListenHost()).To(gomega.Equal("10.1.0.5"))
-	s, err = crsite.Parse("boot.toml", []byte(strings.Replace(good, `ports =`, "host = \"10.9.0.5\"\nports =", 1)))
+	s, err = crsite.Parse("boot.toml", []byte(strings.Replace(validSettings, `ports =`, "host = \"10.9.0.5\"\nports =", 1)))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(s.PeerListenHost()).To(gomega.Equal("10.9.0.5"))
 	g.Expect(s.Address).To(gomega.Equal("10.1.0.5"))
