--- a/io/crcontrol/crcontrol.go
+++ b/io/crcontrol/crcontrol.go
@@ -20,8 +20,8 @@
 	"camphorroad/core/crid"
 )
 
-// TickEvery is the time between two ticks.
-const TickEvery = 50 * time.Millisecond
+// TickInterval is the time between two ticks.
+const TickInterval = 50 * time.Millisecond
 
 // queueLength bounds the events that wait. Messages beyond it are dropped: their
 // senders repeat what still matters, while waiting would hold up the transport.
@@ -101,7 +101,7 @@
 
 // Run applies events until ctx ends.
 func (l *Loop) Run(ctx context.Context) {
-	ticker := time.NewTicker(TickEvery)
+	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
