--- a/io/crcontrol/crcontrol.go
+++ b/io/crcontrol/crcontrol.go
@@ -27,8 +27,8 @@
 // senders repeat what still matters, while waiting would hold up the transport.
 const queueLength = 4096
 
-// ErrBusy tells that the queue is full.
-var ErrBusy = errors.New("control queue is full")
+// ErrQueueFull tells that the queue is full.
+var ErrQueueFull = errors.New("control queue is full")
 
 // Recorder keeps what the reducers were told and what they gave. The control
 // goroutine calls it.
@@ -81,7 +81,7 @@
 		return nil
 	default:
 		l.dropped.Add(1)
-		return ErrBusy
+		return ErrQueueFull
 	}
 }
 
