--- a/io/crcontrol/crcontrol.go
+++ b/io/crcontrol/crcontrol.go
@@ -42,8 +42,8 @@
 // Options configure a Loop.
 type Options struct {
 	Clock func() crid.Instant
-	// Do carries out one effect; it must not block, nor call Dump.
-	Do func(eff crevent.Effect)
+	// Execute carries out one effect; it must not block, nor call Dump.
+	Execute func(eff crevent.Effect)
 	// Before is called before each tick, and when Wake fires; it returns the
 	// traffic side's counters as events.
 	Before func(now crid.Instant) []crevent.Event
@@ -139,7 +139,7 @@
 		l.opts.Recorder.Effects(effects)
 	}
 	for _, eff := range effects {
-		l.opts.Do(eff)
+		l.opts.Execute(eff)
 	}
 }
 
