--- a/io/crcontrol/crcontrol.go
+++ b/io/crcontrol/crcontrol.go
@@ -44,9 +44,9 @@
 	Clock func() crid.Instant
 	// Execute carries out one effect; it must not block, nor call Dump.
 	Execute func(eff crevent.Effect)
-	// Before is called before each tick, and when Wake fires; it returns the
+	// Collect is called before each tick, and when Wake fires; it returns the
 	// traffic side's counters as events.
-	Before func(now crid.Instant) []crevent.Event
+	Collect func(now crid.Instant) []crevent.Event
 	// Wake fires when Before should run without waiting for the next tick.
 	Wake <-chan struct{}
 	// Recorder is told of each event and of its effects; nil: nobody.
@@ -122,10 +122,10 @@
 }
 
 func (l *Loop) collect(now crid.Instant) {
-	if l.opts.Before == nil {
+	if l.opts.Collect == nil {
 		return
 	}
-	for _, ev := range l.opts.Before(now) {
+	for _, ev := range l.opts.Collect(now) {
 		l.apply(ev)
 	}
 }
