--- a/io/crcontrol/crcontrol.go
+++ b/io/crcontrol/crcontrol.go
@@ -51,8 +51,8 @@
 	Wake <-chan struct{}
 	// Recorder is told of each event and of its effects; nil: nobody.
 	Recorder Recorder
-	// Stepped is told how long the reducers took for each event; nil: nobody.
-	Stepped func(took time.Duration)
+	// ObserveStep is told how long the reducers took for each event; nil: nobody.
+	ObserveStep func(took time.Duration)
 }
 
 // Loop owns the control state.
@@ -144,11 +144,11 @@
 }
 
 func (l *Loop) step(ev crevent.Event) []crevent.Effect {
-	if l.opts.Stepped == nil {
+	if l.opts.ObserveStep == nil {
 		return l.root.Step(ev)
 	}
 	started := l.opts.Clock()
-	defer func() { l.opts.Stepped(l.opts.Clock().Sub(started)) }()
+	defer func() { l.opts.ObserveStep(l.opts.Clock().Sub(started)) }()
 	return l.root.Step(ev)
 }
 
--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -156,7 +156,7 @@
 	params.Config.FleetSize = cfg.Platform.Fleet
 	params.Health = healthParams(cfg.Policy)
 	opts := crcontrol.Options{
-		Clock: crclock.Now, Execute: s.do, Collect: s.before, Wake: s.wallet.DrainNeeded(), Stepped: m.stepped,
+		Clock: crclock.Now, Execute: s.do, Collect: s.before, Wake: s.wallet.DrainNeeded(), ObserveStep: m.stepped,
 	}
 	parse, load := crconfig.Parser(crpolicyfile.ParseManifest), crconfig.Loader(crpolicyfile.NewLoader().Load)
 	if cfg.Trace.File != "" {
