--- a/io/crclock/crclock.go
+++ b/io/crclock/crclock.go
@@ -1,9 +1,11 @@
-// Package crclock reads the clock that decisions are made on: monotonic, never
-// stepped, and counting while the machine is suspended.
+// Package crclock provides the clock for leases, timeouts and expiry: monotonic,
+// never stepped, and advancing while the machine is suspended. Both kinds of
+// daemon, io/crdaemon and io/crmesh, use it.
 //
 // # Usage
 //
 //	now := crclock.Now()
+//	err := crclock.Sleep(ctx, time.Second)
 package crclock
 
 import (
@@ -15,13 +17,12 @@
 	"camphorroad/core/crid"
 )
 
-// Now reads the suspend-counting monotonic clock.
+// Now returns the time of the boot-time clock (CLOCK_BOOTTIME).
 //
-// Go's own monotonic reading stands still while a machine is suspended. A
-// daemon that woke up would then believe its facts to be as fresh as when it
-// fell asleep, and would act on a lease that others have long taken over; the
-// boot-time clock makes the gap visible. It falls back to Go's clock where the
-// kernel has none.
+// Go's monotonic clock stops while the machine is suspended. With it, a resumed
+// daemon would treat an expired lease as valid and act on it although another
+// daemon has taken it over. The boot-time clock includes the suspension. Now falls
+// back to Go's monotonic clock if the kernel has no boot-time clock.
 func Now() crid.Instant {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -32,7 +33,7 @@
 
 var processStart = time.Now()
 
-// Sleep waits for a time, or until the context ends, and returns its error then.
+// Sleep waits for d. If ctx ends first, it returns the error of ctx.
 func Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/io/crcontrol/crcontrol.go
+++ b/io/crcontrol/crcontrol.go
@@ -1,11 +1,12 @@
-// Package crcontrol runs the control state: one goroutine owns the root reducer,
-// takes events from a queue, and has their effects carried out.
+// Package crcontrol runs the control loop of io/crdaemon: one goroutine owns the
+// root reducer of core/crdaemon, applies events from a queue to it, and executes
+// the resulting effects.
 //
 // # Usage
 //
-//	loop := crcontrol.New(root, crcontrol.Options{Clock: crclock.Now, Do: shell.Do, Paused: onPause})
+//	loop := crcontrol.New(root, crcontrol.Options{Clock: crclock.Now, Execute: execute})
 //	go loop.Run(ctx)
-//	loop.Post(ev)
+//	err := loop.Post(ev)
 //	dump, err := loop.Dump(ctx)
 package crcontrol
 
@@ -20,38 +21,40 @@
 	"camphorroad/core/crid"
 )
 
-// TickInterval is the time between two ticks.
+// TickInterval is the interval of [crevent.Tick].
 const TickInterval = 50 * time.Millisecond
 
-// queueLength bounds the events that wait. Messages beyond it are dropped: their
-// senders repeat what still matters, while waiting would hold up the transport.
-const queueLength = 4096
+// queueCapacity is the maximum number of queued events. Messages beyond it are
+// dropped: senders retransmit what is still relevant, while waiting for room would
+// block the transport.
+const queueCapacity = 4096
 
-// ErrQueueFull tells that the queue is full.
+// ErrQueueFull is returned by Post if the event was dropped.
 var ErrQueueFull = errors.New("control queue is full")
 
-// Recorder keeps what the reducers were told and what they gave. The control
+// Recorder records the events and effects of the reducers, for replay. The control
 // goroutine calls it.
 type Recorder interface {
 	// Event is called before an event is applied.
 	Event(ev crevent.Event)
-	// Effects is called with what came of it.
+	// Effects is called with the resulting effects, before they are executed.
 	Effects(effects []crevent.Effect)
 }
 
 // Options configure a Loop.
 type Options struct {
 	Clock func() crid.Instant
-	// Execute carries out one effect; it must not block, nor call Dump.
+	// Execute executes one effect. It must not block, and must not call Dump.
 	Execute func(eff crevent.Effect)
-	// Collect is called before each tick, and when Wake fires; it returns the
-	// traffic side's counters as events.
+	// Collect is called before each tick, and when Wake fires. It returns the
+	// counters of the request path as events. Nil: nothing is collected.
 	Collect func(now crid.Instant) []crevent.Event
-	// Wake fires when Before should run without waiting for the next tick.
+	// Wake triggers Collect without waiting for the next tick.
 	Wake <-chan struct{}
-	// Recorder is told of each event and of its effects; nil: nobody.
+	// Recorder records each event and its effects. Nil: no recording.
 	Recorder Recorder
-	// ObserveStep is told how long the reducers took for each event; nil: nobody.
+	// ObserveStep is called with the time that the reducers took for each event.
+	// Nil: not measured.
 	ObserveStep func(took time.Duration)
 }
 
@@ -60,21 +63,21 @@
 	root    *crdaemon.State
 	opts    Options
 	events  chan crevent.Event
-	asks    chan chan crdaemon.Dump
+	dumps   chan chan crdaemon.Dump
 	dropped atomic.Int64
 }
 
-// New returns a loop that does nothing until Run.
+// New returns a loop that does nothing until Run is called.
 func New(root *crdaemon.State, opts Options) *Loop {
 	return &Loop{
 		root:   root,
 		opts:   opts,
-		events: make(chan crevent.Event, queueLength),
-		asks:   make(chan chan crdaemon.Dump),
+		events: make(chan crevent.Event, queueCapacity),
+		dumps:  make(chan chan crdaemon.Dump),
 	}
 }
 
-// Post queues an event; it never waits.
+// Post queues an event without blocking.
 func (l *Loop) Post(ev crevent.Event) error {
 	select {
 	case l.events <- ev:
@@ -85,8 +88,8 @@
 	}
 }
 
-// PostWait queues an event that must not be lost, waiting for room until ctx
-// ends.
+// PostWait queues an event that must not be dropped. It waits for room in the queue
+// until ctx ends.
 func (l *Loop) PostWait(ctx context.Context, ev crevent.Event) error {
 	select {
 	case l.events <- ev:
@@ -96,10 +99,10 @@
 	}
 }
 
-// Dropped is the number of events that found the queue full.
+// Dropped returns the number of events that were dropped because the queue was full.
 func (l *Loop) Dropped() int64 { return l.dropped.Load() }
 
-// Run applies events until ctx ends.
+// Run applies events and ticks until ctx ends.
 func (l *Loop) Run(ctx context.Context) {
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
@@ -113,8 +116,8 @@
 			l.apply(crevent.Tick{Now: now})
 		case <-l.opts.Wake:
 			l.collect(l.opts.Clock())
-		case ask := <-l.asks:
-			ask <- l.root.Dump(l.opts.Clock())
+		case reply := <-l.dumps:
+			reply <- l.root.Dump(l.opts.Clock())
 		case <-ctx.Done():
 			return
 		}
@@ -152,13 +155,13 @@
 	return l.root.Step(ev)
 }
 
-// Dump asks the loop for the state.
+// Dump returns the control state, taken by the control goroutine.
 func (l *Loop) Dump(ctx context.Context) (crdaemon.Dump, error) {
-	ask := make(chan crdaemon.Dump, 1)
+	reply := make(chan crdaemon.Dump, 1)
 	select {
-	case l.asks <- ask:
+	case l.dumps <- reply:
 	case <-ctx.Done():
 		return crdaemon.Dump{}, ctx.Err()
 	}
-	return <-ask, nil
+	return <-reply, nil
 }
--- a/io/crsettings/check.go
+++ b/io/crsettings/check.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// check validates the decoded settings and adds all problems to c.
-func (s Settings) check(c *collector) {
+// validate validates the decoded settings and adds all problems to c.
+func (s Settings) validate(c *collector) {
 	require := func(key, value, hint string) {
 		if value == "" {
 			c.addProblem(key, "is missing; %s", hint)
@@ -26,12 +26,12 @@
 	if (s.TLS.CallerCert == "") != (s.TLS.CallerKey == "") {
 		c.addProblem("tls.callercert", "and tls.callerkey must be set together; give both or neither")
 	}
-	s.checkTargets(c)
-	s.checkLimits(c)
-	s.Policy.check(c)
+	s.validateTargets(c)
+	s.validateLimits(c)
+	s.Policy.validate(c)
 }
 
-func (s Settings) checkTargets(c *collector) {
+func (s Settings) validateTargets(c *collector) {
 	seen := make(map[string]bool)
 	for i, t := range s.Targets {
 		key := fmt.Sprintf("target[%d]", i)
@@ -49,7 +49,7 @@
 	}
 }
 
-func (s Settings) checkLimits(c *collector) {
+func (s Settings) validateLimits(c *collector) {
 	positive := func(key string, ok bool) {
 		if !ok {
 			c.addProblem(key, "must be above zero")
--- a/io/crsettings/crsettings.go
+++ b/io/crsettings/crsettings.go
@@ -147,7 +147,7 @@
 	c := newCollector(b)
 	var cfg Settings
 	if c.decode(b, &cfg) {
-		cfg.check(c)
+		cfg.validate(c)
 	}
 	if err := c.err(); err != nil {
 		return Settings{}, err
--- a/io/crsettings/policy.go
+++ b/io/crsettings/policy.go
@@ -33,7 +33,7 @@
 	return Policy{Choose: ChooseTwo, Eject: EjectPeers, Rate: RateShares}
 }
 
-func (p Policy) check(c *collector) {
+func (p Policy) validate(c *collector) {
 	oneOf := func(key, value string, allowed ...string) {
 		if !slices.Contains(allowed, value) {
 			c.addProblem("policy."+key, "is %q and must be one of %s", value, strings.Join(allowed, ", "))
