--- a/io/crdialect/crdialect.go
+++ b/io/crdialect/crdialect.go
@@ -17,8 +17,8 @@
 	"camphorroad/core/crid"
 )
 
-// Caller is what a caller says of its request.
-type Caller struct {
+// RequestInfo is what a caller says of its request.
+type RequestInfo struct {
 	ID   string        // of this request; empty: none was sent
 	Wait time.Duration // for which the caller waits; zero: not told
 	Key  string        // empty: none was sent
@@ -43,7 +43,7 @@
 type Dialect interface {
 	// Caller reads what a caller said. The error tells what is ambiguous or cannot
 	// be read; the request must not be served by a guess.
-	Caller(h http.Header) (Caller, error)
+	Caller(h http.Header) (RequestInfo, error)
 	// Address writes what the target is told, and removes what a caller must
 	// not tell it, its key among that.
 	Address(h http.Header, f Facts)
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -141,7 +141,7 @@
 	*Entry
 	started  crid.Instant
 	http     *http.Request
-	caller   crdialect.Caller
+	caller   crdialect.RequestInfo
 	view     *crmesh.View
 	route    *crplan.Route
 	account  *crplan.Account // nil: none
