--- a/io/crdialect/crdialect.go
+++ b/io/crdialect/crdialect.go
@@ -24,8 +24,8 @@
 	Key  string        // empty: none was sent
 }
 
-// Facts are what a target is told of a request.
-type Facts struct {
+// ForwardInfo are what a target is told of a request.
+type ForwardInfo struct {
 	Wait    time.Duration // for which an answer is of use
 	Target  crid.Target   // any other must refuse the request
 	Account crid.Account  // empty: none
@@ -46,7 +46,7 @@
 	Caller(h http.Header) (RequestInfo, error)
 	// Address writes what the target is told, and removes what a caller must
 	// not tell it, its key among that.
-	Address(h http.Header, f Facts)
+	Address(h http.Header, f ForwardInfo)
 	// Answer reads what a target said.
 	Answer(status int, h http.Header) Answer
 }
