--- a/io/crdialect/crdialect.go
+++ b/io/crdialect/crdialect.go
@@ -32,8 +32,8 @@
 	From    crid.Service  // of the instance where the request came in
 }
 
-// Answer is what a target says of its answer.
-type Answer struct {
+// ResponseInfo is what a target says of its answer.
+type ResponseInfo struct {
 	ID     string // of the request that it answers
 	Sealed bool   // it is the target's own
 	NotRun bool   // the request was not run and never will be
@@ -48,5 +48,5 @@
 	// not tell it, its key among that.
 	Address(h http.Header, f ForwardInfo)
 	// Answer reads what a target said.
-	Answer(status int, h http.Header) Answer
+	Answer(status int, h http.Header) ResponseInfo
 }
