--- a/io/crdialect/crdialect.go
+++ b/io/crdialect/crdialect.go
@@ -41,9 +41,9 @@
 
 // Dialect reads and writes the headers of one platform.
 type Dialect interface {
-	// Caller reads what a caller said. The error tells what is ambiguous or cannot
+	// ParseRequest reads what a caller said. The error tells what is ambiguous or cannot
 	// be read; the request must not be served by a guess.
-	Caller(h http.Header) (RequestInfo, error)
+	ParseRequest(h http.Header) (RequestInfo, error)
 	// Address writes what the target is told, and removes what a caller must
 	// not tell it, its key among that.
 	Address(h http.Header, f ForwardInfo)
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -178,7 +178,7 @@
 
 // identify finds the route, the account and the service.
 func (q *request) identify() (reply, bool) {
-	caller, err := q.opts.Dialect.Caller(q.http.Header)
+	caller, err := q.opts.Dialect.ParseRequest(q.http.Header)
 	q.caller = caller
 	if err != nil {
 		return refusal(http.StatusBadRequest, err.Error(), 0), false
