--- a/io/crdialect/crdialect.go
+++ b/io/crdialect/crdialect.go
@@ -44,9 +44,9 @@
 	// ParseRequest reads what a caller said. The error tells what is ambiguous or cannot
 	// be read; the request must not be served by a guess.
 	ParseRequest(h http.Header) (RequestInfo, error)
-	// Address writes what the target is told, and removes what a caller must
+	// PrepareForward writes what the target is told, and removes what a caller must
 	// not tell it, its key among that.
-	Address(h http.Header, f ForwardInfo)
+	PrepareForward(h http.Header, f ForwardInfo)
 	// Answer reads what a target said.
 	Answer(status int, h http.Header) ResponseInfo
 }
