--- a/io/crdialect/crdialect.go
+++ b/io/crdialect/crdialect.go
@@ -47,6 +47,6 @@
 	// PrepareForward writes what the target is told, and removes what a caller must
 	// not tell it, its key among that.
 	PrepareForward(h http.Header, f ForwardInfo)
-	// Answer reads what a target said.
-	Answer(status int, h http.Header) ResponseInfo
+	// ParseResponse reads what a target said.
+	ParseResponse(status int, h http.Header) ResponseInfo
 }
--- a/io/cregress/run.go
+++ b/io/cregress/run.go
@@ -127,7 +127,7 @@
 	x := r.exit
 	now := x.opts.Clock()
 	took := now.Sub(r.started)
-	told := x.opts.Dialect.Answer(a.Status, a.Header)
+	told := x.opts.Dialect.ParseResponse(a.Status, a.Header)
 	if told.NotRun {
 		x.gate.Done(now, r.claim.ticket, 0)
 		return croffer.Result{Outcome: croffer.Rejected, Reason: "the target answered " + strconv.Itoa(a.Status), Told: x.Told()}
@@ -163,7 +163,7 @@
 // mine reports whether an answer belongs to the request. A target may send a
 // second answer to an earlier one where this one's is due.
 func (r *run) mine(h http.Header) bool {
-	id := r.exit.opts.Dialect.Answer(0, h).ID
+	id := r.exit.opts.Dialect.ParseResponse(0, h).ID
 	return id == "" || r.request.ID == "" || id == r.request.ID
 }
 
