--- a/io/crdialect/crdialect.go
+++ b/io/crdialect/crdialect.go
@@ -20,7 +20,7 @@
 // RequestInfo is what a caller says of its request.
 type RequestInfo struct {
 	ID   string        // of this request; empty: none was sent
-	Wait time.Duration // for which the caller waits; zero: not told
+	Timeout time.Duration // for which the caller waits; zero: not told
 	Key  string        // empty: none was sent
 }
 
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -204,7 +204,7 @@
 }
 
 func (q *request) setTimes() {
-	wait := q.caller.Wait
+	wait := q.caller.Timeout
 	if wait <= 0 {
 		wait = waitUntold
 	}
