--- a/io/crdialect/crdialect.go
+++ b/io/crdialect/crdialect.go
@@ -26,7 +26,7 @@
 
 // ForwardInfo are what a target is told of a request.
 type ForwardInfo struct {
-	Wait    time.Duration // for which an answer is of use
+	Timeout    time.Duration // for which an answer is of use
 	Target  crid.Target   // any other must refuse the request
 	Account crid.Account  // empty: none
 	From    crid.Service  // of the instance where the request came in
