--- a/io/crdialect/crdialect.go
+++ b/io/crdialect/crdialect.go
@@ -29,7 +29,7 @@
 	Timeout    time.Duration // for which an answer is of use
 	Target  crid.Target   // any other must refuse the request
 	Account crid.Account  // empty: none
-	From    crid.Service  // of the instance where the request came in
+	CallingService    crid.Service  // of the instance where the request came in
 }
 
 // ResponseInfo is what a target says of its answer.
--- a/io/cregress/run.go
+++ b/io/cregress/run.go
@@ -171,7 +171,7 @@
 	h := http.Header(r.request.Header).Clone()
 	StripConnection(h)
 	r.exit.opts.Dialect.PrepareForward(h, crdialect.ForwardInfo{
-		Timeout: wait, Target: r.target.Target, Account: r.request.Account, From: r.request.From,
+		Timeout: wait, Target: r.target.Target, Account: r.request.Account, CallingService: r.request.From,
 	})
 	return crlink.Request{Method: r.request.Method, URI: r.request.URI, Host: r.request.Host, Header: h, Body: r.request.Body}
 }
