--- a/io/crdialect/crdialect.go
+++ b/io/crdialect/crdialect.go
@@ -1,7 +1,10 @@
-// Package crdialect names what the daemon needs to say and to hear in the headers
-// of requests and answers, whatever the headers are called.
+// Package crdialect defines the interface between the request path and the headers
+// of a platform: which information requests and responses carry, independent of
+// the names of the headers.
 //
-// A platform's adapter implements [Dialect]; entry and exit use it.
+// The adapter of a platform, package platform, implements [Dialect]. io/cringress
+// reads requests of callers with it, and io/cregress forwards requests to targets
+// and reads their responses.
 //
 // # Usage
 //
@@ -17,36 +20,36 @@
 	"camphorroad/core/crid"
 )
 
-// RequestInfo is what a caller says of its request.
+// RequestInfo is the information in the headers of a caller's request.
 type RequestInfo struct {
-	ID   string        // of this request; empty: none was sent
-	Timeout time.Duration // for which the caller waits; zero: not told
-	Key  string        // empty: none was sent
+	ID      string        // ID of the request; empty: none was sent
+	Timeout time.Duration // time that the caller waits for the response; zero: not given
+	Key     string        // client key; empty: none was sent
 }
 
-// ForwardInfo are what a target is told of a request.
+// ForwardInfo is the information sent to a target with a request.
 type ForwardInfo struct {
-	Timeout    time.Duration // for which an answer is of use
-	Target  crid.Target   // any other must refuse the request
-	Account crid.Account  // empty: none
-	CallingService    crid.Service  // of the instance where the request came in
+	Timeout        time.Duration // time in which the response is still useful
+	Target         crid.Target   // the intended target; any other target must refuse the request
+	Account        crid.Account  // client account; empty: none
+	CallingService crid.Service  // service of the instance that received the request from its caller
 }
 
-// ResponseInfo is what a target says of its answer.
+// ResponseInfo is the information in the headers of a target's response.
 type ResponseInfo struct {
-	ID     string // of the request that it answers
-	Sealed bool   // it is the target's own
-	NotRun bool   // the request was not run and never will be
+	ID     string // ID of the request that the response belongs to
+	Sealed bool   // the response was produced by the target itself
+	NotRun bool   // the request was not executed and will not be
 }
 
 // Dialect reads and writes the headers of one platform.
 type Dialect interface {
-	// ParseRequest reads what a caller said. The error tells what is ambiguous or cannot
-	// be read; the request must not be served by a guess.
+	// ParseRequest reads the headers of a caller's request. It returns an error if a
+	// header is ambiguous or malformed; such a request must be refused.
 	ParseRequest(h http.Header) (RequestInfo, error)
-	// PrepareForward writes what the target is told, and removes what a caller must
-	// not tell it, its key among that.
+	// PrepareForward writes the headers for the target, and removes headers that a
+	// caller must not send to it, including the client key.
 	PrepareForward(h http.Header, f ForwardInfo)
-	// ParseResponse reads what a target said.
+	// ParseResponse reads the headers of a target's response.
 	ParseResponse(status int, h http.Header) ResponseInfo
 }
