--- a/command/cert/cert.go
+++ b/command/cert/cert.go
@@ -36,7 +36,7 @@
 // Run writes the files.
 func (o *DevOptions) Run(f *factory.Factory) error {
 	if err := crcert.Issue(o.Out, o.Names...); err != nil {
-		if errors.Is(err, crcert.ErrName) {
+		if errors.Is(err, crcert.ErrInvalidName) {
 			return fmt.Errorf("%w: %w", factory.ErrUsage, err)
 		}
 		return err
--- a/io/crcert/crcert.go
+++ b/io/crcert/crcert.go
@@ -32,8 +32,8 @@
 	modeDir  = 0o700
 )
 
-// ErrName tells that a daemon can not have a name.
-var ErrName = errors.New("no name for a daemon")
+// ErrInvalidName tells that a daemon can not have a name.
+var ErrInvalidName = errors.New("no name for a daemon")
 
 // File is the path of a daemon's certificate in a directory; its key lies beside it.
 func File(dir, name string) string { return filepath.Join(dir, name+".pem") }
@@ -67,7 +67,7 @@
 	for _, name := range names {
 		if name == caName || !valid.MatchString(name) {
 			return fmt.Errorf("%w: %q; use lower-case letters, digits, dots, dashes and "+
-				"underscores, 63 at most, and not %q, which is the authority's", ErrName, name, caName)
+				"underscores, 63 at most, and not %q, which is the authority's", ErrInvalidName, name, caName)
 		}
 	}
 	return nil
