--- a/command/cert/cert.go
+++ b/command/cert/cert.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	for _, name := range o.Names {
-		if _, err := fmt.Fprintf(f.Out, "%s\t%s\n", name, crcert.File(o.Out, name)); err != nil {
+		if _, err := fmt.Fprintf(f.Out, "%s\t%s\n", name, crcert.CertPath(o.Out, name)); err != nil {
 			return err
 		}
 	}
--- a/io/crcert/crcert.go
+++ b/io/crcert/crcert.go
@@ -35,8 +35,8 @@
 // ErrInvalidName tells that a daemon can not have a name.
 var ErrInvalidName = errors.New("no name for a daemon")
 
-// File is the path of a daemon's certificate in a directory; its key lies beside it.
-func File(dir, name string) string { return filepath.Join(dir, name+".pem") }
+// CertPath is the path of a daemon's certificate in a directory; its key lies beside it.
+func CertPath(dir, name string) string { return filepath.Join(dir, name+".pem") }
 
 // Issue writes ca.pem, and NAME.pem with NAME.key for each daemon. An authority that
 // is there is used again. Nothing is written if a name is refused.
