--- a/io/crcert/crcert.go
+++ b/io/crcert/crcert.go
@@ -1,6 +1,7 @@
-// Package crcert makes certificates for trying the fleet out on one machine: an
-// authority, and a certificate for each daemon. The authority's key stays in the
-// directory, so that they are for development only.
+// Package crcert issues development certificates for a fleet on one machine: a
+// certificate authority, and a certificate for each daemon. The private key of the
+// authority is stored beside them, so they must not be used in production. The
+// command `camphorroad cert` and tests use it.
 //
 // # Usage
 //
@@ -25,65 +26,66 @@
 )
 
 const (
-	devLife  = 30 * 24 * time.Hour
+	validity = 30 * 24 * time.Hour
 	caName   = "ca"
-	modeKey  = 0o600
-	modeCert = 0o644
-	modeDir  = 0o700
+	keyMode  = 0o600
+	certMode = 0o644
+	dirMode  = 0o700
 )
 
-// ErrInvalidName tells that a daemon can not have a name.
-var ErrInvalidName = errors.New("no name for a daemon")
+// ErrInvalidName reports a name that a daemon cannot have.
+var ErrInvalidName = errors.New("invalid daemon name")
 
-// CertPath is the path of a daemon's certificate in a directory; its key lies beside it.
+// CertPath returns the path of a daemon's certificate in dir. Its key has the same
+// path with the extension .key.
 func CertPath(dir, name string) string { return filepath.Join(dir, name+".pem") }
 
-// Issue writes ca.pem, and NAME.pem with NAME.key for each daemon. An authority that
-// is there is used again. Nothing is written if a name is refused.
+// Issue writes ca.pem and ca.key, and NAME.pem and NAME.key for each daemon, to dir.
+// An existing authority is reused. Nothing is written if a name is invalid.
 func Issue(dir string, names ...string) error {
 	if err := checkNames(names); err != nil {
 		return err
 	}
-	if err := os.MkdirAll(dir, modeDir); err != nil {
+	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return fmt.Errorf("certificates: %w", err)
 	}
-	m := maker{dir: dir}
-	ca, err := m.authority()
+	i := issuer{dir: dir}
+	ca, err := i.loadOrCreateAuthority()
 	if err != nil {
 		return fmt.Errorf("authority: %w", err)
 	}
 	for _, name := range names {
-		if err := m.issue(ca, name); err != nil {
+		if err := i.issue(ca, name); err != nil {
 			return fmt.Errorf("certificate of %s: %w", name, err)
 		}
 	}
 	return nil
 }
 
-// checkNames refuses what would overwrite the authority's files, after which no
-// daemon trusts another, or leave the directory.
+// checkNames rejects names that would overwrite the files of the authority, after
+// which daemons would not trust each other, or write outside the directory.
 func checkNames(names []string) error {
 	valid := regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 	for _, name := range names {
 		if name == caName || !valid.MatchString(name) {
-			return fmt.Errorf("%w: %q; use lower-case letters, digits, dots, dashes and "+
-				"underscores, 63 at most, and not %q, which is the authority's", ErrInvalidName, name, caName)
+			return fmt.Errorf("%w: %q; use at most 63 lower-case letters, digits, dots, dashes and "+
+				"underscores; %q is reserved for the authority", ErrInvalidName, name, caName)
 		}
 	}
 	return nil
 }
 
-// maker writes to a directory.
-type maker struct{ dir string }
+// issuer writes certificates and keys to a directory.
+type issuer struct{ dir string }
 
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// authority reads the one in the directory, or makes one.
-func (m maker) authority() (*authority, error) {
-	ca, err := m.readAuthority()
+// loadOrCreateAuthority loads the authority in the directory, or creates one.
+func (i issuer) loadOrCreateAuthority() (*authority, error) {
+	ca, err := i.readAuthority()
 	if !errors.Is(err, fs.ErrNotExist) {
 		return ca, err
 	}
@@ -99,26 +101,26 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := m.write(caName, der, key); err != nil {
+	if err := i.write(caName, der, key); err != nil {
 		return nil, err
 	}
 	cert, err := x509.ParseCertificate(der)
 	return &authority{cert: cert, key: key}, err
 }
 
-func (m maker) readAuthority() (*authority, error) {
-	certPEM, err := os.ReadFile(filepath.Join(m.dir, caName+".pem"))
+func (i issuer) readAuthority() (*authority, error) {
+	certPEM, err := os.ReadFile(filepath.Join(i.dir, caName+".pem"))
 	if err != nil {
 		return nil, err
 	}
-	keyPEM, err := os.ReadFile(filepath.Join(m.dir, caName+".key"))
+	keyPEM, err := os.ReadFile(filepath.Join(i.dir, caName+".key"))
 	if err != nil {
 		return nil, err
 	}
 	certBlock, _ := pem.Decode(certPEM)
 	keyBlock, _ := pem.Decode(keyPEM)
 	if certBlock == nil || keyBlock == nil {
-		return nil, errors.New("ca.pem or ca.key is no PEM file; remove both to make new ones")
+		return nil, errors.New("ca.pem or ca.key is not a PEM file; remove both to create new ones")
 	}
 	cert, err := x509.ParseCertificate(certBlock.Bytes)
 	if err != nil {
@@ -128,7 +130,7 @@
 	return &authority{cert: cert, key: key}, err
 }
 
-func (m maker) issue(ca *authority, name string) error {
+func (i issuer) issue(ca *authority, name string) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return err
@@ -141,7 +143,7 @@
 	if err != nil {
 		return err
 	}
-	return m.write(name, der, key)
+	return i.write(name, der, key)
 }
 
 func template(name string) *x509.Certificate {
@@ -150,19 +152,19 @@
 		SerialNumber: big.NewInt(now.UnixNano()),
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-time.Hour),
-		NotAfter:     now.Add(devLife),
+		NotAfter:     now.Add(validity),
 	}
 }
 
-func (m maker) write(name string, der []byte, key *ecdsa.PrivateKey) error {
+func (i issuer) write(name string, der []byte, key *ecdsa.PrivateKey) error {
 	keyDER, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
 		return err
 	}
 	cert := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
-	if err := os.WriteFile(filepath.Join(m.dir, name+".pem"), cert, modeCert); err != nil {
+	if err := os.WriteFile(filepath.Join(i.dir, name+".pem"), cert, certMode); err != nil {
 		return err
 	}
 	block := pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: keyDER})
-	return os.WriteFile(filepath.Join(m.dir, name+".key"), block, modeKey)
+	return os.WriteFile(filepath.Join(i.dir, name+".key"), block, keyMode)
 }
--- a/io/crdialect/crdialect.go
+++ b/io/crdialect/crdialect.go
@@ -8,9 +8,9 @@
 //
 // # Usage
 //
-//	caller, err := dialect.Caller(r.Header)
-//	dialect.Address(header, crdialect.Facts{Wait: left, Target: target})
-//	if dialect.Answer(resp.StatusCode, resp.Header).NotRun { ... }
+//	req, err := dialect.ParseRequest(r.Header)
+//	dialect.PrepareForward(header, crdialect.ForwardInfo{Timeout: left, Target: target})
+//	if dialect.ParseResponse(resp.StatusCode, resp.Header).NotRun { ... }
 package crdialect
 
 import (
