--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -1,9 +1,11 @@
-// Package crdaemon wires one daemon together and runs it: entry, exit, sessions
-// with the other daemons, the control loop, and the operators' pages.
+// Package crdaemon assembles and runs the daemon of `camphorroad serve`: entry,
+// exit, sessions with other daemons, the control loop, and the admin endpoints.
+// The reducers that it runs are in core/crdaemon. The daemon of `camphorroad join`,
+// which finds its fleet through records in the store, is in io/crmesh.
 //
 // # Usage
 //
-//	err := crdaemon.Run(ctx, cfg, os.Stderr, reload) // until ctx ends, then drains
+//	err := crdaemon.Run(ctx, cfg, os.Stderr, reload) // serves until ctx ends, then drains
 package crdaemon
 
 import (
@@ -48,22 +50,22 @@
 )
 
 const (
-	startTimeout = 10 * time.Second
-	stopTimeout  = 5 * time.Second
-	drainPoll    = 20 * time.Millisecond
-	// settle is how long a stopping daemon still takes new work after it has
-	// told its peers: what they have sent meanwhile is on its way.
-	settle = 300 * time.Millisecond
-	// unreadyTime is how long a daemon that can not serve takes no connections.
-	unreadyTime = 15 * time.Second
-	readyPoll   = 20 * time.Millisecond
+	startTimeout      = 10 * time.Second
+	stopTimeout       = 5 * time.Second
+	drainPollInterval = 20 * time.Millisecond
+	// drainNotice is how long a stopping daemon still accepts new requests after it
+	// has notified its peers, for requests that they sent before the notification.
+	drainNotice = 300 * time.Millisecond
+	// maxUnreadyWait is how long a daemon that cannot serve accepts no connections.
+	maxUnreadyWait    = 15 * time.Second
+	readyPollInterval = 20 * time.Millisecond
 )
 
-// Run starts a daemon, serves until ctx ends, drains, and returns. A value on
-// reload makes it read its certificates again; the channel may be nil.
+// Run starts a daemon, serves until ctx ends, drains, and returns. Each value on
+// reload makes it reload its certificates. The channel may be nil.
 func Run(ctx context.Context, cfg crsettings.Settings, logTo io.Writer, reload <-chan os.Signal) error {
-	// net/http prints the first bytes of answers that nobody asked for to the
-	// standard logger: some account's data, outside of the numbered events.
+	// net/http writes the first bytes of unsolicited responses to the standard
+	// logger. They can contain data of an account, so they must not be logged.
 	log.SetOutput(io.Discard)
 	var d *daemon
 	app := fx.New(
@@ -73,10 +75,10 @@
 			func() *crforward.Pulse { return crforward.NewPulse(crforward.DefaultPulseLimit, crclock.Now()) },
 			metrics.NewRegistry,
 			crhealth.NewRecorder,
-			newMeters,
+			newInstruments,
 			newIdentity,
-			newCertificate,
-			newRegistry,
+			newCallerCertificate,
+			newWireRegistry,
 			newExit,
 			newPlatform,
 			newShell,
@@ -90,7 +92,7 @@
 		fx.StopTimeout(stopTimeout),
 	)
 	if err := app.Err(); err != nil {
-		return fmt.Errorf("wire the daemon: %w", err)
+		return fmt.Errorf("assemble the daemon: %w", err)
 	}
 	if err := app.Start(ctx); err != nil {
 		return fmt.Errorf("start: %w", err)
@@ -105,15 +107,15 @@
 	return crpeer.LoadIdentity(cfg.TLS.Cert, cfg.TLS.Key, cfg.TLS.CA)
 }
 
-// newCertificate returns nil where callers come in clear text.
-func newCertificate(cfg crsettings.Settings) (*crentry.Certificate, error) {
+// newCallerCertificate returns nil if callers connect without TLS.
+func newCallerCertificate(cfg crsettings.Settings) (*crentry.Certificate, error) {
 	if cfg.TLS.CallerCert == "" {
 		return nil, nil
 	}
 	return crentry.LoadCertificate(cfg.TLS.CallerCert, cfg.TLS.CallerKey)
 }
 
-func newRegistry() (*crwire.Registry, error) {
+func newWireRegistry() (*crwire.Registry, error) {
 	return crwire.NewRegistry(crmember.Messages(), crconfig.Messages(), craccount.Messages(), crhealth.Messages())
 }
 
@@ -121,13 +123,13 @@
 	return crplatform.NewClient(cfg.Platform.URL)
 }
 
-func newExit(cfg crsettings.Settings, pulse *crforward.Pulse, m *meters, rec *crhealth.Recorder) *crexit.Exit {
+func newExit(cfg crsettings.Settings, pulse *crforward.Pulse, m *instruments, rec *crhealth.Recorder) *crexit.Exit {
 	specs := make([]crexit.Spec, 0, len(cfg.Targets))
 	for _, t := range cfg.Targets {
 		specs = append(specs, crexit.Spec{Name: crid.Target(t.Name), Service: crid.Service(t.Service), Addr: t.Addr})
 	}
 	return crexit.New(crexit.Options{
-		Targets: specs, Pulse: pulse, Clock: crclock.Now, Observe: m.ran, Idle: cfg.Limits.BodyIdle.Duration,
+		Targets: specs, Pulse: pulse, Clock: crclock.Now, Observe: m.observeRun, Idle: cfg.Limits.BodyIdle.Duration,
 		Hint: rec.Hint,
 		Probe: func(target crid.Target, ok bool, took time.Duration) {
 			rec.Record(target, probeResult(ok), took, crhealth.ProbeAccount)
@@ -136,7 +138,7 @@
 }
 
 func newShell(
-	lc fx.Lifecycle, cfg crsettings.Settings, log *crlog.Logger, pulse *crforward.Pulse, exit *crexit.Exit, m *meters,
+	lc fx.Lifecycle, cfg crsettings.Settings, log *crlog.Logger, pulse *crforward.Pulse, exit *crexit.Exit, m *instruments,
 	rec *crhealth.Recorder,
 ) (*shell, error) {
 	s := &shell{
@@ -147,20 +149,20 @@
 		exit:  exit,
 		loads: crview.NewLoads(),
 	}
-	s.in = crview.Input{Self: s.self, Domain: crid.Domain(cfg.Domain), Loads: s.loads}
-	s.wallet = craccount.NewTokenPool()
-	s.split = newSplit(cfg.Policy, s)
+	s.viewInput = crview.Input{Self: s.self, Domain: crid.Domain(cfg.Domain), Loads: s.loads}
+	s.tokenPool = craccount.NewTokenPool()
+	s.localSplit = newLocalSplit(cfg.Policy, s)
 	s.recorder = rec
 	s.steers = make(map[crid.Service]crhealth.Steer)
 	params := crdaemon.DefaultParams()
 	params.Config.FleetSize = cfg.Platform.Fleet
 	params.Health = healthParams(cfg.Policy)
 	opts := crcontrol.Options{
-		Clock: crclock.Now, Execute: s.do, Collect: s.before, Wake: s.wallet.DrainNeeded(), ObserveStep: m.stepped,
+		Clock: crclock.Now, Execute: s.execute, Collect: s.collect, Wake: s.tokenPool.DrainNeeded(), ObserveStep: m.observeStep,
 	}
 	parse, load := crconfig.Parser(crpolicyfile.ParseManifest), crconfig.Loader(crpolicyfile.NewLoader().Load)
 	if cfg.Trace.File != "" {
-		rec, err := newRecorder(lc, cfg.Trace, params, log)
+		rec, err := newTraceRecorder(lc, cfg.Trace, params, log)
 		if err != nil {
 			return nil, err
 		}
@@ -173,7 +175,7 @@
 	return s, nil
 }
 
-func newRecorder(lc fx.Lifecycle, cfg crsettings.Trace, params crdaemon.Params, log *crlog.Logger) (*crtrace.Recorder, error) {
+func newTraceRecorder(lc fx.Lifecycle, cfg crsettings.Trace, params crdaemon.Params, log *crlog.Logger) (*crtrace.Recorder, error) {
 	rec, err := crtrace.Create(cfg.File, crtrace.Options{
 		Params:  params,
 		Size:    cfg.Size,
@@ -205,45 +207,45 @@
 		Admit:   s,
 		Hop: &hop{
 			self: s.self, exit: s.exit, client: crhop.NewClient(peers), clock: crclock.Now,
-			recorder: s.recorder, replay: int64(cfg.Limits.ReplayBytes),
+			recorder: s.recorder, maxBuffered: int64(cfg.Limits.ReplayBytes),
 		},
 		Clock:   crclock.Now,
-		Observe: s.observe,
-		Chooser: newChooser(cfg.Policy),
+		Observe: s.recordAttempt,
+		Chooser: newPicker(cfg.Policy),
 		Replay:  cfg.Limits.ReplayBytes,
 		Held:    int64(cfg.Limits.HoldInFlight),
 		Idle:    cfg.Limits.BodyIdle.Duration,
 	})
 }
 
-// daemon is the running whole.
+// daemon holds the servers and components of a running daemon.
 type daemon struct {
-	cfg     crsettings.Settings
-	log     *crlog.Logger
-	shell   *shell
-	entry   *crentry.Entry
-	exit    *crexit.Exit
-	peerID  *crpeer.Identity
-	cert    *crentry.Certificate // nil: callers come in clear text
-	callers *http.Server
-	admin   *http.Server
-	cancel  context.CancelFunc
+	cfg          crsettings.Settings
+	log          *crlog.Logger
+	shell        *shell
+	entry        *crentry.Entry
+	exit         *crexit.Exit
+	peerID       *crpeer.Identity
+	callerCert   *crentry.Certificate // nil: callers connect without TLS
+	callerServer *http.Server
+	adminServer  *http.Server
+	cancel       context.CancelFunc
 }
 
 func newDaemon(
 	lc fx.Lifecycle, cfg crsettings.Settings, log *crlog.Logger, s *shell, entry *crentry.Entry,
-	exit *crexit.Exit, registry metrics.Registry, m *meters, id *crpeer.Identity, cert *crentry.Certificate,
+	exit *crexit.Exit, registry metrics.Registry, m *instruments, id *crpeer.Identity, cert *crentry.Certificate,
 	platform *crplatform.Client,
 ) (*daemon, error) {
 	if err := register(registry, slices.Concat(entryGauges(entry), s.gauges(exit), processGauges())); err != nil {
 		return nil, fmt.Errorf("register metrics: %w", err)
 	}
-	d := &daemon{cfg: cfg, log: log, shell: s, entry: entry, exit: exit, peerID: id, cert: cert}
-	d.callers = crentry.NewServer(m.timed(entry, crclock.Now), crentry.ServerOptions{
+	d := &daemon{cfg: cfg, log: log, shell: s, entry: entry, exit: exit, peerID: id, callerCert: cert}
+	d.callerServer = crentry.NewServer(m.timeRequests(entry, crclock.Now), crentry.ServerOptions{
 		HeaderBytes: cfg.Limits.HeaderBytes,
 		HeaderTime:  cfg.Limits.HeaderTime.Duration,
 	})
-	d.admin = &http.Server{
+	d.adminServer = &http.Server{
 		Handler:           cradmin.New(cradmin.Options{Ready: s.checkReady, State: d.state, Metrics: registry}),
 		ReadHeaderTimeout: cfg.Limits.HeaderTime.Duration,
 	}
@@ -265,13 +267,13 @@
 	admin, err := lc.Listen(startCtx, "tcp", d.cfg.Listen.Admin)
 	if err != nil {
 		_ = callers.Close()
-		return fmt.Errorf("listen for operators: %w", err)
+		return fmt.Errorf("listen for admin requests: %w", err)
 	}
 	d.log.Event(crlog.DaemonStarted, crlog.Fields{
 		"http": d.cfg.Listen.HTTP, "peer": d.shell.peers.Addr(), "admin": admin.Addr().String(),
 	})
-	d.shell.reader = &reader{
-		ctx: ctx, port: platform, loop: d.shell.loop, clock: crclock.Now,
+	d.shell.reader = &platformReader{
+		ctx: ctx, client: platform, loop: d.shell.loop, clock: crclock.Now,
 		timeout: crconfig.DefaultParams().ReadTimeout,
 	}
 	go d.shell.loop.Run(ctx)
@@ -284,45 +286,46 @@
 	}
 	go d.exit.Watch(ctx)
 	go d.serveCallers(ctx, callers)
-	go func() { _ = d.admin.Serve(admin) }()
+	go func() { _ = d.adminServer.Serve(admin) }()
 	return nil
 }
 
-// serveCallers takes connections once this daemon can serve, so that callers of a
-// fresh one try another address at once. One that can not for long takes them all
-// the same, and says why it refuses: it may be the only one that they reach.
-func (d *daemon) serveCallers(ctx context.Context, at *crentry.Reservation) {
-	if !d.awaitService(ctx) {
-		_ = at.Close()
+// serveCallers accepts connections once this daemon can serve requests, so that
+// until then callers fail fast and try another address. After maxUnreadyWait it
+// accepts them in any case and refuses requests with a reason: this daemon may be
+// the only one that they reach.
+func (d *daemon) serveCallers(ctx context.Context, reservation *crentry.Reservation) {
+	if !d.awaitServing(ctx) {
+		_ = reservation.Close()
 		return
 	}
-	ln, err := at.Listen()
+	ln, err := reservation.Listen()
 	if err != nil {
 		d.log.Event(crlog.CallerListenFailed, crlog.Fields{"error": err.Error()})
 		return
 	}
-	d.log.Event(crlog.CallersAccepted, crlog.Fields{"service": readyWord(d.shell.checkService())})
+	d.log.Event(crlog.CallersAccepted, crlog.Fields{"service": readyText(d.shell.checkServing())})
 	d.shell.listening.Store(true)
-	if d.cert == nil {
-		_ = d.callers.Serve(ln)
+	if d.callerCert == nil {
+		_ = d.callerServer.Serve(ln)
 		return
 	}
-	d.callers.TLSConfig = d.cert.Config()
-	_ = d.callers.ServeTLS(ln, "", "")
+	d.callerServer.TLSConfig = d.callerCert.Config()
+	_ = d.callerServer.ServeTLS(ln, "", "")
 }
 
-// awaitService returns once the daemon can serve, or has tried for long; false at
-// its stop.
-func (d *daemon) awaitService(ctx context.Context) bool {
-	long := time.NewTimer(unreadyTime)
-	defer long.Stop()
-	poll := time.NewTicker(readyPoll)
+// awaitServing waits until the daemon can serve requests, or maxUnreadyWait has
+// passed. It returns false if ctx ends first.
+func (d *daemon) awaitServing(ctx context.Context) bool {
+	timeout := time.NewTimer(maxUnreadyWait)
+	defer timeout.Stop()
+	poll := time.NewTicker(readyPollInterval)
 	defer poll.Stop()
-	for d.shell.checkService() != nil {
+	for d.shell.checkServing() != nil {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-long.C:
+		case <-timeout.C:
 			return true
 		case <-poll.C:
 		}
@@ -330,7 +333,7 @@
 	return true
 }
 
-// serve waits for the stop signal, reloading certificates meanwhile, and drains.
+// serve reloads certificates on request until ctx ends, then drains.
 func (d *daemon) serve(ctx context.Context, reload <-chan os.Signal) error {
 	for {
 		select {
@@ -342,12 +345,12 @@
 	}
 }
 
-// reload reads all certificates again. One that can not be read stays as it was
-// and does not keep the other from being renewed.
+// reload reloads all certificates. One that cannot be loaded stays in use and does
+// not prevent the reload of the other.
 func (d *daemon) reload() {
 	err := d.peerID.Reload()
-	if d.cert != nil {
-		err = errors.Join(err, d.cert.Reload())
+	if d.callerCert != nil {
+		err = errors.Join(err, d.callerCert.Reload())
 	}
 	if err != nil {
 		d.log.Event(crlog.CertReloadFailed, crlog.Fields{"error": err.Error()})
@@ -356,22 +359,22 @@
 	d.log.Event(crlog.CertReloaded, nil)
 }
 
-// drain refuses new work once the peers know, and waits until what is in flight
-// has finished.
+// drain notifies the peers, then refuses new requests, and waits until the requests
+// in flight have finished.
 func (d *daemon) drain() error {
 	d.log.Event(crlog.DaemonDraining, nil)
 	_ = d.shell.loop.Post(crevent.Stopping{Now: crclock.Now()})
-	time.Sleep(settle)
+	time.Sleep(drainNotice)
 	d.entry.Stop()
 	d.exit.Drain()
 	ctx, cancel := context.WithTimeout(context.Background(), d.cfg.Limits.DrainTime.Duration)
 	defer cancel()
-	err := d.callers.Shutdown(ctx)
+	err := d.callerServer.Shutdown(ctx)
 	for err == nil && d.exit.InFlight()+d.exit.Delivering() > 0 {
 		select {
 		case <-ctx.Done():
 			err = ctx.Err()
-		case <-time.After(drainPoll):
+		case <-time.After(drainPollInterval):
 		}
 	}
 	if err != nil {
@@ -383,7 +386,7 @@
 
 func (d *daemon) stop(ctx context.Context) error {
 	d.cancel()
-	err := errors.Join(d.callers.Close(), d.admin.Shutdown(ctx))
+	err := errors.Join(d.callerServer.Close(), d.adminServer.Shutdown(ctx))
 	d.log.Event(crlog.DaemonStopped, nil)
 	return err
 }
--- a/io/crdaemon/hop.go
+++ b/io/crdaemon/hop.go
@@ -12,16 +12,16 @@
 	"camphorroad/io/crhop"
 )
 
-// hop sends forwards to the own exit without a session, and to all others over
-// theirs.
+// hop forwards requests to the exit of this daemon directly, and to the exits of
+// other daemons over their sessions.
 type hop struct {
 	self   crid.Daemon
 	exit   *crexit.Exit
 	client *crhop.Client
 	clock  func() crid.Instant
 
-	recorder *crhealth.Recorder
-	replay   int64 // bytes of a body that is held whole before it is sent
+	recorder    *crhealth.Recorder
+	maxBuffered int64 // largest request body, in bytes, that is buffered completely before it is sent
 }
 
 var _ crentry.Hop = (*hop)(nil)
@@ -30,9 +30,9 @@
 func (h *hop) Forward(
 	ctx context.Context, to *crroute.Target, f *crhop.Forward, body crentry.BodySource, sent func(crentry.Revoker),
 ) (*crhop.Exchange, error) {
-	if f.Length >= 0 && f.Length <= h.replay {
-		// Until a longer body is sent the target waits for the caller, not the
-		// caller for the target.
+	if f.Length >= 0 && f.Length <= h.maxBuffered {
+		// Only a buffered body is timed: while a longer one is sent, the target may
+		// be waiting for the caller.
 		defer h.recorder.Begin(to.Name(), f.Account, h.clock()).End()
 	}
 	if to.Daemon() == h.self {
--- a/io/crdaemon/meters.go
+++ b/io/crdaemon/instruments.go
@@ -12,25 +12,25 @@
 	"camphorroad/io/crhop"
 )
 
-// The samples behind the quantiles favour the last five minutes, as the
-// library proposes. A histogram is used and not the library's timer, whose
-// rates are kept by a goroutine that nothing can end.
+// Parameters of the samples of the histograms, as recommended by the library: they
+// are biased towards the last five minutes. The library's timer is not used
+// because it starts a goroutine that cannot be stopped.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
 
-// meters are the daemon's measurements. Those that traffic adds to are kept
-// here; all others are read when the page is asked for.
-type meters struct {
-	request metrics.Histogram // a caller's request, until its answer was passed on; nanoseconds
-	run     metrics.Histogram // a run on a target, until the head of its answer; nanoseconds
-	step    metrics.Histogram // the reducers on one event; nanoseconds
-	failed  metrics.Counter   // runs without a good answer
+// instruments are the metrics that are updated on events. All other metrics are
+// gauges that are read when /metrics is requested.
+type instruments struct {
+	request metrics.Histogram // time of a caller's request until its response was forwarded, in nanoseconds
+	run     metrics.Histogram // time of a run on a target until the header of its response, in nanoseconds
+	step    metrics.Histogram // time of the reducers for one event, in nanoseconds
+	failed  metrics.Counter   // runs that failed or got a 5xx response
 }
 
-func newMeters(r metrics.Registry) *meters {
-	return &meters{
+func newInstruments(r metrics.Registry) *instruments {
+	return &instruments{
 		request: metrics.NewRegisteredHistogram("request.seconds", r, newSample()),
 		run:     metrics.NewRegisteredHistogram("run.seconds", r, newSample()),
 		step:    metrics.NewRegisteredHistogram("control.step.seconds", r, newSample()),
@@ -40,20 +40,20 @@
 
 func newSample() metrics.Sample { return metrics.NewExpDecaySample(sampleSize, sampleAlpha) }
 
-// stepped notes how long the reducers took for one event.
-func (m *meters) stepped(took time.Duration) { m.step.Update(int64(took)) }
+// observeStep records how long the reducers took for one event.
+func (m *instruments) observeStep(took time.Duration) { m.step.Update(int64(took)) }
 
-// ran notes one run on a target.
-func (m *meters) ran(_ crid.Target, _ crid.Account, fault crhop.Fault, status int, took time.Duration) {
+// observeRun records one run on a target.
+func (m *instruments) observeRun(_ crid.Target, _ crid.Account, fault crhop.Fault, status int, took time.Duration) {
 	m.run.Update(int64(took))
 	if fault != 0 || status >= http.StatusInternalServerError {
 		m.failed.Inc(1)
 	}
 }
 
-// timed notes how long each request took, those that end in a panic included:
-// that is how net/http is told to cut an answer.
-func (m *meters) timed(h http.Handler, clock func() crid.Instant) http.Handler {
+// timeRequests returns a handler that records how long each request took. This
+// includes requests that panic, which is how a handler aborts a response in net/http.
+func (m *instruments) timeRequests(h http.Handler, clock func() crid.Instant) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		started := clock()
 		defer func() { m.request.Update(int64(clock().Sub(started))) }()
@@ -61,8 +61,8 @@
 	})
 }
 
-// gauge is a measurement that is read when asked for. A name that ends with
-// total counts upwards from the daemon's start.
+// gauge is a metric that is read when it is requested. A gauge whose name ends with
+// total is a counter since the start of the daemon.
 type gauge struct {
 	name string
 	read func() int64
@@ -98,12 +98,12 @@
 		{"control.sent.bytes.total", func() int64 { sent, _ := s.peers.Traffic(); return sent }},
 		{"control.received.bytes.total", func() int64 { _, received := s.peers.Traffic(); return received }},
 		{"revision", s.revision},
-		{"standing", func() int64 { return bit(s.isTrusted(s.clock())) }},
-		{"ready", func() int64 { return bit(s.checkReady() == nil) }},
+		{"standing", func() int64 { return boolToInt(s.isTrusted(s.clock())) }},
+		{"ready", func() int64 { return boolToInt(s.checkReady() == nil) }},
 	}
 }
 
-// revision is the configuration in force; zero for none.
+// revision returns the revision of the active configuration, or zero if there is none.
 func (s *shell) revision() int64 {
 	view := s.view.Load()
 	if view == nil {
@@ -112,7 +112,7 @@
 	return int64(view.Snapshot().Revision())
 }
 
-func bit(on bool) int64 {
+func boolToInt(on bool) int64 {
 	if on {
 		return 1
 	}
--- a/io/crdaemon/meters_test.go
+++ b/io/crdaemon/instruments_test.go
@@ -21,9 +21,9 @@
 	"camphorroad/io/crhop"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-func golden(t *testing.T, name, got string) {
+func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := "testdata/" + name
 	if *update {
@@ -36,14 +36,14 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("differs from %s (go test -update writes it anew):\n%s", path, got)
+		t.Errorf("differs from %s (go test -update rewrites it):\n%s", path, got)
 	}
 }
 
-// Dashboards and alerts hold on to the names, so they may not change unseen.
-func TestNamesOfMetrics(t *testing.T) {
+// Dashboards and alerts depend on the names of metrics.
+func TestMetricNames(t *testing.T) {
 	r := metrics.NewRegistry()
-	newMeters(r)
+	newInstruments(r)
 	entry := crentry.New(crentry.Options{Clock: crclock.Now})
 	s := &shell{clock: crclock.Now, loop: crcontrol.New(nil, crcontrol.Options{Clock: crclock.Now})}
 	gauges := slices.Concat(entryGauges(entry), s.gauges(crexit.New(crexit.Options{Clock: crclock.Now})), processGauges())
@@ -53,7 +53,7 @@
 	var names []string
 	r.Each(func(name string, _ any) { names = append(names, name) })
 	slices.Sort(names)
-	golden(t, "metrics.golden", strings.Join(names, "\n")+"\n")
+	compareGolden(t, "metrics.golden", strings.Join(names, "\n")+"\n")
 	page, err := os.ReadFile("../../docs/operate/metrics.md")
 	if err != nil {
 		t.Fatal(err)
@@ -64,15 +64,15 @@
 		}
 	}
 	if heapBytes() == 0 {
-		t.Error("no heap is measured")
+		t.Error("heapBytes() = 0")
 	}
 }
 
-// An answer that breaks off ends in a panic by design. Were it not timed, the
-// slowest requests would be the ones missing from the latencies.
-func TestCutRequestsAreTimed(t *testing.T) {
-	m := newMeters(metrics.NewRegistry())
-	h := m.timed(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }), crclock.Now)
+// An aborted response ends in a panic. If it were not timed, the slowest requests
+// would be missing from the latencies.
+func TestAbortedRequestsAreTimed(t *testing.T) {
+	m := newInstruments(metrics.NewRegistry())
+	h := m.timeRequests(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }), crclock.Now)
 	func() {
 		defer func() {
 			if err, ok := recover().(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
@@ -87,19 +87,19 @@
 }
 
 func TestFailedRunsAreCounted(t *testing.T) {
-	m := newMeters(metrics.NewRegistry())
-	m.ran("t", "a", 0, http.StatusOK, time.Millisecond)
-	m.ran("t", "a", 0, http.StatusBadGateway, time.Millisecond)
-	m.ran("t", "a", crhop.FaultTimeout, 0, time.Millisecond)
+	m := newInstruments(metrics.NewRegistry())
+	m.observeRun("t", "a", 0, http.StatusOK, time.Millisecond)
+	m.observeRun("t", "a", 0, http.StatusBadGateway, time.Millisecond)
+	m.observeRun("t", "a", crhop.FaultTimeout, 0, time.Millisecond)
 	if m.run.Count() != 3 || m.failed.Count() != 2 {
 		t.Errorf("%d runs, %d failed", m.run.Count(), m.failed.Count())
 	}
 }
 
-func BenchmarkTimed(b *testing.B) {
-	m := newMeters(metrics.NewRegistry())
+func BenchmarkTimeRequests(b *testing.B) {
+	m := newInstruments(metrics.NewRegistry())
 	now := crid.Instant(0)
-	h := m.timed(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), func() crid.Instant { now++; return now })
+	h := m.timeRequests(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), func() crid.Instant { now++; return now })
 	for b.Loop() {
 		h.ServeHTTP(nil, nil)
 	}
--- a/io/crdaemon/platform.go
+++ b/io/crdaemon/platform.go
@@ -10,20 +10,21 @@
 	"camphorroad/io/crplatform"
 )
 
-// reader carries out the configuration reducer's calls to the platform, and
-// feeds their results back. Each call runs on a goroutine that ends with ctx.
-type reader struct {
+// platformReader executes the platform reads that the configuration reducer
+// requests, and posts their results to the control loop. Each read runs on its own
+// goroutine, which ends with ctx.
+type platformReader struct {
 	ctx     context.Context
-	port    crplatform.Port
+	client  crplatform.Port
 	loop    *crcontrol.Loop
 	clock   func() crid.Instant
 	timeout time.Duration
 }
 
-// perform makes the call of an effect. Its result waits for room in the queue: a
-// lost one would leave the reducer waiting for it.
-func (r *reader) perform(eff crevent.Effect) {
-	if ev, ok := crplatform.Perform(r.ctx, r.port, r.clock, r.timeout, eff); ok {
+// perform executes the read of an effect. Its result waits for room in the queue:
+// if it were dropped, the reducer would wait for it forever.
+func (r *platformReader) perform(eff crevent.Effect) {
+	if ev, ok := crplatform.Perform(r.ctx, r.client, r.clock, r.timeout, eff); ok {
 		_ = r.loop.PostWait(r.ctx, ev)
 	}
 }
--- a/io/crdaemon/policy.go
+++ b/io/crdaemon/policy.go
@@ -9,7 +9,7 @@
 	"camphorroad/io/crsettings"
 )
 
-// healthParams are the parameters of ejection for a policy.
+// healthParams returns the parameters of outlier detection for a policy.
 func healthParams(p crsettings.Policy) crhealth.Params {
 	params := crhealth.DefaultParams()
 	switch p.Eject {
@@ -21,24 +21,24 @@
 	return params
 }
 
-func newChooser(p crsettings.Policy) crroute.Picker[*crroute.Target] {
+func newPicker(p crsettings.Policy) crroute.Picker[*crroute.Target] {
 	if p.Choose == crsettings.ChooseRoundRobin {
 		return &crroute.RoundRobin[*crroute.Target]{}
 	}
 	return crroute.TwoChoices[*crroute.Target]{}
 }
 
-// newSplit returns the baseline of account rates where the policy asks for it,
-// and nil otherwise.
-func newSplit(p crsettings.Policy, s *shell) *craccount.LocalSplit {
+// newLocalSplit returns the rate limiter of the policy "split", or nil for any other
+// policy.
+func newLocalSplit(p crsettings.Policy, s *shell) *craccount.LocalSplit {
 	if p.Rate != crsettings.RateSplit {
 		return nil
 	}
-	return craccount.NewLocalSplit(p.Daemons, s.limits)
+	return craccount.NewLocalSplit(p.Daemons, s.accountLimits)
 }
 
-// limits are an account's rate and burst by the configuration in force.
-func (s *shell) limits(account crid.Account) crpolicy.Account {
+// accountLimits returns the rate and burst of an account in the active configuration.
+func (s *shell) accountLimits(account crid.Account) crpolicy.Account {
 	view := s.view.Load()
 	if view == nil {
 		return crpolicy.Account{}
--- a/io/crdaemon/process.go
+++ b/io/crdaemon/process.go
@@ -5,7 +5,7 @@
 	"runtime/metrics"
 )
 
-// The runtime's own names for the classes of memory that make up a process.
+// Names in runtime/metrics of the classes of memory of a process.
 const (
 	classObjects  = "/memory/classes/heap/objects:bytes"
 	classUnused   = "/memory/classes/heap/unused:bytes"
@@ -31,18 +31,19 @@
 
 func allocations() int64 { return runtimeMetric("/gc/heap/allocs:objects") }
 
-// runtimeBytes is what the runtime keeps for itself: spans, caches, the
-// collector's bitmaps. It is what remains of the whole without heap and stacks.
+// runtimeBytes returns the memory that the runtime uses itself, such as spans,
+// caches and the bitmaps of the garbage collector. It is the total without heap and
+// stacks.
 func runtimeBytes() int64 {
-	rest := runtimeMetric(classTotal)
+	n := runtimeMetric(classTotal)
 	for _, name := range []string{classObjects, classUnused, classFree, classReleased, classStacks} {
-		rest -= runtimeMetric(name)
+		n -= runtimeMetric(name)
 	}
-	return rest
+	return n
 }
 
-// runtimeMetric reads one of the runtime's figures without stopping the process,
-// as runtime.ReadMemStats would.
+// runtimeMetric returns the value of a runtime metric. Unlike runtime.ReadMemStats,
+// it does not stop the process.
 func runtimeMetric(name string) int64 {
 	sample := []metrics.Sample{{Name: name}}
 	metrics.Read(sample)
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -24,8 +24,8 @@
 	"camphorroad/io/crpeer"
 )
 
-// shell stands between the control loop and the world: it carries effects out,
-// and holds what traffic goroutines read.
+// shell connects the control loop to I/O: it executes effects, and holds the state
+// that request goroutines read.
 type shell struct {
 	self   crid.Daemon
 	log    *crlog.Logger
@@ -35,33 +35,34 @@
 	loads  *crview.Loads
 	peers  *crpeer.Transport
 	loop   *crcontrol.Loop
-	reader *reader
-
-	wallet   *craccount.TokenPool
-	split    *craccount.LocalSplit // a baseline; nil in service
-	recorder *crhealth.Recorder
-
-	view    atomic.Pointer[crview.View]
-	trusted atomic.Int64 // the instant up to which keys and policy may be acted on
-	ready   atomic.Bool  // the newest configuration that could be learnt is in force
-	settled atomic.Bool  // the shares of rates that are owned here are minted
-
-	listening atomic.Bool // callers can connect
-
-	// The rest is the control goroutine's.
-	config  *crconfig.State
-	account *craccount.State
-	steers  map[crid.Service]crhealth.Steer
-	in      crview.Input
-	contact crid.Instant // up to which the fleet is known to be in contact
-	dirty   bool
+	reader *platformReader
+
+	tokenPool  *craccount.TokenPool
+	localSplit *craccount.LocalSplit // nil unless the policy is "split"
+	recorder   *crhealth.Recorder
+
+	view          atomic.Pointer[crview.View]
+	trustedUntil  atomic.Int64 // instant until which keys and policy may be used
+	configReady   atomic.Bool  // the newest configuration that the sources reported is active
+	refillsShares atomic.Bool  // all shares owned by this daemon are refilled
+
+	listening atomic.Bool // connections of callers are accepted
+
+	// The following fields are used by the control goroutine only.
+	config       *crconfig.State
+	account      *craccount.State
+	steers       map[crid.Service]crhealth.Steer
+	viewInput    crview.Input
+	contactUntil crid.Instant // instant until which this daemon is in contact with the fleet
+	viewDirty    bool
 }
 
 var _ crpeer.Handler = (*shell)(nil)
 
 // Message implements crpeer.Handler.
 func (s *shell) Message(from crid.Daemon, msg crevent.Message) {
-	// A full queue drops the message; its sender repeats what still matters.
+	// If the queue is full the message is dropped. Senders retransmit what is still
+	// relevant.
 	_ = s.loop.Post(crevent.Received{Now: s.clock(), From: from, Msg: msg})
 }
 
@@ -70,50 +71,50 @@
 	return s.exit.OpenSession(ctx)
 }
 
-// do carries out one effect; the control goroutine calls it.
-func (s *shell) do(eff crevent.Effect) {
+// execute executes one effect. The control goroutine calls it.
+func (s *shell) execute(eff crevent.Effect) {
 	switch eff := eff.(type) {
 	case crevent.Send:
 		_ = s.peers.Send(eff.To, eff.Msg)
 	case crevent.Report:
 		s.log.Event(eff.Number, crlog.Fields(eff.Fields))
 	case crinstance.Listed:
-		s.listed(eff.List)
+		s.applyList(eff.List)
 	case crmember.Tenure:
-		s.contact = eff.Contact
-		s.trust(eff.Now)
+		s.contactUntil = eff.Contact
+		s.updateTrust(eff.Now)
 	case crmember.Peers:
-		s.in.Peers = eff.Peers
-		s.dirty = s.dirty || !eff.Passing // sampled peers are never lost, so the view is the same
+		s.viewInput.Peers = eff.Peers
+		s.viewDirty = s.viewDirty || !eff.Passing // a change of sampled peers does not affect the view
 	case crconfig.Applied:
-		s.inForce(eff)
+		s.applyConfig(eff)
 	case crconfig.WatchPlatform, crconfig.ReadPlatform, crconfig.ReadList:
 		go s.reader.perform(eff)
 	case crhealth.Steer:
-		s.steer(eff)
+		s.applySteer(eff)
 	case craccount.Deposit:
-		s.wallet.Deposit(eff)
+		s.tokenPool.Deposit(eff)
 	case craccount.Withdraw:
-		s.wallet.Withdraw(eff)
+		s.tokenPool.Withdraw(eff)
 	case craccount.Forget:
-		s.wallet.Forget(eff)
+		s.tokenPool.Forget(eff)
 	}
 }
 
-// trust tells the traffic side how long it may act on what it knows. A daemon
-// that knows of a newer configuration which it can not get may hold keys that
-// were withdrawn in it, and trusts none.
-func (s *shell) trust(now crid.Instant) {
-	s.ready.Store(s.config.Ready())
-	s.settled.Store(s.account.RefillsAllShares())
+// updateTrust sets until when request goroutines may use keys and policy. If a newer
+// configuration is known but cannot be fetched, the active one may contain keys
+// that were revoked in it, so nothing is trusted.
+func (s *shell) updateTrust(now crid.Instant) {
+	s.configReady.Store(s.config.Ready())
+	s.refillsShares.Store(s.account.RefillsAllShares())
 	if !s.config.Trusted(now) {
-		s.trusted.Store(0)
+		s.trustedUntil.Store(0)
 		return
 	}
-	s.trusted.Store(int64(s.contact))
+	s.trustedUntil.Store(int64(s.contactUntil))
 }
 
-func (s *shell) listed(list crinstance.List) {
+func (s *shell) applyList(list crinstance.List) {
 	addrs := make(map[crid.Daemon]string, list.Len())
 	for _, inst := range list.Instances() {
 		if inst.Daemon != s.self {
@@ -121,21 +122,21 @@
 		}
 	}
 	s.peers.SetAddrs(addrs)
-	s.in.List = list
-	s.dirty = true
+	s.viewInput.List = list
+	s.viewDirty = true
 }
 
-func (s *shell) inForce(eff crconfig.Applied) {
+func (s *shell) applyConfig(eff crconfig.Applied) {
 	_ = s.loop.Post(crmember.Advertise{Now: eff.Now, Conf: uint64(eff.Snapshot.Revision())})
 	first := s.view.Load() == nil
-	in := s.in
+	in := s.viewInput
 	in.Snapshot = eff.Snapshot
 	view, err := crview.Build(in)
 	if err != nil {
 		s.log.Event(crlog.RoutesRejected, crlog.Fields{"error": err.Error()})
 		return
 	}
-	s.in = in
+	s.viewInput = in
 	s.view.Store(view)
 	for _, t := range s.exit.Apply(eff.Snapshot) {
 		s.log.Event(crlog.TargetUnknown, crlog.Fields{"target": string(t)})
@@ -145,37 +146,38 @@
 	}
 }
 
-// before runs at each tick: it notices pauses and renews the view, so that many
-// changes of one moment make one view.
-func (s *shell) before(now crid.Instant) []crevent.Event {
+// collect runs at each tick. It detects pauses of the process and rebuilds the view
+// if its input has changed, so that several changes within a tick cause one rebuild.
+// It returns the counters of the request path as events.
+func (s *shell) collect(now crid.Instant) []crevent.Event {
 	if s.pulse.Beat(now) {
 		s.log.Event(crlog.DaemonPaused, nil)
 	}
 	s.expireSteers(now)
-	if view := s.view.Load(); s.dirty && view != nil {
-		s.in.Steers = s.steerTargets()
-		s.view.Store(view.With(s.in))
-		s.dirty = false
+	if view := s.view.Load(); s.viewDirty && view != nil {
+		s.viewInput.Steers = s.steersByTarget()
+		s.view.Store(view.With(s.viewInput))
+		s.viewDirty = false
 	}
-	s.trust(now)
-	return s.drained(now)
+	s.updateTrust(now)
+	return s.drainCounters(now)
 }
 
-// isTrusted reports whether this daemon may act on what it knows.
+// isTrusted reports whether this daemon may use its keys and policy.
 func (s *shell) isTrusted(now crid.Instant) bool {
-	return s.ready.Load() && now.Before(crid.Instant(s.trusted.Load()))
+	return s.configReady.Load() && now.Before(crid.Instant(s.trustedUntil.Load()))
 }
 
 var (
 	errNoConfiguration = errors.New("no configuration yet")
-	errNoStanding      = errors.New("cut off from the fleet")
-	errNotSettled      = errors.New("no tokens are minted here yet")
+	errPartitioned     = errors.New("cut off from the fleet")
+	errNoTokens        = errors.New("no tokens are minted here yet")
 	errNotListening    = errors.New("callers can not connect yet")
 )
 
-// checkReady reports why callers can not be served here, or nil.
+// checkReady returns nil if callers can connect and be served, or the reason why not.
 func (s *shell) checkReady() error {
-	if err := s.checkService(); err != nil {
+	if err := s.checkServing(); err != nil {
 		return err
 	}
 	if !s.listening.Load() {
@@ -184,52 +186,52 @@
 	return nil
 }
 
-// checkService is checkReady but for the callers' connections.
-func (s *shell) checkService() error {
+// checkServing is like checkReady, but does not require that callers can connect.
+func (s *shell) checkServing() error {
 	switch {
-	case s.view.Load() == nil || !s.ready.Load():
+	case s.view.Load() == nil || !s.configReady.Load():
 		return errNoConfiguration
 	case !s.isTrusted(s.clock()):
-		return errNoStanding
-	case s.split == nil && !s.settled.Load():
-		return errNotSettled
+		return errPartitioned
+	case s.localSplit == nil && !s.refillsShares.Load():
+		return errNoTokens
 	}
 	return nil
 }
 
-// Admit implements crentry.Admitter. Only an account that was not seen here
-// lately waits, for one round trip to its owners at most.
+// Admit implements crentry.Admitter. It blocks only for an account without recent
+// requests at this daemon, for at most one round trip to the owners of its shares.
 func (s *shell) Admit(ctx context.Context, account crid.Account, _ crid.Instant) (bool, time.Duration) {
-	if s.split != nil {
-		d := s.split.Take(account, s.clock())
+	if s.localSplit != nil {
+		d := s.localSplit.Take(account, s.clock())
 		return d.Outcome == craccount.Admitted, d.RetryAfter
 	}
-	wait := &coldContext{Context: ctx}
-	defer wait.end()
-	d := s.wallet.Admit(wait, account, s.clock)
+	waitCtx := &lazyTimeoutContext{Context: ctx}
+	defer waitCtx.release()
+	d := s.tokenPool.Admit(waitCtx, account, s.clock)
 	return d.Outcome == craccount.Admitted, d.RetryAfter
 }
 
-// coldWait bounds the wait for an account's first tokens.
-const coldWait = 200 * time.Millisecond
+// tokenWaitTimeout limits how long a request waits for the first tokens of its account.
+const tokenWaitTimeout = 200 * time.Millisecond
 
-// coldContext ends coldWait after it is first waited for. Nearly no request
-// waits, and a context with a timer for each is a large part of an admission. It
-// is for one goroutine.
-type coldContext struct {
+// lazyTimeoutContext expires tokenWaitTimeout after the first call of Done. Few
+// requests wait, and a context with a timer for every request would be a large part
+// of the cost of an admission. It is not safe for concurrent use.
+type lazyTimeoutContext struct {
 	context.Context
 	cancel context.CancelFunc
 }
 
 // Done implements context.Context.
-func (c *coldContext) Done() <-chan struct{} {
+func (c *lazyTimeoutContext) Done() <-chan struct{} {
 	if c.cancel == nil {
-		c.Context, c.cancel = context.WithTimeout(c.Context, coldWait)
+		c.Context, c.cancel = context.WithTimeout(c.Context, tokenWaitTimeout)
 	}
 	return c.Context.Done()
 }
 
-func (c *coldContext) end() {
+func (c *lazyTimeoutContext) release() {
 	if c.cancel != nil {
 		c.cancel()
 	}
--- a/io/crdaemon/state.go
+++ b/io/crdaemon/state.go
@@ -16,52 +16,52 @@
 	"camphorroad/io/crexit"
 )
 
-// The parts of the dump that are not a reducer's alone.
+// Parts of the dump with state from outside the reducers.
 const (
 	partAccount = "account"
 	partTraffic = "traffic"
 )
 
-// stateDump is a daemon's whole state on request. It must hold no secret.
+// stateDump is the state of a daemon as served at /state. It must not contain secrets.
 type stateDump struct {
 	Daemon   crid.Daemon    `json:"daemon"`
 	Domain   crid.Domain    `json:"domain"`
-	Now      crid.Instant   `json:"now"` // the daemon's clock, which all instants of the dump are read from
+	Now      crid.Instant   `json:"now"` // the daemon's clock; all instants in the dump refer to it
 	Ready    string         `json:"ready"`
-	Standing bool           `json:"standing"` // it may act on what it knows
-	Revision int64          `json:"revision"` // in force; zero for none
+	Standing bool           `json:"standing"` // it may use its keys and policy
+	Revision int64          `json:"revision"` // of the active configuration; zero if there is none
 	Parts    map[string]any `json:"parts"`
 }
 
-// accountDump is the part of client accounts.
+// accountDump is the part "account": limits of client accounts.
 type accountDump struct {
-	Control any                    `json:"control"`
+	Control any                  `json:"control"`
 	Wallet  []craccount.PoolDump `json:"wallet"`
 }
 
-// trafficDump is the part of requests and connections.
+// trafficDump is the part "traffic": requests and connections.
 type trafficDump struct {
-	InFlight int64                           `json:"inflight"` // callers' requests
+	InFlight int64                           `json:"inflight"` // requests of callers
 	Sent     int64                           `json:"sent"`     // bytes of control messages
 	Received int64                           `json:"received"` // bytes of control messages
-	Dropped  int64                           `json:"dropped"`  // control events
+	Dropped  int64                           `json:"dropped"`  // control events dropped
 	Requests requestCounts                   `json:"requests"`
 	Services map[crid.Service][]crroute.Dump `json:"services"`
 	Exit     crexit.Dump                     `json:"exit"`
 }
 
-// requestCounts are callers' requests since the start.
+// requestCounts counts requests of callers since the start of the daemon.
 type requestCounts struct {
 	Answered int64 `json:"answered"`
 	NotRun   int64 `json:"notrun"`
 	Unknown  int64 `json:"unknown"`
 	Cut      int64 `json:"cut"`
-	Denied   int64 `json:"denied"`  // without a good key; in notrun too
-	Limited  int64 `json:"limited"` // over the rate; in notrun too
-	Retried  int64 `json:"retried"` // attempts beyond the first
+	Denied   int64 `json:"denied"`  // without a valid key; included in notrun
+	Limited  int64 `json:"limited"` // over the rate; included in notrun
+	Retried  int64 `json:"retried"` // attempts after the first
 }
 
-// state returns the whole dump, or one part of it alone.
+// state returns the whole dump, or only the named part if part is not empty.
 func (d *daemon) state(ctx context.Context, part string) (any, error) {
 	control, err := d.shell.loop.Dump(ctx)
 	if err != nil {
@@ -71,31 +71,31 @@
 	if part == "" {
 		return dump, nil
 	}
-	one, ok := dump.Parts[part]
+	p, ok := dump.Parts[part]
 	if !ok {
-		known := strings.Join(slices.Sorted(maps.Keys(dump.Parts)), ", ")
-		return nil, fmt.Errorf("%w: %q; this daemon has %s", cradmin.ErrUnknownPart, part, known)
+		names := strings.Join(slices.Sorted(maps.Keys(dump.Parts)), ", ")
+		return nil, fmt.Errorf("%w: %q; this daemon has %s", cradmin.ErrUnknownPart, part, names)
 	}
-	return one, nil
+	return p, nil
 }
 
 func (d *daemon) dump(control crdaemon.Dump) stateDump {
 	now := crclock.Now()
 	parts := maps.Clone(control.Parts)
-	parts[partAccount] = accountDump{Control: control.Parts[partAccount], Wallet: d.shell.wallet.Dump(now)}
+	parts[partAccount] = accountDump{Control: control.Parts[partAccount], Wallet: d.shell.tokenPool.Dump(now)}
 	parts[partTraffic] = d.traffic(now)
 	return stateDump{
 		Daemon:   d.cfg.Daemon(),
 		Domain:   crid.Domain(d.cfg.Domain),
 		Now:      now,
-		Ready:    readyWord(d.shell.checkReady()),
+		Ready:    readyText(d.shell.checkReady()),
 		Standing: d.shell.isTrusted(now),
 		Revision: d.shell.revision(),
 		Parts:    parts,
 	}
 }
 
-func readyWord(err error) string {
+func readyText(err error) string {
 	if err != nil {
 		return err.Error()
 	}
@@ -124,7 +124,7 @@
 	}
 }
 
-// services are the targets that requests are sent to, by service.
+// services returns the targets in the current view, by service.
 func (s *shell) services(now crid.Instant) map[crid.Service][]crroute.Dump {
 	out := make(map[crid.Service][]crroute.Dump)
 	view := s.view.Load()
--- a/io/crdaemon/state_test.go
+++ b/io/crdaemon/state_test.go
@@ -23,12 +23,12 @@
 	"camphorroad/io/crsettings"
 )
 
-// newTestDaemon is a daemon whose control loop runs, without any socket.
+// newTestDaemon returns a daemon with a running control loop and without sockets.
 func newTestDaemon(t *testing.T) *daemon {
 	t.Helper()
 	cfg := crsettings.Defaults()
 	cfg.Name, cfg.Domain = "booking-1", "north"
-	m := newMeters(metrics.NewRegistry())
+	m := newInstruments(metrics.NewRegistry())
 	pulse := crforward.NewPulse(crforward.DefaultPulseLimit, crclock.Now())
 	rec := crhealth.NewRecorder()
 	exit := newExit(cfg, pulse, m, rec)
@@ -43,21 +43,21 @@
 	return &daemon{cfg: cfg, shell: s, exit: exit, entry: crentry.New(crentry.Options{Clock: crclock.Now})}
 }
 
-// Those who read dumps by program hold on to the fields. The fields are those
-// of the types, so that also what is empty in a quiet daemon is told.
-func TestFieldsOfTheDump(t *testing.T) {
+// Tools depend on the fields of the dump. The fields are collected from the types,
+// so that those that are empty in an idle daemon are included.
+func TestDumpFields(t *testing.T) {
 	d := newTestDaemon(t)
 	dump, err := d.state(t.Context(), "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	fields := make(map[string]bool)
-	walk(t, reflect.ValueOf(dump), reflect.TypeOf(dump), "", fields)
-	golden(t, "state.golden", strings.Join(slices.Sorted(maps.Keys(fields)), "\n")+"\n")
+	collectFields(t, reflect.ValueOf(dump), reflect.TypeOf(dump), "", fields)
+	compareGolden(t, "state.golden", strings.Join(slices.Sorted(maps.Keys(fields)), "\n")+"\n")
 }
 
-// A part that is asked for by a wrong name must not look like an empty one.
-func TestPartOfTheDump(t *testing.T) {
+// An unknown part must be an error and not an empty part.
+func TestDumpParts(t *testing.T) {
 	d := newTestDaemon(t)
 	for _, part := range []string{"member", "config", "account", "traffic"} {
 		if v, err := d.state(t.Context(), part); err != nil || v == nil {
@@ -69,21 +69,22 @@
 	}
 }
 
-// walk collects the paths of all fields, and refuses types that hold secrets.
-func walk(t *testing.T, v reflect.Value, typ reflect.Type, path string, fields map[string]bool) {
+// collectFields adds the paths of all fields to fields. It fails the test for types
+// that contain secrets.
+func collectFields(t *testing.T, v reflect.Value, typ reflect.Type, path string, fields map[string]bool) {
 	t.Helper()
 	if typ == reflect.TypeFor[crpolicy.KeyHash]() || typ == reflect.TypeFor[crpolicy.Account]() {
-		t.Errorf("%s holds a key's hash", path)
+		t.Errorf("%s contains the hash of a key", path)
 	}
 	switch typ.Kind() {
 	case reflect.Interface:
 		if v.IsValid() && !v.IsNil() {
-			walk(t, v.Elem(), v.Elem().Type(), path, fields)
+			collectFields(t, v.Elem(), v.Elem().Type(), path, fields)
 		}
 	case reflect.Pointer, reflect.Slice:
-		walk(t, reflect.Value{}, typ.Elem(), path, fields)
+		collectFields(t, reflect.Value{}, typ.Elem(), path, fields)
 	case reflect.Map:
-		walkMap(t, v, typ, path, fields)
+		collectMapFields(t, v, typ, path, fields)
 	case reflect.Struct:
 		for i := range typ.NumField() {
 			name, _, _ := strings.Cut(typ.Field(i).Tag.Get("json"), ",")
@@ -91,20 +92,20 @@
 			if v.IsValid() {
 				field = v.Field(i)
 			}
-			walk(t, field, typ.Field(i).Type, path+"."+name, fields)
+			collectFields(t, field, typ.Field(i).Type, path+"."+name, fields)
 		}
 	default:
 		fields[path] = true
 	}
 }
 
-func walkMap(t *testing.T, v reflect.Value, typ reflect.Type, path string, fields map[string]bool) {
+func collectMapFields(t *testing.T, v reflect.Value, typ reflect.Type, path string, fields map[string]bool) {
 	t.Helper()
 	if typ.Elem().Kind() != reflect.Interface || !v.IsValid() {
-		walk(t, reflect.Value{}, typ.Elem(), path+".*", fields)
+		collectFields(t, reflect.Value{}, typ.Elem(), path+".*", fields)
 		return
 	}
 	for _, key := range v.MapKeys() {
-		walk(t, v.MapIndex(key), typ.Elem(), path+"."+key.String(), fields)
+		collectFields(t, v.MapIndex(key), typ.Elem(), path+"."+key.String(), fields)
 	}
 }
--- a/io/crdaemon/steer.go
+++ b/io/crdaemon/steer.go
@@ -11,26 +11,26 @@
 	"camphorroad/io/crentry"
 )
 
-// steer takes the health side's word on one service's targets.
-func (s *shell) steer(eff crhealth.Steer) {
+// applySteer stores the ejections and weights of the targets of one service.
+func (s *shell) applySteer(eff crhealth.Steer) {
 	s.steers[eff.Service] = eff
-	s.dirty = true
+	s.viewDirty = true
 }
 
-// expireSteers drops what holds no more, also when no newer word comes: were a
-// verdict to outlive its arbiter here, the next arbiter's ejections would come
-// on top of it and push the service below its floor.
+// expireSteers removes expired ejections and weights. If the verdict of an arbiter
+// were used after its expiry, the ejections of the next arbiter would be added to
+// it, and the service could fall below its floor.
 func (s *shell) expireSteers(now crid.Instant) {
 	for service, eff := range s.steers {
 		if !now.Before(eff.Until) {
 			delete(s.steers, service)
-			s.dirty = true
+			s.viewDirty = true
 		}
 	}
 }
 
-// steerTargets is the word on every target that has one.
-func (s *shell) steerTargets() map[crid.Target]crview.Steer {
+// steersByTarget returns the unexpired ejections and weights by target.
+func (s *shell) steersByTarget() map[crid.Target]crview.Steer {
 	targets := make(map[crid.Target]crview.Steer)
 	for _, eff := range s.steers {
 		for _, t := range eff.Targets {
@@ -40,12 +40,13 @@
 	return targets
 }
 
-// observe records what an attempt showed of a target; traffic goroutines call it.
-func (s *shell) observe(_ crid.Service, target crid.Target, account crid.Account, o crentry.Outcome, took time.Duration) {
-	s.recorder.Record(target, resultOf(o), took, account)
+// recordAttempt records the outcome of an attempt at a target. Request goroutines call
+// it.
+func (s *shell) recordAttempt(_ crid.Service, target crid.Target, account crid.Account, o crentry.Outcome, took time.Duration) {
+	s.recorder.Record(target, attemptResult(o), took, account)
 }
 
-func resultOf(o crentry.Outcome) crhealth.Result {
+func attemptResult(o crentry.Outcome) crhealth.Result {
 	switch o {
 	case crentry.OutcomeOK:
 		return crhealth.ResultOK
@@ -63,7 +64,7 @@
 	return crhealth.ResultUnreachable
 }
 
-// probeResult is the evidence of a probe with a known answer.
+// probeResult returns the result of a health probe whose expected response is known.
 func probeResult(ok bool) crhealth.Result {
 	if ok {
 		return crhealth.ResultOK
@@ -71,10 +72,10 @@
 	return crhealth.ResultWrong
 }
 
-// drained returns the traffic side's counters as events.
-func (s *shell) drained(now crid.Instant) []crevent.Event {
+// drainCounters returns the counters of the request path as events and resets them.
+func (s *shell) drainCounters(now crid.Instant) []crevent.Event {
 	var events []crevent.Event
-	if usage := s.wallet.Drain(now); len(usage) > 0 {
+	if usage := s.tokenPool.Drain(now); len(usage) > 0 {
 		events = append(events, craccount.UsageDrained{Now: now, Usage: usage})
 	}
 	if samples := s.recorder.Drain(now); len(samples) > 0 {
--- a/io/crlog/catalogue.go
+++ b/io/crlog/catalogue.go
@@ -17,7 +17,7 @@
 	LevelError       // needs an operator
 )
 
-// String returns the name of the level as it stands in log lines.
+// String returns the name of the level as written in log lines.
 func (l Level) String() string { return l.logrus().String() }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -76,14 +76,14 @@
 		return err
 	}
 	entries := Catalogue()
-	for i, a := range numberRanges() {
+	for i, r := range numberRanges() {
 		last := len(numberRanges()) == i+1
 		n := len(entries)
 		if !last {
 			next := numberRanges()[i+1].first
 			n = slices.IndexFunc(entries, func(e Entry) bool { return e.Number >= next })
 		}
-		if err := writeSection(w, a.title, entries[:n]); err != nil {
+		if err := writeSection(w, r.title, entries[:n]); err != nil {
 			return err
 		}
 		entries = entries[n:]
