--- a/command/log/log.go
+++ b/command/log/log.go
@@ -232,7 +232,7 @@
 		return slices.Contains(c.targets, l.fields["target"])
 	case crlog.OwnerSilent:
 		return entry && slices.Contains(c.accounts, l.fields["account"])
-	case crlog.PeerSilent, crlog.PeerRecovered, crlog.StoreLost, crlog.StoreRecovered, crlog.PlanInForce, crlog.PlanRejected,
+	case crlog.PeerSilent, crlog.PeerRecovered, crlog.StoreLost, crlog.StoreRecovered, crlog.PlanApplied, crlog.PlanRejected,
 		crlog.MeshStarted, crlog.MeshReady, crlog.MeshStopping, crlog.MeshPaused, crlog.LogDropped:
 		return entry
 	}
--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -16,7 +16,7 @@
 	StoreRecovered         = 611
 	RecordInvalid          = 612
 	PlanRejected           = 613
-	PlanInForce            = 614
+	PlanApplied            = 614
 	TargetsChanged         = 615
 	CopiedFromPeer         = 616
 	PeerCopyFailed         = 617
@@ -76,7 +76,7 @@
 			PlanRejected, LevelError, "configuration rejected",
 			"the configuration in the store is invalid", "the previous configuration stays active as a whole", "read the field `error`, correct the configuration and publish again",
 		},
-		{PlanInForce, LevelInfo, "configuration applied", "a newer configuration was read", "the new routes, keys and limits apply", none},
+		{PlanApplied, LevelInfo, "configuration applied", "a newer configuration was read", "the new routes, keys and limits apply", none},
 		{TargetsChanged, LevelInfo, "targets changed", "targets were added or removed, or are shutting down", none, none},
 		{
 			CopiedFromPeer, LevelInfo, "copied from a peer",
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -182,7 +182,7 @@
 
 func (d *daemon) logView(before, v *crmesh.View) {
 	if v.Plan != before.Plan {
-		d.log.Event(crlog.PlanInForce, crlog.Fields{"plan": v.Plan.Label()})
+		d.log.Event(crlog.PlanApplied, crlog.Fields{"plan": v.Plan.Label()})
 	}
 	came, went := compare(before.Targets, v.Targets)
 	if came+went != "" {
