--- a/io/crlog/catalogue_member.go
+++ b/io/crlog/catalogue_member.go
@@ -46,7 +46,7 @@
 		},
 		{
 			crmember.EventPeerLost, LevelWarn, "peer lost",
-			"no messages in both directions for the lease horizon; in fleets of more than 31 daemons logged for voters only",
+			"messages did not pass in both directions for the lease horizon; in fleets of more than 31 daemons logged for voters only",
 			"its targets get no requests from this daemon", "check the peer and the network path to it",
 		},
 		{
