--- a/command/cert/cert.go
+++ b/command/cert/cert.go
@@ -36,13 +36,13 @@
 // Run writes the files.
 func (o *DevOptions) Run(f *factory.Factory) error {
 	if err := crcert.Issue(o.Out, o.Names...); err != nil {
-		if errors.Is(err, crcert.ErrName) {
+		if errors.Is(err, crcert.ErrInvalidName) {
 			return fmt.Errorf("%w: %w", factory.ErrUsage, err)
 		}
 		return err
 	}
 	for _, name := range o.Names {
-		if _, err := fmt.Fprintf(f.Out, "%s\t%s\n", name, crcert.File(o.Out, name)); err != nil {
+		if _, err := fmt.Fprintf(f.Out, "%s\t%s\n", name, crcert.CertPath(o.Out, name)); err != nil {
 			return err
 		}
 	}
--- a/command/log/log.go
+++ b/command/log/log.go
@@ -228,11 +228,11 @@
 	}
 	entry := slices.Contains(c.entries, l.daemon)
 	switch l.event {
-	case crlog.TargetJudged:
+	case crlog.TargetSuspicionChanged:
 		return slices.Contains(c.targets, l.fields["target"])
 	case crlog.OwnerSilent:
 		return entry && slices.Contains(c.accounts, l.fields["account"])
-	case crlog.PeerSilent, crlog.PeerHeard, crlog.StoreLost, crlog.StoreBack, crlog.PlanInForce, crlog.PlanBad,
+	case crlog.PeerSilent, crlog.PeerRecovered, crlog.StoreLost, crlog.StoreRecovered, crlog.PlanApplied, crlog.PlanRejected,
 		crlog.MeshStarted, crlog.MeshReady, crlog.MeshStopping, crlog.MeshPaused, crlog.LogDropped:
 		return entry
 	}
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -141,7 +141,7 @@
 	*Entry
 	started  crid.Instant
 	http     *http.Request
-	caller   crdialect.Caller
+	caller   crdialect.RequestInfo
 	view     *crmesh.View
 	route    *crplan.Route
 	account  *crplan.Account // nil: none
@@ -178,7 +178,7 @@
 
 // identify finds the route, the account and the service.
 func (q *request) identify() (reply, bool) {
-	caller, err := q.opts.Dialect.Caller(q.http.Header)
+	caller, err := q.opts.Dialect.ParseRequest(q.http.Header)
 	q.caller = caller
 	if err != nil {
 		return refusal(http.StatusBadRequest, err.Error(), 0), false
@@ -204,7 +204,7 @@
 }
 
 func (q *request) setTimes() {
-	wait := q.caller.Wait
+	wait := q.caller.Timeout
 	if wait <= 0 {
 		wait = waitUntold
 	}
@@ -279,7 +279,7 @@
 		return
 	}
 	if _, err := w.Write(a.body); err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
-		q.opts.Log.Event(crlog.CallerGone, crlog.Fields{"request": q.caller.ID, "error": err.Error()})
+		q.opts.Log.Event(crlog.CallerDisconnected, crlog.Fields{"request": q.caller.ID, "error": err.Error()})
 	}
 }
 
--- a/io/crmesh/crmesh.go
+++ b/io/crmesh/crmesh.go
@@ -106,7 +106,7 @@
 
 func newBudget(opts Options) *crbudget.Budget {
 	b := opts.Settings.Bounds
-	return crbudget.New(crbudget.Params{Ratio: b.Ratio, Slack: b.Slack, Window: b.WindowTime()})
+	return crbudget.New(crbudget.Params{Ratio: b.Ratio, Slack: b.Slack, Window: b.RetryWindow()})
 }
 
 func newFeed(opts Options, loop *loop, peers *croffer.Client, l *crlog.Logger) *crfeed.Feed {
@@ -146,7 +146,7 @@
 }
 
 func peerAddress(s crsite.Settings) string {
-	return net.JoinHostPort(s.PeerHost(), strconv.Itoa(s.Listen.Ports[0]))
+	return net.JoinHostPort(s.PeerListenHost(), strconv.Itoa(s.Listen.Ports[0]))
 }
 
 func group(ctx context.Context, tasks ...func(context.Context) error) *errgroup.Group {
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -186,7 +186,7 @@
 // the ready page, and are served.
 func (d *daemon) drain(s servers) {
 	began := time.Now()
-	grace := d.opts.Settings.Bounds.GraceTime() - reserve
+	grace := d.opts.Settings.Bounds.GracePeriod() - reserve
 	d.log.Event(crlog.MeshStopping, crlog.Fields{"open": strconv.FormatInt(d.entry.Open(), 10)})
 	d.exit.Finish(crclock.Now().Add(grace))
 	d.feed.Stop()
@@ -211,7 +211,7 @@
 	// The library looks for open connections half a second apart at times, so that it
 	// may not have seen that the last request has ended.
 	if err != nil && (d.entry.Open() > 0 || !d.exit.Idle()) {
-		d.log.Event(crlog.MeshCut, crlog.Fields{"open": strconv.FormatInt(d.entry.Open(), 10), "error": err.Error()})
+		d.log.Event(crlog.MeshDrainIncomplete, crlog.Fields{"open": strconv.FormatInt(d.entry.Open(), 10), "error": err.Error()})
 	}
 	for _, page := range s.pages {
 		_ = page.Close() // whoever reads them asks again
@@ -256,7 +256,7 @@
 			continue
 		}
 		if _, err := d.opts.Read(); err != nil {
-			d.log.Event(crlog.SettingsBad, crlog.Fields{"error": err.Error()})
+			d.log.Event(crlog.SettingsRejected, crlog.Fields{"error": err.Error()})
 			continue
 		}
 		d.log.Event(crlog.SettingsRead, nil)
@@ -275,7 +275,7 @@
 
 func (d *daemon) state(_ context.Context, part string) (any, error) {
 	if part != "" {
-		return nil, cradmin.ErrNoPart
+		return nil, cradmin.ErrUnknownPart
 	}
 	v := d.loop.view.Load()
 	out := dump{
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -42,7 +42,7 @@
 	lp := &loop{
 		state: crmesh.New(crmesh.Params{
 			Self: crid.Daemon(s.Address), Domain: s.Domain, Service: s.Service, Address: s.Target, Seeds: seeds(s),
-			LocalInterval: beatNear, RemoteInterval: beatFar, RecordGrace: s.Bounds.LapseTime(),
+			LocalInterval: beatNear, RemoteInterval: beatFar, RecordGrace: s.Bounds.MissingRecordTTL(),
 		}),
 		events: make(chan crevent.Event, eventsWaiting),
 		log:    l,
@@ -137,7 +137,7 @@
 		d.log.Event(crlog.PeerCopyFailed, crlog.Fields{"peer": string(from), "error": err.Error()})
 		return
 	}
-	d.log.Event(crlog.PeerCopied, crlog.Fields{
+	d.log.Event(crlog.CopiedFromPeer, crlog.Fields{
 		"peer": string(from), "rev": strconv.FormatUint(uint64(c.RecordsRevision), 10),
 	})
 	if err := d.follower.Apply(c); err != nil {
@@ -182,7 +182,7 @@
 
 func (d *daemon) logView(before, v *crmesh.View) {
 	if v.Plan != before.Plan {
-		d.log.Event(crlog.PlanInForce, crlog.Fields{"plan": v.Plan.Label()})
+		d.log.Event(crlog.PlanApplied, crlog.Fields{"plan": v.Plan.Label()})
 	}
 	came, went := compare(before.Targets, v.Targets)
 	if came+went != "" {
@@ -195,7 +195,7 @@
 		d.log.Event(crlog.PeerSilent, crlog.Fields{"peers": names(v.Silent)})
 	}
 	if len(v.Silent) < len(before.Silent) {
-		d.log.Event(crlog.PeerHeard, crlog.Fields{"silent": names(v.Silent)})
+		d.log.Event(crlog.PeerRecovered, crlog.Fields{"silent": names(v.Silent)})
 	}
 }
 
--- a/io/crwatch/crwatch.go
+++ b/io/crwatch/crwatch.go
@@ -219,7 +219,7 @@
 		if !i.Removed {
 			r, err := f.opts.Decoder.Record(i)
 			if err != nil {
-				f.opts.Log.Event(crlog.RecordBad, crlog.Fields{"key": i.Key, "rev": formatRevision(i.Revision), "error": err.Error()})
+				f.opts.Log.Event(crlog.RecordInvalid, crlog.Fields{"key": i.Key, "rev": formatRevision(i.Revision), "error": err.Error()})
 			} else {
 				c.Record = &r
 			}
@@ -237,7 +237,7 @@
 	}
 	p, err := f.opts.Decoder.Plan(i.Value)
 	if err != nil {
-		f.opts.Log.Event(crlog.PlanBad, crlog.Fields{"rev": formatRevision(i.Revision), "error": err.Error()})
+		f.opts.Log.Event(crlog.PlanRejected, crlog.Fields{"rev": formatRevision(i.Revision), "error": err.Error()})
 		return
 	}
 	f.mu.Lock()
--- a/io/crwatch/scope.go
+++ b/io/crwatch/scope.go
@@ -178,7 +178,7 @@
 		return
 	}
 	s.lossReported, s.ownLoss = false, false
-	s.opts.Log.Event(crlog.StoreBack, crlog.Fields{"scope": s.scope.String(), "quiet": roundToMillis(quiet)})
+	s.opts.Log.Event(crlog.StoreRecovered, crlog.Fields{"scope": s.scope.String(), "quiet": roundToMillis(quiet)})
 	s.emitAvailability(false, false)
 }
 
