--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -122,12 +122,12 @@
 }
 
 func newExit(cfg crsettings.Settings, pulse *crforward.Pulse, m *meters, rec *crhealth.Recorder) *crexit.Exit {
-	specs := make([]crexit.Spec, 0, len(cfg.Targets))
+	specs := make([]crexit.TargetSpec, 0, len(cfg.Targets))
 	for _, t := range cfg.Targets {
-		specs = append(specs, crexit.Spec{Name: crid.Target(t.Name), Service: crid.Service(t.Service), Addr: t.Addr})
+		specs = append(specs, crexit.TargetSpec{Name: crid.Target(t.Name), Service: crid.Service(t.Service), Addr: t.Addr})
 	}
 	return crexit.New(crexit.Options{
-		Targets: specs, Pulse: pulse, Clock: crclock.Now, Observe: m.ran, Idle: cfg.Limits.BodyIdle.Duration,
+		Targets: specs, Pulse: pulse, Clock: crclock.Now, Observe: m.ran, BodyIdleTimeout: cfg.Limits.BodyIdle.Duration,
 		Hint: rec.SetReportedUnhealthy,
 		Probe: func(target crid.Target, ok bool, took time.Duration) {
 			rec.Record(target, probeResult(ok), took, crhealth.ProbeAccount)
@@ -367,7 +367,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), d.cfg.Limits.DrainTime.Duration)
 	defer cancel()
 	err := d.callers.Shutdown(ctx)
-	for err == nil && d.exit.InFlight()+d.exit.Delivering() > 0 {
+	for err == nil && d.exit.InFlight()+d.exit.PendingDeliveries() > 0 {
 		select {
 		case <-ctx.Done():
 			err = ctx.Err()
--- a/io/crdaemon/hop.go
+++ b/io/crdaemon/hop.go
@@ -36,7 +36,7 @@
 		defer h.recorder.Begin(to.Name(), f.Account, h.clock()).End()
 	}
 	if to.Daemon() == h.self {
-		ledger := h.exit.Own()
+		ledger := h.exit.LocalLedger()
 		sent(localRevoker{ledger: ledger, clock: h.clock, id: f.ID})
 		return h.exit.Run(ctx, ledger, f, body.Open()), nil
 	}
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -103,11 +103,11 @@
 	}
 	snap := crpolicy.NewSnapshot(1, []crpolicy.Service{svc}, []crpolicy.Account{account("alpha", alphaKey), account("beta", betaKey)})
 	p.exit = crexit.New(crexit.Options{
-		Targets: []crexit.Spec{{Name: "t", Service: "s", Addr: upstream}},
+		Targets: []crexit.TargetSpec{{Name: "t", Service: "s", Addr: upstream}},
 		Pulse:   crforward.NewPulse(time.Hour, crclock.Now()),
 		Clock:   crclock.Now,
 		Observe: p.fault,
-		Idle:    bodyIdle,
+		BodyIdleTimeout:    bodyIdle,
 	})
 	p.Expect(p.exit.Apply(snap)).To(gomega.BeEmpty())
 	view, err := crview.Build(crview.Input{Self: "entry", Snapshot: snap, Loads: crview.NewLoads(), List: crinstance.NewList(1, []crinstance.Instance{
@@ -151,7 +151,7 @@
 	ctx context.Context, _ *crroute.Target, f *crhop.Forward, body crentry.BodySource, sent func(crentry.Revoker),
 ) (*crhop.Exchange, error) {
 	sent(nil)
-	return h.exit.Run(ctx, h.exit.Own(), f, body.Open()), nil
+	return h.exit.Run(ctx, h.exit.LocalLedger(), f, body.Open()), nil
 }
 
 func (p *path) sessions() *crhop.Client {
--- a/io/crexit/body.go
+++ b/io/crexit/body.go
@@ -14,20 +14,19 @@
 	"camphorroad/io/crwire"
 )
 
-// requestBody is the body towards the upstream. It can not be rewound, which
-// keeps net/http from replaying the request behind our back. Its methods take a
-// nil receiver for no body.
+// requestBody is the request body sent to the upstream. It cannot be rewound, so
+// that net/http never replays the request. A nil *requestBody means no body.
 type requestBody struct {
-	src     io.Reader
-	touched atomic.Bool
-	failed  atomic.Bool
+	src         io.Reader
+	readStarted atomic.Bool
+	readFailed  atomic.Bool
 }
 
 // newRequestBody returns the body to send, or nil. net/http replays a request
 // that has no body on a fresh connection when the reused one breaks, for safe
-// methods and for anything with an Idempotency-Key header; a charge without a
-// body would then run twice. It never replays a body that it can not rewind, so
-// a once request that it might replay gets such a body, though empty.
+// methods and for anything with an Idempotency-Key header; a once request without
+// a body would then run twice. net/http never replays a body that it cannot rewind,
+// so a once request that it might replay gets an empty body of this type.
 func newRequestBody(f *crhop.Forward, src io.Reader) *requestBody {
 	if f.Length != 0 && src != nil {
 		return &requestBody{src: src}
@@ -38,8 +37,8 @@
 	return nil
 }
 
-// replayable mirrors net/http's rule, to which an Idempotency-Key counts even
-// when it is empty.
+// replayable reports whether net/http may replay the request. It follows
+// net/http's rule, in which an empty Idempotency-Key header counts too.
 func replayable(f *crhop.Forward) bool {
 	switch f.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
@@ -52,22 +51,22 @@
 
 // Read implements io.Reader.
 func (b *requestBody) Read(p []byte) (int, error) {
-	b.touched.Store(true)
+	b.readStarted.Store(true)
 	n, err := b.src.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
-		b.failed.Store(true)
+		b.readFailed.Store(true)
 	}
 	return n, err
 }
 
-// Close implements io.Closer; the stream that is read is the session's to close.
+// Close implements io.Closer. It leaves the stream open; the session closes it.
 func (*requestBody) Close() error { return nil }
 
-func (b *requestBody) unread() bool { return b == nil || !b.touched.Load() }
+func (b *requestBody) unread() bool { return b == nil || !b.readStarted.Load() }
 
-func (b *requestBody) broken() bool { return b != nil && b.failed.Load() }
+func (b *requestBody) broken() bool { return b != nil && b.readFailed.Load() }
 
-// runBody is an upstream's answer on its way out. Closing it ends the run.
+// runBody is the body of an upstream's response. Closing it ends the run.
 type runBody struct {
 	io.ReadCloser
 	end func()
@@ -80,37 +79,38 @@
 	return err
 }
 
-// watchedBody cancels a run whose upstream falls silent within its answer, and
-// reports an answer that breaks off. One timer serves all reads.
-type watchedBody struct {
+// idleTimeoutBody cancels a run whose upstream sends no data for BodyIdleTimeout
+// within its response body, and reports a response that is cut off. One timer
+// serves all reads.
+type idleTimeoutBody struct {
 	io.ReadCloser
-	run    *run
-	caller context.Context
-	timer  *time.Timer
-	silent atomic.Bool
+	run      *run
+	caller   context.Context
+	timer    *time.Timer
+	timedOut atomic.Bool
 }
 
-func (r *run) answerBody(caller context.Context, body io.ReadCloser) io.ReadCloser {
+func (r *run) responseBody(caller context.Context, body io.ReadCloser) io.ReadCloser {
 	if body == http.NoBody {
 		return body
 	}
-	b := &watchedBody{ReadCloser: body, run: r, caller: caller}
-	if r.exit.opts.Idle > 0 {
-		b.timer = time.AfterFunc(r.exit.opts.Idle, b.fire)
+	b := &idleTimeoutBody{ReadCloser: body, run: r, caller: caller}
+	if r.exit.opts.BodyIdleTimeout > 0 {
+		b.timer = time.AfterFunc(r.exit.opts.BodyIdleTimeout, b.onIdle)
 		b.timer.Stop()
 	}
 	return b
 }
 
-func (b *watchedBody) fire() {
-	b.silent.Store(true)
+func (b *idleTimeoutBody) onIdle() {
+	b.timedOut.Store(true)
 	b.run.cancel()
 }
 
 // Read implements io.Reader.
-func (b *watchedBody) Read(p []byte) (int, error) {
+func (b *idleTimeoutBody) Read(p []byte) (int, error) {
 	if b.timer != nil {
-		b.timer.Reset(b.run.exit.opts.Idle)
+		b.timer.Reset(b.run.exit.opts.BodyIdleTimeout)
 		defer b.timer.Stop()
 	}
 	n, err := b.ReadCloser.Read(p)
@@ -123,8 +123,8 @@
 	return n, fmt.Errorf("%w: %w", crwire.ErrAborted, err)
 }
 
-func (b *watchedBody) fault() crhop.Fault {
-	if b.silent.Load() {
+func (b *idleTimeoutBody) fault() crhop.Fault {
+	if b.timedOut.Load() {
 		return crhop.FaultTimeout
 	}
 	return crhop.FaultBroken
--- a/io/crexit/conn.go
+++ b/io/crexit/conn.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	upstreamIdle    = 90 * time.Second
-	upstreamConnect = time.Second
-	maxAnswerHeader = 64 << 10
-	// idleConnections bounds the kept connections of a target.
-	idleConnections = 64
+	idleConnTimeout   = 90 * time.Second
+	connectTimeout    = time.Second
+	maxResponseHeader = 64 << 10
+	// maxIdleConns bounds the idle connections to a target.
+	maxIdleConns = 64
 )
 
-// countedConn counts the writes begun on a connection, which tells for certain
-// whether anything of a request can have left.
-type countedConn struct {
+// countingConn counts the writes begun on a connection. An unchanged count proves
+// that no part of a request was sent.
+type countingConn struct {
 	net.Conn
 	writes  atomic.Int64
 	retired atomic.Bool
@@ -26,7 +26,7 @@
 
 // Write implements net.Conn. It counts before it writes: a write that is not
 // counted has not begun.
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	if c.retired.Load() {
 		return 0, net.ErrClosed
 	}
@@ -34,18 +34,19 @@
 	return c.Conn.Write(p)
 }
 
-// retire closes the connection for good; nothing is written on it from then on.
-func (c *countedConn) retire() {
+// retire closes the connection and fails all later writes.
+func (c *countingConn) retire() {
 	c.retired.Store(true)
 	_ = c.Close()
 }
 
-// newTransport returns a pool of at most so many connections; zero: no bound.
-func newTransport(connections int) *http.Transport {
-	dialer := &net.Dialer{Timeout: upstreamConnect}
-	idle := idleConnections
-	if connections > 0 {
-		idle = min(idle, connections)
+// newTransport returns a transport with at most maxConns connections; zero means
+// no limit.
+func newTransport(maxConns int) *http.Transport {
+	dialer := &net.Dialer{Timeout: connectTimeout}
+	maxIdle := maxIdleConns
+	if maxConns > 0 {
+		maxIdle = min(maxIdle, maxConns)
 	}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -53,12 +54,12 @@
 			if err != nil {
 				return nil, err
 			}
-			return &countedConn{Conn: conn}, nil
+			return &countingConn{Conn: conn}, nil
 		},
 		DisableCompression:     true,
-		IdleConnTimeout:        upstreamIdle,
-		MaxResponseHeaderBytes: maxAnswerHeader,
-		MaxIdleConnsPerHost:    idle,
-		MaxConnsPerHost:        connections,
+		IdleConnTimeout:        idleConnTimeout,
+		MaxResponseHeaderBytes: maxResponseHeader,
+		MaxIdleConnsPerHost:    maxIdle,
+		MaxConnsPerHost:        maxConns,
 	}
 }
--- a/io/crexit/crexit.go
+++ b/io/crexit/crexit.go
@@ -1,14 +1,15 @@
-// Package crexit is the exit side of a daemon: it takes forwards from entry
-// daemons (its own included), admits them to its targets' slots, runs them on
-// the upstream, and is the one place that can say "not run" truthfully after a
-// forward was sent.
+// Package crexit is the exit side of the daemon of io/crdaemon: it accepts
+// forwards of io/crhop from entry daemons (its own included), admits them to the
+// slots of its targets and runs them on the upstreams. Once a forward was sent,
+// only the exit can state that it did not run. The daemon of io/crmesh has its own
+// exit, io/cregress, which serves a single target.
 //
 // # Usage
 //
 //	x := crexit.New(crexit.Options{Targets: cfg.Targets, Pulse: pulse, Clock: crclock.Now})
 //	x.Apply(snapshot)
-//	serve := x.OpenSession(openedAt)           // streams of other daemons
-//	ex := x.Run(ctx, x.Own(), forward, body)   // this daemon's own entry
+//	serve := x.OpenSession(sessionCtx)                 // streams of another daemon
+//	ex := x.Run(ctx, x.LocalLedger(), forward, body)   // this daemon's own entry
 package crexit
 
 import (
@@ -27,8 +28,8 @@
 	"camphorroad/io/crwire"
 )
 
-// Spec names an upstream beside this daemon.
-type Spec struct {
+// TargetSpec describes an upstream that this daemon serves.
+type TargetSpec struct {
 	Name    crid.Target
 	Service crid.Service
 	Addr    string // host:port
@@ -36,15 +37,15 @@
 
 // Options configure an Exit.
 type Options struct {
-	Targets []Spec
-	Pulse   *crforward.Pulse
-	Clock   func() crid.Instant
-	Idle    time.Duration // longest silence of an upstream within its answer; zero: no bound
-	// Observe is told of each finished run; it must not block.
+	Targets         []TargetSpec
+	Pulse           *crforward.Pulse
+	Clock           func() crid.Instant
+	BodyIdleTimeout time.Duration // longest gap between two reads of an upstream's response body; zero: no limit
+	// Observe is called with the result of each run; it must not block.
 	Observe func(target crid.Target, account crid.Account, fault crhop.Fault, status int, took time.Duration)
-	// Probe is told of each known-answer probe, Hint each second what a target's
-	// own pages say, and Leaving when a target begins or ceases to say that it
-	// is draining. They must not block; nil ones are not called.
+	// Probe is called after each known-answer probe, Hint each second with what
+	// the target's health and load pages report, and Leaving when a target starts
+	// or stops reporting that it is draining. They must not block and may be nil.
 	Probe   func(target crid.Target, ok bool, took time.Duration)
 	Hint    func(target crid.Target, bad bool)
 	Leaving func(target crid.Target, leaving bool)
@@ -52,21 +53,21 @@
 
 // Exit runs forwards on this daemon's targets. It is safe for concurrent use.
 type Exit struct {
-	opts       Options
-	targets    map[crid.Target]*target
-	draining   atomic.Bool
-	delivering atomic.Int64 // answers written and not yet known to have arrived
-
-	mu      sync.Mutex
-	own     *crforward.Ledger
-	former  *crforward.Ledger // the own one before, until its forwards have ended
-	ledgers map[*crforward.Ledger]struct{}
+	opts              Options
+	targets           map[crid.Target]*target
+	draining          atomic.Bool
+	pendingDeliveries atomic.Int64 // answers to other daemons that are not known to have arrived
+
+	mu       sync.Mutex
+	local    *crforward.Ledger
+	oldLocal *crforward.Ledger // the previous local ledger, kept for its running forwards
+	ledgers  map[*crforward.Ledger]struct{}
 }
 
-// refusedRetry is when to come back after a refusal that has no better word.
-const refusedRetry = time.Second
+// defaultRetryAfter is the least Retry-After of a refusal.
+const defaultRetryAfter = time.Second
 
-// New returns an Exit whose targets take no work until Apply.
+// New returns an Exit whose targets refuse all work until Apply is called.
 func New(opts Options) *Exit {
 	x := &Exit{
 		opts:    opts,
@@ -76,42 +77,42 @@
 	for _, spec := range opts.Targets {
 		x.targets[spec.Name] = newTarget(spec)
 	}
-	x.own = x.newOwn()
-	x.ledgers[x.own] = struct{}{}
+	x.local = x.newLocalLedger()
+	x.ledgers[x.local] = struct{}{}
 	return x
 }
 
-// newOwn returns a ledger for the own entry. It shares this process's life and
-// pauses, so the ledger has no pulse: a request that waited through a pause is
-// caught by its deadline.
-func (x *Exit) newOwn() *crforward.Ledger {
+// newLocalLedger returns a ledger for this daemon's own entry. The entry runs in
+// the same process, so a process pause stops both, and the ledger needs no pulse: a
+// request that waited through a pause is refused by its deadline.
+func (x *Exit) newLocalLedger() *crforward.Ledger {
 	return crforward.NewLedger(crforward.DefaultParams(), 0, x.opts.Clock(), nil)
 }
 
-// Own is the ledger for a forward of the daemon's own entry, which must also
-// revoke it there. At its bound of records the ledger is followed by a new one;
-// without that the own entry's work would be refused from then on.
-func (x *Exit) Own() *crforward.Ledger {
+// LocalLedger returns the ledger for a forward of the daemon's own entry, which must
+// revoke the forward in the same ledger. A ledger that has reached its limit of
+// records is replaced by a new one; otherwise it would refuse all later forwards.
+func (x *Exit) LocalLedger() *crforward.Ledger {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.own.Worn() {
-		return x.own
+	if !x.local.Worn() {
+		return x.local
 	}
-	delete(x.ledgers, x.former)
-	x.former = x.own
-	x.own = x.newOwn()
-	x.ledgers[x.own] = struct{}{}
+	delete(x.ledgers, x.oldLocal)
+	x.oldLocal = x.local
+	x.local = x.newLocalLedger()
+	x.ledgers[x.local] = struct{}{}
 	if x.draining.Load() {
-		x.own.Drain()
+		x.local.Drain()
 	}
-	return x.own
+	return x.local
 }
 
-// Has reports whether the target stands beside this daemon.
+// Has reports whether this daemon serves the target.
 func (x *Exit) Has(name crid.Target) bool { return x.targets[name] != nil }
 
-// Apply takes the targets' limits from a configuration in force. It returns the
-// targets whose service the configuration does not have; they take no work.
+// Apply sets the targets' limits from the active configuration. It returns the
+// targets whose service the configuration does not have; their limits are not set.
 func (x *Exit) Apply(snap *crpolicy.Snapshot) []crid.Target {
 	var unknown []crid.Target
 	for name, t := range x.targets {
@@ -125,7 +126,7 @@
 	return unknown
 }
 
-// Drain refuses new work; what runs may finish.
+// Drain refuses new work. Running requests may finish.
 func (x *Exit) Drain() {
 	x.draining.Store(true)
 	x.mu.Lock()
@@ -138,7 +139,7 @@
 	}
 }
 
-// InFlight is the number of requests running or waiting here.
+// InFlight returns the number of running and waiting requests.
 func (x *Exit) InFlight() int64 {
 	var n int64
 	for _, t := range x.targets {
@@ -147,13 +148,13 @@
 	return n
 }
 
-// Delivering is the number of answers to other daemons that are not known to
-// have arrived.
-func (x *Exit) Delivering() int64 { return x.delivering.Load() }
+// PendingDeliveries returns the number of answers to other daemons that are not
+// known to have arrived.
+func (x *Exit) PendingDeliveries() int64 { return x.pendingDeliveries.Load() }
 
-// OpenSession returns the function that serves the streams of one session that
-// another daemon dialled. The ledger begins with the session's first stream,
-// which tells the session's number.
+// OpenSession returns the function that serves the streams of a session that
+// another daemon dialed. The session's ledger is created by its first stream, which
+// carries the session number.
 func (x *Exit) OpenSession(ctx context.Context) func(ctx context.Context, s *quic.Stream) {
 	s := &session{exit: x, openedAt: x.opts.Clock()}
 	context.AfterFunc(ctx, s.close)
@@ -170,8 +171,8 @@
 	closed bool
 }
 
-// ledgerFor returns the session's ledger, or nil for a number that is not the
-// session's: the forward belongs to another session and must not start here.
+// ledgerFor returns the session's ledger, or nil if number is not that of this
+// session: the forward belongs to another session and must not start here.
 func (s *session) ledgerFor(number crforward.Session) *crforward.Ledger {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,7 +215,7 @@
 	delete(x.ledgers, l)
 }
 
-// serve handles one stream. Its context ends when the entry gives up.
+// serve handles one stream. ctx ends when the entry cancels the stream.
 func (s *session) serve(ctx context.Context, stream *quic.Stream) {
 	defer stream.CancelRead(crhop.CodeCancelled)
 	r := crwire.NewReader(stream)
@@ -241,19 +242,19 @@
 	}
 	var ex *crhop.Exchange
 	if ledger := s.ledgerFor(f.Session); ledger == nil {
-		ex = refusal(crforward.ReasonClosed.String(), true, refusedRetry)
+		ex = refusal(crforward.ReasonClosed.String(), true, defaultRetryAfter)
 		ex.Answer.Renew = true
 	} else {
 		ex = s.exit.Run(ctx, ledger, &f, r)
 		ex.Answer.Renew = ledger.Worn()
 	}
 	if f.Length == 0 {
-		r.Release() // with a body, net/http may read on after its answer
+		r.Release() // with a body, net/http may still read r after the response
 	}
-	s.exit.delivering.Add(1)
-	defer s.exit.delivering.Add(-1)
+	s.exit.pendingDeliveries.Add(1)
+	defer s.exit.pendingDeliveries.Add(-1)
 	err := writeAnswer(stream, ex)
-	_ = ex.Body.Close() // frees the slot, whatever the delivery takes
+	_ = ex.Body.Close() // frees the slot before the delivery, which may take long
 	if err != nil {
 		stream.CancelWrite(crhop.CodeCut)
 		return
@@ -262,15 +263,15 @@
 	awaitDelivery(stream)
 }
 
-// awaitDelivery waits until the entry has read the whole answer or given up: it
-// ends its side of the stream then, and the end of the session ends the wait. A
-// daemon that stopped once it had written would lose what the network or the
-// entry's buffer still held, and the callers would see answers cut and fates
-// unknown at every planned stop.
+// awaitDelivery waits until the entry closes its side of the stream, which it does
+// when it has read the whole answer or given up, or until the session ends. A daemon
+// that stopped right after the write would lose data still in the network or in the
+// entry's buffer, and at every planned stop some callers would get truncated answers
+// or an unknown outcome.
 func awaitDelivery(stream *quic.Stream) { _, _ = io.Copy(io.Discard, stream) }
 
-// writeAnswer sends the answer; a body that breaks off ends with its mark, so
-// that the entry has the head and knows whose fault it was.
+// writeAnswer sends the answer. If the body is cut off, it writes an abort marker,
+// so that the entry has the head and knows that the upstream failed.
 func writeAnswer(stream *quic.Stream, ex *crhop.Exchange) error {
 	w := crwire.NewWriter(stream)
 	defer w.Release()
--- a/io/crexit/dump.go
+++ b/io/crexit/dump.go
@@ -12,13 +12,13 @@
 // Dump is the exit's part of the state dump.
 type Dump struct {
 	Draining bool           `json:"draining"`
-	Targets  []TargetDump   `json:"targets"`  // beside this daemon, sorted
-	Own      crforward.Dump `json:"own"`      // forwards of this daemon's entry
-	Sessions int            `json:"sessions"` // of other daemons that have forwarded
-	Peers    LedgerSum      `json:"peers"`    // their forwards together
+	Targets  []TargetDump   `json:"targets"`  // sorted by name
+	Local    crforward.Dump `json:"own"`      // forwards of this daemon's own entry
+	Sessions int            `json:"sessions"` // of other daemons, with at least one forward
+	Peers    LedgerTotals   `json:"peers"`    // sums over these sessions
 }
 
-// TargetDump is one target beside this daemon.
+// TargetDump is the state of one target of this daemon.
 type TargetDump struct {
 	Name     crid.Target  `json:"name"`
 	Service  crid.Service `json:"service"`
@@ -27,8 +27,8 @@
 	Queue    *crslot.Dump `json:"queue"`    // null while the target has no policy
 }
 
-// LedgerSum adds up ledgers.
-type LedgerSum struct {
+// LedgerTotals holds sums over several ledgers.
+type LedgerTotals struct {
 	Pending int `json:"pending"`
 	Running int `json:"running"`
 	Once    int `json:"once"`
@@ -36,9 +36,9 @@
 	Fences  int `json:"fences"`
 }
 
-// Dump returns the state now.
+// Dump returns the current state.
 func (x *Exit) Dump() Dump {
-	d := Dump{Draining: x.draining.Load(), Own: x.own.Dump()}
+	d := Dump{Draining: x.draining.Load(), Local: x.local.Dump()}
 	for _, t := range x.targets {
 		d.Targets = append(d.Targets, t.dump())
 	}
@@ -56,7 +56,7 @@
 	defer x.mu.Unlock()
 	all := make([]*crforward.Ledger, 0, len(x.ledgers))
 	for l := range x.ledgers {
-		if l != x.own {
+		if l != x.local {
 			all = append(all, l)
 		}
 	}
@@ -72,7 +72,7 @@
 	return d
 }
 
-func (s *LedgerSum) add(d crforward.Dump) {
+func (s *LedgerTotals) add(d crforward.Dump) {
 	s.Pending += d.Pending
 	s.Running += d.Running
 	s.Once += d.Once
--- a/io/crexit/hop_test.go
+++ b/io/crexit/hop_test.go
@@ -28,7 +28,7 @@
 	"camphorroad/io/crwire"
 )
 
-// hop is an entry's client and an exit in one process, over real sessions.
+// hop is an entry's client and an exit in one process, connected over real sessions.
 type hop struct {
 	client *crhop.Client
 	exit   *crexit.Exit
@@ -36,7 +36,7 @@
 	pulse  *crforward.Pulse
 }
 
-// rawForward sends a forward as it is, with the session number it names.
+// rawForward sends a forward unchanged, with the session number that it carries.
 func rawForward(s *crpeer.Session, f *crhop.Forward) (crhop.Answer, error) {
 	stream, err := s.Open()
 	if err != nil {
@@ -66,7 +66,7 @@
 	g.Expect(crcert.Issue(dir, "entry", "exit")).To(gomega.Succeed())
 	pulse := crforward.NewPulse(time.Hour, crclock.Now())
 	exit := crexit.New(crexit.Options{
-		Targets: []crexit.Spec{{Name: "t", Service: svc.Name, Addr: strings.TrimPrefix(srv.URL, "http://")}},
+		Targets: []crexit.TargetSpec{{Name: "t", Service: svc.Name, Addr: strings.TrimPrefix(srv.URL, "http://")}},
 		Pulse:   pulse,
 		Clock:   crclock.Now,
 	})
@@ -81,8 +81,8 @@
 		tb.Cleanup(func() { _ = t.Close() })
 		return t
 	}
-	entry, far := listen("entry"), listen("exit")
-	entry.SetAddrs(map[crid.Daemon]string{"exit": far.Addr()})
+	entry, remote := listen("entry"), listen("exit")
+	entry.SetAddrs(map[crid.Daemon]string{"exit": remote.Addr()})
 	return &hop{client: crhop.NewClient(entry), exit: exit, peers: entry, pulse: pulse}
 }
 
@@ -107,8 +107,8 @@
 	return time.Since(start), err
 }
 
-// BenchmarkHop measures one forward over a session to an exit and its upstream,
-// next to the same request straight to the upstream.
+// BenchmarkHop compares a forward over a session to an exit and its upstream with the
+// same request sent directly to the upstream.
 func BenchmarkHop(b *testing.B) {
 	answer := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") })
 	b.Run("forward", func(b *testing.B) {
@@ -131,7 +131,7 @@
 		b.ReportMetric(float64(stats.PacketsReceived)/float64(n), "received/op")
 		b.ReportMetric(float64(stats.PacketsLost), "lost")
 	})
-	b.Run("straight", func(b *testing.B) {
+	b.Run("direct", func(b *testing.B) {
 		srv := httptest.NewServer(answer)
 		defer srv.Close()
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
@@ -153,17 +153,17 @@
 	var mu sync.Mutex
 	var all []time.Duration
 	b.RunParallel(func(pb *testing.PB) {
-		var mine []time.Duration
+		var local []time.Duration
 		for pb.Next() {
 			d, err := do()
 			if err != nil {
 				b.Error(err)
 				return
 			}
-			mine = append(mine, d)
+			local = append(local, d)
 		}
 		mu.Lock()
-		all = append(all, mine...)
+		all = append(all, local...)
 		mu.Unlock()
 	})
 	slices.Sort(all)
@@ -172,10 +172,10 @@
 	b.ReportMetric(float64(all[len(all)*999/1000].Microseconds()), "p999us")
 }
 
-// An exit that answers before it has read the end of the request stops reading,
-// and the entry's write of the end fails. The entry once took that for a lost
-// forward: the caller of a request that had run got a 504.
-func TestAnEarlyAnswerIsNotLost(t *testing.T) {
+// An exit that answers before it has read the whole request stops reading, and the
+// entry's last write fails. An entry that took this for a lost forward would return
+// 504 for a request that ran.
+func TestForwardWithEarlyAnswerSucceeds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := newHop(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "a") }), service)
 	var wg sync.WaitGroup
@@ -184,7 +184,7 @@
 		wg.Go(func() {
 			for n := range uint64(4000) {
 				f := forward(worker<<32|n, crpolicy.ClassOnce)
-				f.Target = "nobody" // refused at once, so as early as can be
+				f.Target = "nobody" // refused at once, before the request is read
 				ex, err := h.client.Forward(t.Context(), "exit", f, nil, func(*crhop.Handle) {})
 				if err != nil {
 					errs <- err
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -19,36 +19,36 @@
 	"camphorroad/io/crlink"
 )
 
-// Headers that the exit sets towards the upstream, in their canonical form. The
-// entry has removed any that the caller had sent.
+// Headers that the exit sets on requests to the upstream, in canonical form. The
+// entry has removed those of the caller.
 const (
-	HeaderRequest  = "Camphorroad-Request"  // the request's identity
-	HeaderAccount  = "Camphorroad-Account"  // the client account it runs for
-	HeaderDeadline = "Camphorroad-Deadline" // milliseconds left
+	HeaderRequest  = "Camphorroad-Request"  // the request's ID
+	HeaderAccount  = "Camphorroad-Account"  // the client account of the request
+	HeaderDeadline = "Camphorroad-Deadline" // milliseconds until the deadline
 )
 
-// Run admits a forward and runs it on its target. The exchange is never nil;
-// its body must be closed. The body given is read only once the forward has
-// been started.
+// Run admits a forward and runs it on its target. The exchange is never nil, and
+// its body must be closed. The request body is read only after the forward has
+// started.
 func (x *Exit) Run(ctx context.Context, ledger *crforward.Ledger, f *crhop.Forward, body io.Reader) *crhop.Exchange {
 	t := x.targets[f.Target]
 	if t == nil || t.spec.Service != f.Service {
-		return refusal("no such target here", true, refusedRetry)
+		return refusal("no such target here", true, defaultRetryAfter)
 	}
 	if t.leaving.Load() {
-		return refusal("target draining", true, refusedRetry)
+		return refusal("target draining", true, defaultRetryAfter)
 	}
 	now := x.opts.Clock()
 	if f.Class != crpolicy.ClassRepeat {
 		if left := t.holdoff.Left(f.Account, now); left > 0 {
-			ex := refusal("target sheds", true, max(refusedRetry, left))
+			ex := refusal("target sheds", true, max(defaultRetryAfter, left))
 			ex.Answer.Fault = crhop.FaultShed
 			return ex
 		}
 	}
 	deadline := now.Add(f.Left)
 	if err := ledger.Offer(f.ID, f.Class, now, deadline); err != nil {
-		return refused(err)
+		return ledgerRefusal(err)
 	}
 	t.inflight.Add(1)
 	run := &run{exit: x, target: t, ledger: ledger, forward: f, id: f.ID.String(), deadline: deadline}
@@ -59,23 +59,23 @@
 }
 
 type run struct {
-	exit     *Exit
-	target   *target
-	ledger   *crforward.Ledger
-	forward  *crhop.Forward
-	id       string // of the forward, as the upstream sees it
-	deadline crid.Instant
-	lease    *crslot.Lease
-	started  crid.Instant
-	cancel   context.CancelFunc
-	body     *requestBody
-	conn     *countedConn // that the request was last given
-	written  int64        // writes on conn before the request
-	ended    atomic.Bool
+	exit         *Exit
+	target       *target
+	ledger       *crforward.Ledger
+	forward      *crhop.Forward
+	id           string // of the forward, as sent to the upstream
+	deadline     crid.Instant
+	lease        *crslot.Lease
+	started      crid.Instant
+	cancel       context.CancelFunc
+	body         *requestBody
+	conn         *countingConn // the connection of the last try
+	writesBefore int64         // writes on conn before the request
+	ended        atomic.Bool
 }
 
-// end gives back what the run holds, once: after the answer's body, or when the
-// entry has given up on it.
+// end releases the run's resources. It is called after the response body, or when
+// the entry has given up; only the first call has an effect.
 func (r *run) end() {
 	if r.ended.Swap(true) {
 		return
@@ -95,36 +95,36 @@
 	queue := r.target.queue.Load()
 	if queue == nil {
 		r.ledger.Cancel(r.forward.ID, r.exit.opts.Clock())
-		ex := refusal("target has no policy", true, refusedRetry)
+		ex := refusal("target has no policy", true, defaultRetryAfter)
 		ex.Answer.Fault = crhop.FaultUnready
 		return ex
 	}
 	lease, err := queue.Acquire(ctx, r.forward.Account, r.deadline)
 	if err != nil {
-		// Whatever the queue's reason, the forward must never start from here
-		// on, or the refusal would not be true.
+		// The refusal states that the forward did not run. Whatever the queue's
+		// reason, the ledger must not let it start later.
 		r.ledger.Cancel(r.forward.ID, r.exit.opts.Clock())
 		return queueRefusal(err)
 	}
 	r.started = r.exit.opts.Clock()
 	if err := r.ledger.Start(r.forward.ID, r.started); err != nil {
 		lease.Cancel()
-		return refused(err)
+		return ledgerRefusal(err)
 	}
 	r.lease = lease
 	return r.call(ctx, body)
 }
 
-func refused(err error) *crhop.Exchange {
+func ledgerRefusal(err error) *crhop.Exchange {
 	var refusalErr *crforward.Refusal
 	if errors.As(err, &refusalErr) {
-		return refusal(refusalErr.Reason().String(), refusalErr.NotRun(), refusedRetry)
+		return refusal(refusalErr.Reason().String(), refusalErr.NotRun(), defaultRetryAfter)
 	}
-	return refusal(err.Error(), false, refusedRetry)
+	return refusal(err.Error(), false, defaultRetryAfter)
 }
 
 func queueRefusal(err error) *crhop.Exchange {
-	retry := refusedRetry
+	retry := defaultRetryAfter
 	var slotErr *crslot.Error
 	if errors.As(err, &slotErr) {
 		retry = max(retry, slotErr.RetryAfter())
@@ -132,8 +132,8 @@
 	return refusal(err.Error(), true, retry)
 }
 
-// call runs the request. Only a request of which nothing was written provably
-// did not run; after that the upstream may have read any part of it.
+// call sends the request to the upstream. A request provably did not run only if
+// none of it was written; otherwise the upstream may have read any part of it.
 func (r *run) call(ctx context.Context, body io.Reader) *crhop.Exchange {
 	caller := ctx
 	left := r.deadline.Sub(r.started)
@@ -142,21 +142,21 @@
 	req := r.request(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: r.gotConn}), body, left)
 	transport := r.target.transport.Load()
 	resp, err := transport.RoundTrip(req)
-	// The upstream closes kept connections when it likes. A request that met a
-	// closed one has not left, and goes out again on another.
-	for tries := 0; err != nil && ctx.Err() == nil && tries < staleTries && r.unsent() && r.body.unread(); tries++ {
+	// The upstream may close an idle connection at any time. A request that was
+	// assigned a closed connection was not sent, and is retried on another one.
+	for tries := 0; err != nil && ctx.Err() == nil && tries < maxStaleConnRetries && r.unsent() && r.body.unread(); tries++ {
 		resp, err = transport.RoundTrip(req)
 	}
-	late := !timer.Stop()
+	timedOut := !timer.Stop()
 	if err != nil {
-		return r.failed(caller, late)
+		return r.noResponse(caller, timedOut)
 	}
 	if ex := r.reject(resp); ex != nil {
 		_ = resp.Body.Close()
-		r.dropConn()
+		r.closeConn()
 		return ex
 	}
-	r.noteShed(resp)
+	r.recordShed(resp)
 	r.observe(0, resp.StatusCode)
 	return &crhop.Exchange{
 		Answer: crhop.Answer{
@@ -165,70 +165,69 @@
 			Header: resp.Header,
 			Length: resp.ContentLength,
 		},
-		Body: r.answerBody(caller, resp.Body),
+		Body: r.responseBody(caller, resp.Body),
 	}
 }
 
-// staleTries bounds the tries on kept connections that turn out closed.
-const staleTries = 3
+// maxStaleConnRetries bounds the retries after idle connections that were closed.
+const maxStaleConnRetries = 3
 
-// gotConn is called on the goroutine of RoundTrip, before the request is written. A kept
-// connection may have been closed by the upstream without net/http having noticed yet,
-// and what is written then is lost.
+// gotConn is called on the goroutine of RoundTrip, before the request is written. The
+// upstream may have closed a reused connection without net/http having noticed yet, and
+// a request written to it is lost.
 func (r *run) gotConn(info httptrace.GotConnInfo) {
-	r.conn, _ = info.Conn.(*countedConn)
+	r.conn, _ = info.Conn.(*countingConn)
 	if r.conn == nil {
 		return
 	}
-	r.written = r.conn.writes.Load()
+	r.writesBefore = r.conn.writes.Load()
 	if info.Reused && !crlink.Quiet(r.conn.Conn) {
 		r.conn.retire()
 	}
 }
 
-// unsent reports whether nothing of the request was written. It closes the
-// connection first: from then on no write can succeed, so that a count that has
-// not moved is a proof.
+// unsent reports whether no part of the request was written. It closes the
+// connection first: no later write can succeed, so an unchanged count of writes is
+// proof.
 func (r *run) unsent() bool {
 	if r.conn == nil {
 		return true
 	}
 	_ = r.conn.Close()
-	return r.conn.writes.Load() == r.written
+	return r.conn.writes.Load() == r.writesBefore
 }
 
-// dropConn closes the connection of an answer that can not be trusted. An
-// upstream that once answered twice on a kept connection would go on giving each
-// request the answer of the one before.
-func (r *run) dropConn() {
+// closeConn closes the connection of a response that was rejected. After a
+// duplicate response on a reused connection, each later request would get the
+// response to the request before it.
+func (r *run) closeConn() {
 	if r.conn != nil {
 		_ = r.conn.Close()
 	}
 }
 
-// noteShed takes an answer as word on whether its target takes work.
-func (r *run) noteShed(resp *http.Response) {
-	if shed(resp) {
+// recordShed records whether the target sheds load, as its response shows.
+func (r *run) recordShed(resp *http.Response) {
+	if asksForBackoff(resp) {
 		r.target.queue.Load().Shed()
 	}
-	if isShed(resp.StatusCode) {
+	if isShedStatus(resp.StatusCode) {
 		r.target.holdoff.Shed(r.forward.Account, r.exit.opts.Clock())
 		return
 	}
 	r.target.holdoff.Answered()
 }
 
-// shed reports whether the upstream asks for less load.
-func shed(resp *http.Response) bool {
-	return isShed(resp.StatusCode) && resp.Header.Get("Retry-After") != ""
+// asksForBackoff reports whether the upstream sheds load and sets Retry-After.
+func asksForBackoff(resp *http.Response) bool {
+	return isShedStatus(resp.StatusCode) && resp.Header.Get("Retry-After") != ""
 }
 
-func isShed(status int) bool {
+func isShedStatus(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-// reject returns the failure to tell of an answer that must not be passed on, or
-// nil.
+// reject returns the failure for a response that must not be forwarded, or nil.
 func (r *run) reject(resp *http.Response) *crhop.Exchange {
 	switch {
 	case r.body.broken():
@@ -236,26 +235,26 @@
 	case resp.StatusCode < http.StatusOK:
 		r.observe(crhop.FaultBroken, resp.StatusCode)
 		return failure(crhop.FaultBroken, "the upstream gave no final status")
-	case !r.echoed(resp):
+	case !r.echoMatches(resp):
 		r.observe(crhop.FaultWrong, resp.StatusCode)
 		return failure(crhop.FaultWrong, "the answer is not this request's")
-	case endless(resp):
+	case closeDelimited(resp):
 		r.observe(crhop.FaultBroken, resp.StatusCode)
 		return failure(crhop.FaultBroken, "the answer has neither length nor chunks")
 	}
 	return nil
 }
 
-// endless reports whether the body ends with the connection. Such a body that
-// was cut can not be told from a whole one.
-func endless(resp *http.Response) bool {
+// closeDelimited reports whether the end of the connection ends the body. A
+// truncated body of this kind looks like a complete one.
+func closeDelimited(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Request.Method != http.MethodHead
 }
 
-func (r *run) failed(caller context.Context, late bool) *crhop.Exchange {
+func (r *run) noResponse(caller context.Context, timedOut bool) *crhop.Exchange {
 	switch {
 	case r.unsent():
-		ex := refusal("upstream takes no connection", true, refusedRetry)
+		ex := refusal("upstream takes no connection", true, defaultRetryAfter)
 		if caller.Err() == nil && !r.body.broken() {
 			r.observe(crhop.FaultConnect, 0)
 			ex.Answer.Fault = crhop.FaultConnect
@@ -263,7 +262,7 @@
 		return ex
 	case r.body.broken(), caller.Err() != nil:
 		return failure(crhop.FaultBody, "the request broke off")
-	case late:
+	case timedOut:
 		r.observe(crhop.FaultTimeout, 0)
 		return failure(crhop.FaultTimeout, "no answer before the deadline")
 	default:
@@ -280,19 +279,19 @@
 	r.exit.opts.Observe(r.target.spec.Name, r.forward.Account, fault, status, took)
 }
 
-// echoed reports whether the answer names this request, where the policy says
-// that answers do. An upstream that mixes up answers would otherwise hand one
-// account's data to another.
+// echoMatches reports whether the response echoes this request's ID, if the policy
+// requires an echo. Without the check, an upstream that mixes up responses could
+// return one account's data to another.
 //
-// A target that sheds may do so before it has read the request; an answer that
-// only says "come back" may lack the echo, though not carry a wrong one.
-func (r *run) echoed(resp *http.Response) bool {
-	name := r.target.echo()
+// A target may shed a request before it has read it, so a shed response may lack the
+// echo, but it may not carry a wrong one.
+func (r *run) echoMatches(resp *http.Response) bool {
+	name := r.target.echoHeader()
 	if name == "" {
 		return true
 	}
 	echo := resp.Header.Get(name)
-	return echo == r.id || (echo == "" && isShed(resp.StatusCode))
+	return echo == r.id || (echo == "" && isShedStatus(resp.StatusCode))
 }
 
 func (r *run) request(ctx context.Context, body io.Reader, left time.Duration) *http.Request {
@@ -301,10 +300,10 @@
 	if header == nil {
 		header = make(http.Header)
 	}
-	own := [...]string{r.id, string(f.Account), strconv.FormatInt(left.Milliseconds(), 10)}
-	header[HeaderRequest], header[HeaderAccount], header[HeaderDeadline] = own[0:1:1], own[1:2:2], own[2:3:3]
+	values := [...]string{r.id, string(f.Account), strconv.FormatInt(left.Milliseconds(), 10)}
+	header[HeaderRequest], header[HeaderAccount], header[HeaderDeadline] = values[0:1:1], values[1:2:2], values[2:3:3]
 	if _, ok := header["User-Agent"]; !ok {
-		header["User-Agent"] = nil // keeps net/http from adding its own
+		header["User-Agent"] = nil // keeps net/http from adding its default
 	}
 	req := &http.Request{
 		Method:        f.Method,
--- a/io/crexit/session_test.go
+++ b/io/crexit/session_test.go
@@ -17,21 +17,20 @@
 	"camphorroad/io/crhop"
 )
 
-func fine() http.Handler {
+func okHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") })
 }
 
-// An exit's process is frozen and wakes up. Nothing starts any more over the
-// sessions opened before, and an entry that kept to its session would be refused
-// for as long as that lives.
-func TestAPausedExitGetsANewSession(t *testing.T) {
+// After a process pause, an exit starts no forward of a session opened before it. An
+// entry that kept such a session would be refused until the session ends.
+func TestSessionIsRenewedAfterExitPause(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h := newHop(t, fine(), service)
+	h := newHop(t, okHandler(), service)
 	_, err := h.get(1)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	old, err := h.peers.Session(t.Context(), "exit")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	h.pulse.Beat(crclock.Now().Add(2 * time.Hour)) // a pause of two hours, by the pulse's clock
+	h.pulse.Beat(crclock.Now().Add(2 * time.Hour)) // simulates a pause of two hours
 	ex, err := h.client.Forward(t.Context(), "exit", forward(2, crpolicy.ClassOnce), nil, func(*crhop.Handle) {})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(ex.Answer.Kind).To(gomega.Equal(crhop.KindRefusal))
@@ -44,10 +43,10 @@
 	g.Expect(renewed).NotTo(gomega.BeIdenticalTo(old))
 }
 
-// A session that serves more forwards than its ledger remembers has to be
-// followed by another, without a request refused or cut, also one that runs on
-// the old session meanwhile. The daemon's own entry needs the same.
-func TestManyForwardsWearOutNoSession(t *testing.T) {
+// A session whose ledger is full must be replaced without a refused or cut request,
+// including requests running on the old session. The same holds for the ledger of the
+// daemon's own entry.
+func TestSessionIsRenewedWhenLedgerIsFull(t *testing.T) {
 	g := gomega.NewWithT(t)
 	release := make(chan struct{})
 	h := newHop(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -71,7 +70,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Eventually(h.exit.InFlight).Should(gomega.BeEquivalentTo(1))
 
-	// Forwards to a target that is not here are remembered, and cheap.
+	// Forwards that have expired are recorded, and cost little.
 	records := uint64(crforward.DefaultParams().MaxRecords)
 	var wg sync.WaitGroup
 	var closed atomic.Int64
@@ -93,21 +92,21 @@
 	wg.Wait()
 	g.Expect(closed.Load()).To(gomega.BeZero())
 	close(release)
-	g.Expect(<-result).To(gomega.Succeed(), "what runs on the old session finishes")
+	g.Expect(<-result).To(gomega.Succeed(), "the request running on the old session finishes")
 	g.Eventually(first.Context().Done()).Should(gomega.BeClosed())
 
 	for n := range 2 * records {
 		f := forward(n, crpolicy.ClassRepeat)
 		f.Left = 0
-		ex := h.exit.Run(t.Context(), h.exit.Own(), f, nil)
+		ex := h.exit.Run(t.Context(), h.exit.LocalLedger(), f, nil)
 		g.Expect(ex.Answer.Reason).To(gomega.Equal(crforward.ReasonExpired.String()))
 		_ = ex.Body.Close()
 	}
 }
 
-// A forward that names another session's number, as one delayed from before a
-// restart would, must not start; the sessions' own forwards are not disturbed.
-func TestAnotherSessionsNumberStartsNothing(t *testing.T) {
+// A forward with another session's number, such as one delayed from before a restart,
+// must not start. Later forwards of the session itself must still run.
+func TestForwardWithWrongSessionIsRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var runs atomic.Int64
 	h := newHop(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }), service)
@@ -126,9 +125,9 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 }
 
-// A new policy gives a target fewer connections and less room to wait. A daemon
-// that kept the former figures would go on filling a target that was to be spared.
-func TestANewPolicyBoundsConnectionsAndRoom(t *testing.T) {
+// A new policy lowers the connections and the queue of a target. With the old limits
+// the daemon would go on overloading it.
+func TestApplyLowersConnectionAndQueueLimits(t *testing.T) {
 	g := gomega.NewWithT(t)
 	release := make(chan struct{})
 	finish := sync.OnceFunc(func() { close(release) })
@@ -141,7 +140,7 @@
 		mu.Unlock()
 		<-release
 	}), service)
-	open := func() int {
+	connCount := func() int {
 		mu.Lock()
 		defer mu.Unlock()
 		return len(conns)
@@ -152,7 +151,7 @@
 	kinds := make(chan crhop.Kind, 20)
 	send := func(n uint64) {
 		wg.Go(func() {
-			ex := h.exit.Run(t.Context(), h.exit.Own(), forward(n, crpolicy.ClassOnce), nil)
+			ex := h.exit.Run(t.Context(), h.exit.LocalLedger(), forward(n, crpolicy.ClassOnce), nil)
 			kinds <- ex.Answer.Kind
 			_ = ex.Body.Close()
 		})
@@ -160,11 +159,11 @@
 	for n := range uint64(8) {
 		send(n + 1)
 	}
-	g.Eventually(open).Should(gomega.Equal(3))
-	g.Consistently(open, 200*time.Millisecond).Should(gomega.Equal(3))
+	g.Eventually(connCount).Should(gomega.Equal(3))
+	g.Consistently(connCount, 200*time.Millisecond).Should(gomega.Equal(3))
 	apply(crpolicy.Service{Name: "s", Slots: 8, Queue: 0, Connections: 3})
 	send(100)
-	g.Eventually(kinds).Should(gomega.Receive(gomega.Equal(crhop.KindRefusal)), "no room is left to wait")
+	g.Eventually(kinds).Should(gomega.Receive(gomega.Equal(crhop.KindRefusal)), "the queue is full")
 	finish()
 	wg.Wait()
 	g.Expect(kinds).To(gomega.HaveLen(8))
--- a/io/crexit/shed_test.go
+++ b/io/crexit/shed_test.go
@@ -13,15 +13,15 @@
 	"camphorroad/io/crhop"
 )
 
-// An upstream drains by itself and turns everything away. A hold that reaches it
-// can not be tried elsewhere, and its caller is refused; each entry had to learn
-// so by several of its own callers.
-func TestHoldsAreKeptFromATargetThatOnlySheds(t *testing.T) {
+// An upstream sheds all requests. A once request that reaches it cannot be retried
+// elsewhere, so its caller gets the refusal. The exit must refuse such requests
+// itself, as otherwise each entry fails several callers before it avoids the target.
+func TestOnceRequestsAreRefusedWhileTargetSheds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var draining atomic.Bool
-	var asked atomic.Int64
+	var received atomic.Int64
 	h := newHop(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
+		received.Add(1)
 		if draining.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -43,18 +43,18 @@
 	for range 2 {
 		g.Expect(send(crpolicy.ClassOnce).Status).To(gomega.Equal(http.StatusServiceUnavailable))
 	}
-	asked.Store(0)
+	received.Store(0)
 	for range 5 {
-		held := send(crpolicy.ClassOnce)
-		g.Expect(held.Kind).To(gomega.Equal(crhop.KindRefusal))
-		g.Expect(held.NotRun).To(gomega.BeTrue())
-		g.Expect(held.RetryAfter).NotTo(gomega.BeZero())
+		answer := send(crpolicy.ClassOnce)
+		g.Expect(answer.Kind).To(gomega.Equal(crhop.KindRefusal))
+		g.Expect(answer.NotRun).To(gomega.BeTrue())
+		g.Expect(answer.RetryAfter).NotTo(gomega.BeZero())
 	}
-	g.Expect(asked.Load()).To(gomega.BeZero())
-	account = "another" // which the upstream might well serve
+	g.Expect(received.Load()).To(gomega.BeZero())
+	account = "another" // the upstream may shed by account and serve this one
 	g.Expect(send(crpolicy.ClassOnce).Kind).To(gomega.Equal(crhop.KindAnswer))
-	g.Expect(send(crpolicy.ClassOnce).Kind).To(gomega.Equal(crhop.KindRefusal), "two accounts were turned away")
+	g.Expect(send(crpolicy.ClassOnce).Kind).To(gomega.Equal(crhop.KindRefusal), "requests of two accounts were shed")
 	draining.Store(false)
-	g.Expect(send(crpolicy.ClassRepeat).Status).To(gomega.Equal(http.StatusOK), "reads show that it is back")
+	g.Expect(send(crpolicy.ClassRepeat).Status).To(gomega.Equal(http.StatusOK), "a repeat request shows that the target has recovered")
 	g.Expect(send(crpolicy.ClassOnce).Status).To(gomega.Equal(http.StatusOK))
 }
--- a/io/crexit/target.go
+++ b/io/crexit/target.go
@@ -10,22 +10,22 @@
 )
 
 type target struct {
-	spec      Spec
+	spec      TargetSpec
 	transport atomic.Pointer[http.Transport]
 	queue     atomic.Pointer[crslot.Queue]
 	policy    atomic.Pointer[crpolicy.Service]
 	inflight  atomic.Int64
-	leaving   atomic.Bool // the upstream says that it is draining
+	leaving   atomic.Bool // the upstream reports that it is draining
 	holdoff   crslot.Holdoff
 }
 
-func newTarget(spec Spec) *target { return &target{spec: spec} }
+func newTarget(spec TargetSpec) *target { return &target{spec: spec} }
 
-// apply takes the limits of the service's policy. The queue stays the same one
-// through changes, so that slots in use keep counting.
+// apply sets the limits of the service's policy. It keeps the queue across changes,
+// so that slots in use still count.
 func (t *target) apply(svc crpolicy.Service, clock func() crid.Instant) {
 	t.policy.Store(&svc)
-	t.bound(svc.Connections)
+	t.setMaxConns(svc.Connections)
 	if q := t.queue.Load(); q != nil {
 		q.SetLimit(svc.Slots)
 		q.SetRoom(svc.Queue)
@@ -34,14 +34,14 @@
 	t.queue.Store(crslot.New(crslot.Params{Slots: svc.Slots, Queue: svc.Queue}, clock))
 }
 
-// bound sets the number of connections. A transport's bound can not be changed
-// while it is in use; requests that run finish on the former one.
-func (t *target) bound(connections int) {
+// setMaxConns sets the limit of connections. A transport's limit cannot change while
+// it is in use, so a new transport replaces it; running requests finish on the old one.
+func (t *target) setMaxConns(maxConns int) {
 	old := t.transport.Load()
-	if old != nil && old.MaxConnsPerHost == connections {
+	if old != nil && old.MaxConnsPerHost == maxConns {
 		return
 	}
-	t.transport.Store(newTransport(connections))
+	t.transport.Store(newTransport(maxConns))
 	if old != nil {
 		old.CloseIdleConnections()
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-func (t *target) echo() string {
+func (t *target) echoHeader() string {
 	if svc := t.policy.Load(); svc != nil {
 		return svc.IdentityEcho
 	}
--- a/io/crexit/unready_test.go
+++ b/io/crexit/unready_test.go
@@ -14,17 +14,17 @@
 	"camphorroad/io/crhop"
 )
 
-// A daemon that has just restarted gets forwards before its configuration. If
-// its refusal looked like any other, entries would take its targets for idle
-// ones and send them ever more; callers would be refused inside their rate.
-func TestRefusalBeforeThePolicySaysSo(t *testing.T) {
+// A restarted daemon may get forwards before its configuration. Without a distinct
+// fault, entries would take its targets for idle and send them more requests, and
+// callers within their rate would be refused.
+func TestRefusalBeforePolicyHasUnreadyFault(t *testing.T) {
 	g := gomega.NewWithT(t)
 	exit := crexit.New(crexit.Options{
-		Targets: []crexit.Spec{{Name: "t", Service: "s", Addr: "127.0.0.1:1"}},
+		Targets: []crexit.TargetSpec{{Name: "t", Service: "s", Addr: "127.0.0.1:1"}},
 		Pulse:   crforward.NewPulse(time.Hour, crclock.Now()),
 		Clock:   crclock.Now,
 	})
-	ex := exit.Run(t.Context(), exit.Own(), forward(1, crpolicy.ClassOnce), strings.NewReader(""))
+	ex := exit.Run(t.Context(), exit.LocalLedger(), forward(1, crpolicy.ClassOnce), strings.NewReader(""))
 	g.Expect(ex.Answer.Kind).To(gomega.Equal(crhop.KindRefusal))
 	g.Expect(ex.Answer.NotRun).To(gomega.BeTrue())
 	g.Expect(ex.Answer.Fault).To(gomega.Equal(crhop.FaultUnready))
--- a/io/crexit/watch.go
+++ b/io/crexit/watch.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	pollEvery    = time.Second // health and load
-	pollTimeout  = time.Second
-	probeTimeout = 2 * time.Second
-	probeLeast   = 100 * time.Millisecond // however often the policy asks
-	maxReport    = 64 << 10               // bytes read of a health or load answer
-	// probeAccount holds the slots of probes; no client account has this name.
+	pollInterval     = time.Second // of the health and load pages
+	pollTimeout      = time.Second
+	probeTimeout     = 2 * time.Second
+	minProbeInterval = 100 * time.Millisecond // lower bound for the policy's interval
+	maxPageBytes     = 64 << 10               // of a health or load page
+	// probeAccount is the account of probes in the queue; no client account has this name.
 	probeAccount crid.Account = ""
 )
 
-// HeaderDraining is how an upstream's health page, with status 503, says that it
-// is draining rather than sick.
+// HeaderDraining on a health page with status 503 means that the upstream is
+// draining, not unhealthy.
 const HeaderDraining = "X-Draining"
 
-// Watch asks each target's health and load pages and its known answer until ctx
-// ends, closes the connections that are idle then, and returns.
+// Watch polls the health and load pages of each target and sends known-answer
+// probes until ctx ends. It then closes the idle connections and returns.
 func (x *Exit) Watch(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, t := range x.targets {
 		w := &watcher{exit: x, target: t}
-		wg.Go(func() { repeat(ctx, w.pollWait, w.poll) })
-		wg.Go(func() { repeat(ctx, w.probeWait, w.probe) })
+		wg.Go(func() { loop(ctx, w.pollDelay, w.poll) })
+		wg.Go(func() { loop(ctx, w.probeDelay, w.probe) })
 	}
 	wg.Wait()
 	for _, t := range x.targets {
@@ -46,10 +46,10 @@
 	}
 }
 
-// repeat calls do after each wait. The first wait is cut at random, so that a
-// machine's targets are not all asked in one moment.
-func repeat(ctx context.Context, wait func() time.Duration, do func(ctx context.Context)) {
-	timer := time.NewTimer(rand.N(wait()))
+// loop calls do after each delay. The first delay is random up to its full length,
+// so that not all targets of a machine are polled at the same time.
+func loop(ctx context.Context, delay func() time.Duration, do func(ctx context.Context)) {
+	timer := time.NewTimer(rand.N(delay()))
 	defer timer.Stop()
 	for {
 		select {
@@ -58,28 +58,29 @@
 		case <-timer.C:
 		}
 		do(ctx)
-		timer.Reset(wait())
+		timer.Reset(delay())
 	}
 }
 
 type watcher struct {
-	exit   *Exit
-	target *target
-	told   bool // that the target is leaving
+	exit     *Exit
+	target   *target
+	reported bool // the last value passed to Options.Leaving
 }
 
-func (*watcher) pollWait() time.Duration { return pollEvery }
+func (*watcher) pollDelay() time.Duration { return pollInterval }
 
-func (w *watcher) probeWait() time.Duration {
+func (w *watcher) probeDelay() time.Duration {
 	svc := w.target.policy.Load()
 	if svc == nil || svc.Probe.Path == "" {
-		return pollEvery
+		return pollInterval
 	}
-	return max(svc.Probe.Interval, probeLeast)
+	return max(svc.Probe.Interval, minProbeInterval)
 }
 
-// poll reads what the target says of itself. It is a hint only: these pages lag
-// and mislead. That a target is leaving is believed, as it loses by it alone.
+// poll reads the target's health and load pages. They are stale or wrong at times,
+// so the result is only a hint. A report that the target is draining takes effect at
+// once, since a false one harms no other target.
 func (w *watcher) poll(ctx context.Context) {
 	svc := w.target.policy.Load()
 	if svc == nil || (svc.HealthPath == "" && svc.LoadPath == "") {
@@ -93,18 +94,18 @@
 		return
 	}
 	leaving := healthLeaving || loadLeaving
-	w.leave(leaving)
+	w.setLeaving(leaving)
 	if w.exit.opts.Hint != nil {
 		w.exit.opts.Hint(w.target.spec.Name, (bad || full) && !leaving)
 	}
 }
 
-func (w *watcher) leave(leaving bool) {
+func (w *watcher) setLeaving(leaving bool) {
 	w.target.leaving.Store(leaving)
-	if leaving == w.told {
+	if leaving == w.reported {
 		return
 	}
-	w.told = leaving
+	w.reported = leaving
 	if w.exit.opts.Leaving != nil {
 		w.exit.opts.Leaving(w.target.spec.Name, leaving)
 	}
@@ -114,18 +115,18 @@
 	if path == "" {
 		return false, false
 	}
-	got, err := w.get(ctx, path, maxReport)
+	got, err := w.get(ctx, path, maxPageBytes)
 	if err != nil {
 		return true, false
 	}
-	var r report
-	_ = json.Unmarshal(got.body, &r) // a health page need not be JSON
-	drains := got.status == http.StatusServiceUnavailable && (got.header.Get(HeaderDraining) != "" || r.Draining)
-	return got.status != http.StatusOK, drains
+	var p statusPage
+	_ = json.Unmarshal(got.body, &p) // a health page need not be JSON
+	draining := got.status == http.StatusServiceUnavailable && (got.header.Get(HeaderDraining) != "" || p.Draining)
+	return got.status != http.StatusOK, draining
 }
 
-// report is what is read of a target's pages.
-type report struct {
+// statusPage holds the fields that are read from a target's health and load pages.
+type statusPage struct {
 	InFlight int  `json:"inflight"`
 	Draining bool `json:"draining"`
 }
@@ -134,21 +135,21 @@
 	if svc.LoadPath == "" {
 		return false, false
 	}
-	got, err := w.get(ctx, svc.LoadPath, maxReport)
-	var r report
-	if err != nil || got.status != http.StatusOK || json.Unmarshal(got.body, &r) != nil {
+	got, err := w.get(ctx, svc.LoadPath, maxPageBytes)
+	var p statusPage
+	if err != nil || got.status != http.StatusOK || json.Unmarshal(got.body, &p) != nil {
 		return false, false
 	}
-	return r.InFlight > overload*svc.Slots, r.Draining
+	return p.InFlight > overloadFactor*svc.Slots, p.Draining
 }
 
-// overload is how many times its slots a target holds when its own word counts
-// as a hint against it.
-const overload = 2
+// overloadFactor is the multiple of its slots above which the number of requests that
+// a target reports in flight makes the hint bad.
+const overloadFactor = 2
 
-// probe asks for the known answer. It takes a slot like any request, as it costs
-// the target as much; where none is free in time there is traffic enough to judge
-// by, and nothing is said.
+// probe sends a known-answer probe. A probe costs the target as much as a request and
+// so takes a slot. If no slot is free in time, probe reports nothing: there is enough
+// traffic to judge the target by.
 func (w *watcher) probe(ctx context.Context) {
 	svc := w.target.policy.Load()
 	queue := w.target.queue.Load()
@@ -171,22 +172,22 @@
 	w.exit.opts.Probe(w.target.spec.Name, ok, w.exit.opts.Clock().Sub(started))
 }
 
-// page is what a target answered.
-type page struct {
+// response is the response to a poll or a probe.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// get reads at most so many bytes of an answer.
-func (w *watcher) get(ctx context.Context, path string, most int64) (page, error) {
+// get reads at most maxBytes bytes of the body.
+func (w *watcher) get(ctx context.Context, path string, maxBytes int64) (response, error) {
 	u := &url.URL{Scheme: "http", Host: w.target.spec.Addr, Opaque: path}
 	req := (&http.Request{Method: http.MethodGet, URL: u, Host: w.target.spec.Addr, Header: http.Header{}}).WithContext(ctx)
 	resp, err := w.target.transport.Load().RoundTrip(req)
 	if err != nil {
-		return page{}, err
+		return response{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, most))
-	return page{status: resp.StatusCode, header: resp.Header, body: body}, err
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes))
+	return response{status: resp.StatusCode, header: resp.Header, body: body}, err
 }
--- a/io/crexit/watch_test.go
+++ b/io/crexit/watch_test.go
@@ -20,11 +20,11 @@
 	"camphorroad/lab/crupstream"
 )
 
-// watched is an exit whose word on its one target is kept.
-type watched struct {
+// watchedExit is an exit with one target; it records the arguments of its callbacks.
+type watchedExit struct {
 	*gomega.WithT
-	exit *crexit.Exit
-	lab  *crupstream.Upstream
+	exit     *crexit.Exit
+	upstream *crupstream.Upstream
 
 	mu      sync.Mutex
 	probes  []bool
@@ -33,20 +33,20 @@
 	leaving []bool
 }
 
-func newWatched(t *testing.T, change func(*crpolicy.Service)) *watched {
-	w := &watched{WithT: gomega.NewWithT(t)}
-	w.lab = crupstream.New(crupstream.Options{Name: "t", Slots: 2, Queue: 2, Service: 25 * time.Millisecond})
-	srv := httptest.NewServer(w.lab)
+func newWatchedExit(t *testing.T, change func(*crpolicy.Service)) *watchedExit {
+	w := &watchedExit{WithT: gomega.NewWithT(t)}
+	w.upstream = crupstream.New(crupstream.Options{Name: "t", Slots: 2, Queue: 2, Service: 25 * time.Millisecond})
+	srv := httptest.NewServer(w.upstream)
 	t.Cleanup(srv.Close)
 	w.exit = crexit.New(crexit.Options{
-		Targets: []crexit.Spec{{Name: "t", Service: "s", Addr: strings.TrimPrefix(srv.URL, "http://")}},
+		Targets: []crexit.TargetSpec{{Name: "t", Service: "s", Addr: strings.TrimPrefix(srv.URL, "http://")}},
 		Pulse:   crforward.NewPulse(time.Hour, crclock.Now()),
 		Clock:   crclock.Now,
 		Probe: func(_ crid.Target, ok bool, took time.Duration) {
-			w.keep(func() { w.probes = append(w.probes, ok); w.took = took })
+			w.locked(func() { w.probes = append(w.probes, ok); w.took = took })
 		},
-		Hint:    func(_ crid.Target, bad bool) { w.keep(func() { w.hints = append(w.hints, bad) }) },
-		Leaving: func(_ crid.Target, l bool) { w.keep(func() { w.leaving = append(w.leaving, l) }) },
+		Hint:    func(_ crid.Target, bad bool) { w.locked(func() { w.hints = append(w.hints, bad) }) },
+		Leaving: func(_ crid.Target, l bool) { w.locked(func() { w.leaving = append(w.leaving, l) }) },
 	})
 	svc := crpolicy.Service{
 		Name: "s", Slots: 2, Queue: 2, Connections: 8, HealthPath: "/health", LoadPath: "/load",
@@ -61,13 +61,13 @@
 	return w
 }
 
-func (w *watched) keep(f func()) {
+func (w *watchedExit) locked(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
 }
 
-func (w *watched) last(list *[]bool) func() int {
+func (w *watchedExit) last(list *[]bool) func() int {
 	return func() int {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -81,29 +81,29 @@
 	}
 }
 
-// A target answers wrongly or says it is sick. The probe and its own pages show
-// it within their times.
-func TestProbesAndHintsTellOfASickTarget(t *testing.T) {
-	w := newWatched(t, func(*crpolicy.Service) {})
+// A target that gives wrong answers, reports to be unhealthy or hangs fails its
+// probes, and its health page gives a bad hint.
+func TestProbesAndHintsReportUnhealthyTarget(t *testing.T) {
+	w := newWatchedExit(t, func(*crpolicy.Service) {})
 	w.Eventually(w.last(&w.probes)).Should(gomega.Equal(1))
 	w.Eventually(w.last(&w.hints), 2*time.Second).Should(gomega.Equal(0))
 	w.Expect(w.took).To(gomega.BeNumerically(">=", 25*time.Millisecond))
-	w.lab.SetFault(crupstream.Fault{Kind: crupstream.FaultWrong, Health: "sick"})
+	w.upstream.SetFault(crupstream.Fault{Kind: crupstream.FaultWrong, Health: "sick"})
 	w.Eventually(w.last(&w.probes)).Should(gomega.Equal(0))
 	w.Eventually(w.last(&w.hints), 2*time.Second).Should(gomega.Equal(1))
-	w.lab.SetFault(crupstream.Fault{Kind: crupstream.FaultStall})
-	w.keep(func() { w.probes = nil })
-	w.Eventually(w.last(&w.probes), 4*time.Second).Should(gomega.Equal(0), "a probe without an answer is a failed one")
+	w.upstream.SetFault(crupstream.Fault{Kind: crupstream.FaultStall})
+	w.locked(func() { w.probes = nil })
+	w.Eventually(w.last(&w.probes), 4*time.Second).Should(gomega.Equal(0), "a probe without a response has failed")
 }
 
-// Every slot is held by requests that hang. A probe that waited behind them would
-// measure the queue and blame the target for it.
-func TestAProbeTakesASlot(t *testing.T) {
-	w := newWatched(t, func(s *crpolicy.Service) { s.Probe.Interval = time.Hour })
-	w.lab.SetFault(crupstream.Fault{Kind: crupstream.FaultStall})
+// All slots are held by requests that hang. A probe that counted its time in the
+// queue would fail the target for it.
+func TestProbeWaitsForSlot(t *testing.T) {
+	w := newWatchedExit(t, func(s *crpolicy.Service) { s.Probe.Interval = time.Hour })
+	w.upstream.SetFault(crupstream.Fault{Kind: crupstream.FaultStall})
 	ctx, cancel := context.WithCancel(t.Context())
 	for n := range uint64(2) {
-		go w.exit.Run(ctx, w.exit.Own(), forward(n+1, crpolicy.ClassRepeat), nil)
+		go w.exit.Run(ctx, w.exit.LocalLedger(), forward(n+1, crpolicy.ClassRepeat), nil)
 	}
 	w.Eventually(w.exit.InFlight).Should(gomega.BeEquivalentTo(2))
 	svc := crpolicy.Service{Name: "s", Slots: 2, Queue: 2, Probe: crpolicy.Probe{Path: "/probe", Status: 200, Interval: 100 * time.Millisecond}}
@@ -112,24 +112,24 @@
 	cancel()
 }
 
-// An upstream begins to drain and says so. It must get no new work, and the fleet
-// has to hear of it before the platform's list tells.
-func TestADrainingTargetIsLeaving(t *testing.T) {
-	w := newWatched(t, func(*crpolicy.Service) {})
-	w.lab.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("POST", "/lab/drain", nil)) //nolint:noctx // a recorder's request
+// An upstream that reports draining must get no new work, and the exit must report it
+// before the platform's list does.
+func TestDrainingTargetIsReportedLeaving(t *testing.T) {
+	w := newWatchedExit(t, func(*crpolicy.Service) {})
+	w.upstream.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("POST", "/lab/drain", nil)) //nolint:noctx // a recorder's request
 	w.Eventually(w.last(&w.leaving), 3*time.Second).Should(gomega.Equal(1))
-	ex := w.exit.Run(t.Context(), w.exit.Own(), forward(1, crpolicy.ClassOnce), nil)
+	ex := w.exit.Run(t.Context(), w.exit.LocalLedger(), forward(1, crpolicy.ClassOnce), nil)
 	w.Expect(ex.Answer.Kind).To(gomega.Equal(crhop.KindRefusal))
 	w.Expect(ex.Answer.NotRun).To(gomega.BeTrue())
-	w.Expect(w.lab.Runs().Total).To(gomega.BeZero())
+	w.Expect(w.upstream.Runs().Total).To(gomega.BeZero())
 }
 
-// All that watches ends with its context, also within a probe that hangs.
-func TestWatchingLeavesNothingBehind(t *testing.T) {
+// Watch stops all its goroutines when its context ends, even during a probe that hangs.
+func TestWatchLeaksNoGoroutines(t *testing.T) {
 	ignore := goleak.IgnoreCurrent()
 	t.Run("watch", func(t *testing.T) {
-		w := newWatched(t, func(*crpolicy.Service) {})
-		w.lab.SetFault(crupstream.Fault{Kind: crupstream.FaultStall})
+		w := newWatchedExit(t, func(*crpolicy.Service) {})
+		w.upstream.SetFault(crupstream.Fault{Kind: crupstream.FaultStall})
 		time.Sleep(300 * time.Millisecond)
 	})
 	goleak.VerifyNone(t, ignore)
