--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -1,13 +1,15 @@
-// Package cregress is the exit: it runs requests on the target beside its daemon,
-// and is the only one that ever sends the target anything.
+// Package cregress is the exit of the daemon of io/crmesh: it accepts offers of
+// requests, from other daemons through io/croffer and from its own entry directly,
+// and runs them on the daemon's target. io/crexit is the exit of the daemon of
+// io/crdaemon.
 //
-// Since it sees all answers of its target, it judges the target, and it can say
-// for certain what did not run.
+// No other daemon sends requests to the target. The exit sees all responses of the
+// target, so it estimates the target's health and knows which requests did not run.
 //
 // # Usage
 //
 //	exit := cregress.New(cregress.Options{Address: "10.0.0.1:8403", Dialect: dialect, Clock: crclock.Now})
-//	exit.Use(record, connections)
+//	exit.SetTarget(record)
 //	reply := exit.Offer(now, offer)
 //	result := exit.Run(ctx, reply.Ticket, request)
 package cregress
@@ -33,56 +35,57 @@
 )
 
 const (
-	// claimTime is how long a taken offer waits for its request: the entry
-	// sends it a round trip later.
-	claimTime = 400 * time.Millisecond
-	// trialEvery is the least time between two requests to a sick target that
-	// are to find out whether it has recovered.
-	trialEvery = 400 * time.Millisecond
+	// reservationTimeout is how long an accepted offer waits for its request, which
+	// the entry sends one round trip later.
+	reservationTimeout = 400 * time.Millisecond
+	// trialInterval is the least time between two trial requests, which test
+	// whether an unhealthy target has recovered.
+	trialInterval = 400 * time.Millisecond
 	// connectTimeout is the time to connect to the target on the same machine.
 	connectTimeout = 1000 * time.Millisecond
-	// connectionIdle is how long a connection to the target may lie unused and
-	// still carry a request. Targets close unused ones after seconds, at times
-	// without a word; what is sent then is lost.
-	connectionIdle = 1500 * time.Millisecond
-	// margin is kept of the time left, for the answer's way back.
-	margin = 12 * time.Millisecond
+	// connIdleTimeout is how long an idle connection to the target may be reused.
+	// Targets close idle connections after seconds, at times without notice, and a
+	// request sent on a closed connection is lost.
+	connIdleTimeout = 1500 * time.Millisecond
+	// responseMargin is the part of the remaining time reserved for returning the
+	// response to the entry.
+	responseMargin = 12 * time.Millisecond
 )
 
 // Options are the settings of an exit.
 type Options struct {
-	Service crid.Service
-	Address string // of the target
-	Dialect crdialect.Dialect
-	Clock   func() crid.Instant
-	Log     *crlog.Logger
-	Nudge   func()                 // tells that the target's state has changed
-	Asked   func(from crid.Daemon) // tells that a daemon has offered a request
+	Service        crid.Service
+	Address        string // of the target
+	Dialect        crdialect.Dialect
+	Clock          func() crid.Instant
+	Log            *crlog.Logger
+	OnTargetChange func()                 // called when the target's state has changed
+	OnOffer        func(from crid.Daemon) // called for each offer
 }
 
 // Exit runs requests on one target. It is safe for concurrent use.
 type Exit struct {
-	opts     Options
-	gate     *crgate.Gate
-	pool     *crlink.Pool
-	target   atomic.Pointer[crregistry.Record]
-	stopping atomic.Bool
-	end      atomic.Int64 // instant by which all work must have ended; zero: none
-	calls    calls
-	lines    lines
-	running  atomic.Int64 // idempotent requests at the target
-	repeats  atomic.Int64 // of these, those that were sent elsewhere before
-
-	mu      sync.Mutex
-	judge   *crjudge.Estimator
-	held    bool // to be sick, as last told to peers
-	trial   crid.Instant
-	next    uint64
-	tickets map[uint64]*claim
+	opts         Options
+	gate         *crgate.Gate
+	pool         *crlink.Pool
+	target       atomic.Pointer[crregistry.Record]
+	stopping     atomic.Bool
+	stopDeadline atomic.Int64 // instant by which all work must have ended; zero: none
+	failedCalls  failedCalls
+	refusalLog   logLimiter
+	idempotent   atomic.Int64 // idempotent requests running on the target
+	retries      atomic.Int64 // of these, those sent to another target before
+
+	mu           sync.Mutex
+	estimator    *crjudge.Estimator
+	unhealthy    bool // the target's state, as last reported to peers
+	lastTrial    crid.Instant
+	lastTicket   uint64
+	reservations map[uint64]*reservation
 }
 
-// claim is a taken offer.
-type claim struct {
+// reservation is an accepted offer that waits for its request.
+type reservation struct {
 	offer  croffer.Offer
 	ticket *crgate.Ticket
 	at     crid.Instant
@@ -91,57 +94,57 @@
 
 var _ croffer.Exit = (*Exit)(nil)
 
-// New returns an exit that takes nothing before Use.
+// New returns an exit that refuses all offers until SetTarget is called.
 func New(opts Options) *Exit {
 	return &Exit{
 		opts: opts,
 		gate: crgate.New(1),
 		pool: crlink.NewPool(opts.Address, crlink.Options{
-			Connect: connectTimeout, Idle: connectionIdle, Keep: 64,
+			Connect: connectTimeout, Idle: connIdleTimeout, Keep: 64,
 		}),
-		judge:   crjudge.New(opts.Clock()),
-		tickets: make(map[uint64]*claim),
+		estimator:    crjudge.New(opts.Clock()),
+		reservations: make(map[uint64]*reservation),
 	}
 }
 
-// Use takes the target's record; nil says that there is none.
-func (x *Exit) Use(r *crregistry.Record) {
+// SetTarget sets the target's record; nil means that there is none.
+func (x *Exit) SetTarget(r *crregistry.Record) {
 	now := x.opts.Clock()
 	old := x.target.Swap(r)
 	if r == nil || r.Leaving || x.stopping.Load() {
 		x.gate.Close()
 		if old != nil && !old.Leaving {
-			x.opts.Nudge()
+			x.opts.OnTargetChange()
 		}
 		return
 	}
 	if old == nil || old.Target != r.Target || old.Born != r.Born {
-		x.renew(now)
+		x.reset(now)
 	}
 	x.gate.Open()
 	x.gate.SetSlots(now, r.Slots)
 }
 
-// renew forgets what was known of a former target at this address.
-func (x *Exit) renew(now crid.Instant) {
+// reset discards the health data of the previous target at this address.
+func (x *Exit) reset(now crid.Instant) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.judge = crjudge.New(now)
-	x.held = false
+	x.estimator = crjudge.New(now)
+	x.unhealthy = false
 }
 
-// Finish has the exit take only what ends before an instant in any case: its daemon
-// was told to stop.
-func (x *Exit) Finish(end crid.Instant) { x.end.Store(int64(end)) }
+// SetStopDeadline makes the exit accept only requests that are expected to end before the
+// given instant. The daemon calls it when it begins to stop.
+func (x *Exit) SetStopDeadline(end crid.Instant) { x.stopDeadline.Store(int64(end)) }
 
-// before returns the instant by which an offer's request has to start so that it ends
-// before a daemon that was told to stop; zero: it was not told.
+// latestStart returns the latest instant at which an offer's request may start and
+// still end before the stop deadline; zero means that there is none.
 //
-// It goes by the time that even slow requests of its kind take. Callers wait several
-// times as long; by their time nearly nothing would fit, and the target would lie
-// idle from the order to stop until the next daemon has started.
-func (x *Exit) before(o croffer.Offer) crid.Instant {
-	end := x.end.Load()
+// It uses the time that slow requests of the same kind take. Callers wait several
+// times as long; with their timeouts nearly no request would fit, and the target
+// would be idle until the next daemon has started.
+func (x *Exit) latestStart(o croffer.Offer) crid.Instant {
+	end := x.stopDeadline.Load()
 	if end == 0 {
 		return 0
 	}
@@ -152,19 +155,19 @@
 	return crid.Instant(end).Add(-longest)
 }
 
-// Stop refuses all that has not been started yet.
+// Stop refuses all requests that have not started.
 func (x *Exit) Stop() {
 	x.stopping.Store(true)
 	x.gate.Close()
 }
 
-// Idle reports whether nothing runs and nothing waits.
+// Idle reports whether no request is running or waiting.
 func (x *Exit) Idle() bool { return x.gate.Idle() }
 
-// Tick refuses what has waited in vain.
+// Tick refuses waiting requests that can no longer start in time.
 func (x *Exit) Tick() { x.gate.Sweep(x.opts.Clock()) }
 
-// Target returns the target's name, or none.
+// Target returns the target's name, or an empty one without a target.
 func (x *Exit) Target() crid.Target {
 	if r := x.target.Load(); r != nil {
 		return r.Target
@@ -172,117 +175,117 @@
 	return ""
 }
 
-// Told returns what peers are told of the target.
-func (x *Exit) Told() crplace.LoadReport {
+// LoadReport returns the report on the target that peers get.
+func (x *Exit) LoadReport() crplace.LoadReport {
 	x.mu.Lock()
-	sick := x.judge.UnhealthyProb(x.opts.Clock())
+	unhealthyProb := x.estimator.UnhealthyProb(x.opts.Clock())
 	x.mu.Unlock()
-	return x.told(sick)
+	return x.loadReport(unhealthyProb)
 }
 
-func (x *Exit) told(sick float64) crplace.LoadReport {
+func (x *Exit) loadReport(unhealthyProb float64) crplace.LoadReport {
 	l := x.gate.Load()
 	r := x.target.Load()
 	return crplace.LoadReport{
-		Load: l.Running + l.Waiting, Slots: l.Slots, UnhealthyProb: sick, Typical: l.Typical,
+		Load: l.Running + l.Waiting, Slots: l.Slots, UnhealthyProb: unhealthyProb, Typical: l.Typical,
 		Closed: r == nil || r.Leaving || x.stopping.Load(),
 	}
 }
 
 // Offer implements croffer.Exit.
 func (x *Exit) Offer(now crid.Instant, o croffer.Offer) croffer.Reply {
-	x.opts.Asked(o.From)
+	x.opts.OnOffer(o.From)
 	r := x.target.Load()
 	if r == nil || r.Target != o.Target || r.Service != o.Service {
 		return x.refuse(now, o, refusal{reason: "no such target here"})
 	}
-	before := x.before(o)
-	if before != 0 && now > before {
+	latestStart := x.latestStart(o)
+	if latestStart != 0 && now > latestStart {
 		return x.refuse(now, o, refusal{reason: "stopping"})
 	}
-	if !x.fit(now, o) {
+	if !x.admits(now, o) {
 		return x.refuse(now, o, refusal{reason: "sick"})
 	}
-	latest := x.gate.Latest(now, crgate.Terms{Kind: o.Kind(), Call: o.Call, Objective: o.Objective, Left: o.Left})
-	if before != 0 {
-		latest = min(latest, before)
+	start := x.gate.Latest(now, crgate.Terms{Kind: o.Kind(), Call: o.Call, Objective: o.Objective, Left: o.Left})
+	if latestStart != 0 {
+		start = min(start, latestStart)
 	}
-	ticket, full := x.gate.Admit(now, crgate.Ask{Kind: o.Kind(), Call: o.Call, Priority: o.Priority, Start: latest})
-	if full != nil {
+	ticket, refused := x.gate.Admit(now, crgate.Ask{Kind: o.Kind(), Call: o.Call, Priority: o.Priority, Start: start})
+	if refused != nil {
 		return x.refuse(now, o, refusal{
-			reason: full.Reason().String(), after: full.RetryAfter(), wait: full.Wait(), patience: full.Patience(),
+			reason: refused.Reason().String(), retryAfter: refused.RetryAfter(), wait: refused.Wait(), maxWait: refused.Patience(),
 		})
 	}
-	return croffer.Reply{Taken: true, Ticket: x.claim(now, o, ticket), Told: x.Told()}
+	return croffer.Reply{Taken: true, Ticket: x.reserve(now, o, ticket), Told: x.LoadReport()}
 }
 
-// refusal is why an offer is not taken.
+// refusal is the reason why an offer is refused.
 type refusal struct {
-	reason   string
-	after    time.Duration // when there may be room; zero: not known
-	wait     time.Duration // that a request would have
-	patience time.Duration // that it has
+	reason     string
+	retryAfter time.Duration // zero: not known
+	wait       time.Duration // estimated wait for a slot
+	maxWait    time.Duration // longest wait that lets the request end in time
 }
 
 func (x *Exit) refuse(now crid.Instant, o croffer.Offer, r refusal) croffer.Reply {
-	told := x.Told()
-	if x.lines.allow(now) {
+	report := x.LoadReport()
+	if x.refusalLog.allow(now) {
 		x.opts.Log.Event(crlog.OfferRefused, crlog.Fields{
 			"request": o.ID, "target": string(o.Target), "entry": string(o.From), "reason": r.reason, "class": o.Class.String(),
-			"load": strconv.Itoa(told.Load), "slots": strconv.Itoa(told.Slots), "sick": crlog.Percent(told.UnhealthyProb),
-			"wait": r.wait.Round(time.Millisecond).String(), "patience": r.patience.Round(time.Millisecond).String(),
-			"typical": told.Typical.Round(time.Millisecond).String(),
+			"load": strconv.Itoa(report.Load), "slots": strconv.Itoa(report.Slots), "sick": crlog.Percent(report.UnhealthyProb),
+			"wait": r.wait.Round(time.Millisecond).String(), "patience": r.maxWait.Round(time.Millisecond).String(),
+			"typical": report.Typical.Round(time.Millisecond).String(),
 		})
 	}
-	return croffer.Reply{Reason: r.reason, RetryAfter: r.after, Told: told}
+	return croffer.Reply{Reason: r.reason, RetryAfter: r.retryAfter, Told: report}
 }
 
-// fit reports whether the target is well enough for an offer. A sick one gets
-// what may run again, now and then, and what has no other target left.
-func (x *Exit) fit(now crid.Instant, o croffer.Offer) bool {
+// admits reports whether the target's health allows an offer. An unhealthy target gets
+// an idempotent request each trialInterval, and the requests that have no better target.
+func (x *Exit) admits(now crid.Instant, o croffer.Offer) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.judge.UnhealthyProb(now) < crjudge.Threshold || o.Last {
+	if x.estimator.UnhealthyProb(now) < crjudge.Threshold || o.Last {
 		return true
 	}
-	if o.Class != crpolicy.ClassRepeat || now.Sub(x.trial) < trialEvery {
+	if o.Class != crpolicy.ClassRepeat || now.Sub(x.lastTrial) < trialInterval {
 		return false
 	}
-	x.trial = now
+	x.lastTrial = now
 	return true
 }
 
-func (x *Exit) claim(now crid.Instant, o croffer.Offer, t *crgate.Ticket) uint64 {
+func (x *Exit) reserve(now crid.Instant, o croffer.Offer, t *crgate.Ticket) uint64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.next++
-	n := x.next
-	x.tickets[n] = &claim{offer: o, ticket: t, at: now, timer: time.AfterFunc(claimTime, func() { x.Release(n) })}
+	x.lastTicket++
+	n := x.lastTicket
+	x.reservations[n] = &reservation{offer: o, ticket: t, at: now, timer: time.AfterFunc(reservationTimeout, func() { x.Release(n) })}
 	return n
 }
 
-func (x *Exit) take(ticket uint64) *claim {
+func (x *Exit) takeReservation(ticket uint64) *reservation {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	c := x.tickets[ticket]
+	c := x.reservations[ticket]
 	if c == nil {
 		return nil
 	}
-	delete(x.tickets, ticket)
+	delete(x.reservations, ticket)
 	c.timer.Stop()
 	return c
 }
 
 // Release implements croffer.Exit.
 func (x *Exit) Release(ticket uint64) {
-	if c := x.take(ticket); c != nil {
+	if c := x.takeReservation(ticket); c != nil {
 		x.gate.Cancel(x.opts.Clock(), c.ticket)
 	}
 }
 
 // Run implements croffer.Exit.
 func (x *Exit) Run(ctx context.Context, ticket uint64, r croffer.Request) croffer.Result {
-	c := x.take(ticket)
+	c := x.takeReservation(ticket)
 	if c == nil {
 		return x.notSent("the offer has expired", 0)
 	}
@@ -300,22 +303,22 @@
 		x.gate.Cancel(x.opts.Clock(), c.ticket)
 		return x.notSent("the target has left", 0)
 	}
-	run := &run{exit: x, claim: c, request: r, target: *target}
+	run := &run{exit: x, reservation: c, request: r, target: *target}
 	return run.do(ctx)
 }
 
-func (x *Exit) notSent(reason string, after time.Duration) croffer.Result {
-	return croffer.Result{Outcome: croffer.NotSent, Reason: reason, RetryAfter: after, Told: x.Told()}
+func (x *Exit) notSent(reason string, retryAfter time.Duration) croffer.Result {
+	return croffer.Result{Outcome: croffer.NotSent, Reason: reason, RetryAfter: retryAfter, Told: x.LoadReport()}
 }
 
-// note takes an answer as evidence, and tells peers when the verdict changes.
-func (x *Exit) note(now crid.Instant, s crjudge.Observation, id string) {
+// observe updates the health estimate, and reports a change of the target's state.
+func (x *Exit) observe(now crid.Instant, o crjudge.Observation, id string) {
 	x.mu.Lock()
-	before := x.judge.UnhealthyProb(now)
-	x.judge.Observe(now, s)
-	after := x.judge.UnhealthyProb(now)
-	changed := (after >= crjudge.Threshold) != x.held
-	x.held = after >= crjudge.Threshold
+	before := x.estimator.UnhealthyProb(now)
+	x.estimator.Observe(now, o)
+	after := x.estimator.UnhealthyProb(now)
+	changed := (after >= crjudge.Threshold) != x.unhealthy
+	x.unhealthy = after >= crjudge.Threshold
 	x.mu.Unlock()
 	if !changed {
 		return
@@ -323,64 +326,64 @@
 	x.opts.Log.Event(crlog.TargetJudged, crlog.Fields{
 		"target": string(x.Target()), "before": crlog.Percent(before), "sick": crlog.Percent(after), "request": id,
 	})
-	x.opts.Nudge()
+	x.opts.OnTargetChange()
 }
 
-// CallFailed notes that a call which the target made itself has failed. What the
-// target then answers is not its own fault.
-func (x *Exit) CallFailed() { x.calls.fail(x.opts.Clock()) }
-
-// RepeatShare is the part of the idempotent requests at the target that are
-// repeats, and so the chance that a call of the target is one. Requests that may
-// run only once are left out: if they make no calls, they would hide the repeats
-// among those that do.
-func (x *Exit) RepeatShare() float64 {
-	running := x.running.Load()
-	if running <= 0 {
+// RecordCallFailure records that a call which the target itself made has failed.
+// An error response of the target after it does not count against the target.
+func (x *Exit) RecordCallFailure() { x.failedCalls.record(x.opts.Clock()) }
+
+// RetryRatio returns the share of retries among the idempotent requests running on the
+// target, which estimates the share among the calls that the target makes. Requests
+// of class once are left out: if they make no calls, counting them would make the
+// share too low.
+func (x *Exit) RetryRatio() float64 {
+	idempotent := x.idempotent.Load()
+	if idempotent <= 0 {
 		return 0
 	}
-	return min(float64(x.repeats.Load())/float64(running), 1)
+	return min(float64(x.retries.Load())/float64(idempotent), 1)
 }
 
-// count notes that a request is at the target until the returned function is
+// countIdempotent counts a running idempotent request until the returned function is
 // called.
-func (x *Exit) count(o croffer.Offer) func() {
+func (x *Exit) countIdempotent(o croffer.Offer) func() {
 	if o.Class != crpolicy.ClassRepeat {
 		return func() {}
 	}
-	x.running.Add(1)
+	x.idempotent.Add(1)
 	if !o.Repeat {
-		return func() { x.running.Add(-1) }
+		return func() { x.idempotent.Add(-1) }
 	}
-	x.repeats.Add(1)
+	x.retries.Add(1)
 	return func() {
-		x.running.Add(-1)
-		x.repeats.Add(-1)
+		x.idempotent.Add(-1)
+		x.retries.Add(-1)
 	}
 }
 
-// calls remembers when a call of the target failed last.
-type calls struct{ at atomic.Int64 }
+// failedCalls holds the time of the last failed call that the target made.
+type failedCalls struct{ last atomic.Int64 }
 
-func (c *calls) fail(now crid.Instant) { c.at.Store(int64(now)) }
+func (c *failedCalls) record(now crid.Instant) { c.last.Store(int64(now)) }
 
-func (c *calls) failedSince(at crid.Instant) bool {
-	last := c.at.Load()
+func (c *failedCalls) since(at crid.Instant) bool {
+	last := c.last.Load()
 	return last != 0 && crid.Instant(last) >= at
 }
 
-var hopByHop = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Expect", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// StripConnection removes headers that concern one connection only.
-func StripConnection(h http.Header) {
+// StripHopByHop removes the headers that apply to a single connection.
+func StripHopByHop(h http.Header) {
 	for _, list := range h.Values("Connection") {
 		for _, name := range crlink.SplitList(list) {
 			h.Del(name)
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
--- a/io/cregress/lines_test.go
+++ b/io/cregress/lines_test.go
@@ -9,16 +9,16 @@
 	"camphorroad/core/crid"
 )
 
-// A service is full for minutes and each of its exits refuses hundreds of offers a
-// second. A line for each would take the processor from what is served.
-func TestLinesOfRefusedOffersAreBounded(t *testing.T) {
+// Each exit of a full service refuses hundreds of offers per second. Logging all of them
+// would use the CPU time that requests need.
+func TestRefusalLogIsRateLimited(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var l lines
-	written := 0
+	var l logLimiter
+	logged := 0
 	for at := crid.Instant(time.Hour); at < crid.Instant(time.Hour+3*time.Second); at = at.Add(time.Millisecond) {
 		if l.allow(at) {
-			written++
+			logged++
 		}
 	}
-	g.Expect(written).To(gomega.Equal(3 * refusalLines))
+	g.Expect(logged).To(gomega.Equal(3 * maxRefusalsPerSecond))
 }
--- a/io/cregress/run.go
+++ b/io/cregress/run.go
@@ -17,20 +17,20 @@
 	"camphorroad/io/croffer"
 )
 
-// errLate ends a run whose time is up.
-var errLate = errors.New("the time is up")
+// errTimeout is the cause of a context whose deadline has passed.
+var errTimeout = errors.New("the time is up")
 
-// run is one request that has its slot.
+// run is a request that holds a slot.
 type run struct {
-	exit    *Exit
-	claim   *claim
-	request croffer.Request
-	target  crregistry.Record
-	started crid.Instant
-	watch   watch
+	exit        *Exit
+	reservation *reservation
+	request     croffer.Request
+	target      crregistry.Record
+	started     crid.Instant
+	slow        slowTimer
 }
 
-// do runs the request and logs its end.
+// do runs the request and logs its result.
 func (r *run) do(ctx context.Context) croffer.Result {
 	r.started = r.exit.opts.Clock()
 	result := r.send(ctx)
@@ -38,16 +38,16 @@
 	return result
 }
 
-// log writes a line of a run without a success, and of a sample of the others.
+// log logs each run without success and a sample of the others.
 func (r *run) log(result croffer.Result) {
-	well := result.Outcome == croffer.Answered && result.Status < http.StatusBadRequest
-	if well && !crlog.Sampled(r.claim.offer.ID) {
+	success := result.Outcome == croffer.Answered && result.Status < http.StatusBadRequest
+	if success && !crlog.Sampled(r.reservation.offer.ID) {
 		return
 	}
 	r.exit.opts.Log.Event(crlog.RunEnded, crlog.Fields{
-		"request": r.claim.offer.ID, "target": string(r.target.Target), "entry": string(r.claim.offer.From),
+		"request": r.reservation.offer.ID, "target": string(r.target.Target), "entry": string(r.reservation.offer.From),
 		"outcome": result.Outcome.String(), "status": strconv.Itoa(result.Status), "reason": result.Reason,
-		"waited": r.started.Sub(r.claim.at).Round(time.Millisecond).String(),
+		"waited": r.started.Sub(r.reservation.at).Round(time.Millisecond).String(),
 		"took":   r.exit.opts.Clock().Sub(r.started).Round(time.Millisecond).String(),
 		"sick":   crlog.Percent(result.Told.UnhealthyProb), "load": strconv.Itoa(result.Told.Load), "slots": strconv.Itoa(result.Told.Slots),
 	})
@@ -55,166 +55,165 @@
 
 func (r *run) send(ctx context.Context) croffer.Result {
 	x := r.exit
-	waited := r.started.Sub(r.claim.at)
-	left := r.claim.offer.Left - waited - margin
+	waited := r.started.Sub(r.reservation.at)
+	left := r.reservation.offer.Left - waited - responseMargin
 	if left <= 0 {
-		x.gate.Cancel(r.started, r.claim.ticket)
+		x.gate.Cancel(r.started, r.reservation.ticket)
 		return x.notSent("too late", 0)
 	}
-	ctx, cancel := context.WithTimeoutCause(ctx, left, errLate)
+	ctx, cancel := context.WithTimeoutCause(ctx, left, errTimeout)
 	defer cancel()
 	conn, err := x.pool.Get(ctx)
 	if err != nil {
-		return r.unreached(err)
+		return r.connectFailed(err)
 	}
 	wait := min(r.request.Wait-waited, left)
-	defer x.count(r.claim.offer)()
-	r.watch.start(x, r.claim.offer)
-	answer, err := conn.Exchange(ctx, r.encode(wait), r.mine)
-	r.watch.stop()
+	defer x.countIdempotent(r.reservation.offer)()
+	r.slow.start(x, r.reservation.offer)
+	resp, err := conn.Exchange(ctx, r.encode(wait), r.matchesID)
+	r.slow.stop()
 	if err != nil {
-		return r.broken(ctx, err)
+		return r.exchangeFailed(ctx, err)
 	}
 	x.pool.Put(conn)
-	return r.judge(answer)
+	return r.handleResponse(resp)
 }
 
-// unreached ends a run that got no connection: nothing was sent.
-func (r *run) unreached(err error) croffer.Result {
+// connectFailed ends a run that got no connection. Nothing was sent.
+func (r *run) connectFailed(err error) croffer.Result {
 	x := r.exit
 	now := x.opts.Clock()
-	x.gate.Done(now, r.claim.ticket, 0)
+	x.gate.Done(now, r.reservation.ticket, 0)
 	if !errors.Is(err, context.Canceled) {
-		x.note(now, crjudge.Failure, r.claim.offer.ID)
+		x.observe(now, crjudge.Failure, r.reservation.offer.ID)
 	}
 	return x.notSent("the target takes no connection", 0)
 }
 
-// broken ends a run without a whole answer. The request may have run.
-func (r *run) broken(ctx context.Context, err error) croffer.Result {
+// exchangeFailed ends a run without a complete response. The request may have run.
+func (r *run) exchangeFailed(ctx context.Context, err error) croffer.Result {
 	x := r.exit
 	now := x.opts.Clock()
-	x.gate.Done(now, r.claim.ticket, 0)
+	x.gate.Done(now, r.reservation.ticket, 0)
 	result := croffer.Result{Outcome: croffer.Unknown, Reason: err.Error()}
 	switch {
-	case errors.Is(context.Cause(ctx), errLate):
+	case errors.Is(context.Cause(ctx), errTimeout):
 		result.Outcome = croffer.Late
-		r.lateEvidence(now)
+		r.observeTimeout(now)
 	case ctx.Err() != nil:
 		result.Reason = "the caller left"
 	default:
-		x.note(now, crjudge.Failure, r.claim.offer.ID)
+		x.observe(now, crjudge.Failure, r.reservation.offer.ID)
 	}
-	result.Told = x.Told()
+	result.Told = x.LoadReport()
 	return result
 }
 
-// lateEvidence weighs a request that ran until its time was up. If it had the
-// time that requests usually take several times over, that speaks against the
-// target; the watch may have said so already.
-func (r *run) lateEvidence(now crid.Instant) {
-	if r.watch.told() || r.exit.calls.failedSince(r.started) {
+// observeTimeout records a request that ran until its deadline. It counts against the
+// target if the request had the time of a slow one, unless slowTimer has recorded it.
+func (r *run) observeTimeout(now crid.Instant) {
+	if r.slow.hasFired() || r.exit.failedCalls.since(r.started) {
 		return
 	}
-	if slow := r.exit.gate.Slow(r.claim.offer.Kind()); slow > 0 && now.Sub(r.started) < slow {
+	if slow := r.exit.gate.Slow(r.reservation.offer.Kind()); slow > 0 && now.Sub(r.started) < slow {
 		return
 	}
-	r.exit.note(now, crjudge.Slow, r.claim.offer.ID)
+	r.exit.observe(now, crjudge.Slow, r.reservation.offer.ID)
 }
 
-// judge turns a whole answer into a result, and takes it as evidence.
-func (r *run) judge(a *crlink.Answer) croffer.Result {
+// handleResponse turns a complete response into a result and records it.
+func (r *run) handleResponse(resp *crlink.Answer) croffer.Result {
 	x := r.exit
 	now := x.opts.Clock()
 	took := now.Sub(r.started)
-	told := x.opts.Dialect.Answer(a.Status, a.Header)
-	if told.NotRun {
-		x.gate.Done(now, r.claim.ticket, 0)
-		return croffer.Result{Outcome: croffer.Rejected, Reason: "the target answered " + strconv.Itoa(a.Status), Told: x.Told()}
+	info := x.opts.Dialect.Answer(resp.Status, resp.Header)
+	if info.NotRun {
+		x.gate.Done(now, r.reservation.ticket, 0)
+		return croffer.Result{Outcome: croffer.Rejected, Reason: "the target answered " + strconv.Itoa(resp.Status), Told: x.LoadReport()}
 	}
-	success := a.Status < http.StatusBadRequest
-	if (success && !told.Sealed) || a.Header.Get("Content-Encoding") != "" {
-		x.gate.Done(now, r.claim.ticket, 0)
-		x.note(now, crjudge.Failure, r.claim.offer.ID)
-		return croffer.Result{Outcome: croffer.Unknown, Reason: "the answer is not the target's own", Told: x.Told()}
+	success := resp.Status < http.StatusBadRequest
+	if (success && !info.Sealed) || resp.Header.Get("Content-Encoding") != "" {
+		x.gate.Done(now, r.reservation.ticket, 0)
+		x.observe(now, crjudge.Failure, r.reservation.offer.ID)
+		return croffer.Result{Outcome: croffer.Unknown, Reason: "the answer is not the target's own", Told: x.LoadReport()}
 	}
-	r.evidence(now, took, a.Status)
-	StripConnection(a.Header)
-	return croffer.Result{Outcome: croffer.Answered, Status: a.Status, Header: a.Header, Body: a.Body, Told: x.Told()}
+	r.observeResponse(now, took, resp.Status)
+	StripHopByHop(resp.Header)
+	return croffer.Result{Outcome: croffer.Answered, Status: resp.Status, Header: resp.Header, Body: resp.Body, Told: x.LoadReport()}
 }
 
-func (r *run) evidence(now crid.Instant, took time.Duration, status int) {
+func (r *run) observeResponse(now crid.Instant, took time.Duration, status int) {
 	x := r.exit
 	switch {
 	case status < http.StatusInternalServerError:
-		x.gate.Done(now, r.claim.ticket, took)
-		x.note(now, crjudge.Success, r.claim.offer.ID)
+		x.gate.Done(now, r.reservation.ticket, took)
+		x.observe(now, crjudge.Success, r.reservation.offer.ID)
 	case status == http.StatusGatewayTimeout:
-		x.gate.Done(now, r.claim.ticket, 0)
-		r.lateEvidence(now)
+		x.gate.Done(now, r.reservation.ticket, 0)
+		r.observeTimeout(now)
 	default:
-		x.gate.Done(now, r.claim.ticket, 0)
-		if !x.calls.failedSince(r.started) {
-			x.note(now, crjudge.Failure, r.claim.offer.ID)
+		x.gate.Done(now, r.reservation.ticket, 0)
+		if !x.failedCalls.since(r.started) {
+			x.observe(now, crjudge.Failure, r.reservation.offer.ID)
 		}
 	}
 }
 
-// mine reports whether an answer belongs to the request. A target may send a
-// second answer to an earlier one where this one's is due.
-func (r *run) mine(h http.Header) bool {
+// matchesID reports whether a response belongs to the request. A target may send a
+// second response to an earlier request before this one's.
+func (r *run) matchesID(h http.Header) bool {
 	id := r.exit.opts.Dialect.Answer(0, h).ID
 	return id == "" || r.request.ID == "" || id == r.request.ID
 }
 
 func (r *run) encode(wait time.Duration) crlink.Request {
 	h := http.Header(r.request.Header).Clone()
-	StripConnection(h)
+	StripHopByHop(h)
 	r.exit.opts.Dialect.Address(h, crdialect.Facts{
 		Wait: wait, Target: r.target.Target, Account: r.request.Account, From: r.request.From,
 	})
 	return crlink.Request{Method: r.request.Method, URI: r.request.URI, Host: r.request.Host, Header: h, Body: r.request.Body}
 }
 
-// watch tells the judge of a request that runs far longer than others while it
-// still runs: a target that hangs gives no answer that could tell.
-type watch struct {
+// slowTimer records a slow request while it is still running, since a target that hangs
+// sends no response that could be recorded.
+type slowTimer struct {
 	mu    sync.Mutex
 	timer *time.Timer
-	said  bool
+	fired bool
 	ended bool
 }
 
-func (w *watch) start(x *Exit, o croffer.Offer) {
-	slow := x.gate.Slow(o.Kind())
-	if slow == 0 {
+func (t *slowTimer) start(x *Exit, o croffer.Offer) {
+	delay := x.gate.Slow(o.Kind())
+	if delay == 0 {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	began := x.opts.Clock()
-	w.timer = time.AfterFunc(slow, func() {
-		w.mu.Lock()
-		late := !w.ended && !x.calls.failedSince(began)
-		w.said = w.said || late
-		w.mu.Unlock()
-		if late {
-			x.note(x.opts.Clock(), crjudge.Slow, o.ID)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	started := x.opts.Clock()
+	t.timer = time.AfterFunc(delay, func() {
+		t.mu.Lock()
+		slow := !t.ended && !x.failedCalls.since(started)
+		t.fired = t.fired || slow
+		t.mu.Unlock()
+		if slow {
+			x.observe(x.opts.Clock(), crjudge.Slow, o.ID)
 		}
 	})
 }
 
-func (w *watch) stop() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ended = true
-	if w.timer != nil {
-		w.timer.Stop()
+func (t *slowTimer) stop() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.ended = true
+	if t.timer != nil {
+		t.timer.Stop()
 	}
 }
 
-func (w *watch) told() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.said
+func (t *slowTimer) hasFired() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.fired
 }
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -164,14 +164,14 @@
 	}
 	q.opts.Budget.RecordRequest(q.started, q.service)
 	if q.isCall() {
-		q.opts.Budget.Charge(q.started, q.service, q.opts.Local.RepeatShare())
+		q.opts.Budget.Charge(q.started, q.service, q.opts.Local.RetryRatio())
 	}
 	ctx, cancel := context.WithTimeout(q.http.Context(), q.deadline.Sub(q.opts.Clock()))
 	defer cancel()
 	defer context.AfterFunc(q.ending, cancel)()
 	answer := q.dispatch(ctx)
 	if q.isCall() && answer.status >= http.StatusInternalServerError {
-		q.opts.Local.CallFailed()
+		q.opts.Local.RecordCallFailure()
 	}
 	return answer
 }
--- a/io/crmesh/crmesh.go
+++ b/io/crmesh/crmesh.go
@@ -96,8 +96,8 @@
 func newExit(opts Options, l *crlog.Logger, loop *loop) *cregress.Exit {
 	x := cregress.New(cregress.Options{
 		Service: opts.Settings.Service, Address: opts.Settings.Target, Dialect: opts.Dialect, Clock: crclock.Now,
-		Log: l, Nudge: func() { loop.emit(crmesh.Nudge{Now: crclock.Now()}) },
-		Asked: func(from crid.Daemon) { loop.emit(crmesh.Asked{Now: crclock.Now(), From: from}) },
+		Log: l, OnTargetChange: func() { loop.emit(crmesh.Nudge{Now: crclock.Now()}) },
+		OnOffer: func(from crid.Daemon) { loop.emit(crmesh.Asked{Now: crclock.Now(), From: from}) },
 	})
 	return x
 }
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -188,7 +188,7 @@
 	began := time.Now()
 	grace := d.opts.Settings.Bounds.GraceTime() - reserve
 	d.log.Event(crlog.MeshStopping, crlog.Fields{"open": strconv.FormatInt(d.entry.Open(), 10)})
-	d.exit.Finish(crclock.Now().Add(grace))
+	d.exit.SetStopDeadline(crclock.Now().Add(grace))
 	d.feed.Stop()
 	d.loop.emit(crevent.Stopping{Now: crclock.Now()})
 	s.caller.SetKeepAlivesEnabled(false)
@@ -279,7 +279,7 @@
 	}
 	v := d.loop.view.Load()
 	out := dump{
-		Daemons: v.Daemons, Silent: slices.Sorted(maps.Keys(v.Silent)), Targets: v.Targets, Own: d.exit.Told(), Open: d.entry.Open(),
+		Daemons: v.Daemons, Silent: slices.Sorted(maps.Keys(v.Silent)), Targets: v.Targets, Own: d.exit.LoadReport(), Open: d.entry.Open(),
 	}
 	if v.Plan != nil {
 		out.Plan = v.Plan.Label()
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -112,7 +112,7 @@
 }
 
 func (d *daemon) beat(eff crmesh.SendBeat) crmesh.Beat {
-	told := d.exit.Told()
+	told := d.exit.LoadReport()
 	return crmesh.Beat{
 		Incarnation: d.incarnation,
 		Target:      d.exit.Target(),
@@ -150,7 +150,7 @@
 	before := d.loop.view.Swap(v)
 	d.entry.Use(v)
 	if !sameRecord(before, v) {
-		d.exit.Use(v.Own)
+		d.exit.SetTarget(v.Own)
 	}
 	d.forget(v)
 	d.logView(before, v)
--- a/io/crmesh/meters.go
+++ b/io/crmesh/meters.go
@@ -55,9 +55,9 @@
 // gauges registers what is read when the page is asked for.
 func (d *daemon) gauges() {
 	for name, read := range map[string]func() int64{
-		"target.load":                            func() int64 { return int64(d.exit.Told().Load) },
-		"target.slots":                           func() int64 { return int64(d.exit.Told().Slots) },
-		"target.sick.percent":                    func() int64 { return int64(d.exit.Told().UnhealthyProb * 100) },
+		"target.load":                            func() int64 { return int64(d.exit.LoadReport().Load) },
+		"target.slots":                           func() int64 { return int64(d.exit.LoadReport().Slots) },
+		"target.sick.percent":                    func() int64 { return int64(d.exit.LoadReport().UnhealthyProb * 100) },
 		"requests.open":                          d.entry.Open,
 		"peers.silent":                           func() int64 { return int64(len(d.loop.view.Load().Silent)) },
 		"peers.alive":                            func() int64 { return int64(len(d.loop.view.Load().Daemons) - 1) },
