--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -148,7 +148,7 @@
 	if end == 0 {
 		return 0
 	}
-	longest := o.Left
+	longest := o.TimeLeft
 	if slow := x.gate.Slow(o.Kind()); slow > 0 {
 		longest = min(longest, slow)
 	}
@@ -206,7 +206,7 @@
 	if !x.admits(now, o) {
 		return x.refuse(now, o, refusal{reason: "sick"})
 	}
-	start := x.gate.Latest(now, crgate.Terms{Kind: o.Kind(), Call: o.Call, Objective: o.Objective, Left: o.Left})
+	start := x.gate.Latest(now, crgate.Terms{Kind: o.Kind(), Call: o.Call, Objective: o.ObjectiveLeft, Left: o.TimeLeft})
 	if latestStart != 0 {
 		start = min(start, latestStart)
 	}
@@ -216,7 +216,7 @@
 			reason: refused.Reason().String(), retryAfter: refused.RetryAfter(), wait: refused.Wait(), maxWait: refused.Patience(),
 		})
 	}
-	return croffer.Reply{Taken: true, Ticket: x.reserve(now, o, ticket), Told: x.LoadReport()}
+	return croffer.Reply{Accepted: true, Ticket: x.reserve(now, o, ticket), LoadReport: x.LoadReport()}
 }
 
 // refusal is the reason why an offer is refused.
@@ -237,7 +237,7 @@
 			"typical": report.Typical.Round(time.Millisecond).String(),
 		})
 	}
-	return croffer.Reply{Reason: r.reason, RetryAfter: r.retryAfter, Told: report}
+	return croffer.Reply{Reason: r.reason, RetryAfter: r.retryAfter, LoadReport: report}
 }
 
 // admits reports whether the target's health allows an offer. An unhealthy target gets
@@ -245,7 +245,7 @@
 func (x *Exit) admits(now crid.Instant, o croffer.Offer) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.estimator.UnhealthyProb(now) < crjudge.Threshold || o.Last {
+	if x.estimator.UnhealthyProb(now) < crjudge.Threshold || o.NoAlternative {
 		return true
 	}
 	if o.Class != crpolicy.ClassRepeat || now.Sub(x.lastTrial) < trialInterval {
@@ -308,7 +308,7 @@
 }
 
 func (x *Exit) notSent(reason string, retryAfter time.Duration) croffer.Result {
-	return croffer.Result{Outcome: croffer.NotSent, Reason: reason, RetryAfter: retryAfter, Told: x.LoadReport()}
+	return croffer.Result{Outcome: croffer.NotSent, Reason: reason, RetryAfter: retryAfter, LoadReport: x.LoadReport()}
 }
 
 // observe updates the health estimate, and reports a change of the target's state.
@@ -352,7 +352,7 @@
 		return func() {}
 	}
 	x.idempotent.Add(1)
-	if !o.Repeat {
+	if !o.Retry {
 		return func() { x.idempotent.Add(-1) }
 	}
 	x.retries.Add(1)
--- a/io/cregress/run.go
+++ b/io/cregress/run.go
@@ -49,14 +49,14 @@
 		"outcome": result.Outcome.String(), "status": strconv.Itoa(result.Status), "reason": result.Reason,
 		"waited": r.started.Sub(r.reservation.at).Round(time.Millisecond).String(),
 		"took":   r.exit.opts.Clock().Sub(r.started).Round(time.Millisecond).String(),
-		"sick":   crlog.Percent(result.Told.UnhealthyProb), "load": strconv.Itoa(result.Told.Load), "slots": strconv.Itoa(result.Told.Slots),
+		"sick":   crlog.Percent(result.LoadReport.UnhealthyProb), "load": strconv.Itoa(result.LoadReport.Load), "slots": strconv.Itoa(result.LoadReport.Slots),
 	})
 }
 
 func (r *run) send(ctx context.Context) croffer.Result {
 	x := r.exit
 	waited := r.started.Sub(r.reservation.at)
-	left := r.reservation.offer.Left - waited - responseMargin
+	left := r.reservation.offer.TimeLeft - waited - responseMargin
 	if left <= 0 {
 		x.gate.Cancel(r.started, r.reservation.ticket)
 		return x.notSent("too late", 0)
@@ -98,14 +98,14 @@
 	result := croffer.Result{Outcome: croffer.Unknown, Reason: err.Error()}
 	switch {
 	case errors.Is(context.Cause(ctx), errTimeout):
-		result.Outcome = croffer.Late
+		result.Outcome = croffer.TimedOut
 		r.observeTimeout(now)
 	case ctx.Err() != nil:
 		result.Reason = "the caller left"
 	default:
 		x.observe(now, crjudge.Failure, r.reservation.offer.ID)
 	}
-	result.Told = x.LoadReport()
+	result.LoadReport = x.LoadReport()
 	return result
 }
 
@@ -129,17 +129,17 @@
 	info := x.opts.Dialect.Answer(resp.Status, resp.Header)
 	if info.NotRun {
 		x.gate.Done(now, r.reservation.ticket, 0)
-		return croffer.Result{Outcome: croffer.Rejected, Reason: "the target answered " + strconv.Itoa(resp.Status), Told: x.LoadReport()}
+		return croffer.Result{Outcome: croffer.Rejected, Reason: "the target answered " + strconv.Itoa(resp.Status), LoadReport: x.LoadReport()}
 	}
 	success := resp.Status < http.StatusBadRequest
 	if (success && !info.Sealed) || resp.Header.Get("Content-Encoding") != "" {
 		x.gate.Done(now, r.reservation.ticket, 0)
 		x.observe(now, crjudge.Failure, r.reservation.offer.ID)
-		return croffer.Result{Outcome: croffer.Unknown, Reason: "the answer is not the target's own", Told: x.LoadReport()}
+		return croffer.Result{Outcome: croffer.Unknown, Reason: "the answer is not the target's own", LoadReport: x.LoadReport()}
 	}
 	r.observeResponse(now, took, resp.Status)
 	StripHopByHop(resp.Header)
-	return croffer.Result{Outcome: croffer.Answered, Status: resp.Status, Header: resp.Header, Body: resp.Body, Told: x.LoadReport()}
+	return croffer.Result{Outcome: croffer.Answered, Status: resp.Status, Header: resp.Header, Body: resp.Body, LoadReport: x.LoadReport()}
 }
 
 func (r *run) observeResponse(now crid.Instant, took time.Duration, status int) {
--- a/io/cregress/stop_test.go
+++ b/io/cregress/stop_test.go
@@ -27,18 +27,18 @@
 	})
 	x.SetTarget(&crregistry.Record{Target: "t1", Service: "s1", Slots: 2})
 	offer := croffer.Offer{
-		Target: "t1", Service: "s1", Class: crpolicy.ClassOnce, Left: 10 * time.Second, Objective: 2 * time.Second, Aim: 2 * time.Second,
+		Target: "t1", Service: "s1", Class: crpolicy.ClassOnce, TimeLeft: 10 * time.Second, ObjectiveLeft: 2 * time.Second, RouteObjective: 2 * time.Second,
 	}
 	for range 20 {
 		ticket, _ := x.gate.Admit(now, crgate.Ask{Kind: offer.Kind(), Start: now})
 		x.gate.Done(now, ticket, 500*time.Millisecond)
 	}
 	x.SetStopDeadline(now.Add(5 * time.Second))
-	g.Expect(x.Offer(now, offer).Taken).To(gomega.BeTrue())
+	g.Expect(x.Offer(now, offer).Accepted).To(gomega.BeTrue())
 	now = now.Add(3 * time.Second)
-	g.Expect(x.Offer(now, offer).Taken).To(gomega.BeTrue())
+	g.Expect(x.Offer(now, offer).Accepted).To(gomega.BeTrue())
 	unknown := offer
-	unknown.Aim = time.Second
+	unknown.RouteObjective = time.Second
 	g.Expect(x.Offer(now, unknown).Reason).To(gomega.Equal("stopping"), "no duration is known for this kind")
 	now = now.Add(1500 * time.Millisecond)
 	g.Expect(x.Offer(now, offer).Reason).To(gomega.Equal("stopping"), "the request would end after the deadline")
--- a/io/crfeed/crfeed.go
+++ b/io/crfeed/crfeed.go
@@ -135,7 +135,7 @@
 
 // List implements [crwatch.Store].
 func (f *Feed) List(ctx context.Context, scope crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
-	items, at, err := f.through(ctx, croffer.FeedQuery{Scope: scope, Whole: true})
+	items, at, err := f.through(ctx, croffer.FeedQuery{Scope: scope, Full: true})
 	if !errors.Is(err, errDirect) {
 		return items, at, err
 	}
@@ -248,10 +248,10 @@
 			f.opts.Log.Event(crlog.ReaderSilent, crlog.Fields{"reader": string(d), "scope": q.Scope.String(), "error": err.Error()})
 			f.rest(d)
 		case page.State == croffer.FeedServed:
-			return items, max(page.At, q.After), nil
+			return items, max(page.Revision, q.After), nil
 		case page.State == croffer.FeedCompacted:
 			return nil, 0, crwatch.ErrCompacted
-		case page.State == croffer.FeedAway:
+		case page.State == croffer.FeedUnavailable:
 			away = true
 		}
 	}
@@ -342,7 +342,7 @@
 // wait for ever.
 func (f *Feed) Serve(ctx context.Context, held Held, q croffer.FeedQuery) croffer.FeedPage {
 	if !slices.Contains(f.opts.Readers(), f.opts.Self) {
-		return croffer.FeedPage{State: croffer.FeedElsewhere}
+		return croffer.FeedPage{State: croffer.FeedNotReader}
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -350,7 +350,7 @@
 	var items []crwatch.Item
 	var at crid.Revision
 	var err error
-	if q.Whole {
+	if q.Full {
 		items, at, err = held.Held(q.Scope)
 	} else {
 		items, at, err = held.Since(ctx, q.Scope, q.After, min(q.Wait, feedWait))
@@ -359,9 +359,9 @@
 	case errors.Is(err, crwatch.ErrCompacted):
 		return croffer.FeedPage{State: croffer.FeedCompacted}
 	case ctx.Err() != nil:
-		return croffer.FeedPage{State: croffer.FeedElsewhere}
+		return croffer.FeedPage{State: croffer.FeedNotReader}
 	case err != nil:
-		return croffer.FeedPage{State: croffer.FeedAway}
+		return croffer.FeedPage{State: croffer.FeedUnavailable}
 	}
-	return croffer.FeedPage{State: croffer.FeedServed, Items: items, At: at}
+	return croffer.FeedPage{State: croffer.FeedServed, Items: items, Revision: at}
 }
--- a/io/crfeed/crfeed_test.go
+++ b/io/crfeed/crfeed_test.go
@@ -73,7 +73,7 @@
 }
 
 func served() croffer.FeedPage {
-	return croffer.FeedPage{State: croffer.FeedServed, Items: []crwatch.Item{{Key: "far", Revision: 7}}, At: 7}
+	return croffer.FeedPage{State: croffer.FeedServed, Items: []crwatch.Item{{Key: "far", Revision: 7}}, Revision: 7}
 }
 
 func TestADaemonReadsThroughItsReaders(t *testing.T) {
@@ -122,8 +122,8 @@
 func TestADaemonWhoseReadersAreTurnedAwayReadsTheStoreItself(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newRig("a", "b")
-	r.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedAway}
-	r.peers.pages["b"] = croffer.FeedPage{State: croffer.FeedAway}
+	r.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedUnavailable}
+	r.peers.pages["b"] = croffer.FeedPage{State: croffer.FeedUnavailable}
 	for range 3 {
 		items, _, err := r.watch(t)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -144,8 +144,8 @@
 	g := gomega.NewWithT(t)
 	r := newRig("a", "b")
 	r.store.err = errors.New("busy")
-	r.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedAway}
-	r.peers.pages["b"] = croffer.FeedPage{State: croffer.FeedAway}
+	r.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedUnavailable}
+	r.peers.pages["b"] = croffer.FeedPage{State: croffer.FeedUnavailable}
 	_, _, err := r.watch(t)
 	g.Expect(err).To(gomega.MatchError("busy"))
 	_, _, err = r.watch(t)
@@ -161,7 +161,7 @@
 func TestTheOtherReaderIsAskedWhenOneIsTurnedAway(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newRig("a", "b")
-	r.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedAway}
+	r.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedUnavailable}
 	r.peers.pages["b"] = served()
 	for range 2 {
 		items, _, err := r.watch(t)
@@ -195,7 +195,7 @@
 func TestOnlyAReaderServes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newRig("a", "b")
-	g.Expect(r.feed.Serve(t.Context(), held{}, croffer.FeedQuery{Scope: 1}).State).To(gomega.Equal(croffer.FeedElsewhere))
+	g.Expect(r.feed.Serve(t.Context(), held{}, croffer.FeedQuery{Scope: 1}).State).To(gomega.Equal(croffer.FeedNotReader))
 }
 
 // A reader is told to stop while others wait through it for changes. It would stay
@@ -207,7 +207,7 @@
 		time.Sleep(30 * time.Millisecond)
 		r.feed.Stop()
 	}()
-	g.Expect(r.feed.Serve(t.Context(), held{}, croffer.FeedQuery{Scope: 1, Wait: time.Minute}).State).To(gomega.Equal(croffer.FeedElsewhere))
+	g.Expect(r.feed.Serve(t.Context(), held{}, croffer.FeedQuery{Scope: 1, Wait: time.Minute}).State).To(gomega.Equal(croffer.FeedNotReader))
 }
 
 // A rolling replacement brings several changes a second. A watch after each would
--- a/io/cringress/dispatch.go
+++ b/io/cringress/dispatch.go
@@ -127,13 +127,13 @@
 	now := d.opts.Clock()
 	o := croffer.Offer{
 		ID: d.caller.ID, From: d.opts.Self, Target: c.Target, Service: d.service, Class: d.route.Class, Priority: d.priority(),
-		Left: d.deadline.Sub(now), Objective: d.route.Objective - now.Sub(d.started), Last: c.LastResort, Repeat: d.repeat,
-		Aim: d.route.Objective, Call: d.isCall(),
+		TimeLeft: d.deadline.Sub(now), ObjectiveLeft: d.route.Objective - now.Sub(d.started), NoAlternative: c.LastResort, Retry: d.repeat,
+		RouteObjective: d.route.Objective, Call: d.isCall(),
 	}
 	if c.Daemon == d.opts.Self {
 		return d.tryLocal(ctx, o)
 	}
-	reply, grant, err := d.opts.Peers.Offer(ctx, c.Daemon, o)
+	reply, reservation, err := d.opts.Peers.Offer(ctx, c.Daemon, o)
 	if err != nil {
 		if ctx.Err() == nil {
 			d.silent++
@@ -144,16 +144,16 @@
 	}
 	d.opts.Board.Responded(c.Target)
 	d.heard(o, reply)
-	if grant == nil {
+	if reservation == nil {
 		return croffer.Result{}, false
 	}
-	return grant.Run(ctx, d.outgoing()), true
+	return reservation.Run(ctx, d.outgoing()), true
 }
 
 func (d *dispatch) tryLocal(ctx context.Context, o croffer.Offer) (croffer.Result, bool) {
 	reply := d.opts.Local.Offer(d.opts.Clock(), o)
 	d.heard(o, reply)
-	if !reply.Taken {
+	if !reply.Accepted {
 		return croffer.Result{}, false
 	}
 	return d.opts.Local.Run(ctx, reply.Ticket, d.outgoing()), true
@@ -161,9 +161,9 @@
 
 func (d *dispatch) heard(o croffer.Offer, r croffer.Reply) {
 	if r.Reason != "no such target here" {
-		d.opts.Board.Report(o.Target, r.Told)
+		d.opts.Board.Report(o.Target, r.LoadReport)
 	}
-	if !r.Taken {
+	if !r.Accepted {
 		d.note(r.Reason)
 		d.room(r.RetryAfter)
 	}
@@ -216,8 +216,8 @@
 // took deals with what became of a request that was sent; it reports whether
 // another target may be tried.
 func (d *dispatch) took(ctx context.Context, c crplace.Choice, r croffer.Result) bool {
-	if r.Told.Slots > 0 {
-		d.opts.Board.Report(c.Target, r.Told)
+	if r.LoadReport.Slots > 0 {
+		d.opts.Board.Report(c.Target, r.LoadReport)
 	}
 	if r.NotRun() {
 		d.note(r.Reason)
@@ -235,16 +235,16 @@
 	case croffer.Answered:
 		d.ran = true
 		d.last = reply{status: r.Status, header: http.Header(r.Header), body: r.Body}
-		d.last.choice, d.last.told = c, r.Told
+		d.last.choice, d.last.told = c, r.LoadReport
 		return more && r.Status >= http.StatusInternalServerError && d.mayRepeat()
-	case croffer.Late:
+	case croffer.TimedOut:
 		d.ran = true
 		d.last = refusal(http.StatusGatewayTimeout, r.Reason, 0)
 	default:
 		d.ran = true
 		d.last = refusal(http.StatusBadGateway, r.Reason, 0)
 	}
-	d.last.choice, d.last.told = c, r.Told
+	d.last.choice, d.last.told = c, r.LoadReport
 	return more && d.mayRepeat() && ctx.Err() == nil
 }
 
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -177,7 +177,7 @@
 		daemons[id] = true
 	}
 	d.board.Retain(targets)
-	d.peers.Keep(daemons)
+	d.peers.Retain(daemons)
 }
 
 func (d *daemon) logView(before, v *crmesh.View) {
--- a/io/croffer/client.go
+++ b/io/croffer/client.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// offerTimeout is how long an exit may take to answer an offer: a round
-	// trip of 3 ms between domains, tens of milliseconds of a busy processor
-	// that is stopped for the rest of a tenth of a second. A lost packet costs
-	// 200 ms, and another exit is then quicker.
+	// offerTimeout is how long an exit may take to answer an offer. It covers a
+	// round trip of 3 ms between domains and the tens of milliseconds for which a
+	// busy CPU is throttled until the end of a 100 ms period. A lost packet costs
+	// 200 ms; an offer to another exit is faster then.
 	offerTimeout = 180 * time.Millisecond
-	// keepUnused is how long a connection to a peer is kept unused.
-	keepUnused = 30 * time.Second
-	// keepMost bounds the unused connections to a peer.
-	keepMost = 8
+	// connIdleTimeout is how long an idle connection to a peer is kept.
+	connIdleTimeout = 30 * time.Second
+	// maxIdleConns bounds the idle connections to a peer.
+	maxIdleConns = 8
 )
 
-// Client offers requests to the exits of other daemons. It is safe for
-// concurrent use.
+// Client sends offers and store reads to other daemons. It is safe for concurrent
+// use.
 type Client struct {
 	port  string
 	mu    sync.Mutex
 	pools map[crid.Daemon]*crlink.Pool
 }
 
-// NewClient returns a client of daemons that listen at a port.
+// NewClient returns a client for daemons that listen on the given port.
 func NewClient(port int) *Client {
 	return &Client{port: strconv.Itoa(port), pools: make(map[crid.Daemon]*crlink.Pool)}
 }
@@ -44,14 +44,15 @@
 	defer c.mu.Unlock()
 	p := c.pools[d]
 	if p == nil {
-		p = crlink.NewPool(string(d)+":"+c.port, crlink.Options{Connect: offerTimeout, Idle: keepUnused, Keep: keepMost})
+		p = crlink.NewPool(string(d)+":"+c.port, crlink.Options{Connect: offerTimeout, Idle: connIdleTimeout, Keep: maxIdleConns})
 		c.pools[d] = p
 	}
 	return p
 }
 
-// Keep closes the connections to all daemons but the given ones.
-func (c *Client) Keep(daemons map[crid.Daemon]bool) {
+// Retain closes the connections to all daemons except the given ones, and the expired
+// idle connections to those.
+func (c *Client) Retain(daemons map[crid.Daemon]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for d, p := range c.pools {
@@ -64,16 +65,16 @@
 	}
 }
 
-// Grant is an offer that was taken.
-type Grant struct {
+// Reservation is an accepted offer.
+type Reservation struct {
 	pool   *crlink.Pool
 	conn   *crlink.Conn
 	ticket uint64
 }
 
-// Offer makes an offer. An error means that the exit did not answer in time; the
-// request has not left this daemon.
-func (c *Client) Offer(ctx context.Context, d crid.Daemon, o Offer) (Reply, *Grant, error) {
+// Offer sends an offer. An error means that the exit did not answer in time; the
+// request has not left this daemon. The reservation is nil if the offer is refused.
+func (c *Client) Offer(ctx context.Context, d crid.Daemon, o Offer) (Reply, *Reservation, error) {
 	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
 	body, err := cbor.Marshal(o)
@@ -88,7 +89,7 @@
 	var reply Reply
 	err = call(ctx, conn, PathOffer, body, &reply)
 	if err != nil && conn.Reused() && ctx.Err() == nil {
-		// The peer restarted, and the connection had died with it.
+		// The connection is stale, since the peer has restarted.
 		if conn, err = pool.Dial(ctx); err != nil {
 			return Reply{}, nil, err
 		}
@@ -97,38 +98,38 @@
 	if err != nil {
 		return Reply{}, nil, err
 	}
-	if !reply.Taken {
+	if !reply.Accepted {
 		pool.Put(conn)
 		return reply, nil, nil
 	}
-	return reply, &Grant{pool: pool, conn: conn, ticket: reply.Ticket}, nil
+	return reply, &Reservation{pool: pool, conn: conn, ticket: reply.Ticket}, nil
 }
 
-// Run sends the request itself and waits for what becomes of it.
-func (g *Grant) Run(ctx context.Context, r Request) Result {
+// Run sends the request itself and waits for its result.
+func (rv *Reservation) Run(ctx context.Context, r Request) Result {
 	body, err := cbor.Marshal(r)
 	if err != nil {
-		g.conn.Close()
+		rv.conn.Close()
 		return Result{Outcome: NotSent, Reason: "the request cannot be encoded"}
 	}
 	var result Result
-	if err := call(ctx, g.conn, PathRun+strconv.FormatUint(g.ticket, 10), body, &result); err != nil {
+	if err := call(ctx, rv.conn, PathRun+strconv.FormatUint(rv.ticket, 10), body, &result); err != nil {
 		if ctx.Err() != nil {
-			return Result{Outcome: Late, Reason: "no answer of the exit in time"}
+			return Result{Outcome: TimedOut, Reason: "no answer of the exit in time"}
 		}
 		return Result{Outcome: Unknown, Reason: "the exit broke off: " + err.Error()}
 	}
-	g.pool.Put(g.conn)
+	rv.pool.Put(rv.conn)
 	return result
 }
 
-// Fetch reads what a peer holds of the store beyond what this daemon has.
+// Fetch reads the store data that a peer has and this daemon lacks.
 func (c *Client) Fetch(ctx context.Context, d crid.Daemon, have, into any) error {
 	body, err := cbor.Marshal(have)
 	if err != nil {
 		return fmt.Errorf("encode the question: %w", err)
 	}
-	return c.page(ctx, d, PathCopy, body, into)
+	return c.post(ctx, d, PathCopy, body, into)
 }
 
 // Feed reads the store through a peer.
@@ -138,11 +139,11 @@
 		return FeedPage{}, fmt.Errorf("encode the question: %w", err)
 	}
 	var p FeedPage
-	err = c.page(ctx, d, PathFeed, body, &p)
+	err = c.post(ctx, d, PathFeed, body, &p)
 	return p, err
 }
 
-func (c *Client) page(ctx context.Context, d crid.Daemon, path string, body []byte, into any) error {
+func (c *Client) post(ctx context.Context, d crid.Daemon, path string, body []byte, into any) error {
 	conn, err := c.pool(d).Get(ctx)
 	if err != nil {
 		return err
@@ -155,15 +156,15 @@
 }
 
 func call(ctx context.Context, conn *crlink.Conn, path string, body []byte, into any) error {
-	a, err := conn.Exchange(ctx, crlink.Request{Method: http.MethodPost, URI: path, Host: "peer", Body: body}, nil)
+	resp, err := conn.Exchange(ctx, crlink.Request{Method: http.MethodPost, URI: path, Host: "peer", Body: body}, nil)
 	if err != nil {
 		return err
 	}
-	if a.Status != http.StatusOK {
+	if resp.Status != http.StatusOK {
 		conn.Close()
-		return fmt.Errorf("the peer answered %d", a.Status)
+		return fmt.Errorf("the peer answered %d", resp.Status)
 	}
-	if err := cbor.Unmarshal(a.Body, into); err != nil {
+	if err := cbor.Unmarshal(resp.Body, into); err != nil {
 		conn.Close()
 		return fmt.Errorf("decode the peer's answer: %w", err)
 	}
--- a/io/croffer/croffer.go
+++ b/io/croffer/croffer.go
@@ -1,16 +1,17 @@
-// Package croffer carries requests from the daemon where they enter to the one
-// beside their target.
+// Package croffer is the protocol between the daemons of io/crmesh. It carries
+// requests from the daemon that received them (the entry, io/cringress) to the daemon
+// of their target (the exit, io/cregress), and reads of the store from io/crfeed. The
+// daemons of io/crdaemon use io/crhop instead.
 //
-// A request travels in two steps on one connection. The offer names its target,
-// urgency and time, and the exit takes or refuses it at once. Only when it was
-// taken does the entry send the request itself. So as long as the entry has not
-// sent it, nobody can run it, and the entry may go elsewhere even when it hears
-// nothing.
+// A request is sent in two steps on one connection. The offer carries its target,
+// priority and time, and the exit accepts or refuses it at once. The entry sends the
+// request itself only after the exit has accepted the offer. Before that no exit can
+// run the request, so the entry may try another exit even if it got no reply.
 //
 // # Usage
 //
-//	reply, grant, err := client.Offer(ctx, daemon, offer)
-//	result := grant.Run(ctx, request)
+//	reply, reservation, err := client.Offer(ctx, daemon, offer)
+//	result := reservation.Run(ctx, request)
 package croffer
 
 import (
@@ -25,35 +26,35 @@
 
 // Offer asks an exit to run a request.
 type Offer struct {
-	_         struct{} `cbor:",toarray"`
-	ID        string   // of the request, for logs
-	From      crid.Daemon
-	Target    crid.Target
-	Service   crid.Service
-	Class     crpolicy.Class
-	Priority  int
-	Left      time.Duration // until the caller is answered in any case
-	Objective time.Duration // until an answer loses worth; zero or less: it has
-	Last      bool          // no better target is left
-	Repeat    bool          // it was sent to another target before
-	Aim       time.Duration // objective of its route
-	Call      bool          // a target of the fleet waits for it
+	_              struct{} `cbor:",toarray"`
+	ID             string   // of the request, for logs
+	From           crid.Daemon
+	Target         crid.Target
+	Service        crid.Service
+	Class          crpolicy.Class
+	Priority       int
+	TimeLeft       time.Duration // until the caller gets an answer in any case
+	ObjectiveLeft  time.Duration // until the latency objective is missed; zero or less: it is missed
+	NoAlternative  bool          // no better target is available
+	Retry          bool          // the request was sent to another target before
+	RouteObjective time.Duration // latency objective of the route
+	Call           bool          // the caller is a target of the fleet
 }
 
-// Kind is what the offer's request has in common with others that take as long.
-func (o Offer) Kind() crpace.Kind { return crpace.Kind{Class: o.Class, Objective: o.Aim} }
+// Kind returns the kind of the request, by which its duration is estimated.
+func (o Offer) Kind() crpace.Kind { return crpace.Kind{Class: o.Class, Objective: o.RouteObjective} }
 
 // Reply is an exit's answer to an offer.
 type Reply struct {
 	_          struct{} `cbor:",toarray"`
-	Taken      bool
+	Accepted   bool
 	Ticket     uint64
-	Reason     string        // why not
-	RetryAfter time.Duration // when there may be room
-	Told       crplace.LoadReport
+	Reason     string        // of a refusal
+	RetryAfter time.Duration // until a slot may be free
+	LoadReport crplace.LoadReport
 }
 
-// Request is a request as its target gets it, but for what the exit adds.
+// Request is the request as sent to the target, without the headers that the exit adds.
 type Request struct {
 	_       struct{} `cbor:",toarray"`
 	ID      string
@@ -63,25 +64,25 @@
 	Header  map[string][]string
 	Body    []byte
 	Account crid.Account
-	From    crid.Service  // of the entry's instance
-	Wait    time.Duration // until the caller leaves
+	From    crid.Service  // service of the entry's instance
+	Wait    time.Duration // until the caller stops waiting
 }
 
-// Outcome says what became of a request.
+// Outcome classifies the result of a request.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Answered: the target gave a whole answer of its own, good or bad.
+	// Answered: the target sent a complete response of its own, with any status.
 	Answered Outcome = iota + 1
 	// NotSent: the request never left the exit.
 	NotSent
-	// Rejected: the target said that it did not and will not run it.
+	// Rejected: the target reported that it did not and will not run the request.
 	Rejected
-	// Unknown: it may have run, and no whole answer came.
+	// Unknown: the request may have run, and no complete response came.
 	Unknown
-	// Late: as Unknown, and the time was up.
-	Late
+	// TimedOut: as Unknown, because the deadline passed.
+	TimedOut
 )
 
 // String returns the outcome's name for logs.
@@ -93,7 +94,7 @@
 	return "?"
 }
 
-// Result is what became of a request, and the answer if there is one.
+// Result is the outcome of a request, and the response if there is one.
 type Result struct {
 	_          struct{} `cbor:",toarray"`
 	Outcome    Outcome
@@ -102,13 +103,14 @@
 	Status     int
 	Header     map[string][]string
 	Body       []byte
-	Told       crplace.LoadReport
+	LoadReport crplace.LoadReport
 }
 
 // NotRun reports whether the request certainly did not run and never will.
 func (r Result) NotRun() bool { return r.Outcome == NotSent || r.Outcome == Rejected }
 
-// Exit runs requests on the target beside it.
+// Exit admits and runs requests on the target of its daemon. Run and Release take the
+// ticket of an accepted offer; Release frees it without a run.
 type Exit interface {
 	Offer(now crid.Instant, o Offer) Reply
 	Run(ctx context.Context, ticket uint64, r Request) Result
--- a/io/croffer/feed.go
+++ b/io/croffer/feed.go
@@ -7,34 +7,34 @@
 	"camphorroad/io/crwatch"
 )
 
-// FeedState says whether a daemon can serve as a reader of the store.
+// FeedState reports whether a daemon can serve reads of the store.
 type FeedState uint8
 
 // The states.
 const (
-	// FeedServed: the page holds what was asked for.
+	// FeedServed: the page holds the requested items.
 	FeedServed FeedState = iota + 1
-	// FeedCompacted: the changes asked for are not known any more; list anew.
+	// FeedCompacted: the requested changes have been compacted; a full read is needed.
 	FeedCompacted
-	// FeedAway: the reader cannot read the store at present.
-	FeedAway
-	// FeedElsewhere: the daemon does not read the store itself.
-	FeedElsewhere
+	// FeedUnavailable: the reader cannot read the store at present.
+	FeedUnavailable
+	// FeedNotReader: the daemon does not read the store itself.
+	FeedNotReader
 )
 
-// FeedQuery asks a reader for what changed in a part of the store.
+// FeedQuery requests the changes in a part of the store from a reader.
 type FeedQuery struct {
 	_     struct{} `cbor:",toarray"`
 	Scope crwatch.Scope
-	Whole bool // all items, in place of changes
+	Full  bool // all items instead of changes
 	After crid.Revision
 	Wait  time.Duration
 }
 
-// FeedPage is a reader's answer.
+// FeedPage is the answer to a FeedQuery.
 type FeedPage struct {
-	_     struct{} `cbor:",toarray"`
-	State FeedState
-	Items []crwatch.Item // packed
-	At    crid.Revision  // to go on from
+	_        struct{} `cbor:",toarray"`
+	State    FeedState
+	Items    []crwatch.Item // packed
+	Revision crid.Revision  // After of the next query
 }
--- a/io/croffer/server.go
+++ b/io/croffer/server.go
@@ -11,7 +11,7 @@
 	"camphorroad/core/crid"
 )
 
-// Paths between daemons.
+// Paths of the requests between daemons.
 const (
 	PathOffer = "/offer"
 	PathRun   = "/run/"
@@ -19,16 +19,17 @@
 	PathFeed  = "/feed"
 )
 
-// maxBody bounds what a peer may send: a request with its body.
-const maxBody = 64 << 20
+// maxBodyBytes bounds the body of a peer's request, which may contain a caller's
+// request with its body.
+const maxBodyBytes = 64 << 20
 
-// Pages are what a daemon serves its peers besides offers.
+// Pages serve the store reads of peers.
 type Pages struct {
-	Copy func(have []byte) (any, error)                  // what it holds of the store that a peer lacks
-	Feed func(ctx context.Context, q FeedQuery) FeedPage // the store, read through it
+	Copy func(have []byte) (any, error)                  // returns the store data that the peer lacks
+	Feed func(ctx context.Context, q FeedQuery) FeedPage // reads the store for the peer
 }
 
-// Handler serves offers of other daemons.
+// Handler serves the requests of other daemons.
 func Handler(exit Exit, clock func() crid.Instant, pages Pages) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+PathOffer, func(w http.ResponseWriter, r *http.Request) {
@@ -45,7 +46,7 @@
 		}
 		var req Request
 		if !read(w, r, &req) {
-			// The request did not arrive whole: it will not run.
+			// The request is incomplete and will not run.
 			exit.Release(ticket)
 			return
 		}
@@ -73,7 +74,7 @@
 }
 
 func read(w http.ResponseWriter, r *http.Request, into any) bool {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err == nil {
 		err = cbor.Unmarshal(body, into)
 	}
@@ -90,10 +91,10 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	// What peers do not read is left away: bytes between domains are dear.
+	// Peers do not read these headers, and traffic between domains is expensive.
 	w.Header()["Date"] = nil
 	w.Header()["Content-Type"] = nil
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	// A peer that has gone shows in its request's context.
+	// If the peer has disconnected, the request's context ends.
 	_, _ = w.Write(body)
 }
