--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -100,7 +100,7 @@
 		opts: opts,
 		gate: crgate.New(1),
 		pool: crlink.NewPool(opts.Address, crlink.Options{
-			Connect: connectTimeout, Idle: connIdleTimeout, Keep: 64,
+			ConnectTimeout: connectTimeout, IdleTimeout: connIdleTimeout, MaxIdle: 64,
 		}),
 		estimator:    crjudge.New(opts.Clock()),
 		reservations: make(map[uint64]*reservation),
--- a/io/cregress/run.go
+++ b/io/cregress/run.go
@@ -122,7 +122,7 @@
 }
 
 // handleResponse turns a complete response into a result and records it.
-func (r *run) handleResponse(resp *crlink.Answer) croffer.Result {
+func (r *run) handleResponse(resp *crlink.Response) croffer.Result {
 	x := r.exit
 	now := x.opts.Clock()
 	took := now.Sub(r.started)
--- a/io/crexit/shed_test.go
+++ b/io/crexit/shed_test.go
@@ -13,9 +13,9 @@
 	"camphorroad/io/crhop"
 )
 
-// An upstream sheds all requests. A once request that reaches it cannot be retried
-// elsewhere, so its caller gets the refusal. The exit must refuse such requests
-// itself, as otherwise each entry fails several callers before it avoids the target.
+// An upstream sheds all requests. A request of class once that reaches it cannot be
+// retried elsewhere, so its caller fails. The exit must refuse such requests itself, as
+// otherwise each entry fails several callers before it avoids the target.
 func TestOnceRequestsAreRefusedWhileTargetSheds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var draining atomic.Bool
--- a/io/crlink/crlink.go
+++ b/io/crlink/crlink.go
@@ -1,16 +1,20 @@
-// Package crlink holds HTTP/1.1 connections whose every byte the caller accounts
-// for: when a request left, whose answer came, and what is left over.
+// Package crlink is an HTTP/1.1 client with a connection pool. It never retries a
+// request, it checks that a response belongs to its request, and it does not reuse a
+// connection with unread data.
 //
-// An ordinary client hides these: it sends again on its own, and takes the next
-// bytes on a connection for the answer to what it sent last. A target that
-// answers twice would then give one caller the answer of another, and a request
-// that may run once could run twice.
+// net/http retries requests by itself, so a request that may run only once could run
+// twice. It also takes the next bytes on a connection for the response to the last
+// request: after a duplicate response of a target, one caller would get the response
+// of another.
+//
+// io/cregress uses the client for its target and io/croffer for the other daemons.
+// io/crexit, io/crentry, io/cringress and the store client use only its helpers.
 //
 // # Usage
 //
-//	pool := crlink.NewPool("10.0.0.1:7660", crlink.Options{Connect: 150 * time.Millisecond, Idle: 20 * time.Second})
+//	pool := crlink.NewPool("10.0.0.1:7660", crlink.Options{ConnectTimeout: 150 * time.Millisecond, IdleTimeout: 20 * time.Second, MaxIdle: 8})
 //	conn, err := pool.Get(ctx)
-//	answer, err := conn.Exchange(ctx, request, mine)
+//	resp, err := conn.Exchange(ctx, request, matches)
 //	pool.Put(conn)
 package crlink
 
@@ -32,49 +36,49 @@
 )
 
 const (
-	// probeIdle, probeEvery and probeCount find a peer that is gone without a
-	// word within three seconds.
-	probeIdle  = time.Second
-	probeEvery = 700 * time.Millisecond
-	probeCount = 2
-	// unacknowledged is how long sent bytes may go unacknowledged.
-	unacknowledged = 2500 * time.Millisecond
-	// maxAnswer bounds an answer that is held in memory.
-	maxAnswer = 16 << 20
-	// maxStrays bounds the answers skipped that belong to other requests.
-	maxStrays = 4
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect within three seconds
+	// a peer that has gone without closing the connection.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 700 * time.Millisecond
+	keepAliveCount    = 2
+	// ackTimeout is how long sent bytes may stay unacknowledged.
+	ackTimeout = 2500 * time.Millisecond
+	// maxResponseBytes bounds a response body, which is held in memory.
+	maxResponseBytes = 16 << 20
+	// maxResponses bounds the responses read in an exchange, including the skipped ones.
+	maxResponses = 4
 )
 
 // Errors of an exchange.
 var (
-	// ErrTooLarge tells that an answer does not fit into memory.
-	ErrTooLarge = errors.New("the answer is too large")
-	// ErrStray tells that only answers to other requests came.
-	ErrStray = errors.New("the answers belong to other requests")
+	// ErrResponseTooLarge means that a response body exceeds maxResponseBytes.
+	ErrResponseTooLarge = errors.New("the answer is too large")
+	// ErrUnexpectedResponse means that all responses belong to other requests.
+	ErrUnexpectedResponse = errors.New("the answers belong to other requests")
 )
 
-// Dialer returns a dialer whose connections notice a silent peer.
+// Dialer returns a dialer whose connections detect an unresponsive peer.
 func Dialer(connect time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: connect,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			var failed error
+			var optErr error
 			err := raw.Control(func(fd uintptr) {
-				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
+				optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 			})
-			return errors.Join(err, failed)
+			return errors.Join(err, optErr)
 		},
 	}
 }
 
 // Options are the settings of a pool.
 type Options struct {
-	Connect time.Duration // longest time to connect
-	Idle    time.Duration // longest time for which a connection is kept unused
-	Keep    int           // connections kept unused
+	ConnectTimeout time.Duration // for the TCP handshake
+	IdleTimeout    time.Duration // for which an idle connection is kept
+	MaxIdle        int           // limit of idle connections
 }
 
 // Pool keeps connections to one address. It is safe for concurrent use.
@@ -83,49 +87,51 @@
 	opts    Options
 	dialer  *net.Dialer
 	mu      sync.Mutex
-	idle    []*Conn // the one used last at the end
+	idle    []*Conn // the most recently used one is last
 	closed  bool
 }
 
 // NewPool returns a pool without connections.
 func NewPool(address string, opts Options) *Pool {
-	return &Pool{address: address, opts: opts, dialer: Dialer(opts.Connect)}
+	return &Pool{address: address, opts: opts, dialer: Dialer(opts.ConnectTimeout)}
 }
 
 // Conn is a connection. It serves one exchange at a time.
 type Conn struct {
-	net    net.Conn
-	br     *bufio.Reader
-	used   time.Time
-	reused bool
-	broken bool
-	limit  time.Duration // that the peer keeps it unused; zero: not told
+	net             net.Conn
+	br              *bufio.Reader
+	lastUsed        time.Time
+	reused          bool
+	broken          bool
+	peerIdleTimeout time.Duration // from the peer's Keep-Alive header; zero: not sent
 }
 
 // Reused reports whether the connection has served an exchange before.
 func (c *Conn) Reused() bool { return c.reused }
 
-// Get returns the connection used last that still seems alive, or a new one.
+// Get returns the most recently used idle connection that still seems open, or a new
+// one.
 func (p *Pool) Get(ctx context.Context) (*Conn, error) {
 	for {
 		c := p.pop()
 		if c == nil {
 			return p.Dial(ctx)
 		}
-		if time.Since(c.used) < p.lasts(c) && c.quiet() {
+		if time.Since(c.lastUsed) < p.idleTimeout(c) && c.noPendingData() {
 			return c, nil
 		}
 		c.Close()
 	}
 }
 
-// lasts is how long a connection may lie unused. The peer closes it after the
-// time it told; what is sent at that moment is lost.
-func (p *Pool) lasts(c *Conn) time.Duration {
-	if c.limit > 0 {
-		return min(p.opts.Idle, c.limit*7/10)
+// idleTimeout returns how long a connection may be idle. It is shorter than the peer's
+// own timeout, since a request sent at the moment when the peer closes the connection
+// is lost.
+func (p *Pool) idleTimeout(c *Conn) time.Duration {
+	if c.peerIdleTimeout > 0 {
+		return min(p.opts.IdleTimeout, c.peerIdleTimeout*7/10)
 	}
-	return p.opts.Idle
+	return p.opts.IdleTimeout
 }
 
 func (p *Pool) pop() *Conn {
@@ -148,23 +154,23 @@
 	return &Conn{net: conn, br: bufio.NewReaderSize(conn, 4<<10)}, nil
 }
 
-// Put gives a connection back for later exchanges.
+// Put returns a connection to the pool.
 func (p *Pool) Put(c *Conn) {
 	if c.broken || c.br.Buffered() > 0 {
 		c.Close()
 		return
 	}
-	c.used, c.reused = time.Now(), true
+	c.lastUsed, c.reused = time.Now(), true
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || len(p.idle) >= p.opts.Keep {
+	if p.closed || len(p.idle) >= p.opts.MaxIdle {
 		c.Close()
 		return
 	}
 	p.idle = append(p.idle, c)
 }
 
-// Close closes all unused connections; used ones are closed when given back.
+// Close closes all idle connections. Those in use are closed by Put.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -175,13 +181,13 @@
 	p.idle = nil
 }
 
-// Prune closes connections that have lain unused for too long.
+// Prune closes the connections that have been idle for too long.
 func (p *Pool) Prune() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if time.Since(c.used) < p.lasts(c) {
+		if time.Since(c.lastUsed) < p.idleTimeout(c) {
 			kept = append(kept, c)
 			continue
 		}
@@ -196,12 +202,12 @@
 	_ = c.net.Close() // nothing more is sent or read on it
 }
 
-// quiet reports whether nothing has come on an unused connection.
-func (c *Conn) quiet() bool { return c.br.Buffered() == 0 && Quiet(c.net) }
+// noPendingData reports whether an idle connection has no unread data.
+func (c *Conn) noPendingData() bool { return c.br.Buffered() == 0 && NoPendingData(c.net) }
 
-// Quiet reports whether nothing has come on a connection that nobody has read: neither
-// its end nor bytes that were not asked for. It does not wait for a reader.
-func Quiet(conn net.Conn) bool {
+// NoPendingData reports whether a connection has neither unread data nor been closed by
+// the peer. It does not wait for a goroutine that reads from the connection.
+func NoPendingData(conn net.Conn) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -210,16 +216,16 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(err, unix.EAGAIN)
+		noData = errors.Is(err, unix.EAGAIN)
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
-// Request is a request as it goes out.
+// Request is a request to send.
 type Request struct {
 	Method string
 	URI    string
@@ -228,22 +234,22 @@
 	Body   []byte
 }
 
-// Answer is a whole answer.
-type Answer struct {
+// Response is a complete response.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Exchange sends a request and reads its answer. Answers of which mine says that
-// they belong to another request are skipped; nil takes the first. When the
-// context ends, the connection is closed, which tells the peer to stop.
+// Exchange sends a request and reads its response. It skips responses for whose
+// headers matches returns false; a nil matches accepts the first response. When ctx
+// ends, the connection is closed, so that the peer stops working on the request.
 //
-// After an error the request may have been received, however the error looks.
-func (c *Conn) Exchange(ctx context.Context, r Request, mine func(http.Header) bool) (*Answer, error) {
+// After any error the peer may have received the request.
+func (c *Conn) Exchange(ctx context.Context, r Request, matches func(http.Header) bool) (*Response, error) {
 	stop := context.AfterFunc(ctx, func() { _ = c.net.Close() })
 	defer stop()
-	a, err := c.exchange(r, mine)
+	resp, err := c.exchange(r, matches)
 	if err != nil {
 		c.Close()
 		if ctx.Err() != nil {
@@ -251,14 +257,14 @@
 		}
 		return nil, err
 	}
-	return a, nil
+	return resp, nil
 }
 
-func (c *Conn) exchange(r Request, mine func(http.Header) bool) (*Answer, error) {
+func (c *Conn) exchange(r Request, matches func(http.Header) bool) (*Response, error) {
 	if _, err := c.net.Write(r.encode()); err != nil {
 		return nil, fmt.Errorf("send: %w", err)
 	}
-	for range maxStrays {
+	for range maxResponses {
 		//nolint:bodyclose // readBody closes it; an informational answer has none.
 		resp, err := http.ReadResponse(c.br, &http.Request{Method: r.Method})
 		if err != nil {
@@ -271,33 +277,33 @@
 		if err != nil {
 			return nil, err
 		}
-		if mine != nil && !mine(resp.Header) {
+		if matches != nil && !matches(resp.Header) {
 			if resp.Close {
-				return nil, ErrStray
+				return nil, ErrUnexpectedResponse
 			}
 			continue
 		}
 		c.broken = c.broken || resp.Close
-		c.limit = keepAlive(resp.Header)
-		return &Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
+		c.peerIdleTimeout = keepAliveTimeout(resp.Header)
+		return &Response{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 	}
-	return nil, ErrStray
+	return nil, ErrUnexpectedResponse
 }
 
 func readBody(resp *http.Response) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	err = errors.Join(err, resp.Body.Close())
 	if err != nil {
 		return nil, fmt.Errorf("read the answer's body: %w", err)
 	}
-	if len(body) > maxAnswer {
-		return nil, ErrTooLarge
+	if len(body) > maxResponseBytes {
+		return nil, ErrResponseTooLarge
 	}
 	return body, nil
 }
 
-// encode writes the request in one piece, so that it leaves whole or not at all
-// as far as this side can see to it.
+// encode returns the whole request in one buffer. Sent with a single write, it leaves
+// whole or not at all as far as this side can tell.
 func (r Request) encode() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.URI, r.Host)
@@ -311,8 +317,8 @@
 	return b.Bytes()
 }
 
-// keepAlive reads how long the peer keeps an unused connection.
-func keepAlive(h http.Header) time.Duration {
+// keepAliveTimeout returns the timeout of a Keep-Alive header, or zero.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, part := range SplitList(h.Get("Keep-Alive")) {
 		var seconds int
 		if _, err := fmt.Sscanf(part, "timeout=%d", &seconds); err == nil && seconds > 0 {
@@ -322,7 +328,7 @@
 	return 0
 }
 
-// SplitList splits the value of a header that holds a list with commas.
+// SplitList splits a header value that is a comma-separated list.
 func SplitList(s string) []string {
 	parts := strings.Split(s, ",")
 	for i, p := range parts {
@@ -331,10 +337,10 @@
 	return parts
 }
 
-// CloseAfterChunks has the connection of a request in chunks end with its answer.
-// net/http drops a length that stands beside the chunks. Another parser on the way
-// may have gone by it, and what it took for the rest of this request would be
-// served here as the next one of somebody else.
+// CloseAfterChunks closes the connection after the response if the request has a
+// chunked body. net/http ignores a Content-Length next to chunked encoding, but a proxy
+// before it may use that length instead. Bytes that the proxy takes for the rest of the
+// body would then be served as another caller's next request (request smuggling).
 func CloseAfterChunks(w http.ResponseWriter, r *http.Request) {
 	if len(r.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
--- a/io/croffer/client.go
+++ b/io/croffer/client.go
@@ -44,7 +44,7 @@
 	defer c.mu.Unlock()
 	p := c.pools[d]
 	if p == nil {
-		p = crlink.NewPool(string(d)+":"+c.port, crlink.Options{Connect: offerTimeout, Idle: connIdleTimeout, Keep: maxIdleConns})
+		p = crlink.NewPool(string(d)+":"+c.port, crlink.Options{ConnectTimeout: offerTimeout, IdleTimeout: connIdleTimeout, MaxIdle: maxIdleConns})
 		c.pools[d] = p
 	}
 	return p
