--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -267,43 +267,43 @@
 func (x *Exit) takeReservation(ticket uint64) *reservation {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	c := x.reservations[ticket]
-	if c == nil {
+	rv := x.reservations[ticket]
+	if rv == nil {
 		return nil
 	}
 	delete(x.reservations, ticket)
-	c.timer.Stop()
-	return c
+	rv.timer.Stop()
+	return rv
 }
 
 // Release implements croffer.Exit.
 func (x *Exit) Release(ticket uint64) {
-	if c := x.takeReservation(ticket); c != nil {
-		x.gate.Cancel(x.opts.Clock(), c.ticket)
+	if rv := x.takeReservation(ticket); rv != nil {
+		x.gate.Cancel(x.opts.Clock(), rv.ticket)
 	}
 }
 
 // Run implements croffer.Exit.
 func (x *Exit) Run(ctx context.Context, ticket uint64, r croffer.Request) croffer.Result {
-	c := x.takeReservation(ticket)
-	if c == nil {
+	rv := x.takeReservation(ticket)
+	if rv == nil {
 		return x.notSent("the offer has expired", 0)
 	}
 	select {
-	case <-c.ticket.Decided():
+	case <-rv.ticket.Decided():
 	case <-ctx.Done():
-		x.gate.Cancel(x.opts.Clock(), c.ticket)
+		x.gate.Cancel(x.opts.Clock(), rv.ticket)
 		return x.notSent("the caller left", 0)
 	}
-	if refusal := c.ticket.Refusal(); refusal != nil {
+	if refusal := rv.ticket.Refusal(); refusal != nil {
 		return x.notSent(refusal.Reason().String(), refusal.RetryAfter())
 	}
 	target := x.target.Load()
-	if target == nil || target.Target != c.offer.Target {
-		x.gate.Cancel(x.opts.Clock(), c.ticket)
+	if target == nil || target.Target != rv.offer.Target {
+		x.gate.Cancel(x.opts.Clock(), rv.ticket)
 		return x.notSent("the target has left", 0)
 	}
-	run := &run{exit: x, reservation: c, request: r, target: *target}
+	run := &run{exit: x, reservation: rv, request: r, target: *target}
 	return run.do(ctx)
 }
 
@@ -330,7 +330,7 @@
 }
 
 // RecordCallFailure records that a call which the target itself made has failed.
-// An error response of the target after it does not count against the target.
+// Failures of requests that were running at that time do not count against the target.
 func (x *Exit) RecordCallFailure() { x.failedCalls.record(x.opts.Clock()) }
 
 // RetryRatio returns the share of retries among the idempotent requests running on the
--- a/io/cregress/run.go
+++ b/io/cregress/run.go
@@ -110,7 +110,8 @@
 }
 
 // observeTimeout records a request that ran until its deadline. It counts against the
-// target if the request had the time of a slow one, unless slowTimer has recorded it.
+// target if the request had the time of a slow one, unless slowTimer has recorded it
+// or a call of the target has failed meanwhile.
 func (r *run) observeTimeout(now crid.Instant) {
 	if r.slow.hasFired() || r.exit.failedCalls.since(r.started) {
 		return
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -103,11 +103,11 @@
 	}
 	snap := crpolicy.NewSnapshot(1, []crpolicy.Service{svc}, []crpolicy.Account{account("alpha", alphaKey), account("beta", betaKey)})
 	p.exit = crexit.New(crexit.Options{
-		Targets: []crexit.TargetSpec{{Name: "t", Service: "s", Addr: upstream}},
-		Pulse:   crforward.NewPulse(time.Hour, crclock.Now()),
-		Clock:   crclock.Now,
-		Observe: p.fault,
-		BodyIdleTimeout:    bodyIdle,
+		Targets:         []crexit.TargetSpec{{Name: "t", Service: "s", Addr: upstream}},
+		Pulse:           crforward.NewPulse(time.Hour, crclock.Now()),
+		Clock:           crclock.Now,
+		Observe:         p.fault,
+		BodyIdleTimeout: bodyIdle,
 	})
 	p.Expect(p.exit.Apply(snap)).To(gomega.BeEmpty())
 	view, err := crview.Build(crview.Input{Self: "entry", Snapshot: snap, Loads: crview.NewLoads(), List: crinstance.NewList(1, []crinstance.Instance{
