--- a/io/crfeed/crfeed.go
+++ b/io/crfeed/crfeed.go
@@ -141,7 +141,7 @@
 
 // List implements [crwatch.Store].
 func (f *Feed) List(ctx context.Context, scope crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
-	items, revision, err := f.readThrough(ctx, croffer.FeedQuery{Scope: scope, Whole: true})
+	items, revision, err := f.readThrough(ctx, croffer.FeedQuery{Scope: scope, Full: true})
 	if !errors.Is(err, errReadDirectly) {
 		return items, revision, err
 	}
@@ -254,10 +254,10 @@
 			f.opts.Log.Event(crlog.ReaderSilent, crlog.Fields{"reader": string(d), "scope": q.Scope.String(), "error": err.Error()})
 			f.backOff(d)
 		case page.State == croffer.FeedServed:
-			return items, max(page.At, q.After), nil
+			return items, max(page.Revision, q.After), nil
 		case page.State == croffer.FeedCompacted:
 			return nil, 0, crwatch.ErrCompacted
-		case page.State == croffer.FeedAway:
+		case page.State == croffer.FeedUnavailable:
 			unavailable = true
 		}
 	}
@@ -352,7 +352,7 @@
 // ever.
 func (f *Feed) Serve(ctx context.Context, source Source, q croffer.FeedQuery) croffer.FeedPage {
 	if !slices.Contains(f.opts.Readers(), f.opts.Self) {
-		return croffer.FeedPage{State: croffer.FeedElsewhere}
+		return croffer.FeedPage{State: croffer.FeedNotReader}
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -360,7 +360,7 @@
 	var items []crwatch.Item
 	var revision crid.Revision
 	var err error
-	if q.Whole {
+	if q.Full {
 		items, revision, err = source.Snapshot(q.Scope)
 	} else {
 		items, revision, err = source.ChangesAfter(ctx, q.Scope, q.After, min(q.Wait, readerWait))
@@ -369,9 +369,9 @@
 	case errors.Is(err, crwatch.ErrCompacted):
 		return croffer.FeedPage{State: croffer.FeedCompacted}
 	case ctx.Err() != nil:
-		return croffer.FeedPage{State: croffer.FeedElsewhere}
+		return croffer.FeedPage{State: croffer.FeedNotReader}
 	case err != nil:
-		return croffer.FeedPage{State: croffer.FeedAway}
+		return croffer.FeedPage{State: croffer.FeedUnavailable}
 	}
-	return croffer.FeedPage{State: croffer.FeedServed, Items: items, At: revision}
+	return croffer.FeedPage{State: croffer.FeedServed, Items: items, Revision: revision}
 }
--- a/io/crfeed/crfeed_test.go
+++ b/io/crfeed/crfeed_test.go
@@ -73,7 +73,7 @@
 }
 
 func servedPage() croffer.FeedPage {
-	return croffer.FeedPage{State: croffer.FeedServed, Items: []crwatch.Item{{Key: "remote", Revision: 7}}, At: 7}
+	return croffer.FeedPage{State: croffer.FeedServed, Items: []crwatch.Item{{Key: "remote", Revision: 7}}, Revision: 7}
 }
 
 func TestADaemonReadsThroughAReader(t *testing.T) {
@@ -122,8 +122,8 @@
 func TestADaemonWhoseReadersAreRejectedReadsTheStoreDirectly(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFixture("a", "b")
-	f.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedAway}
-	f.peers.pages["b"] = croffer.FeedPage{State: croffer.FeedAway}
+	f.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedUnavailable}
+	f.peers.pages["b"] = croffer.FeedPage{State: croffer.FeedUnavailable}
 	for range 3 {
 		items, _, err := f.watch(t)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -144,8 +144,8 @@
 	g := gomega.NewWithT(t)
 	f := newFixture("a", "b")
 	f.store.err = errors.New("busy")
-	f.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedAway}
-	f.peers.pages["b"] = croffer.FeedPage{State: croffer.FeedAway}
+	f.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedUnavailable}
+	f.peers.pages["b"] = croffer.FeedPage{State: croffer.FeedUnavailable}
 	_, _, err := f.watch(t)
 	g.Expect(err).To(gomega.MatchError("busy"))
 	_, _, err = f.watch(t)
@@ -161,7 +161,7 @@
 func TestTheOtherReaderIsQueriedWhenOneIsRejected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFixture("a", "b")
-	f.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedAway}
+	f.peers.pages["a"] = croffer.FeedPage{State: croffer.FeedUnavailable}
 	f.peers.pages["b"] = servedPage()
 	for range 2 {
 		items, _, err := f.watch(t)
@@ -197,7 +197,7 @@
 func TestOnlyAReaderServesQueries(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFixture("a", "b")
-	g.Expect(f.feed.Serve(t.Context(), blockingSource{}, croffer.FeedQuery{Scope: 1}).State).To(gomega.Equal(croffer.FeedElsewhere))
+	g.Expect(f.feed.Serve(t.Context(), blockingSource{}, croffer.FeedQuery{Scope: 1}).State).To(gomega.Equal(croffer.FeedNotReader))
 }
 
 // A reader is stopped while peers wait through it for changes. If it waited for them to
@@ -209,7 +209,7 @@
 		time.Sleep(30 * time.Millisecond)
 		f.feed.Stop()
 	}()
-	g.Expect(f.feed.Serve(t.Context(), blockingSource{}, croffer.FeedQuery{Scope: 1, Wait: time.Minute}).State).To(gomega.Equal(croffer.FeedElsewhere))
+	g.Expect(f.feed.Serve(t.Context(), blockingSource{}, croffer.FeedQuery{Scope: 1, Wait: time.Minute}).State).To(gomega.Equal(croffer.FeedNotReader))
 }
 
 // A rolling replacement causes several changes a second. A watch after each would be a
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -112,7 +112,7 @@
 }
 
 func (d *daemon) beat(eff crmesh.SendHeartbeats) crmesh.Heartbeat {
-	told := d.exit.Told()
+	told := d.exit.LoadReport()
 	return crmesh.Heartbeat{
 		Incarnation:      d.incarnation,
 		Target:           d.exit.Target(),
@@ -150,7 +150,7 @@
 	before := d.loop.view.Swap(v)
 	d.entry.Use(v)
 	if !sameRecord(before, v) {
-		d.exit.Use(v.OwnRecord)
+		d.exit.SetTarget(v.OwnRecord)
 	}
 	d.forget(v)
 	d.logView(before, v)
@@ -177,7 +177,7 @@
 		daemons[id] = true
 	}
 	d.board.Retain(targets)
-	d.peers.Keep(daemons)
+	d.peers.Retain(daemons)
 }
 
 func (d *daemon) logView(before, v *crmesh.View) {
