--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -70,7 +70,9 @@
 		fx.Supply(cfg),
 		fx.Provide(
 			func() *crlog.Logger { return crlog.New(logTo, cfg.Log.Level, cfg.Name) },
-			func() *crforward.PauseDetector { return crforward.NewPauseDetector(crforward.DefaultPauseThreshold, crclock.Now()) },
+			func() *crforward.PauseDetector {
+				return crforward.NewPauseDetector(crforward.DefaultPauseThreshold, crclock.Now())
+			},
 			metrics.NewRegistry,
 			crhealth.NewRecorder,
 			newMeters,
@@ -207,12 +209,12 @@
 			self: s.self, exit: s.exit, client: crhop.NewClient(peers), clock: crclock.Now,
 			recorder: s.recorder, replay: int64(cfg.Limits.ReplayBytes),
 		},
-		Clock:   crclock.Now,
-		Observe: s.observe,
-		Chooser: newChooser(cfg.Policy),
-		Replay:  cfg.Limits.ReplayBytes,
-		Held:    int64(cfg.Limits.HoldInFlight),
-		Idle:    cfg.Limits.BodyIdle.Duration,
+		Clock:       crclock.Now,
+		Observe:     s.observe,
+		Chooser:     newChooser(cfg.Policy),
+		ReplayBytes: cfg.Limits.ReplayBytes,
+		Held:        int64(cfg.Limits.HoldInFlight),
+		Idle:        cfg.Limits.BodyIdle.Duration,
 	})
 }
 
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -79,7 +79,9 @@
 	handle *crhop.Handle
 }
 
-func (r revoker) Revoke(ctx context.Context) crforward.RevokeResult { return r.client.Revoke(ctx, r.handle) }
+func (r revoker) Revoke(ctx context.Context) crforward.RevokeResult {
+	return r.client.Revoke(ctx, r.handle)
+}
 
 func testService() crpolicy.Service {
 	route := func(name, prefix string, class crpolicy.Class) crpolicy.Route {
@@ -115,15 +117,15 @@
 	})})
 	p.Expect(err).NotTo(gomega.HaveOccurred())
 	p.entry = crentry.New(crentry.Options{
-		View:    func() *crview.View { return view },
-		Trusted: func(crid.Instant) bool { return true },
-		Admit:   freely{},
-		Hop:     p.hop(),
-		Clock:   crclock.Now,
-		Observe: p.observe,
-		Replay:  64 << 10,
-		Held:    100,
-		Idle:    bodyIdle,
+		View:        func() *crview.View { return view },
+		Trusted:     func(crid.Instant) bool { return true },
+		Admit:       freely{},
+		Hop:         p.hop(),
+		Clock:       crclock.Now,
+		Observe:     p.observe,
+		ReplayBytes: 64 << 10,
+		Held:        100,
+		Idle:        bodyIdle,
 	})
 	p.serve()
 	return p
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -29,7 +29,7 @@
 		host:     r.Host,
 		deadline: req.started.Add(req.route.Timeout),
 	}
-	if s.length > 0 && s.length <= int64(e.opts.Replay) {
+	if s.length > 0 && s.length <= int64(e.opts.ReplayBytes) {
 		if err := b.fill(s.expired); err != nil {
 			e.refuse(w, b, bodyRefusal(err))
 			return
@@ -122,7 +122,7 @@
 func (s *serving) share(now crid.Instant) time.Duration {
 	left := s.deadline.Sub(now)
 	if s.req.route.Class == crpolicy.ClassRepeat {
-		long := s.length > int64(s.entry.opts.Replay)
+		long := s.length > int64(s.entry.opts.ReplayBytes)
 		if !long && s.tracker.Attempts() < crforward.DefaultTrackerParams().MaxAttempts {
 			return left / 2
 		}
