--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -213,7 +213,7 @@
 		Observe:     s.observe,
 		Chooser:     newChooser(cfg.Policy),
 		ReplayBytes: cfg.Limits.ReplayBytes,
-		Held:        int64(cfg.Limits.HoldInFlight),
+		MaxInFlight: int64(cfg.Limits.HoldInFlight),
 		Idle:        cfg.Limits.BodyIdle.Duration,
 	})
 }
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -66,7 +66,7 @@
 	Observe     func(service crid.Service, target crid.Target, account crid.Account, o Outcome, took time.Duration)
 	Chooser     crroute.Picker[*crroute.Target] // nil: TwoChoices
 	ReplayBytes int                             // bytes of a body kept for another attempt
-	Held        int64                           // requests in flight at most
+	MaxInFlight int64                           // requests in flight at most
 	Idle        time.Duration                   // longest silence of a caller within a body, either way
 }
 
@@ -138,7 +138,7 @@
 	switch {
 	case e.stopping.Load():
 		return &refusal{status: http.StatusServiceUnavailable, reason: "this daemon is stopping", retry: soon, close: true}
-	case inflight > e.opts.Held:
+	case inflight > e.opts.MaxInFlight:
 		return &refusal{status: http.StatusServiceUnavailable, reason: "too many requests in flight here", retry: soon}
 	case !r.ProtoAtLeast(1, 1):
 		// An HTTP/1.0 caller takes the end of the connection for the end of
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -124,7 +124,7 @@
 		Clock:       crclock.Now,
 		Observe:     p.observe,
 		ReplayBytes: 64 << 10,
-		Held:        100,
+		MaxInFlight: 100,
 		Idle:        bodyIdle,
 	})
 	p.serve()
