--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -209,12 +209,12 @@
 			self: s.self, exit: s.exit, client: crhop.NewClient(peers), clock: crclock.Now,
 			recorder: s.recorder, replay: int64(cfg.Limits.ReplayBytes),
 		},
-		Clock:       crclock.Now,
-		Observe:     s.observe,
-		Chooser:     newChooser(cfg.Policy),
-		ReplayBytes: cfg.Limits.ReplayBytes,
-		MaxInFlight: int64(cfg.Limits.HoldInFlight),
-		Idle:        cfg.Limits.BodyIdle.Duration,
+		Clock:           crclock.Now,
+		Observe:         s.observe,
+		Chooser:         newChooser(cfg.Policy),
+		ReplayBytes:     cfg.Limits.ReplayBytes,
+		MaxInFlight:     int64(cfg.Limits.HoldInFlight),
+		BodyIdleTimeout: cfg.Limits.BodyIdle.Duration,
 	})
 }
 
--- a/io/crentry/answer.go
+++ b/io/crentry/answer.go
@@ -110,7 +110,7 @@
 	if length >= 0 && length <= unsent {
 		return nil
 	}
-	return newGuard(e.opts.Idle, rc.SetWriteDeadline)
+	return newGuard(e.opts.BodyIdleTimeout, rc.SetWriteDeadline)
 }
 
 // opening is the start of an answer's body, which is read before the head goes to
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -58,16 +58,16 @@
 
 // Options configure an Entry.
 type Options struct {
-	View        func() *crview.View // nil until there is a configuration
-	Trusted     func(now crid.Instant) bool
-	Admit       Admitter
-	Hop         Hop
-	Clock       func() crid.Instant
-	Observe     func(service crid.Service, target crid.Target, account crid.Account, o Outcome, took time.Duration)
-	Chooser     crroute.Picker[*crroute.Target] // nil: TwoChoices
-	ReplayBytes int                             // bytes of a body kept for another attempt
-	MaxInFlight int64                           // requests in flight at most
-	Idle        time.Duration                   // longest silence of a caller within a body, either way
+	View            func() *crview.View // nil until there is a configuration
+	Trusted         func(now crid.Instant) bool
+	Admit           Admitter
+	Hop             Hop
+	Clock           func() crid.Instant
+	Observe         func(service crid.Service, target crid.Target, account crid.Account, o Outcome, took time.Duration)
+	Chooser         crroute.Picker[*crroute.Target] // nil: TwoChoices
+	ReplayBytes     int                             // bytes of a body kept for another attempt
+	MaxInFlight     int64                           // requests in flight at most
+	BodyIdleTimeout time.Duration                   // longest silence of a caller within a body, either way
 }
 
 // Counters count requests by outcome.
@@ -119,7 +119,7 @@
 	// the answer, and a refusal would wait for a slow caller's upload.
 	_ = http.NewResponseController(w).EnableFullDuplex()
 	crlink.CloseAfterChunks(w, r)
-	body := newBody(w, r, e.opts.ReplayBytes, e.opts.Idle)
+	body := newBody(w, r, e.opts.ReplayBytes, e.opts.BodyIdleTimeout)
 	defer body.close()
 	if refused := e.gate(r, n); refused != nil {
 		e.refuse(w, body, refused)
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -117,15 +117,15 @@
 	})})
 	p.Expect(err).NotTo(gomega.HaveOccurred())
 	p.entry = crentry.New(crentry.Options{
-		View:        func() *crview.View { return view },
-		Trusted:     func(crid.Instant) bool { return true },
-		Admit:       freely{},
-		Hop:         p.hop(),
-		Clock:       crclock.Now,
-		Observe:     p.observe,
-		ReplayBytes: 64 << 10,
-		MaxInFlight: 100,
-		Idle:        bodyIdle,
+		View:            func() *crview.View { return view },
+		Trusted:         func(crid.Instant) bool { return true },
+		Admit:           freely{},
+		Hop:             p.hop(),
+		Clock:           crclock.Now,
+		Observe:         p.observe,
+		ReplayBytes:     64 << 10,
+		MaxInFlight:     100,
+		BodyIdleTimeout: bodyIdle,
 	})
 	p.serve()
 	return p
