--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -202,9 +202,9 @@
 
 func newEntry(cfg crsettings.Settings, s *shell, peers *crpeer.Transport) *crentry.Entry {
 	return crentry.New(crentry.Options{
-		View:    s.view.Load,
-		Trusted: s.isTrusted,
-		Admit:   s,
+		View:     s.view.Load,
+		Trusted:  s.isTrusted,
+		Admitter: s,
 		Hop: &hop{
 			self: s.self, exit: s.exit, client: crhop.NewClient(peers), clock: crclock.Now,
 			recorder: s.recorder, replay: int64(cfg.Limits.ReplayBytes),
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -60,7 +60,7 @@
 type Options struct {
 	View            func() *crview.View // nil until there is a configuration
 	Trusted         func(now crid.Instant) bool
-	Admit           Admitter
+	Admitter        Admitter
 	Hop             Hop
 	Clock           func() crid.Instant
 	Observe         func(service crid.Service, target crid.Target, account crid.Account, o Outcome, took time.Duration)
@@ -185,7 +185,7 @@
 	if refused := req.match(r); refused != nil {
 		return nil, refused
 	}
-	if ok, retry := e.opts.Admit.Admit(r.Context(), account.Name, now); !ok {
+	if ok, retry := e.opts.Admitter.Admit(r.Context(), account.Name, now); !ok {
 		e.counters.Limited.Add(1)
 		return nil, &refusal{status: http.StatusTooManyRequests, reason: "the account's rate is used up", retry: retry}
 	}
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -119,7 +119,7 @@
 	p.entry = crentry.New(crentry.Options{
 		View:            func() *crview.View { return view },
 		Trusted:         func(crid.Instant) bool { return true },
-		Admit:           freely{},
+		Admitter:        freely{},
 		Hop:             p.hop(),
 		Clock:           crclock.Now,
 		Observe:         p.observe,
