--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -205,7 +205,7 @@
 		View:     s.view.Load,
 		Trusted:  s.isTrusted,
 		Admitter: s,
-		Hop: &hop{
+		Forwarder: &hop{
 			self: s.self, exit: s.exit, client: crhop.NewClient(peers), clock: crclock.Now,
 			recorder: s.recorder, replay: int64(cfg.Limits.ReplayBytes),
 		},
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -61,7 +61,7 @@
 	View            func() *crview.View // nil until there is a configuration
 	Trusted         func(now crid.Instant) bool
 	Admitter        Admitter
-	Hop             Hop
+	Forwarder       Hop
 	Clock           func() crid.Instant
 	Observe         func(service crid.Service, target crid.Target, account crid.Account, o Outcome, took time.Duration)
 	Chooser         crroute.Picker[*crroute.Target] // nil: TwoChoices
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -120,7 +120,7 @@
 		View:            func() *crview.View { return view },
 		Trusted:         func(crid.Instant) bool { return true },
 		Admitter:        freely{},
-		Hop:             p.hop(),
+		Forwarder:       p.hop(),
 		Clock:           crclock.Now,
 		Observe:         p.observe,
 		ReplayBytes:     64 << 10,
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -140,7 +140,7 @@
 	timer := time.AfterFunc(left, cancel)
 	target.Load().Begin()
 	var revoker Revoker
-	ex, err := s.entry.opts.Hop.Forward(attempt, target, s.forward(target, left), s.body, func(rv Revoker) {
+	ex, err := s.entry.opts.Forwarder.Forward(attempt, target, s.forward(target, left), s.body, func(rv Revoker) {
 		revoker = rv
 		s.tracker.Sent(n, s.entry.opts.Clock())
 	})
