--- a/io/crdaemon/hop.go
+++ b/io/crdaemon/hop.go
@@ -24,7 +24,7 @@
 	replay   int64 // bytes of a body that is held whole before it is sent
 }
 
-var _ crentry.Hop = (*hop)(nil)
+var _ crentry.Forwarder = (*hop)(nil)
 
 // Forward implements crentry.Hop.
 func (h *hop) Forward(
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -25,8 +25,8 @@
 	"camphorroad/io/crlink"
 )
 
-// Hop forwards one attempt.
-type Hop interface {
+// Forwarder forwards one attempt.
+type Forwarder interface {
 	// Forward sends a request to a target and returns once the head of the
 	// answer is there. sent is called just before anything goes out.
 	Forward(ctx context.Context, to *crroute.Target, f *crhop.Forward, body BodySource, sent func(Revoker)) (*crhop.Exchange, error)
@@ -61,7 +61,7 @@
 	View            func() *crview.View // nil until there is a configuration
 	Trusted         func(now crid.Instant) bool
 	Admitter        Admitter
-	Forwarder       Hop
+	Forwarder       Forwarder
 	Clock           func() crid.Instant
 	Observe         func(service crid.Service, target crid.Target, account crid.Account, o Outcome, took time.Duration)
 	Chooser         crroute.Picker[*crroute.Target] // nil: TwoChoices
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -132,7 +132,7 @@
 }
 
 // hop is the way to the exit: over sessions, unless the test has set another.
-func (p *path) hop() crentry.Hop {
+func (p *path) hop() crentry.Forwarder {
 	if b, ok := p.t.(*straight); ok {
 		return here{b, p.exit}
 	}
