--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -211,7 +211,7 @@
 		},
 		Clock:           crclock.Now,
 		Observe:         s.observe,
-		Chooser:         newChooser(cfg.Policy),
+		Picker:          newChooser(cfg.Policy),
 		ReplayBytes:     cfg.Limits.ReplayBytes,
 		MaxInFlight:     int64(cfg.Limits.HoldInFlight),
 		BodyIdleTimeout: cfg.Limits.BodyIdle.Duration,
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -64,7 +64,7 @@
 	Forwarder       Forwarder
 	Clock           func() crid.Instant
 	Observe         func(service crid.Service, target crid.Target, account crid.Account, o Outcome, took time.Duration)
-	Chooser         crroute.Picker[*crroute.Target] // nil: TwoChoices
+	Picker          crroute.Picker[*crroute.Target] // nil: TwoChoices
 	ReplayBytes     int                             // bytes of a body kept for another attempt
 	MaxInFlight     int64                           // requests in flight at most
 	BodyIdleTimeout time.Duration                   // longest silence of a caller within a body, either way
@@ -87,12 +87,12 @@
 
 // New returns an Entry.
 func New(opts Options) *Entry {
-	if opts.Chooser == nil {
-		opts.Chooser = crroute.TwoChoices[*crroute.Target]{}
+	if opts.Picker == nil {
+		opts.Picker = crroute.TwoChoices[*crroute.Target]{}
 	}
 	return &Entry{
 		opts:    opts,
-		chooser: opts.Chooser,
+		chooser: opts.Picker,
 		budget:  crforward.NewRetryBudget(crforward.DefaultRetryBudgetParams(), opts.Clock()),
 	}
 }
