--- a/io/crdaemon/steer.go
+++ b/io/crdaemon/steer.go
@@ -57,7 +57,7 @@
 		return crhealth.ResultStalled
 	case crentry.OutcomeShed:
 		return crhealth.ResultShed
-	case crentry.OutcomeUnreached:
+	case crentry.OutcomeUnreachable:
 		return crhealth.ResultUnreachable
 	}
 	return crhealth.ResultUnreachable
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -48,12 +48,12 @@
 
 // The outcomes of attempts, as evidence on a target.
 const (
-	OutcomeOK        Outcome = iota + 1
-	OutcomeFailed            // status 5xx, or the connection broke
-	OutcomeWrong             // another request's answer
-	OutcomeStalled           // no answer in time
-	OutcomeShed              // the target or its exit refused for load
-	OutcomeUnreached         // the exit daemon could not be reached from here
+	OutcomeOK          Outcome = iota + 1
+	OutcomeFailed              // status 5xx, or the connection broke
+	OutcomeWrong               // another request's answer
+	OutcomeStalled             // no answer in time
+	OutcomeShed                // the target or its exit refused for load
+	OutcomeUnreachable         // the exit daemon could not be reached from here
 )
 
 // Options configure an Entry.
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -286,7 +286,7 @@
 	if errors.Is(err, crhop.ErrNotSent) {
 		s.tracker.Failed(n)
 		target.Load().RecordUnreachable(now)
-		s.observe(target, OutcomeUnreached, took)
+		s.observe(target, OutcomeUnreachable, took)
 		return
 	}
 	if ctx.Err() == nil && s.body.fault() == nil {
@@ -304,7 +304,7 @@
 
 func lostOutcome(inTime bool) Outcome {
 	if inTime {
-		return OutcomeUnreached
+		return OutcomeUnreachable
 	}
 	return OutcomeStalled
 }
