--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -242,8 +242,8 @@
 	}
 	d := &daemon{cfg: cfg, log: log, shell: s, entry: entry, exit: exit, peerID: id, cert: cert}
 	d.callers = crentry.NewServer(m.timed(entry, crclock.Now), crentry.ServerOptions{
-		MaxHeaderBytes: cfg.Limits.HeaderBytes,
-		HeaderTime:     cfg.Limits.HeaderTime.Duration,
+		MaxHeaderBytes:    cfg.Limits.HeaderBytes,
+		ReadHeaderTimeout: cfg.Limits.HeaderTime.Duration,
 	})
 	d.admin = &http.Server{
 		Handler:           cradmin.New(cradmin.Options{Ready: s.checkReady, State: d.state, Metrics: registry}),
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -178,7 +178,7 @@
 	var lc net.ListenConfig
 	ln, err := lc.Listen(p.t.Context(), "tcp", "127.0.0.1:0")
 	p.Expect(err).NotTo(gomega.HaveOccurred())
-	srv := crentry.NewServer(p.entry, crentry.ServerOptions{MaxHeaderBytes: 16 << 10, HeaderTime: bodyIdle})
+	srv := crentry.NewServer(p.entry, crentry.ServerOptions{MaxHeaderBytes: 16 << 10, ReadHeaderTimeout: bodyIdle})
 	go func() { _ = srv.Serve(ln) }()
 	p.t.Cleanup(func() { _ = srv.Close() })
 	p.addr = ln.Addr().String()
--- a/io/crentry/server.go
+++ b/io/crentry/server.go
@@ -9,8 +9,8 @@
 
 // ServerOptions bound what a caller's connection may take.
 type ServerOptions struct {
-	MaxHeaderBytes int           // of a request's head
-	HeaderTime     time.Duration // in which a request's head must be whole
+	MaxHeaderBytes    int           // of a request's head
+	ReadHeaderTimeout time.Duration // in which a request's head must be whole
 }
 
 const callerIdle = 2 * time.Minute // a kept connection without a request
@@ -25,7 +25,7 @@
 	return &http.Server{
 		Handler:           h,
 		Protocols:         &protocols,
-		ReadHeaderTimeout: opts.HeaderTime,
+		ReadHeaderTimeout: opts.ReadHeaderTimeout,
 		IdleTimeout:       callerIdle,
 		MaxHeaderBytes:    opts.MaxHeaderBytes,
 		// net/http reports callers' bad bytes here, which may hold a key.
--- a/io/crentry/tls_test.go
+++ b/io/crentry/tls_test.go
@@ -27,7 +27,7 @@
 	c, err := crentry.LoadCertificate(certPath, keyPath)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	p := newPath(t, newRecorder(t).addr())
-	srv := crentry.NewServer(p.entry, crentry.ServerOptions{MaxHeaderBytes: 16 << 10, HeaderTime: bodyIdle})
+	srv := crentry.NewServer(p.entry, crentry.ServerOptions{MaxHeaderBytes: 16 << 10, ReadHeaderTimeout: bodyIdle})
 	srv.TLSConfig = c.Config()
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
