--- a/io/crentry/credential.go
+++ b/io/crentry/credential.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// KeyMark begins every key that `camphorroad key new` issues.
-const KeyMark = "crk_"
+// KeyPrefix begins every key that `camphorroad key new` issues.
+const KeyPrefix = "crk_"
 
 const (
 	headerAPIKey  = "X-Api-Key"
--- a/io/crentry/header.go
+++ b/io/crentry/header.go
@@ -49,7 +49,7 @@
 // and hosts lose on their way.
 func secret(text, key string) bool {
 	for range maxEncodings {
-		if containsFold(text, KeyMark) || containsFold(text, key) {
+		if containsFold(text, KeyPrefix) || containsFold(text, key) {
 			return true
 		}
 		plain := unescape(text)
