--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -364,7 +364,7 @@
 	d.log.Event(crlog.DaemonDraining, nil)
 	_ = d.shell.loop.Post(crevent.Stopping{Now: crclock.Now()})
 	time.Sleep(settle)
-	d.entry.Stop()
+	d.entry.Drain()
 	d.exit.Drain()
 	ctx, cancel := context.WithTimeout(context.Background(), d.cfg.Limits.DrainTime.Duration)
 	defer cancel()
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -103,8 +103,8 @@
 // InFlight is the number of callers' requests being served.
 func (e *Entry) InFlight() int64 { return e.inflight.Load() }
 
-// Stop makes the entry refuse new requests; those in flight go on.
-func (e *Entry) Stop() { e.stopping.Store(true) }
+// Drain makes the entry refuse new requests; those in flight go on.
+func (e *Entry) Drain() { e.stopping.Store(true) }
 
 const (
 	soon          = time.Second     // when to come back after a passing trouble
