--- a/io/crentry/answer.go
+++ b/io/crentry/answer.go
@@ -13,31 +13,31 @@
 	"camphorroad/io/crwire"
 )
 
-// pass streams an answer to the caller. A body that breaks off aborts the
-// caller's connection or stream: ending it in order would make half an answer
-// look whole.
-func (e *Entry) pass(w http.ResponseWriter, r *http.Request, s *serving, ex *crhop.Exchange) {
-	defer s.end()
-	defer s.opening.release()
+// relay streams a response to the caller. If the body is truncated, it aborts the
+// caller's connection or stream: a regular end would make the truncated response
+// look complete.
+func (e *Entry) relay(w http.ResponseWriter, r *http.Request, s *activeRequest, ex *crhop.Exchange) {
+	defer s.endAttempt()
+	defer s.prefix.release()
 	defer ex.Body.Close()
 	s.tracker.RelayStarted()
-	if !s.body.reusable() {
+	if !s.body.connReusable() {
 		w.Header().Set("Connection", "close")
 	}
 	writeHead(w, &ex.Answer)
-	if err := e.copyBody(w, r, ex, &s.opening); err != nil {
-		s.broke(err)
-		e.count(crforward.OutcomeCut)
+	if err := e.copyBody(w, r, ex, &s.prefix); err != nil {
+		s.recordBodyError(err)
+		e.countOutcome(crforward.OutcomeCut)
 		panic(http.ErrAbortHandler)
 	}
 	s.tracker.RelayCompleted()
-	e.count(crforward.OutcomeAnswered)
+	e.countOutcome(crforward.OutcomeAnswered)
 }
 
-// broke takes an answer that broke off at its source as evidence; a caller
-// that went away is none.
-func (s *serving) broke(err error) {
-	if errors.Is(err, crwire.ErrAborted) || errors.Is(err, errShort) {
+// recordBodyError counts a response body that was truncated at its source as a failure
+// of the target. A caller that disconnected is not a failure of the target.
+func (s *activeRequest) recordBodyError(err error) {
+	if errors.Is(err, crwire.ErrAborted) || errors.Is(err, errLengthMismatch) {
 		s.target.Load().RecordFailure()
 		s.observe(s.target, OutcomeFailed, s.entry.opts.Clock().Sub(s.req.started))
 	}
@@ -45,54 +45,54 @@
 
 func writeHead(w http.ResponseWriter, a *crhop.Answer) {
 	h := w.Header()
-	named := connectionHeaders(a.Header)
+	listed := connectionHeaders(a.Header)
 	for name, values := range a.Header {
-		if !hopByHop(name) && !own(name) && !slices.Contains(named, name) {
+		if !isHopByHop(name) && !isFleetHeader(name) && !slices.Contains(listed, name) {
 			h[name] = values
 		}
 	}
 	if a.Status == http.StatusNoContent {
-		delete(h, "Content-Length") // an HTTP/2 caller would wait for the body
+		delete(h, "Content-Length") // an HTTP/2 client would wait for the body
 	}
 	h.Set(HeaderOutcome, crforward.OutcomeAnswered.String())
 	w.WriteHeader(a.Status)
 }
 
-const copyBuffer = 32 << 10
+const copyBufferSize = 32 << 10
 
-var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBuffer); return &b }}
+var copyBufferPool = sync.Pool{New: func() any { b := make([]byte, copyBufferSize); return &b }}
 
-func (e *Entry) copyBody(w http.ResponseWriter, r *http.Request, ex *crhop.Exchange, start *opening) error {
+func (e *Entry) copyBody(w http.ResponseWriter, r *http.Request, ex *crhop.Exchange, prefix *bodyPrefix) error {
 	if bodyless(r.Method, ex.Answer.Status) {
 		return nil
 	}
-	buf := *start.buf
+	buf := *prefix.buf
 	rc := http.NewResponseController(w)
-	wait := e.guardWrites(rc, ex.Answer.Length)
-	defer wait.close()
+	timer := e.newWriteTimer(rc, ex.Answer.Length)
+	defer timer.close()
 	var total int64
-	for n, err := start.n, start.err; ; n, err = ex.Body.Read(buf) {
+	for n, err := prefix.n, prefix.err; ; n, err = ex.Body.Read(buf) {
 		total += int64(n)
 		if n > 0 {
-			wait.begin()
+			timer.start()
 			_, werr := w.Write(buf[:n])
-			wait.end()
+			timer.stop()
 			if werr != nil {
 				return werr
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return whole(total, ex.Answer.Length)
+			return checkLength(total, ex.Answer.Length)
 		}
 		if err != nil {
 			return err
 		}
-		// A length that is known lets net/http decide when to send; an answer
-		// of unknown length may be a live stream, and each part goes out.
+		// A response of unknown length may be a live stream, so each part is
+		// flushed. With a known length net/http decides when to send.
 		if ex.Answer.Length < 0 {
-			wait.begin()
+			timer.start()
 			err := rc.Flush()
-			wait.end()
+			timer.stop()
 			if err != nil {
 				return err
 			}
@@ -100,82 +100,84 @@
 	}
 }
 
-// unsent is how much of an answer net/http keeps back before its first write to
-// the caller, on HTTP/1.1; on HTTP/2 it is twice that.
-const unsent = 2 << 10
+// netHTTPBuffer is how much of a response net/http buffers before its first write to the
+// caller on HTTP/1.1. On HTTP/2 it buffers twice as much.
+const netHTTPBuffer = 2 << 10
 
-// guardWrites bounds the wait for a caller that stops reading: it would hold the
-// target's slot. Writing a short answer waits for nobody.
-func (e *Entry) guardWrites(rc *http.ResponseController, length int64) *guard {
-	if length >= 0 && length <= unsent {
+// newWriteTimer bounds the wait for a caller that stops reading, because the request
+// holds a slot of the target meanwhile. It returns nil for a short response, whose
+// write does not block.
+func (e *Entry) newWriteTimer(rc *http.ResponseController, length int64) *idleTimer {
+	if length >= 0 && length <= netHTTPBuffer {
 		return nil
 	}
-	return newGuard(e.opts.BodyIdleTimeout, rc.SetWriteDeadline)
+	return newIdleTimer(e.opts.BodyIdleTimeout, rc.SetWriteDeadline)
 }
 
-// opening is the start of an answer's body, which is read before the head goes to
-// the caller: an answer that breaks off in it can still become a refusal that is
-// true, where the caller would otherwise see a connection closed without a word.
-// It delays nothing, as net/http keeps back as much.
-type opening struct {
-	buf *[]byte // nil: the answer has no body
+// bodyPrefix is the start of a response body. It is read before the head is sent to the
+// caller: if the response is truncated within it, the caller gets a refusal instead of
+// a connection that closes without a response. This adds no delay, because net/http
+// buffers as much.
+type bodyPrefix struct {
+	buf *[]byte // nil: the response has no body
 	n   int
-	err error // that came with the last of it
+	err error // returned with the last bytes
 }
 
-// read reads the first part of a body, and a short one to its end.
-func (o *opening) read(ex *crhop.Exchange) error {
-	o.buf = copyBuffers.Get().(*[]byte)
-	short := ex.Answer.Length >= 0 && ex.Answer.Length <= unsent
-	for o.err == nil && (o.n == 0 || short) && o.n < len(*o.buf) {
+// read reads the first part of a body, or all of a short one.
+func (p *bodyPrefix) read(ex *crhop.Exchange) error {
+	p.buf = copyBufferPool.Get().(*[]byte)
+	short := ex.Answer.Length >= 0 && ex.Answer.Length <= netHTTPBuffer
+	for p.err == nil && (p.n == 0 || short) && p.n < len(*p.buf) {
 		var n int
-		n, o.err = ex.Body.Read((*o.buf)[o.n:])
-		o.n += n
+		n, p.err = ex.Body.Read((*p.buf)[p.n:])
+		p.n += n
 	}
 	switch {
-	case errors.Is(o.err, io.EOF):
-		return whole(int64(o.n), ex.Answer.Length)
-	case o.n > 0 && !short:
-		return nil // what broke off after it is told once it has gone out
+	case errors.Is(p.err, io.EOF):
+		return checkLength(int64(p.n), ex.Answer.Length)
+	case p.n > 0 && !short:
+		return nil // copyBody reports the error after it has written these bytes
 	}
-	return o.err
+	return p.err
 }
 
-func (o *opening) release() {
-	if o.buf != nil {
-		copyBuffers.Put(o.buf)
+func (p *bodyPrefix) release() {
+	if p.buf != nil {
+		copyBufferPool.Put(p.buf)
 	}
-	*o = opening{}
+	*p = bodyPrefix{}
 }
 
-// begin reads the start of the answer; it reports whether the answer can go out.
-func (s *serving) begin(n int, target *crroute.Target, ex *crhop.Exchange) bool {
+// readPrefix reads the start of the response body and reports whether the response can be
+// sent to the caller.
+func (s *activeRequest) readPrefix(n int, target *crroute.Target, ex *crhop.Exchange) bool {
 	s.target = target
 	if bodyless(s.method, ex.Answer.Status) {
 		return true
 	}
-	err := s.opening.read(ex)
+	err := s.prefix.read(ex)
 	if err == nil {
 		return true
 	}
-	s.opening.release()
-	s.broke(err)
+	s.prefix.release()
+	s.recordBodyError(err)
 	s.tracker.Failed(n)
 	s.reason = "the answer broke off"
 	return false
 }
 
-// bodyless reports whether an answer has no body, whatever its head says.
+// bodyless reports whether a response has no body, whatever its head says.
 func bodyless(method string, status int) bool {
 	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-// errShort tells of an answer shorter or longer than its head said.
-var errShort = errors.New("answer's length differs from its head")
+// errLengthMismatch reports a body shorter or longer than the Content-Length of its head.
+var errLengthMismatch = errors.New("response body length differs from Content-Length")
 
-func whole(got, want int64) error {
+func checkLength(got, want int64) error {
 	if want >= 0 && got != want {
-		return errShort
+		return errLengthMismatch
 	}
 	return nil
 }
--- a/io/crentry/bench_test.go
+++ b/io/crentry/bench_test.go
@@ -12,16 +12,15 @@
 	"camphorroad/core/crpolicy"
 )
 
-// BenchmarkPath measures a caller's whole request by three ways in one run:
-// straight to the upstream, through an entry that goes straight to the upstream,
-// and through entry and exit. Processor time is that of the whole process, the
-// caller's and the upstream's part included.
+// BenchmarkPath measures a caller's whole request over three paths in one run: directly
+// to the upstream, through an entry that calls the upstream directly, and through entry
+// and exit. CPU time is that of the whole process, caller and upstream included.
 func BenchmarkPath(b *testing.B) {
 	addr := listenHTTP(b, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") }))
 	wide := func(s *crpolicy.Service) { s.Slots, s.Queue, s.Connections = 256, 256, 0 }
 	b.Run("upstream", func(b *testing.B) { load(b, addr) })
-	b.Run("onehop", func(b *testing.B) { load(b, newPath(&straight{b}, addr, wide).addr) })
-	b.Run("twohops", func(b *testing.B) { load(b, newPath(b, addr, wide).addr) })
+	b.Run("onehop", func(b *testing.B) { load(b, newHarness(&directPath{b}, addr, wide).addr) })
+	b.Run("twohops", func(b *testing.B) { load(b, newHarness(b, addr, wide).addr) })
 }
 
 func load(b *testing.B, addr string) {
@@ -30,7 +29,7 @@
 	var mu sync.Mutex
 	var all []time.Duration
 	b.ReportAllocs()
-	cpu := processorTime(b)
+	cpu := cpuTime(b)
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		var mine []time.Duration
@@ -46,7 +45,7 @@
 		defer mu.Unlock()
 		all = append(all, mine...)
 	})
-	used := processorTime(b) - cpu
+	used := cpuTime(b) - cpu
 	slices.Sort(all)
 	b.ReportMetric(float64(used.Microseconds())/float64(b.N), "cpu-us/op")
 	b.ReportMetric(float64(all[len(all)/2].Microseconds()), "p50us")
@@ -69,7 +68,7 @@
 	return err
 }
 
-func processorTime(b *testing.B) time.Duration {
+func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		b.Fatal(err)
--- a/io/crentry/body.go
+++ b/io/crentry/body.go
@@ -9,66 +9,66 @@
 	"time"
 )
 
-// BodySource gives the request's body to one attempt after the other.
+// BodySource provides the request's body to successive attempts.
 type BodySource interface {
-	// Open returns the body from its start, for one attempt; the reader of the
-	// attempt before gives only errors from then on. It is nil where there is
-	// no body.
+	// Open returns the body from its start, for one attempt. From then on the
+	// reader of the previous attempt returns only errors. Open returns nil if
+	// there is no body.
 	Open() io.Reader
-	// Replayable reports whether another attempt can have the whole body.
+	// Replayable reports whether another attempt can read the whole body.
 	Replayable() bool
 }
 
 // Errors of a request's body.
 var (
-	// errSuperseded ends the reader of an attempt that was given up.
+	// errSuperseded is returned to the reader of an abandoned attempt.
 	errSuperseded = errors.New("another attempt reads the body")
-	// errSlow tells of a body that was not whole by the request's deadline.
-	errSlow = errors.New("body not whole by the deadline")
+	// errBodyTimeout reports a body that was incomplete at the request's deadline.
+	errBodyTimeout = errors.New("request body incomplete at the deadline")
 )
 
-// linger is how long a caller's connection may still bring the rest of a body
-// that nobody reads, before the connection is given up.
-const linger = 250 * time.Millisecond
+// lingerTimeout is how long net/http may wait for the rest of a body that nobody reads,
+// before it closes the caller's connection.
+const lingerTimeout = 250 * time.Millisecond
 
 const (
-	moment   = time.Millisecond // that a refusal may wait for the rest of a body
-	maxTaken = 64 << 10         // bytes of a refused body that are read
+	discardTimeout  = time.Millisecond // a refusal may wait this long for the rest of a body
+	maxDiscardBytes = 64 << 10         // bytes of a refused body that are read at most
 )
 
-// body is a request's body. It keeps the first bytes, so that a request can be
-// sent again after a proof that it was not run. A body beyond its limit is
-// streamed on and can not be sent twice.
+// body is a request's body. It buffers the first bytes, so that a request can be
+// sent again after a proof that it was not run. A body larger than the limit is
+// streamed and cannot be sent twice.
 //
-// The lock is held no longer than a moment while the caller is waited for: a
-// refusal has to go out at once, however slowly the caller sends.
+// A read that waits for the caller holds the lock for at most discardTimeout, so that a
+// refusal is sent at once however slowly the caller sends.
 type body struct {
 	src    io.Reader // nil: no body
 	limit  int
-	guard  *guard
+	timer  *idleTimer
 	rc     *http.ResponseController
-	stream bool // of its own, by HTTP/2; else the connection serves the next request too
-	asked  bool // the caller waits to be asked for it
+	http2  bool // HTTP/2: the body has its own stream; on HTTP/1.1 the connection serves the next request too
+	expect bool // the caller sent Expect and waits for 100 Continue
 
-	mu      sync.Mutex
-	moved   *sync.Cond
-	buf     []byte
-	err     error
-	reading bool
-	spilled bool
-	turn    int
+	mu         sync.Mutex
+	cond       *sync.Cond
+	buf        []byte
+	err        error
+	reading    bool
+	overflowed bool
+	attempt    int
 }
 
-// newBody wraps a request's body; a length of zero means none.
+// newBody wraps a request's body. A Content-Length of zero means no body.
 func newBody(w http.ResponseWriter, r *http.Request, limit int, idle time.Duration) *body {
 	b := &body{limit: limit}
-	b.moved = sync.NewCond(&b.mu)
+	b.cond = sync.NewCond(&b.mu)
 	if r.ContentLength != 0 && r.Body != nil {
 		b.src = r.Body
 		b.rc = http.NewResponseController(w)
-		b.guard = newGuard(idle, b.rc.SetReadDeadline)
-		b.stream = r.ProtoMajor > 1
-		b.asked = r.Header.Get("Expect") != ""
+		b.timer = newIdleTimer(idle, b.rc.SetReadDeadline)
+		b.http2 = r.ProtoMajor > 1
+		b.expect = r.Header.Get("Expect") != ""
 	}
 	return b
 }
@@ -80,31 +80,31 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turn++
-	b.moved.Broadcast()
-	return &bodyReader{body: b, turn: b.turn}
+	b.attempt++
+	b.cond.Broadcast()
+	return &bodyReader{body: b, attempt: b.attempt}
 }
 
 // Replayable implements BodySource.
 func (b *body) Replayable() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.spilled
+	return !b.overflowed
 }
 
-// settle waits until a read that is under way has said what became of it. It is
-// for requests whose context has ended: net/http ends that a moment before a read
-// that failed returns, and who asks for the fault in between finds none.
-func (b *body) settle() {
+// waitForRead waits until a read in progress has returned. It is for requests whose
+// context has ended: net/http cancels the context shortly before the failed read
+// returns, and a call of readErr in between would return nil.
+func (b *body) waitForRead() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for b.reading {
-		b.moved.Wait()
+		b.cond.Wait()
 	}
 }
 
-// fault is why the caller did not bring the whole body, or nil.
-func (b *body) fault() error {
+// readErr returns why the caller did not send the whole body, or nil.
+func (b *body) readErr() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.err == nil || errors.Is(b.err, io.EOF) {
@@ -113,21 +113,21 @@
 	return b.err
 }
 
-// fill reads a whole body that fits the limit, so that a caller who sends it
-// slowly holds no slot of a target meanwhile.
-func (b *body) fill(expired func() bool) error {
+// bufferAll buffers a whole body that fits the limit before the request is forwarded, so
+// that a slow upload holds no slot of a target.
+func (b *body) bufferAll(expired func() bool) error {
 	r := b.Open()
-	part := make([]byte, min(b.limit, copyBuffer))
+	chunk := make([]byte, min(b.limit, copyBufferSize))
 	for {
-		_, err := r.Read(part)
+		_, err := r.Read(chunk)
 		switch {
 		case errors.Is(err, io.EOF):
 			return nil
 		case err != nil:
 			return err
 		case expired():
-			b.fail(errSlow)
-			return errSlow
+			b.fail(errBodyTimeout)
+			return errBodyTimeout
 		}
 	}
 }
@@ -138,28 +138,28 @@
 	b.err = err
 }
 
-// close ends a read that is still waiting for the caller. Otherwise net/http
-// would wait for the rest of the body before it serves the connection on, and a
-// caller that falls silent would hold the connection for ever.
+// close bounds a read that still waits for the caller. Without the deadline net/http
+// would wait for the rest of the body before it reads the next request, and a caller
+// that stops sending would hold the connection forever.
 func (b *body) close() {
 	if b.src == nil {
 		return
 	}
-	b.guard.close()
+	b.timer.close()
 	b.mu.Lock()
-	b.turn++
-	whole := b.err != nil
-	b.moved.Broadcast()
+	b.attempt++
+	complete := b.err != nil
+	b.cond.Broadcast()
 	b.mu.Unlock()
-	if !whole {
-		_ = b.rc.SetReadDeadline(time.Now().Add(linger))
+	if !complete {
+		_ = b.rc.SetReadDeadline(time.Now().Add(lingerTimeout))
 	}
 }
 
-// take reads what has come of a body that nobody else reads, so that its
-// connection can be kept. It waits no longer than a moment.
-func (b *body) take() {
-	if b.src == nil || b.stream || b.asked {
+// discard reads and discards the received part of a body that nobody else reads, so
+// that its connection can be kept. It waits for at most discardTimeout.
+func (b *body) discard() {
+	if b.src == nil || b.http2 || b.expect {
 		return
 	}
 	b.mu.Lock()
@@ -167,20 +167,20 @@
 	if b.reading || b.err != nil {
 		return
 	}
-	_ = b.rc.SetReadDeadline(time.Now().Add(moment))
-	n, err := io.Copy(io.Discard, io.LimitReader(b.src, maxTaken))
+	_ = b.rc.SetReadDeadline(time.Now().Add(discardTimeout))
+	n, err := io.Copy(io.Discard, io.LimitReader(b.src, maxDiscardBytes))
 	_ = b.rc.SetReadDeadline(time.Time{})
-	if err == nil && n < maxTaken {
+	if err == nil && n < maxDiscardBytes {
 		b.err = io.EOF
 	}
 }
 
-// reusable reports whether the caller's connection can serve another request. A
-// body whose end is met only after the handler has returned makes net/http, in
-// full duplex, close the connection after the answer. The caller has to be told,
-// or its next request would meet the closed connection and get no word.
-func (b *body) reusable() bool {
-	if b.src == nil || b.stream {
+// connReusable reports whether the caller's connection can serve another request. In
+// full duplex, net/http closes the connection after the response if the end of the
+// body is read only after the handler has returned. The response must then announce
+// the close, or the caller's next request would be lost on the closed connection.
+func (b *body) connReusable() bool {
+	if b.src == nil || b.http2 {
 		return true
 	}
 	b.mu.Lock()
@@ -189,9 +189,9 @@
 }
 
 type bodyReader struct {
-	body *body
-	turn int
-	off  int
+	body    *body
+	attempt int
+	off     int
 }
 
 // Read implements io.Reader.
@@ -201,7 +201,7 @@
 	defer b.mu.Unlock()
 	for {
 		switch {
-		case r.turn != b.turn:
+		case r.attempt != b.attempt:
 			return 0, errSuperseded
 		case r.off < len(b.buf):
 			n := copy(p, b.buf[r.off:])
@@ -210,51 +210,51 @@
 		case b.err != nil:
 			return 0, b.err
 		case !b.reading:
-			return r.pull(p)
+			return r.readSource(p)
 		}
-		b.moved.Wait()
+		b.cond.Wait()
 	}
 }
 
-// pull reads from the caller with the lock released. What comes for an attempt
-// that was given up meanwhile is kept for the next.
-func (r *bodyReader) pull(p []byte) (int, error) {
+// readSource reads from the caller with the lock released. Bytes that arrive for an
+// attempt abandoned meanwhile are buffered for the next one.
+func (r *bodyReader) readSource(p []byte) (int, error) {
 	b := r.body
 	b.reading = true
 	b.mu.Unlock()
-	b.guard.begin()
+	b.timer.start()
 	n, err := b.src.Read(p)
-	b.guard.end()
+	b.timer.stop()
 	b.mu.Lock()
 	b.reading = false
 	if b.err == nil {
 		b.err = err
 	}
-	b.keep(p[:n])
-	b.moved.Broadcast()
-	if r.turn != b.turn {
+	b.retain(p[:n])
+	b.cond.Broadcast()
+	if r.attempt != b.attempt {
 		return 0, errSuperseded
 	}
 	r.off += n
 	return n, err
 }
 
-func (b *body) keep(p []byte) {
-	if b.spilled || len(p) == 0 {
+func (b *body) retain(p []byte) {
+	if b.overflowed || len(p) == 0 {
 		return
 	}
 	if len(b.buf)+len(p) > b.limit {
-		b.spilled = true
+		b.overflowed = true
 		b.buf = nil
 		return
 	}
 	b.buf = append(b.buf, p...)
 }
 
-// bodyRefusal is the answer to a caller that did not bring its whole body.
+// bodyRefusal is the refusal for a caller that did not send its whole body.
 func bodyRefusal(err error) *refusal {
-	if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, errSlow) {
-		return &refusal{status: http.StatusRequestTimeout, reason: "the body came too slowly", final: true, close: true}
+	if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, errBodyTimeout) {
+		return &refusal{status: http.StatusRequestTimeout, reason: "the body came too slowly", permanent: true, close: true}
 	}
-	return &refusal{status: http.StatusBadRequest, reason: "the body broke off or is malformed", final: true, close: true}
+	return &refusal{status: http.StatusBadRequest, reason: "the body broke off or is malformed", permanent: true, close: true}
 }
--- a/io/crentry/caller_test.go
+++ b/io/crentry/caller_test.go
@@ -18,30 +18,30 @@
 
 const auth = "Host: h\r\nAuthorization: Bearer " + alphaKey + "\r\n"
 
-// Callers send requests that no server can serve: by mistake, by a broken
-// library, or to find a gap between two parsers. Each must get a clear refusal,
-// nothing of it may run at the upstream, and the next caller notices nothing.
+// A malformed request, sent by a faulty client or to exploit a difference between two
+// parsers, must be refused, must not reach the upstream, and must not affect the next
+// caller.
 func TestMalformedRequestsAreRefused(t *testing.T) {
 	up := newRecorder(t)
-	p := newPath(t, up.addr())
+	p := newHarness(t, up.addr())
 	cases := []struct {
 		name, text string
 		status     int
 	}{
 		{"no request line", "hello\r\n\r\n", 400},
-		{"blank in a header name", "GET / HTTP/1.1\r\n" + auth + "Bad Name: x\r\n\r\n", 400},
+		{"space in a header name", "GET / HTTP/1.1\r\n" + auth + "Bad Name: x\r\n\r\n", 400},
 		{"no host", "GET / HTTP/1.1\r\nAuthorization: Bearer " + alphaKey + "\r\n\r\n", 400},
 		{"head too large", "GET / HTTP/1.1\r\n" + auth + "X-Big: " + strings.Repeat("a", 64<<10) + "\r\n\r\n", 431},
 		{"two lengths", "POST / HTTP/1.1\r\n" + auth + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400},
 		{"negative length", "POST / HTTP/1.1\r\n" + auth + "Content-Length: -1\r\n\r\n", 400},
 		{"unknown transfer coding", "POST / HTTP/1.1\r\n" + auth + "Transfer-Encoding: chunked, gzip\r\n\r\n", 501},
 		{"HTTP/1.0", "GET / HTTP/1.0\r\n" + auth + "\r\n", 505},
-		{"tunnel", "CONNECT h:443 HTTP/1.1\r\n" + auth + "\r\n", 501},
+		{"CONNECT", "CONNECT h:443 HTTP/1.1\r\n" + auth + "\r\n", 501},
 		{"upgrade", "GET / HTTP/1.1\r\n" + auth + "Connection: Upgrade\r\nUpgrade: websocket\r\n\r\n", 501},
 		{"unknown expectation", "GET / HTTP/1.1\r\n" + auth + "Expect: miracle\r\n\r\n", 417},
-		{"climbing path", "GET /a/../b HTTP/1.1\r\n" + auth + "\r\n", 400},
+		{"dot segments in the path", "GET /a/../b HTTP/1.1\r\n" + auth + "\r\n", 400},
 		{"no key", "GET / HTTP/1.1\r\nHost: h\r\n\r\n", 401},
-		{"garbage for chunks", "POST / HTTP/1.1\r\n" + auth + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
+		{"malformed chunk size", "POST / HTTP/1.1\r\n" + auth + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -53,19 +53,18 @@
 		})
 	}
 	outcomes, faults := p.evidence()
-	p.Expect(outcomes).To(gomega.HaveEach(crentry.OutcomeOK), "a caller's fault is no evidence against a target")
+	p.Expect(outcomes).To(gomega.HaveEach(crentry.OutcomeOK), "a caller's error is not a failure of the target")
 	p.Expect(faults).To(gomega.HaveEach(gomega.BeZero()))
 	for _, seen := range up.requests() {
 		p.Expect(seen).To(gomega.HavePrefix("GET /next\n"))
 	}
 }
 
-// A caller sends a part of its head or body and then nothing, by a lost link or
-// on purpose. If that held a slot of the target, a few such callers would keep
-// all others waiting.
-func TestSlowCallersHoldNothing(t *testing.T) {
+// Callers that stop sending within the head or body must hold no slot of the target: a
+// few of them would block all other callers.
+func TestSlowCallersHoldNoSlot(t *testing.T) {
 	up := newRecorder(t)
-	p := newPath(t, up.addr())
+	p := newHarness(t, up.addr())
 	for range 8 {
 		p.dial("GET / HTTP/1.1\r\nHost: h\r\n")
 		p.dial("POST /once HTTP/1.1\r\n" + auth + "Content-Length: 10\r\n\r\nabc")
@@ -74,25 +73,25 @@
 	start := time.Now()
 	p.Expect(p.get("/next").body).To(gomega.Equal("fine"))
 	p.Expect(time.Since(start)).To(gomega.BeNumerically("<", bodyIdle/2))
-	head := readAnswer(p.dial("GET / HTTP/1.1\r\nHost: h\r\n"))
+	head := readResponse(p.dial("GET / HTTP/1.1\r\nHost: h\r\n"))
 	p.Expect(head.status == 0 || head.status == http.StatusRequestTimeout || head.status == http.StatusBadRequest).To(gomega.BeTrue(), "%v", head)
-	body := readAnswer(p.dial("POST /once HTTP/1.1\r\n" + auth + "Content-Length: 10\r\n\r\nabc"))
+	body := readResponse(p.dial("POST /once HTTP/1.1\r\n" + auth + "Content-Length: 10\r\n\r\nabc"))
 	p.Expect(body.err).NotTo(gomega.HaveOccurred())
 	p.Expect(body.status).To(gomega.Equal(http.StatusRequestTimeout))
 	p.Expect(body.header.Get(crentry.HeaderOutcome)).To(gomega.Equal("notrun"))
 	p.Eventually(p.entry.InFlight, 5*time.Second).Should(gomega.BeZero())
 }
 
-// A body whose length is not known is passed on as it comes, so its caller does
-// hold a slot while it sends. Silence ends it, and the target is not blamed.
-func TestSilenceWithinAStreamedBodyEnds(t *testing.T) {
+// A body of unknown length is streamed, so its caller holds a slot while it sends. The
+// idle timeout must end the request without counting a failure of the target.
+func TestStreamedBodyIdleTimeout(t *testing.T) {
 	up := newRecorder(t)
-	p := newPath(t, up.addr())
+	p := newHarness(t, up.addr())
 	conn := p.dial("POST /once HTTP/1.1\r\n" + auth + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
-	got := readAnswer(conn)
+	got := readResponse(conn)
 	p.Expect(got.err).NotTo(gomega.HaveOccurred())
 	p.Expect(got.status).To(gomega.Equal(http.StatusRequestTimeout))
-	p.Expect(got.header.Get(crentry.HeaderOutcome)).To(gomega.Equal("unknown"), "the target had the head")
+	p.Expect(got.header.Get(crentry.HeaderOutcome)).To(gomega.Equal("unknown"), "the target received the head")
 	outcomes, faults := p.evidence()
 	p.Expect(outcomes).To(gomega.BeEmpty())
 	p.Expect(faults).To(gomega.BeEmpty())
@@ -100,15 +99,15 @@
 	p.Eventually(p.exit.InFlight).Should(gomega.BeZero())
 }
 
-// A caller's process dies within its upload and closes its side. The upstream
-// must not take the part for the whole.
-func TestABodyShorterThanItsLengthIsRefused(t *testing.T) {
+// A caller that dies during its upload closes its side of the connection. The upstream
+// must not take the truncated body for the whole.
+func TestTruncatedRequestBodyIsRefused(t *testing.T) {
 	up := newRecorder(t)
-	p := newPath(t, up.addr())
+	p := newHarness(t, up.addr())
 	for _, head := range []string{"Content-Length: 10\r\n\r\nabc", "Content-Length: 200000\r\n\r\nabc", "Transfer-Encoding: chunked\r\n\r\n5\r\nab"} {
 		conn := p.dial("POST /once HTTP/1.1\r\n" + auth + head)
 		p.Expect(conn.(interface{ CloseWrite() error }).CloseWrite()).To(gomega.Succeed())
-		got := readAnswer(conn)
+		got := readResponse(conn)
 		p.Expect(got.err).NotTo(gomega.HaveOccurred())
 		p.Expect(got.status).To(gomega.Equal(http.StatusBadRequest), head)
 	}
@@ -119,38 +118,37 @@
 	p.Eventually(p.exit.InFlight).Should(gomega.BeZero())
 }
 
-// A caller has sent its request, closes its own half of the connection, as some
-// plain clients do, and reads on. The daemon takes it for gone and gives the
-// request up; if it then just left, the caller would read an empty "200 OK".
-func TestAHalfClosedCallerIsNotToldOK(t *testing.T) {
-	up := newScript(t, func(_ *script, conn net.Conn, _ *http.Request) bool {
+// Some clients close their half of the connection after the request and keep reading.
+// net/http cancels the request then; if the handler wrote nothing, the caller would read
+// an empty "200 OK".
+func TestHalfClosedCallerGetsGatewayTimeout(t *testing.T) {
+	up := newRawUpstream(t, func(_ *rawUpstream, conn net.Conn, _ *http.Request) bool {
 		_, _ = conn.Read(make([]byte, 1)) // until the exit closes
 		return false
 	})
-	p := newPath(t, up.addr())
+	p := newHarness(t, up.addr())
 	for _, head := range []string{"GET / HTTP/1.1\r\n", "POST /once HTTP/1.1\r\nContent-Length: 0\r\n"} {
 		conn := p.dial(head + auth + "\r\n")
-		p.Eventually(up.runs.Load).Should(gomega.BeNumerically(">", 0))
+		p.Eventually(up.requests.Load).Should(gomega.BeNumerically(">", 0))
 		p.Expect(conn.(interface{ CloseWrite() error }).CloseWrite()).To(gomega.Succeed())
-		got := readAnswer(conn)
+		got := readResponse(conn)
 		p.Expect(got.err).NotTo(gomega.HaveOccurred(), head)
 		p.Expect(got.status).To(gomega.Equal(http.StatusGatewayTimeout), head)
 		p.Expect(got.header.Get(crentry.HeaderOutcome)).To(gomega.Equal("unknown"), head)
-		up.runs.Store(0)
+		up.requests.Store(0)
 	}
 }
 
-// A refused upload that still goes on would keep its caller waiting if the
-// daemon read it to the end first.
-func TestARefusalDoesNotWaitForTheUpload(t *testing.T) {
-	p := newPath(t, newRecorder(t).addr())
+// A refusal must not wait until the daemon has read the rest of the upload.
+func TestRefusalDoesNotWaitForUpload(t *testing.T) {
+	p := newHarness(t, newRecorder(t).addr())
 	start := time.Now()
 	got := p.raw("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 100000\r\n\r\nabc")
 	p.Expect(got.status).To(gomega.Equal(http.StatusUnauthorized))
 	p.Expect(time.Since(start)).To(gomega.BeNumerically("<", 200*time.Millisecond))
 }
 
-// zeros is a body of a given size that is never in memory as a whole.
+// zeros is a body of a given size that is generated while it is read.
 type zeros struct{ left int }
 
 func (z *zeros) Read(p []byte) (int, error) {
@@ -162,9 +160,9 @@
 	return n, nil
 }
 
-// A caller uploads and downloads files of any size. A daemon of 64 MB that held
-// one in memory would be killed, and all its callers cut.
-func TestHugeBodiesAreStreamed(t *testing.T) {
+// A daemon limited to 64 MB that held a large body in memory would be killed, and all
+// its requests would be lost.
+func TestLargeBodiesAreStreamed(t *testing.T) {
 	const size = 128 << 20
 	var peak uint64
 	srv := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -174,7 +172,7 @@
 		peak = max(peak, m.HeapAlloc)
 		_, _ = io.Copy(w, &zeros{left: int(n)})
 	})
-	p := newPath(t, listenHTTP(t, srv), func(s *crpolicy.Service) { s.Routes[1].Timeout = 2 * time.Minute })
+	p := newHarness(t, listenHTTP(t, srv), func(s *crpolicy.Service) { s.Routes[1].Timeout = 2 * time.Minute })
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+p.addr+"/", &zeros{left: size})
 	p.Expect(err).NotTo(gomega.HaveOccurred())
 	req.Header.Set("X-Api-Key", alphaKey)
@@ -190,18 +188,18 @@
 	p.Expect(max(peak, m.HeapAlloc)).To(gomega.BeNumerically("<", 64<<20))
 }
 
-// What the protocol allows must go through: continue, HEAD, answers without a
-// body, and both framings at once, which must give one request and not two.
-func TestWellFormedOddities(t *testing.T) {
+// Valid but unusual requests must be served: Expect, HEAD, trailers, and both framings
+// at once, which must give one request and not two.
+func TestUnusualValidRequestsAreServed(t *testing.T) {
 	up := newRecorder(t)
-	p := newPath(t, up.addr())
+	p := newHarness(t, up.addr())
 	conn := p.dial("POST /expect HTTP/1.1\r\n" + auth + "Expect: 100-continue\r\nContent-Length: 3\r\n\r\n")
 	line := make([]byte, len("HTTP/1.1 100 Continue\r\n\r\n"))
 	_, err := io.ReadFull(conn, line)
 	p.Expect(err).NotTo(gomega.HaveOccurred())
 	p.Expect(string(line)).To(gomega.HavePrefix("HTTP/1.1 100 "))
 	_, _ = io.WriteString(conn, "abc")
-	p.Expect(readAnswer(conn).body).To(gomega.Equal("fine"))
+	p.Expect(readResponse(conn).body).To(gomega.Equal("fine"))
 	p.Expect(up.requests()[0]).To(gomega.HaveSuffix("\nabc"))
 
 	smuggled := p.raw("POST /both HTTP/1.1\r\n" + auth + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" +
@@ -218,37 +216,37 @@
 	p.Expect(head.header.Get("Content-Length")).To(gomega.Equal("4"))
 }
 
-// A caller's hold is refused before its body was read. net/http then met the
-// body's end only after the handler, panicked inside, and closed the connection,
-// which had been told to stay. Whoever sent the next request on it got no word.
-func TestARefusalSaysWhetherItsConnectionStays(t *testing.T) {
-	p := newPath(t, newRecorder(t).addr())
+// If a request is refused before its body is read, net/http reaches the end of the body
+// only after the handler, panics internally and closes the connection. The refusal must
+// announce the close, or the next request on the connection gets no response.
+func TestRefusalAnnouncesConnectionClose(t *testing.T) {
+	p := newHarness(t, newRecorder(t).addr())
 	const head = "POST /once HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n"
 	for body, stays := range map[string]bool{"hold": true, "ho": false} {
 		conn := p.dial(head + body)
 		r := bufio.NewReader(conn)
 		for range 3 {
 			resp, err := http.ReadResponse(r, nil)
-			got := whole(resp, err)
+			got := toResponse(resp, err)
 			p.Expect(got.err).NotTo(gomega.HaveOccurred(), body)
 			p.Expect(got.status).To(gomega.Equal(http.StatusUnauthorized), body)
 			p.Expect(resp.Close).To(gomega.Equal(!stays), body)
 			if !stays {
 				break
 			}
-			time.Sleep(20 * time.Millisecond) // the server waits for the next request by then
+			time.Sleep(20 * time.Millisecond) // by then the server waits for the next request
 			_, err = io.WriteString(conn, head+body)
 			p.Expect(err).NotTo(gomega.HaveOccurred())
 		}
 	}
 }
 
-// A parser on the way goes by the length of a request that also says it comes in
-// chunks, and takes its last bytes for its body. Served here as a request of their
-// own, they would run what their caller never sent.
-func TestNothingIsServedBehindAnAmbiguousBody(t *testing.T) {
+// Of a request with Content-Length and chunked encoding, an intermediary may go by the
+// length and take the bytes behind the last chunk for the body. Served as a request of
+// their own they would be a smuggled request.
+func TestNoRequestIsServedAfterAmbiguousBody(t *testing.T) {
 	up := newRecorder(t)
-	p := newPath(t, up.addr())
+	p := newHarness(t, up.addr())
 	conn := p.dial("POST /seen HTTP/1.1\r\n" + auth + "Content-Length: 200\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" +
 		"GET /hidden HTTP/1.1\r\n" + auth + "\r\n")
 	r := bufio.NewReader(conn)
@@ -257,7 +255,7 @@
 	_, err = io.Copy(io.Discard, resp.Body)
 	p.Expect(err).NotTo(gomega.HaveOccurred())
 	_ = resp.Body.Close()
-	rest, _ := io.ReadAll(r) // a reset ends it as well as a close
+	rest, _ := io.ReadAll(r) // the connection may end with a reset or a close
 	p.Expect(rest).To(gomega.BeEmpty())
 	for _, seen := range up.requests() {
 		p.Expect(seen).NotTo(gomega.ContainSubstring("/hidden"))
--- a/io/crentry/cert.go
+++ b/io/crentry/cert.go
@@ -6,32 +6,33 @@
 	"sync/atomic"
 )
 
-// Certificate is the daemon's certificate towards callers. It can be reloaded
-// while connections go on; new handshakes take the newer one.
+// Certificate is the daemon's server certificate for callers. It can be reloaded
+// while connections are open; new handshakes use the reloaded one.
 type Certificate struct {
 	certPath string
 	keyPath  string
 	current  atomic.Pointer[tls.Certificate]
 }
 
-// LoadCertificate reads PEM files.
+// LoadCertificate reads a certificate and its key from PEM files.
 func LoadCertificate(certPath, keyPath string) (*Certificate, error) {
 	c := &Certificate{certPath: certPath, keyPath: keyPath}
 	return c, c.Reload()
 }
 
-// Reload reads the files again; after an error the former certificate stays in
+// Reload reads the files again. After an error the previous certificate stays in
 // use.
 func (c *Certificate) Reload() error {
 	cert, err := tls.LoadX509KeyPair(c.certPath, c.keyPath)
 	if err != nil {
-		return fmt.Errorf("certificate towards callers: %w", err)
+		return fmt.Errorf("load the server certificate for callers: %w", err)
 	}
 	c.current.Store(&cert)
 	return nil
 }
 
-// Config is for the server towards callers, which adds the protocols it speaks.
+// Config returns the TLS configuration of the server for callers, which adds its
+// protocols.
 func (c *Certificate) Config() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
--- a/io/crentry/credential.go
+++ b/io/crentry/credential.go
@@ -7,43 +7,42 @@
 	"strings"
 )
 
-// KeyPrefix begins every key that `camphorroad key new` issues.
+// KeyPrefix is the prefix of every key that `camphorroad key new` issues.
 const KeyPrefix = "crk_"
 
 const (
 	headerAPIKey  = "X-Api-Key"
-	bearer        = "Bearer "
+	bearerPrefix  = "Bearer "
 	maxKeyLength  = 512
 	queryKeyName  = "key"
 	cookieKeyName = "key"
 )
 
-// credential is what a request's head gives once the key is taken off it.
+// credential is the caller's key and the request's head without it.
 type credential struct {
 	key    string
-	header http.Header // fit for the upstream
-	uri    string      // path and query without any key
+	header http.Header // to forward to the upstream
+	uri    string      // path and query without keys
 }
 
-// readCredential finds the caller's key and returns the head without it. A key
-// may come as a bearer token, in X-Api-Key, in a cookie or a query parameter
-// named "key". Two different keys are refused: it would be unclear for which
-// account the request runs.
+// readCredential extracts the caller's key and returns the head without it. The key
+// is a bearer token, X-Api-Key, or a cookie or query parameter named "key". Two
+// different keys are refused, because the account would be ambiguous.
 func readCredential(r *http.Request) (*credential, *refusal) {
 	keys := presentedKeys(r)
 	switch {
 	case len(keys) == 0:
-		return nil, &refusal{status: http.StatusUnauthorized, reason: "a key is needed: Authorization: Bearer KEY", final: true}
+		return nil, &refusal{status: http.StatusUnauthorized, reason: "a key is needed: Authorization: Bearer KEY", permanent: true}
 	case len(keys) > 1:
-		return nil, &refusal{status: http.StatusBadRequest, reason: "more than one key was given", final: true}
+		return nil, &refusal{status: http.StatusBadRequest, reason: "more than one key was given", permanent: true}
 	}
 	key := keys[0]
 	if len(key) > maxKeyLength {
-		return nil, &refusal{status: http.StatusUnauthorized, reason: "unknown or withdrawn key", final: true}
+		return nil, &refusal{status: http.StatusUnauthorized, reason: "unknown or withdrawn key", permanent: true}
 	}
-	// These decide about the route and can not go without a part of them.
-	if secret(r.URL.EscapedPath(), key) || secret(r.Host, key) || secret(r.Method, key) {
-		return nil, &refusal{status: http.StatusBadRequest, reason: "a key must not stand in path, host or method", final: true}
+	// Routing depends on these values, so a key cannot be removed from them.
+	if containsKey(r.URL.EscapedPath(), key) || containsKey(r.Host, key) || containsKey(r.Method, key) {
+		return nil, &refusal{status: http.StatusBadRequest, reason: "a key must not stand in path, host or method", permanent: true}
 	}
 	return &credential{key: key, header: cleanHeader(r.Header, key), uri: cleanURI(r.URL, key)}, nil
 }
@@ -57,8 +56,8 @@
 		}
 	}
 	for _, v := range r.Header.Values("Authorization") {
-		if len(v) > len(bearer) && strings.EqualFold(v[:len(bearer)], bearer) {
-			add(v[len(bearer):])
+		if len(v) > len(bearerPrefix) && strings.EqualFold(v[:len(bearerPrefix)], bearerPrefix) {
+			add(v[len(bearerPrefix):])
 		}
 	}
 	for _, v := range r.Header.Values(headerAPIKey) {
@@ -77,14 +76,14 @@
 	return keys
 }
 
-// cleanHeader returns what may go to the upstream: no hop-by-hop header, none of
-// our own that a caller could forge, and no header with a key in it. A key that
-// got past here would let every upstream act as its account.
+// cleanHeader returns the headers for the upstream. It drops hop-by-hop headers, the
+// fleet's own headers, which a caller could forge, and headers that contain a key. An
+// upstream that received a key could act as its account.
 func cleanHeader(in http.Header, key string) http.Header {
-	named := connectionHeaders(in)
+	listed := connectionHeaders(in)
 	out := make(http.Header, len(in))
 	for name, values := range in {
-		if hopByHop(name) || own(name) || slices.Contains(named, name) || withheld(name) || secret(name, key) {
+		if isHopByHop(name) || isFleetHeader(name) || slices.Contains(listed, name) || entryOnly(name) || containsKey(name, key) {
 			continue
 		}
 		if name == "Cookie" {
@@ -97,16 +96,16 @@
 	return out
 }
 
-// withheld reports whether a header is for the entry alone. The entry has met
-// the caller's expectation itself by the time it forwards.
-func withheld(name string) bool {
+// entryOnly reports whether a header is for the entry only. Expect is one of them: the
+// entry has sent 100 Continue itself by the time it forwards.
+func entryOnly(name string) bool {
 	return name == "Authorization" || name == headerAPIKey || name == "Expect"
 }
 
-// cleanValues returns the values themselves where none carries a key, which is
-// nearly always.
+// cleanValues drops the values that contain a key. It returns the slice itself if
+// there are none, which is nearly always.
 func cleanValues(values []string, key string) []string {
-	clean := func(v string) bool { return !secret(v, key) }
+	clean := func(v string) bool { return !containsKey(v, key) }
 	if !slices.ContainsFunc(values, func(v string) bool { return !clean(v) }) {
 		return values
 	}
@@ -125,7 +124,7 @@
 		var parts []string
 		for part := range strings.SplitSeq(v, ";") {
 			name, _, _ := strings.Cut(strings.TrimSpace(part), "=")
-			if name != cookieKeyName && !secret(part, key) {
+			if name != cookieKeyName && !containsKey(part, key) {
 				parts = append(parts, strings.TrimSpace(part))
 			}
 		}
@@ -136,8 +135,8 @@
 	return kept
 }
 
-// cleanURI drops the query parameters that carry a key; the others keep their
-// order and spelling.
+// cleanURI drops the query parameters that contain a key. The others keep their order
+// and spelling.
 func cleanURI(u *url.URL, key string) string {
 	path := u.EscapedPath()
 	if u.RawQuery == "" {
@@ -146,7 +145,7 @@
 	var kept []string
 	for part := range strings.SplitSeq(u.RawQuery, "&") {
 		name, _, _ := strings.Cut(part, "=")
-		if name != queryKeyName && !secret(part, key) {
+		if name != queryKeyName && !containsKey(part, key) {
 			kept = append(kept, part)
 		}
 	}
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -1,12 +1,14 @@
-// Package crentry is the entry side of a daemon: an HTTP handler that knows the
-// caller by its key, takes the key off, admits the request against the
-// account's rate, finds route and target, forwards, and tells the caller only
-// what is true.
+// Package crentry is the HTTP handler with which the daemon of io/crdaemon serves
+// callers. It authenticates a caller by its key, removes the key from the request,
+// applies the account's rate limit, finds the route, and forwards the request to a
+// target by the protocol of io/crhop, with retries where they are safe. The caller gets
+// the target's whole response, an aborted stream, or a refusal that states whether the
+// request may have run. The daemon of io/crmesh uses io/cringress instead.
 //
 // # Usage
 //
-//	e := crentry.New(crentry.Options{View: holder.Load, Trusted: trusted, Admit: wallet, Hop: hop})
-//	http.Server{Handler: e}
+//	e := crentry.New(crentry.Options{View: view, Trusted: trusted, Admitter: limiter, Forwarder: forwarder, Clock: clock, Observe: observe})
+//	srv := crentry.NewServer(e, crentry.ServerOptions{...})
 package crentry
 
 import (
@@ -27,47 +29,47 @@
 
 // Forwarder forwards one attempt.
 type Forwarder interface {
-	// Forward sends a request to a target and returns once the head of the
-	// answer is there. sent is called just before anything goes out.
+	// Forward sends a request to a target and returns once it has the head of the
+	// response. It calls sent just before it writes the first byte.
 	Forward(ctx context.Context, to *crroute.Target, f *crhop.Forward, body BodySource, sent func(Revoker)) (*crhop.Exchange, error)
 }
 
-// Revoker asks the exit to say whether a forward was started.
+// Revoker asks the exit whether a forward was started, and prevents it if not.
 type Revoker interface {
 	Revoke(ctx context.Context) crforward.RevokeResult
 }
 
-// Admitter takes one request from an account's fleet-wide limit. It never waits
-// longer than a moment, and only for an account not seen here lately.
+// Admitter takes one token from an account's fleet-wide rate limit. It waits only for
+// an account that this daemon has not seen recently, and only briefly.
 type Admitter interface {
 	Admit(ctx context.Context, account crid.Account, now crid.Instant) (ok bool, retryAfter time.Duration)
 }
 
-// Outcome is what an attempt showed of a target.
+// Outcome is the result of one attempt on a target.
 type Outcome uint8
 
-// The outcomes of attempts, as evidence on a target.
+// The outcomes of attempts, as health evidence about a target.
 const (
 	OutcomeOK          Outcome = iota + 1
-	OutcomeFailed              // status 5xx, or the connection broke
-	OutcomeWrong               // another request's answer
-	OutcomeStalled             // no answer in time
-	OutcomeShed                // the target or its exit refused for load
-	OutcomeUnreachable         // the exit daemon could not be reached from here
+	OutcomeFailed              // 5xx response, or the connection failed
+	OutcomeWrong               // the response belongs to another request
+	OutcomeStalled             // no response in time
+	OutcomeShed                // rejected by the target or its exit because of overload
+	OutcomeUnreachable         // this daemon could not reach the exit
 )
 
 // Options configure an Entry.
 type Options struct {
-	View            func() *crview.View // nil until there is a configuration
+	View            func() *crview.View // returns nil until there is a configuration
 	Trusted         func(now crid.Instant) bool
 	Admitter        Admitter
 	Forwarder       Forwarder
 	Clock           func() crid.Instant
 	Observe         func(service crid.Service, target crid.Target, account crid.Account, o Outcome, took time.Duration)
 	Picker          crroute.Picker[*crroute.Target] // nil: TwoChoices
-	ReplayBytes     int                             // bytes of a body kept for another attempt
-	MaxInFlight     int64                           // requests in flight at most
-	BodyIdleTimeout time.Duration                   // longest silence of a caller within a body, either way
+	ReplayBytes     int                             // request body bytes buffered for another attempt
+	MaxInFlight     int64                           // further requests are refused
+	BodyIdleTimeout time.Duration                   // without progress on a request or response body
 }
 
 // Counters count requests by outcome.
@@ -75,13 +77,13 @@
 	Answered, NotRun, Unknown, Cut, Denied, Limited, Retried atomic.Int64
 }
 
-// Entry serves callers. It is safe for concurrent use.
+// Entry is the HTTP handler for callers. It is safe for concurrent use.
 type Entry struct {
 	opts     Options
-	chooser  crroute.Picker[*crroute.Target]
+	picker   crroute.Picker[*crroute.Target]
 	budget   *crforward.RetryBudget
 	inflight atomic.Int64
-	stopping atomic.Bool
+	draining atomic.Bool
 	counters Counters
 }
 
@@ -91,9 +93,9 @@
 		opts.Picker = crroute.TwoChoices[*crroute.Target]{}
 	}
 	return &Entry{
-		opts:    opts,
-		chooser: opts.Picker,
-		budget:  crforward.NewRetryBudget(crforward.DefaultRetryBudgetParams(), opts.Clock()),
+		opts:   opts,
+		picker: opts.Picker,
+		budget: crforward.NewRetryBudget(crforward.DefaultRetryBudgetParams(), opts.Clock()),
 	}
 }
 
@@ -103,12 +105,12 @@
 // InFlight is the number of callers' requests being served.
 func (e *Entry) InFlight() int64 { return e.inflight.Load() }
 
-// Drain makes the entry refuse new requests; those in flight go on.
-func (e *Entry) Drain() { e.stopping.Store(true) }
+// Drain makes the entry refuse new requests; those in flight continue.
+func (e *Entry) Drain() { e.draining.Store(true) }
 
 const (
-	soon          = time.Second     // when to come back after a passing trouble
-	whileStarting = 2 * time.Second // until a daemon has its configuration
+	defaultRetryAfter = time.Second     // Retry-After of a temporary refusal
+	startupRetryAfter = 2 * time.Second // Retry-After until the daemon has its configuration
 )
 
 // ServeHTTP implements http.Handler.
@@ -116,16 +118,16 @@
 	n := e.inflight.Add(1)
 	defer e.inflight.Add(-1)
 	// Without full duplex net/http reads the rest of a body before it writes
-	// the answer, and a refusal would wait for a slow caller's upload.
+	// the response, and a refusal would wait for a slow upload.
 	_ = http.NewResponseController(w).EnableFullDuplex()
 	crlink.CloseAfterChunks(w, r)
 	body := newBody(w, r, e.opts.ReplayBytes, e.opts.BodyIdleTimeout)
 	defer body.close()
-	if refused := e.gate(r, n); refused != nil {
+	if refused := e.precheck(r, n); refused != nil {
 		e.refuse(w, body, refused)
 		return
 	}
-	req, refused := e.accept(r)
+	req, refused := e.admit(r)
 	if refused != nil {
 		e.refuse(w, body, refused)
 		return
@@ -133,25 +135,25 @@
 	e.serve(w, r, req, body)
 }
 
-// gate refuses what needs no look at the configuration.
-func (e *Entry) gate(r *http.Request, inflight int64) *refusal {
+// precheck applies the checks that do not need the configuration.
+func (e *Entry) precheck(r *http.Request, inflight int64) *refusal {
 	switch {
-	case e.stopping.Load():
-		return &refusal{status: http.StatusServiceUnavailable, reason: "this daemon is stopping", retry: soon, close: true}
+	case e.draining.Load():
+		return &refusal{status: http.StatusServiceUnavailable, reason: "this daemon is stopping", retryAfter: defaultRetryAfter, close: true}
 	case inflight > e.opts.MaxInFlight:
-		return &refusal{status: http.StatusServiceUnavailable, reason: "too many requests in flight here", retry: soon}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "too many requests in flight here", retryAfter: defaultRetryAfter}
 	case !r.ProtoAtLeast(1, 1):
-		// An HTTP/1.0 caller takes the end of the connection for the end of
-		// the answer, so it could not tell an answer that was cut from a whole one.
-		return &refusal{status: http.StatusHTTPVersionNotSupported, reason: "HTTP/1.1 or later is needed", final: true}
+		// For an HTTP/1.0 client the end of the connection is the end of the
+		// response, so a truncated response would look complete.
+		return &refusal{status: http.StatusHTTPVersionNotSupported, reason: "HTTP/1.1 or later is needed", permanent: true}
 	case r.Method == http.MethodConnect || r.Header.Get("Upgrade") != "":
-		return &refusal{status: http.StatusNotImplemented, reason: "tunnels and upgrades are not carried", final: true}
+		return &refusal{status: http.StatusNotImplemented, reason: "tunnels and upgrades are not carried", permanent: true}
 	}
 	return nil
 }
 
-// accepted is a request that was authenticated, matched and admitted.
-type accepted struct {
+// admittedRequest is a request that was authenticated, matched to a route and admitted.
+type admittedRequest struct {
 	view    *crview.View
 	account crid.Account
 	service crid.Service
@@ -162,14 +164,14 @@
 	started crid.Instant
 }
 
-func (e *Entry) accept(r *http.Request) (*accepted, *refusal) {
+func (e *Entry) admit(r *http.Request) (*admittedRequest, *refusal) {
 	now := e.opts.Clock()
 	view := e.opts.View()
 	if view == nil {
-		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", retry: whileStarting, close: true}
+		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", retryAfter: startupRetryAfter, close: true}
 	}
 	if !e.opts.Trusted(now) {
-		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "cut off from the fleet", retry: soon, close: true}
+		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "cut off from the fleet", retryAfter: defaultRetryAfter, close: true}
 	}
 	cred, refused := readCredential(r)
 	if refused != nil {
@@ -179,28 +181,28 @@
 	account, ok := view.Snapshot().AccountByKey(crpolicy.HashKey(cred.key))
 	if !ok {
 		e.counters.Denied.Add(1)
-		return nil, &refusal{status: http.StatusUnauthorized, reason: "unknown or withdrawn key", final: true}
+		return nil, &refusal{status: http.StatusUnauthorized, reason: "unknown or withdrawn key", permanent: true}
 	}
-	req := &accepted{view: view, account: account.Name, started: now, uri: cred.uri, header: cred.header}
+	req := &admittedRequest{view: view, account: account.Name, started: now, uri: cred.uri, header: cred.header}
 	if refused := req.match(r); refused != nil {
 		return nil, refused
 	}
 	if ok, retry := e.opts.Admitter.Admit(r.Context(), account.Name, now); !ok {
 		e.counters.Limited.Add(1)
-		return nil, &refusal{status: http.StatusTooManyRequests, reason: "the account's rate is used up", retry: retry}
+		return nil, &refusal{status: http.StatusTooManyRequests, reason: "the account's rate is used up", retryAfter: retry}
 	}
 	req.id = newRequestID()
 	return req, nil
 }
 
-func (a *accepted) match(r *http.Request) *refusal {
+func (a *admittedRequest) match(r *http.Request) *refusal {
 	path := r.URL.EscapedPath()
 	if err := crroute.CheckPath(path); err != nil {
-		return &refusal{status: http.StatusBadRequest, reason: err.Error(), final: true}
+		return &refusal{status: http.StatusBadRequest, reason: err.Error(), permanent: true}
 	}
 	service, route, ok := a.view.Table().Match(r.Host, r.Method, path)
 	if !ok {
-		return &refusal{status: http.StatusNotFound, reason: "no route matches", final: true}
+		return &refusal{status: http.StatusNotFound, reason: "no route matches", permanent: true}
 	}
 	a.service = service
 	a.route = route
--- a/io/crentry/guard.go
+++ b/io/crentry/guard.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-// guard ends a read or write that has moved nothing for too long. One timer is
-// used again for each wait, so that a wait allocates nothing. A nil guard guards
+// idleTimer ends a read or write that made no progress within the idle timeout. All waits
+// share one timer, so that a wait allocates nothing. The methods of a nil idleTimer do
 // nothing.
-type guard struct {
-	idle  time.Duration
-	timer *time.Timer
+type idleTimer struct {
+	timeout time.Duration
+	timer   *time.Timer
 
-	mu   sync.Mutex
-	done bool
-	cut  func(deadline time.Time) error
+	mu          sync.Mutex
+	closed      bool
+	setDeadline func(deadline time.Time) error
 }
 
-// newGuard returns a guard that calls cut with a deadline in the past; cut is
-// the read or write deadline of a response controller.
-func newGuard(idle time.Duration, cut func(time.Time) error) *guard {
-	g := &guard{idle: idle, cut: cut}
-	g.timer = time.AfterFunc(idle, g.fire)
-	g.timer.Stop()
-	return g
+// newIdleTimer returns an idleTimer that calls setDeadline with a deadline in the past.
+// setDeadline sets the read or write deadline of a response controller.
+func newIdleTimer(timeout time.Duration, setDeadline func(time.Time) error) *idleTimer {
+	t := &idleTimer{timeout: timeout, setDeadline: setDeadline}
+	t.timer = time.AfterFunc(timeout, t.fire)
+	t.timer.Stop()
+	return t
 }
 
-func (g *guard) begin() {
-	if g != nil {
-		g.timer.Reset(g.idle)
+func (t *idleTimer) start() {
+	if t != nil {
+		t.timer.Reset(t.timeout)
 	}
 }
 
-func (g *guard) end() {
-	if g != nil {
-		g.timer.Stop()
+func (t *idleTimer) stop() {
+	if t != nil {
+		t.timer.Stop()
 	}
 }
 
-// fire runs under the lock that close takes: net/http's HTTP/2 side panics when
-// a deadline is set after the handler has returned.
-func (g *guard) fire() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.done {
-		_ = g.cut(time.Unix(1, 0))
+// fire holds the lock that close takes: the HTTP/2 server of net/http panics if a
+// deadline is set after the handler has returned.
+func (t *idleTimer) fire() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.closed {
+		_ = t.setDeadline(time.Unix(1, 0))
 	}
 }
 
-// close stops the guard for good; the handler calls it before it returns.
-func (g *guard) close() {
-	if g == nil {
+// close stops the timer permanently. The handler calls it before it returns.
+func (t *idleTimer) close() {
+	if t == nil {
 		return
 	}
-	g.timer.Stop()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.done = true
+	t.timer.Stop()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.closed = true
 }
--- a/io/crentry/header.go
+++ b/io/crentry/header.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// ownName begins the headers by which the fleet speaks to callers and upstreams.
-const ownName = "Camphorroad"
+// fleetHeaderPrefix is the prefix of the headers that daemons send to callers and upstreams.
+const fleetHeaderPrefix = "Camphorroad"
 
-// hopByHop reports whether a header holds for one connection only. The name is
-// in its canonical form.
-func hopByHop(name string) bool {
+// isHopByHop reports whether a header applies to one connection only. The name must be
+// in canonical form.
+func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 		"Te", "Trailer", "Transfer-Encoding", "Upgrade":
@@ -20,13 +20,13 @@
 	return false
 }
 
-// own reports whether a header speaks for the fleet. Upstreams that read headers
-// as environment variables take an underscore for a dash.
-func own(name string) bool {
-	if len(name) <= len(ownName) || !strings.EqualFold(name[:len(ownName)], ownName) {
+// isFleetHeader reports whether a header is one of the fleet's. An underscore counts as a
+// dash: upstreams that read headers as environment variables do not distinguish them.
+func isFleetHeader(name string) bool {
+	if len(name) <= len(fleetHeaderPrefix) || !strings.EqualFold(name[:len(fleetHeaderPrefix)], fleetHeaderPrefix) {
 		return false
 	}
-	return name[len(ownName)] == '-' || name[len(ownName)] == '_'
+	return name[len(fleetHeaderPrefix)] == '-' || name[len(fleetHeaderPrefix)] == '_'
 }
 
 // connectionHeaders returns the names that the Connection header lists.
@@ -40,25 +40,25 @@
 	return names
 }
 
-// maxEncodings is how many percent-encodings of one another are looked behind.
-const maxEncodings = 4
+// maxDecodePasses is how many nested percent-encodings are decoded.
+const maxDecodePasses = 4
 
-// secret reports whether a text carries the caller's key, or any key that was
-// issued here: a caller may hold several and send one in the wrong place. It
-// looks behind percent-encoding, and takes no notice of case, which header names
-// and hosts lose on their way.
-func secret(text, key string) bool {
-	for range maxEncodings {
+// containsKey reports whether a text contains the caller's key or any other issued key: a
+// caller may hold several and send one in the wrong place. It decodes nested
+// percent-encoding and ignores case, because header names and hosts do not preserve
+// case.
+func containsKey(text, key string) bool {
+	for range maxDecodePasses {
 		if containsFold(text, KeyPrefix) || containsFold(text, key) {
 			return true
 		}
-		plain := unescape(text)
-		if plain == text {
+		decoded := unescape(text)
+		if decoded == text {
 			return false
 		}
-		text = plain
+		text = decoded
 	}
-	return true // nobody encodes that often but to hide something
+	return true // so many encodings are taken for an attempt to hide a key
 }
 
 func containsFold(text, part string) bool {
@@ -66,22 +66,22 @@
 		return false
 	}
 	for i := 0; i+len(part) <= len(text); i++ {
-		if lower(text[i]) == lower(part[0]) && strings.EqualFold(text[i:i+len(part)], part) {
+		if toLower(text[i]) == toLower(part[0]) && strings.EqualFold(text[i:i+len(part)], part) {
 			return true
 		}
 	}
 	return false
 }
 
-func lower(c byte) byte {
+func toLower(c byte) byte {
 	if c >= 'A' && c <= 'Z' {
 		return c + 'a' - 'A'
 	}
 	return c
 }
 
-// unescape undoes one percent-encoding. It leaves bad escapes as they are: the
-// library's decoder gives up at one, and a key beside it would go unseen.
+// unescape decodes one level of percent-encoding. It keeps invalid escapes as they
+// are: the decoder of net/url fails on one, and a key next to it would be missed.
 func unescape(text string) string {
 	if !strings.Contains(text, "%") {
 		return text
@@ -106,8 +106,8 @@
 	switch {
 	case c >= '0' && c <= '9':
 		return c - '0', true
-	case lower(c) >= 'a' && lower(c) <= 'f':
-		return lower(c) - 'a' + 10, true
+	case toLower(c) >= 'a' && toLower(c) <= 'f':
+		return toLower(c) - 'a' + 10, true
 	}
 	return 0, false
 }
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -38,9 +38,9 @@
 	bodyIdle = 300 * time.Millisecond
 )
 
-// path is the whole way of a request in one process: a caller's server, the
-// entry, a session, the exit, and an upstream of the test's making.
-type path struct {
+// harness runs the whole path of a request in one process: the server for callers, the
+// entry, a session, the exit, and an upstream that the test provides.
+type harness struct {
 	*gomega.WithT
 	t     testing.TB
 	addr  string
@@ -60,15 +60,15 @@
 	return h.exit.OpenSession(ctx)
 }
 
-type freely struct{}
+type unlimited struct{}
 
-func (freely) Admit(context.Context, crid.Account, crid.Instant) (bool, time.Duration) {
+func (unlimited) Admit(context.Context, crid.Account, crid.Instant) (bool, time.Duration) {
 	return true, 0
 }
 
-type remote struct{ client *crhop.Client }
+type sessionForwarder struct{ client *crhop.Client }
 
-func (r remote) Forward(
+func (r sessionForwarder) Forward(
 	ctx context.Context, to *crroute.Target, f *crhop.Forward, body crentry.BodySource, sent func(crentry.Revoker),
 ) (*crhop.Exchange, error) {
 	return r.client.Forward(ctx, to.Daemon(), f, body.Open(), func(h *crhop.Handle) { sent(revoker{r.client, h}) })
@@ -93,9 +93,9 @@
 	}
 }
 
-func newPath(t testing.TB, upstream string, change ...func(*crpolicy.Service)) *path {
+func newHarness(t testing.TB, upstream string, change ...func(*crpolicy.Service)) *harness {
 	t.Helper()
-	p := &path{WithT: gomega.NewWithT(t), t: t}
+	p := &harness{WithT: gomega.NewWithT(t), t: t}
 	svc := testService()
 	for _, f := range change {
 		f(&svc)
@@ -119,8 +119,8 @@
 	p.entry = crentry.New(crentry.Options{
 		View:            func() *crview.View { return view },
 		Trusted:         func(crid.Instant) bool { return true },
-		Admitter:        freely{},
-		Forwarder:       p.hop(),
+		Admitter:        unlimited{},
+		Forwarder:       p.forwarder(),
 		Clock:           crclock.Now,
 		Observe:         p.observe,
 		ReplayBytes:     64 << 10,
@@ -131,32 +131,33 @@
 	return p
 }
 
-// hop is the way to the exit: over sessions, unless the test has set another.
-func (p *path) hop() crentry.Forwarder {
-	if b, ok := p.t.(*straight); ok {
-		return here{b, p.exit}
+// forwarder returns the forwarder to the exit: over a session, or in process for a
+// directPath.
+func (p *harness) forwarder() crentry.Forwarder {
+	if b, ok := p.t.(*directPath); ok {
+		return localForwarder{b, p.exit}
 	}
-	return remote{p.sessions()}
+	return sessionForwarder{p.sessions()}
 }
 
-// straight marks a benchmark without the second hop.
-type straight struct{ testing.TB }
+// directPath marks a benchmark without the second hop.
+type directPath struct{ testing.TB }
 
-// here runs the exit's part in the entry's process, which then is an entry that
-// goes straight to the upstream.
-type here struct {
+// localForwarder runs the exit in the entry's process, so that the entry calls the
+// upstream directly.
+type localForwarder struct {
 	testing.TB
 	exit *crexit.Exit
 }
 
-func (h here) Forward(
+func (h localForwarder) Forward(
 	ctx context.Context, _ *crroute.Target, f *crhop.Forward, body crentry.BodySource, sent func(crentry.Revoker),
 ) (*crhop.Exchange, error) {
 	sent(nil)
 	return h.exit.Run(ctx, h.exit.Own(), f, body.Open()), nil
 }
 
-func (p *path) sessions() *crhop.Client {
+func (p *harness) sessions() *crhop.Client {
 	dir := p.t.TempDir()
 	p.Expect(crcert.Issue(dir, "entry", "exit")).To(gomega.Succeed())
 	listen := func(name string) *crpeer.Transport {
@@ -169,12 +170,12 @@
 		p.t.Cleanup(func() { _ = t.Close() })
 		return t
 	}
-	near, far := listen("entry"), listen("exit")
-	near.SetAddrs(map[crid.Daemon]string{"exit": far.Addr()})
-	return crhop.NewClient(near)
+	entry, exit := listen("entry"), listen("exit")
+	entry.SetAddrs(map[crid.Daemon]string{"exit": exit.Addr()})
+	return crhop.NewClient(entry)
 }
 
-func (p *path) serve() {
+func (p *harness) serve() {
 	var lc net.ListenConfig
 	ln, err := lc.Listen(p.t.Context(), "tcp", "127.0.0.1:0")
 	p.Expect(err).NotTo(gomega.HaveOccurred())
@@ -184,27 +185,27 @@
 	p.addr = ln.Addr().String()
 }
 
-func (p *path) observe(_ crid.Service, _ crid.Target, _ crid.Account, o crentry.Outcome, _ time.Duration) {
+func (p *harness) observe(_ crid.Service, _ crid.Target, _ crid.Account, o crentry.Outcome, _ time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.outcomes = append(p.outcomes, o)
 }
 
-func (p *path) fault(_ crid.Target, _ crid.Account, f crhop.Fault, _ int, _ time.Duration) {
+func (p *harness) fault(_ crid.Target, _ crid.Account, f crhop.Fault, _ int, _ time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = append(p.faults, f)
 }
 
-// evidence returns what the entry and the exit have said of the target.
-func (p *path) evidence() ([]crentry.Outcome, []crhop.Fault) {
+// evidence returns what the entry and the exit have reported about the target.
+func (p *harness) evidence() ([]crentry.Outcome, []crhop.Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]crentry.Outcome(nil), p.outcomes...), append([]crhop.Fault(nil), p.faults...)
 }
 
-// dial opens a caller's connection for raw bytes.
-func (p *path) dial(text string) net.Conn {
+// dial opens a connection as a caller and sends text.
+func (p *harness) dial(text string) net.Conn {
 	p.t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(p.t.Context(), "tcp", p.addr)
 	p.Expect(err).NotTo(gomega.HaveOccurred())
@@ -215,52 +216,52 @@
 	return conn
 }
 
-// answer is what a caller got: a body that broke off has err set.
-type answer struct {
+// response is what a caller received; err is set if the body was truncated.
+type response struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-func (p *path) raw(text string) answer {
+func (p *harness) raw(text string) response {
 	p.t.Helper()
-	return readAnswer(p.dial(text))
+	return readResponse(p.dial(text))
 }
 
-func readAnswer(conn net.Conn) answer {
+func readResponse(conn net.Conn) response {
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-	return whole(resp, err)
+	return toResponse(resp, err)
 }
 
-func whole(resp *http.Response, err error) answer {
+func toResponse(resp *http.Response, err error) response {
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(b), err: err}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(b), err: err}
 }
 
 // get sends a well-formed request.
-func (p *path) get(uri string) answer { return p.send("GET", uri, "") }
+func (p *harness) get(uri string) response { return p.send("GET", uri, "") }
 
-func (p *path) send(method, uri, body string) answer {
+func (p *harness) send(method, uri, body string) response {
 	p.t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	return p.via(client, method, uri, body)
 }
 
-func (p *path) via(client *http.Client, method, uri, body string) answer {
+func (p *harness) via(client *http.Client, method, uri, body string) response {
 	p.t.Helper()
 	req, err := http.NewRequestWithContext(p.t.Context(), method, "http://"+p.addr+uri, strings.NewReader(body))
 	p.Expect(err).NotTo(gomega.HaveOccurred())
 	req.Header.Set("Authorization", "Bearer "+alphaKey)
-	return whole(client.Do(req)) //nolint:bodyclose // whole closes it
+	return toResponse(client.Do(req)) //nolint:bodyclose // toResponse closes it
 }
 
-// recorder is an upstream that keeps every byte of the requests' heads and
-// bodies as it got them.
+// recorder is an upstream that records the heads and bodies of the requests as it
+// received them.
 type recorder struct {
 	*httptest.Server
 	mu   sync.Mutex
--- a/io/crentry/reserve.go
+++ b/io/crentry/reserve.go
@@ -8,50 +8,50 @@
 	"syscall"
 )
 
-// Reservation is an address for callers that is taken but not listened on:
-// connections to it are refused by the system, so that callers try another
-// address at once, and no other process can take it.
+// Reservation is a listen address for callers that is bound but not listened on. The
+// kernel refuses connections to it, so that callers try another address at once, and
+// no other process can bind it.
 type Reservation struct {
 	file *os.File
 	addr string
 }
 
-// backlog is how many connections may wait to be accepted; the system may allow
+// backlog is how many connections may wait to be accepted. The kernel may allow
 // fewer.
 const backlog = 4096
 
-// Reserve takes a TCP address. It fails where the address is in use.
+// Reserve binds a TCP address. It fails if the address is in use.
 func Reserve(addr string) (*Reservation, error) {
 	a, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("callers' address %q: %w", addr, err)
+		return nil, fmt.Errorf("resolve the listen address for callers %q: %w", addr, err)
 	}
 	family, sockaddr := socketAddress(a)
 	fd, err := syscall.Socket(family, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
-		return nil, fmt.Errorf("socket for callers: %w", err)
+		return nil, fmt.Errorf("create the listen socket for callers: %w", err)
 	}
 	file := os.NewFile(uintptr(fd), addr)
 	if err := bind(fd, family, sockaddr); err != nil {
 		_ = file.Close()
-		return nil, fmt.Errorf("take the callers' address %s: %w", addr, err)
+		return nil, fmt.Errorf("bind the listen address for callers %s: %w", addr, err)
 	}
 	return &Reservation{file: file, addr: addr}, nil
 }
 
-// socketAddress returns the family and the address as the system takes them. An
-// address without a host is that of all, by IPv6 and IPv4.
+// socketAddress returns the address family and the address for the system calls. An
+// address without a host means all addresses of IPv6 and IPv4.
 func socketAddress(a *net.TCPAddr) (int, syscall.Sockaddr) {
 	if ip := a.IP.To4(); ip != nil {
 		return syscall.AF_INET, &syscall.SockaddrInet4{Port: a.Port, Addr: [4]byte(ip)}
 	}
-	to := &syscall.SockaddrInet6{Port: a.Port}
-	copy(to.Addr[:], a.IP)
-	return syscall.AF_INET6, to
+	sa := &syscall.SockaddrInet6{Port: a.Port}
+	copy(sa.Addr[:], a.IP)
+	return syscall.AF_INET6, sa
 }
 
-func bind(fd, family int, to syscall.Sockaddr) error {
-	if err := share(fd, 1); err != nil {
+func bind(fd, family int, sa syscall.Sockaddr) error {
+	if err := setReuseAddr(fd, 1); err != nil {
 		return err
 	}
 	if family == syscall.AF_INET6 {
@@ -59,21 +59,21 @@
 			return err
 		}
 	}
-	if err := syscall.Bind(fd, to); err != nil {
+	if err := syscall.Bind(fd, sa); err != nil {
 		return err
 	}
-	return share(fd, 0)
+	return setReuseAddr(fd, 0)
 }
 
-// share lets the address be bound beside other sockets that let it, and do not
-// listen. Without it a daemon that was just stopped keeps its successor out by its
-// closing connections; with it while the address is only reserved, another process
-// can take it.
-func share(fd, on int) error {
+// setReuseAddr sets SO_REUSEADDR. It must be set for bind: without it the closing
+// connections of a daemon that has just stopped keep its successor from binding the
+// address. It must be unset while the address is only reserved: with it another process
+// could bind the address.
+func setReuseAddr(fd, on int) error {
 	return syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, on)
 }
 
-// Listen begins to take connections; the reservation is over.
+// Listen starts to accept connections and ends the reservation.
 func (r *Reservation) Listen() (net.Listener, error) {
 	defer r.file.Close()
 	raw, err := r.file.SyscallConn()
@@ -81,7 +81,7 @@
 		return nil, fmt.Errorf("listen for callers on %s: %w", r.addr, err)
 	}
 	var listenErr error
-	err = raw.Control(func(fd uintptr) { listenErr = errors.Join(share(int(fd), 1), syscall.Listen(int(fd), backlog)) })
+	err = raw.Control(func(fd uintptr) { listenErr = errors.Join(setReuseAddr(int(fd), 1), syscall.Listen(int(fd), backlog)) })
 	if err == nil {
 		err = listenErr
 	}
@@ -91,5 +91,5 @@
 	return net.FileListener(r.file)
 }
 
-// Close gives the address up.
+// Close releases the address.
 func (r *Reservation) Close() error { return r.file.Close() }
--- a/io/crentry/reserve_test.go
+++ b/io/crentry/reserve_test.go
@@ -9,9 +9,9 @@
 	"camphorroad/io/crentry"
 )
 
-// A daemon that has just started can not serve yet. A caller whose connection it
-// takes is refused, over and over, instead of trying the next address.
-func TestAReservedAddressTakesNoConnections(t *testing.T) {
+// A daemon that has just started cannot serve yet. If it accepted connections, it would
+// refuse each request of a caller that could have used another address.
+func TestReservedAddressRefusesConnections(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, host := range []string{"127.0.0.1", ""} {
 		free, err := net.Listen("tcp", host+":0") //nolint:noctx // finds a port
@@ -25,12 +25,12 @@
 			}
 			return err
 		}
-		at, err := crentry.Reserve(host + ":" + port)
+		reservation, err := crentry.Reserve(host + ":" + port)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(dial()).To(gomega.MatchError(gomega.ContainSubstring("refused")))
 		_, err = crentry.Reserve(host + ":" + port)
 		g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring("in use")))
-		ln, err := at.Listen()
+		ln, err := reservation.Listen()
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(dial()).To(gomega.Succeed())
 		g.Expect(ln.Close()).To(gomega.Succeed())
--- a/io/crentry/secret_test.go
+++ b/io/crentry/secret_test.go
@@ -8,12 +8,11 @@
 	"github.com/onsi/gomega"
 )
 
-// Callers put keys where they should not: in a second place, in a cookie, in a
-// link, encoded by some library. An upstream that got one could act as that
-// account, and would write it to its logs.
-func TestNoKeyReachesAnUpstream(t *testing.T) {
+// Callers may send keys in further places, such as cookies or links, and encoded. An
+// upstream that received one could act as that account, and would log it.
+func TestNoKeyReachesUpstream(t *testing.T) {
 	up := newRecorder(t)
-	p := newPath(t, up.addr())
+	p := newHarness(t, up.addr())
 	bearer := "Authorization: Bearer " + alphaKey + "\r\n"
 	encoded := "%63rk_alpha%2D0123456789"
 	twice := "%2563rk_alpha%252D0123456789"
@@ -41,7 +40,7 @@
 		{"in a referer", "/", bearer + "Referer: http://h/?key=" + encoded + "\r\n", 200},
 		{"in a header's name", "/", bearer + "X-" + alphaKey + ": x\r\n", 200},
 		{"as a header's name", "/", bearer + alphaKey + ": x\r\n", 200},
-		{"basic", "/", "X-Api-Key: " + alphaKey + "\r\nAuthorization: Basic Y3JrX2FscGhh\r\nProxy-Authorization: " + alphaKey + "\r\n", 200},
+		{"basic and proxy authorization", "/", "X-Api-Key: " + alphaKey + "\r\nAuthorization: Basic Y3JrX2FscGhh\r\nProxy-Authorization: " + alphaKey + "\r\n", 200},
 		{"another cookie", "/", bearer + "Cookie: session=" + encoded + "; c=d\r\n", 200},
 	}
 	for _, c := range cases {
@@ -65,12 +64,11 @@
 	}
 }
 
-// A caller forges the headers by which upstreams learn the account, or hides a
-// header behind Connection. An upstream that believed it would run a filing for
-// another firm.
-func TestCallersForgeNothing(t *testing.T) {
+// A caller may forge the headers that tell an upstream the account, or list a header in
+// Connection. An upstream that trusted it would act for another account.
+func TestForgedCallerHeadersAreRemoved(t *testing.T) {
 	up := newRecorder(t)
-	p := newPath(t, up.addr())
+	p := newHarness(t, up.addr())
 	got := p.raw("GET / HTTP/1.1\r\n" + auth +
 		"camphorroad-account: beta\r\nCamphorroad-Request: 1\r\nCAMPHORROAD-DEADLINE: 9\r\nCamphorroad_Account: beta\r\n" +
 		"Connection: X-Named, camphorroad-account\r\nX-Named: 1\r\nX-Kept: 1\r\nKeep-Alive: 5\r\nTE: trailers\r\nProxy-Connection: close\r\n\r\n")
@@ -83,10 +81,10 @@
 	}
 }
 
-// An upstream sends headers that hold for its own connection, or that callers
-// would take for the fleet's word.
-func TestUpstreamsForgeNothing(t *testing.T) {
-	p := newPath(t, listenHTTP(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+// An upstream may send hop-by-hop headers, or headers that callers would take for the
+// fleet's.
+func TestForgedUpstreamHeadersAreRemoved(t *testing.T) {
+	p := newHarness(t, listenHTTP(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header()["Camphorroad-Outcome"] = []string{"notrun", "cut"}
 		w.Header().Set("Camphorroad-Request", "forged")
 		w.Header().Set("Connection", "X-Named")
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -14,12 +14,13 @@
 	"camphorroad/io/crhop"
 )
 
-// serve makes attempts until one gives an answer to pass on, none is allowed
-// any more, or the time is up; then the caller gets its final answer at once.
-func (e *Entry) serve(w http.ResponseWriter, r *http.Request, req *accepted, b *body) {
+// serve makes attempts until one yields a response to relay, no further attempt is
+// allowed, or the deadline has passed. The caller then gets the response or a refusal
+// at once.
+func (e *Entry) serve(w http.ResponseWriter, r *http.Request, req *admittedRequest, b *body) {
 	w.Header().Set(HeaderRequest, req.id.String())
 	e.budget.RecordRequest()
-	s := &serving{
+	s := &activeRequest{
 		entry:    e,
 		req:      req,
 		tracker:  crforward.NewTracker(req.route.Class, crforward.DefaultTrackerParams()),
@@ -30,60 +31,60 @@
 		deadline: req.started.Add(req.route.Timeout),
 	}
 	if s.length > 0 && s.length <= int64(e.opts.ReplayBytes) {
-		if err := b.fill(s.expired); err != nil {
+		if err := b.bufferAll(s.expired); err != nil {
 			e.refuse(w, b, bodyRefusal(err))
 			return
 		}
 	}
-	ex := s.attempts(r.Context())
+	ex := s.runAttempts(r.Context())
 	if ex == nil {
 		s.refuse(w, r)
 		return
 	}
-	e.pass(w, r, s, ex)
+	e.relay(w, r, s, ex)
 }
 
-// refuse gives the final answer of a request without an answer to pass on. It
-// always writes one: a caller that closed its half of the connection, or whose
-// body broke off, ends the request's context too and may still be reading; from a
-// handler that wrote nothing it would get an empty 200.
-func (s *serving) refuse(w http.ResponseWriter, r *http.Request) {
+// refuse writes the refusal of a request without a response to relay. It writes one
+// even if the request's context has ended: a caller that closed its half of the
+// connection, or whose body was truncated, may still be reading, and would get an empty
+// 200 from a handler that writes nothing.
+func (s *activeRequest) refuse(w http.ResponseWriter, r *http.Request) {
 	if r.Context().Err() != nil {
-		s.body.settle()
+		s.body.waitForRead()
 	}
-	if err := s.body.fault(); err != nil {
+	if err := s.body.readErr(); err != nil {
 		refused := bodyRefusal(err)
 		refused.outcome = s.tracker.Outcome()
 		s.entry.refuse(w, s.body, refused)
 		return
 	}
-	s.entry.refuse(w, s.body, s.giveUp())
+	s.entry.refuse(w, s.body, s.finalRefusal())
 }
 
-func (s *serving) expired() bool { return !s.entry.opts.Clock().Before(s.deadline) }
+func (s *activeRequest) expired() bool { return !s.entry.opts.Clock().Before(s.deadline) }
 
-// serving is one request on its way through its attempts.
-type serving struct {
-	entry    *Entry
-	req      *accepted
-	tracker  *crforward.Tracker
-	body     *body
-	length   int64
-	method   string
-	host     string
-	deadline crid.Instant
-	tried    []crid.Target
-	target   *crroute.Target // that gave the answer
-	opening  opening         // of its body
-	reason   string
-	wrong    bool
-	end      func() // of the attempt that gave the answer
+// activeRequest is the state of one request over its attempts.
+type activeRequest struct {
+	entry         *Entry
+	req           *admittedRequest
+	tracker       *crforward.Tracker
+	body          *body
+	length        int64
+	method        string
+	host          string
+	deadline      crid.Instant
+	tried         []crid.Target
+	target        *crroute.Target // that the response came from
+	prefix        bodyPrefix      // of the response body
+	reason        string
+	wrongResponse bool
+	endAttempt    func() // ends the attempt that the response came from
 }
 
-// attempts returns the exchange whose answer goes to the caller, or nil.
-func (s *serving) attempts(ctx context.Context) *crhop.Exchange {
+// runAttempts returns the exchange whose response is relayed to the caller, or nil.
+func (s *activeRequest) runAttempts(ctx context.Context) *crhop.Exchange {
 	for {
-		target, ok := s.choose()
+		target, ok := s.pick()
 		if !ok {
 			return nil
 		}
@@ -102,28 +103,28 @@
 	}
 }
 
-func (s *serving) choose() (*crroute.Target, bool) {
+func (s *activeRequest) pick() (*crroute.Target, bool) {
 	pool := s.req.view.Pool(s.req.service)
 	if pool == nil {
 		s.reason = "the service has no targets"
 		return nil, false
 	}
-	target, ok := s.entry.chooser.Pick(pool, crroute.PickInfo{Now: s.entry.opts.Clock(), Tried: s.tried, IntN: rand.IntN})
+	target, ok := s.entry.picker.Pick(pool, crroute.PickInfo{Now: s.entry.opts.Clock(), Tried: s.tried, IntN: rand.IntN})
 	if !ok && s.reason == "" {
 		s.reason = "no target takes new work"
 	}
 	return target, ok
 }
 
-// share is the time one attempt may take. A repeat request keeps half of what is
-// left for another target, so that one stalled target does not use up the whole
-// deadline, unless its body is too long to be sent again; a once request can not
-// be sent again and gets all but the moment that the revoke needs.
-func (s *serving) share(now crid.Instant) time.Duration {
+// attemptTimeout is the timeout of one attempt. A request of class repeat keeps half of the
+// remaining time for another target, so that one stalled target does not use up the
+// whole deadline, unless its body is too long to be sent again. A request of class once
+// cannot be sent again and gets all but the time that a revoke needs.
+func (s *activeRequest) attemptTimeout(now crid.Instant) time.Duration {
 	left := s.deadline.Sub(now)
 	if s.req.route.Class == crpolicy.ClassRepeat {
-		long := s.length > int64(s.entry.opts.ReplayBytes)
-		if !long && s.tracker.Attempts() < crforward.DefaultTrackerParams().MaxAttempts {
+		streamed := s.length > int64(s.entry.opts.ReplayBytes)
+		if !streamed && s.tracker.Attempts() < crforward.DefaultTrackerParams().MaxAttempts {
 			return left / 2
 		}
 		return left
@@ -131,16 +132,16 @@
 	return max(left-crhop.RevokeTimeout, left/2)
 }
 
-func (s *serving) attempt(ctx context.Context, target *crroute.Target) *crhop.Exchange {
+func (s *activeRequest) attempt(ctx context.Context, target *crroute.Target) *crhop.Exchange {
 	s.tried = append(s.tried, target.Name())
 	now := s.entry.opts.Clock()
-	left := s.share(now)
+	timeout := s.attemptTimeout(now)
 	n := s.tracker.Begin()
-	attempt, cancel := context.WithCancel(ctx)
-	timer := time.AfterFunc(left, cancel)
+	attemptCtx, cancel := context.WithCancel(ctx)
+	timer := time.AfterFunc(timeout, cancel)
 	target.Load().Begin()
 	var revoker Revoker
-	ex, err := s.entry.opts.Forwarder.Forward(attempt, target, s.forward(target, left), s.body, func(rv Revoker) {
+	ex, err := s.entry.opts.Forwarder.Forward(attemptCtx, target, s.newForward(target, timeout), s.body, func(rv Revoker) {
 		revoker = rv
 		s.tracker.Sent(n, s.entry.opts.Clock())
 	})
@@ -150,8 +151,8 @@
 		target.Load().End()
 	}
 	if err == nil {
-		if s.judge(n, target, ex, now) && s.begin(n, target, ex) {
-			s.end = end
+		if s.handleExitResponse(n, target, ex, now) && s.readPrefix(n, target, ex) {
+			s.endAttempt = end
 			return ex
 		}
 		_ = ex.Body.Close()
@@ -159,18 +160,18 @@
 		return nil
 	}
 	end()
-	s.lost(ctx, n, target, err, inTime, now, revoker)
+	s.handleLost(ctx, n, target, err, inTime, now, revoker)
 	return nil
 }
 
-func (s *serving) forward(target *crroute.Target, left time.Duration) *crhop.Forward {
+func (s *activeRequest) newForward(target *crroute.Target, timeout time.Duration) *crhop.Forward {
 	id := s.req.id
-	// Each attempt has an identity of its own at the exits: a refused one must
-	// never start, while the next may.
+	// Each attempt has its own ID at the exits: a refused attempt must never
+	// start, while the next one may.
 	id[0] ^= byte(len(s.tried) - 1)
 	header := s.req.header
 	if len(s.tried) > 1 {
-		// An attempt that was given up may still be reading the first map.
+		// An abandoned attempt may still be reading the first map.
 		header = header.Clone()
 	}
 	return &crhop.Forward{
@@ -179,7 +180,7 @@
 		Target:  target.Name(),
 		Account: s.req.account,
 		Class:   s.req.route.Class,
-		Left:    left,
+		Left:    timeout,
 		Method:  s.method,
 		URI:     s.req.uri,
 		Host:    s.host,
@@ -188,16 +189,16 @@
 	}
 }
 
-// judge tells the tracker and the evidence what an exit answered; it reports
-// whether the answer goes to the caller.
-func (s *serving) judge(n int, target *crroute.Target, ex *crhop.Exchange, started crid.Instant) bool {
+// handleExitResponse records an exit's response in the tracker and as health evidence.
+// It reports whether the response is relayed to the caller.
+func (s *activeRequest) handleExitResponse(n int, target *crroute.Target, ex *crhop.Exchange, started crid.Instant) bool {
 	now := s.entry.opts.Clock()
 	took := now.Sub(started)
 	target.Load().SetReportedInFlight(ex.Answer.InFlight, now)
 	switch ex.Answer.Kind {
 	case crhop.KindAnswer:
 		s.tracker.ResponseStarted(n)
-		return s.answered(n, target, ex, took)
+		return s.handleUpstreamResponse(n, target, ex, took)
 	case crhop.KindRefusal:
 		s.tracker.Refused(n, ex.Answer.NotRun, ex.Answer.RetryAfter)
 		s.reason = ex.Answer.Reason
@@ -206,13 +207,13 @@
 			target.Load().RecordUnreachable(now)
 			s.observe(target, OutcomeFailed, took)
 		case crhop.FaultUnready:
-			// Its refusals are so quick that it looks the idlest of all. Were it
-			// not passed over, it would draw the requests of a whole service, and
-			// those whose every attempt met the same daemon would be refused.
+			// Its quick refusals make it look the least loaded. Unless it is
+			// avoided, it attracts the requests of the whole service, and a
+			// request with all its attempts at this daemon is refused.
 			target.Load().RecordNotReady(now)
 			s.observe(target, OutcomeShed, took)
 		case crhop.FaultShed:
-			// As with an answer of the target itself that sheds.
+			// As with a shed response of the target itself.
 			target.Load().RecordShed(now)
 			s.observe(target, OutcomeShed, took)
 		default:
@@ -225,7 +226,7 @@
 		if ex.Answer.Fault == crhop.FaultBody {
 			return false
 		}
-		s.wrong = ex.Answer.Fault == crhop.FaultWrong
+		s.wrongResponse = ex.Answer.Fault == crhop.FaultWrong
 		target.Load().RecordFailure()
 		s.observe(target, outcomeOf(ex.Answer.Fault), took)
 	}
@@ -244,9 +245,10 @@
 	return OutcomeFailed
 }
 
-// answered handles an upstream's answer. A repeat request that was shed or
-// failed is tried elsewhere; what can not be tried again is passed on as it is.
-func (s *serving) answered(n int, target *crroute.Target, ex *crhop.Exchange, took time.Duration) bool {
+// handleUpstreamResponse handles an upstream's response. A request of class repeat that
+// was shed or failed is retried on another target. If it cannot be retried, the response
+// is relayed unchanged.
+func (s *activeRequest) handleUpstreamResponse(n int, target *crroute.Target, ex *crhop.Exchange, took time.Duration) bool {
 	status := ex.Answer.Status
 	shed := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 	switch {
@@ -261,11 +263,11 @@
 		s.observe(target, OutcomeOK, took)
 		return true
 	}
-	return !s.again(n)
+	return !s.shouldRetry(n)
 }
 
-// again reports whether an answer that failed is worth another attempt.
-func (s *serving) again(n int) bool {
+// shouldRetry reports whether a failed response is retried.
+func (s *activeRequest) shouldRetry(n int) bool {
 	if s.req.route.Class != crpolicy.ClassRepeat || !s.body.Replayable() {
 		return false
 	}
@@ -276,10 +278,10 @@
 	return s.tracker.MayRetry()
 }
 
-// lost handles an attempt that gave no answer. Where it may have been sent, a
-// once request asks the exit to revoke it: the only way to learn that it did
-// not run, and to make sure that it never will.
-func (s *serving) lost(ctx context.Context, n int, target *crroute.Target, err error, inTime bool, started crid.Instant, rv Revoker) {
+// handleLost handles an attempt without a response. If it may have been sent, a request of
+// class once asks the exit to revoke it: only a revoke proves that the request did not
+// run and never will.
+func (s *activeRequest) handleLost(ctx context.Context, n int, target *crroute.Target, err error, inTime bool, started crid.Instant, rv Revoker) {
 	now := s.entry.opts.Clock()
 	took := now.Sub(started)
 	s.reason = "no answer from the target's daemon"
@@ -289,7 +291,7 @@
 		s.observe(target, OutcomeUnreachable, took)
 		return
 	}
-	if ctx.Err() == nil && s.body.fault() == nil {
+	if ctx.Err() == nil && s.body.readErr() == nil {
 		target.Load().RecordUnreachable(now)
 		s.observe(target, lostOutcome(inTime), took)
 	}
@@ -297,9 +299,9 @@
 		s.tracker.Failed(n)
 		return
 	}
-	ask, cancel := context.WithTimeout(context.WithoutCancel(ctx), crhop.RevokeTimeout)
+	revokeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), crhop.RevokeTimeout)
 	defer cancel()
-	s.tracker.RevokeResult(n, rv.Revoke(ask), s.entry.opts.Clock())
+	s.tracker.RevokeResult(n, rv.Revoke(revokeCtx), s.entry.opts.Clock())
 }
 
 func lostOutcome(inTime bool) Outcome {
@@ -309,17 +311,17 @@
 	return OutcomeStalled
 }
 
-func (s *serving) observe(target *crroute.Target, o Outcome, took time.Duration) {
+func (s *activeRequest) observe(target *crroute.Target, o Outcome, took time.Duration) {
 	s.entry.opts.Observe(s.req.service, target.Name(), s.req.account, o, took)
 }
 
-// giveUp is the final answer of a request without an answer to pass on.
-func (s *serving) giveUp() *refusal {
-	r := &refusal{outcome: s.tracker.Outcome(), reason: s.reason, retry: max(soon, s.tracker.RetryAfter())}
+// finalRefusal is the refusal of a request without a response to relay.
+func (s *activeRequest) finalRefusal() *refusal {
+	r := &refusal{outcome: s.tracker.Outcome(), reason: s.reason, retryAfter: max(defaultRetryAfter, s.tracker.RetryAfter())}
 	switch {
 	case r.outcome == crforward.OutcomeNotRun:
 		r.status = http.StatusServiceUnavailable
-	case s.wrong:
+	case s.wrongResponse:
 		r.status = http.StatusBadGateway
 	default:
 		r.status = http.StatusGatewayTimeout
--- a/io/crentry/server.go
+++ b/io/crentry/server.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// ServerOptions bound what a caller's connection may take.
+// ServerOptions limit the resources of a caller's connection.
 type ServerOptions struct {
-	MaxHeaderBytes    int           // of a request's head
-	ReadHeaderTimeout time.Duration // in which a request's head must be whole
+	MaxHeaderBytes    int           // size of a request's head
+	ReadHeaderTimeout time.Duration // for the whole head of a request
 }
 
-const callerIdle = 2 * time.Minute // a kept connection without a request
+const keepAliveTimeout = 2 * time.Minute // for a keep-alive connection without a request
 
-// NewServer returns the server towards callers. It takes HTTP/1.1 and HTTP/2,
-// the latter also in clear text with prior knowledge.
+// NewServer returns the server for callers. It serves HTTP/1.1 and HTTP/2, the latter
+// also in clear text with prior knowledge.
 func NewServer(h http.Handler, opts ServerOptions) *http.Server {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
@@ -26,9 +26,9 @@
 		Handler:           h,
 		Protocols:         &protocols,
 		ReadHeaderTimeout: opts.ReadHeaderTimeout,
-		IdleTimeout:       callerIdle,
+		IdleTimeout:       keepAliveTimeout,
 		MaxHeaderBytes:    opts.MaxHeaderBytes,
-		// net/http reports callers' bad bytes here, which may hold a key.
+		// Malformed bytes of callers, which net/http logs here, may contain a key.
 		ErrorLog: log.New(io.Discard, "", 0),
 	}
 }
--- a/io/crentry/tls_test.go
+++ b/io/crentry/tls_test.go
@@ -15,10 +15,9 @@
 	"camphorroad/io/crentry"
 )
 
-// Callers come over TLS, and their certificate is replaced before it runs out.
-// New handshakes must see the new one, kept connections must go on, and files
-// that do not fit must change nothing.
-func TestCallersOverTLSAndRotation(t *testing.T) {
+// The server certificate is replaced before it expires. New handshakes must use the new
+// one, open connections must continue, and files that do not match must change nothing.
+func TestCertificateRotation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	dir, next := t.TempDir(), t.TempDir()
 	g.Expect(crcert.Issue(dir, "old")).To(gomega.Succeed())
@@ -26,7 +25,7 @@
 	certPath, keyPath := filepath.Join(dir, "old.pem"), filepath.Join(dir, "old.key")
 	c, err := crentry.LoadCertificate(certPath, keyPath)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	p := newPath(t, newRecorder(t).addr())
+	p := newHarness(t, newRecorder(t).addr())
 	srv := crentry.NewServer(p.entry, crentry.ServerOptions{MaxHeaderBytes: 16 << 10, ReadHeaderTimeout: bodyIdle})
 	srv.TLSConfig = c.Config()
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -46,7 +45,7 @@
 		return resp.Proto, resp.TLS.PeerCertificates[0].DNSNames[0]
 	}
 	client := func(h2 bool) *http.Client {
-		conf := &tls.Config{InsecureSkipVerify: true} //nolint:gosec // looks at the certificate itself
+		conf := &tls.Config{InsecureSkipVerify: true} //nolint:gosec // the test checks the certificate itself
 		tr := &http.Transport{TLSClientConfig: conf, ForceAttemptHTTP2: h2}
 		t.Cleanup(tr.CloseIdleConnections)
 		return &http.Client{Transport: tr}
@@ -63,7 +62,7 @@
 		g.Expect(os.WriteFile(path, b, 0o600)).To(gomega.Succeed())
 	}
 	replace(certPath, "new.pem")
-	g.Expect(c.Reload()).NotTo(gomega.Succeed(), "the key does not fit yet")
+	g.Expect(c.Reload()).NotTo(gomega.Succeed(), "the key does not match yet")
 	_, name = get(client(true))
 	g.Expect(name).To(gomega.Equal("old"))
 	replace(keyPath, "new.key")
@@ -71,5 +70,5 @@
 	_, name = get(client(true))
 	g.Expect(name).To(gomega.Equal("new"))
 	_, name = get(kept)
-	g.Expect(name).To(gomega.Equal("old"), "the kept connection goes on")
+	g.Expect(name).To(gomega.Equal("old"), "the open connection continues")
 }
