--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -89,8 +89,8 @@
 	return e
 }
 
-// Use makes a view the one that requests are handled by.
-func (e *Entry) Use(v *crmesh.View) { e.view.Store(v) }
+// SetView makes a view the one that requests are handled by.
+func (e *Entry) SetView(v *crmesh.View) { e.view.Store(v) }
 
 // Open is the number of requests in progress.
 func (e *Entry) Open() int64 { return e.open.Load() }
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -148,7 +148,7 @@
 // use gives a view to traffic.
 func (d *daemon) use(v *crmesh.View) {
 	before := d.loop.view.Swap(v)
-	d.entry.Use(v)
+	d.entry.SetView(v)
 	if !sameRecord(before, v) {
 		d.exit.Use(v.Own)
 	}
