--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -92,8 +92,8 @@
 // SetView makes a view the one that requests are handled by.
 func (e *Entry) SetView(v *crmesh.View) { e.view.Store(v) }
 
-// Open is the number of requests in progress.
-func (e *Entry) Open() int64 { return e.open.Load() }
+// InFlight is the number of requests in progress.
+func (e *Entry) InFlight() int64 { return e.open.Load() }
 
 // End answers what is in progress with what is known of it by now. The process is about
 // to end, and its callers would get no word at all.
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -187,7 +187,7 @@
 func (d *daemon) drain(s servers) {
 	began := time.Now()
 	grace := d.opts.Settings.Bounds.GraceTime() - reserve
-	d.log.Event(crlog.MeshStopping, crlog.Fields{"open": strconv.FormatInt(d.entry.Open(), 10)})
+	d.log.Event(crlog.MeshStopping, crlog.Fields{"open": strconv.FormatInt(d.entry.InFlight(), 10)})
 	d.exit.Finish(crclock.Now().Add(grace))
 	d.feed.Stop()
 	d.loop.emit(crevent.Stopping{Now: crclock.Now()})
@@ -210,8 +210,8 @@
 	err = errors.Join(err, s.peer.Shutdown(ctx))
 	// The library looks for open connections half a second apart at times, so that it
 	// may not have seen that the last request has ended.
-	if err != nil && (d.entry.Open() > 0 || !d.exit.Idle()) {
-		d.log.Event(crlog.MeshCut, crlog.Fields{"open": strconv.FormatInt(d.entry.Open(), 10), "error": err.Error()})
+	if err != nil && (d.entry.InFlight() > 0 || !d.exit.Idle()) {
+		d.log.Event(crlog.MeshCut, crlog.Fields{"open": strconv.FormatInt(d.entry.InFlight(), 10), "error": err.Error()})
 	}
 	for _, page := range s.pages {
 		_ = page.Close() // whoever reads them asks again
@@ -279,7 +279,7 @@
 	}
 	v := d.loop.view.Load()
 	out := dump{
-		Daemons: v.Daemons, Silent: slices.Sorted(maps.Keys(v.Silent)), Targets: v.Targets, Own: d.exit.Told(), Open: d.entry.Open(),
+		Daemons: v.Daemons, Silent: slices.Sorted(maps.Keys(v.Silent)), Targets: v.Targets, Own: d.exit.Told(), Open: d.entry.InFlight(),
 	}
 	if v.Plan != nil {
 		out.Plan = v.Plan.Label()
--- a/io/crmesh/meters.go
+++ b/io/crmesh/meters.go
@@ -58,7 +58,7 @@
 		"target.load":                            func() int64 { return int64(d.exit.Told().Load) },
 		"target.slots":                           func() int64 { return int64(d.exit.Told().Slots) },
 		"target.sick.percent":                    func() int64 { return int64(d.exit.Told().UnhealthyProb * 100) },
-		"requests.open":                          d.entry.Open,
+		"requests.open":                          d.entry.InFlight,
 		"peers.silent":                           func() int64 { return int64(len(d.loop.view.Load().Silent)) },
 		"peers.alive":                            func() int64 { return int64(len(d.loop.view.Load().Daemons) - 1) },
 		"plan.version":                           d.planVersion,
