--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -95,9 +95,9 @@
 // InFlight is the number of requests in progress.
 func (e *Entry) InFlight() int64 { return e.open.Load() }
 
-// End answers what is in progress with what is known of it by now. The process is about
+// Abort answers what is in progress with what is known of it by now. The process is about
 // to end, and its callers would get no word at all.
-func (e *Entry) End() { e.end() }
+func (e *Entry) Abort() { e.end() }
 
 // reply is the final answer to a caller.
 type reply struct {
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -199,7 +199,7 @@
 	d.exit.Stop()
 	d.loop.emit(crmesh.Nudge{Now: crclock.Now()})
 	left := grace - time.Since(began)
-	last := time.AfterFunc(left-lastWord, d.entry.End)
+	last := time.AfterFunc(left-lastWord, d.entry.Abort)
 	defer last.Stop()
 	ctx, cancel := context.WithTimeout(context.Background(), left)
 	defer cancel()
