--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -58,18 +58,18 @@
 
 // Options are what an entry needs.
 type Options struct {
-	Self    crid.Daemon
-	Domain  crid.Domain
-	Service crid.Service // of the instance that it stands on
-	Dialect crdialect.Dialect
-	Clock   func() crid.Instant
-	Local   *cregress.Exit
-	Peers   *croffer.Client
-	Board   *crplace.Balancer
-	Budget  *crbudget.Budget
-	Quota   Quota
-	Meter   Meter
-	Log     *crlog.Logger
+	Self     crid.Daemon
+	Domain   crid.Domain
+	Service  crid.Service // of the instance that it stands on
+	Dialect  crdialect.Dialect
+	Clock    func() crid.Instant
+	Local    *cregress.Exit
+	Peers    *croffer.Client
+	Balancer *crplace.Balancer
+	Budget   *crbudget.Budget
+	Quota    Quota
+	Meter    Meter
+	Log      *crlog.Logger
 }
 
 // Entry serves callers.
--- a/io/cringress/dispatch.go
+++ b/io/cringress/dispatch.go
@@ -83,7 +83,7 @@
 	if d.deadline.Sub(now) < leastTry {
 		return false
 	}
-	choice, ok := d.opts.Board.Choose(now, d.view.Targets[d.service], crplace.Request{
+	choice, ok := d.opts.Balancer.Choose(now, d.view.Targets[d.service], crplace.Request{
 		Class: d.route.Class, Domain: d.opts.Domain, Tried: d.tried, Rand: rand.Float64,
 		Silent: func(id crid.Daemon) bool { return d.view.Silent[id] }, NoRetry: !d.again(now), Nested: d.isCall(),
 	})
@@ -103,8 +103,8 @@
 	}
 	d.offers++
 	d.tried = append(d.tried, choice.Target)
-	d.opts.Board.Begin(choice.Target)
-	defer d.opts.Board.End(choice.Target)
+	d.opts.Balancer.Begin(choice.Target)
+	defer d.opts.Balancer.End(choice.Target)
 	result, ok := d.try(ctx, choice)
 	if !ok {
 		if d.repeat {
@@ -138,11 +138,11 @@
 		if ctx.Err() == nil {
 			d.silent++
 			d.note("silent")
-			d.opts.Board.NoResponse(d.opts.Clock(), c.Target)
+			d.opts.Balancer.NoResponse(d.opts.Clock(), c.Target)
 		}
 		return croffer.Result{}, false
 	}
-	d.opts.Board.Responded(c.Target)
+	d.opts.Balancer.Responded(c.Target)
 	d.heard(o, reply)
 	if grant == nil {
 		return croffer.Result{}, false
@@ -161,7 +161,7 @@
 
 func (d *dispatch) heard(o croffer.Offer, r croffer.Reply) {
 	if r.Reason != "no such target here" {
-		d.opts.Board.Report(o.Target, r.Told)
+		d.opts.Balancer.Report(o.Target, r.Told)
 	}
 	if !r.Taken {
 		d.note(r.Reason)
@@ -217,7 +217,7 @@
 // another target may be tried.
 func (d *dispatch) took(ctx context.Context, c crplace.Choice, r croffer.Result) bool {
 	if r.Told.Slots > 0 {
-		d.opts.Board.Report(c.Target, r.Told)
+		d.opts.Balancer.Report(c.Target, r.Told)
 	}
 	if r.NotRun() {
 		d.note(r.Reason)
--- a/io/crmesh/crmesh.go
+++ b/io/crmesh/crmesh.go
@@ -130,7 +130,7 @@
 	s := opts.Settings
 	return cringress.New(cringress.Options{
 		Self: crid.Daemon(s.Address), Domain: s.Domain, Service: s.Service, Dialect: opts.Dialect, Clock: crclock.Now,
-		Local: x, Peers: peers, Board: board, Budget: budget, Quota: q, Meter: m, Log: l,
+		Local: x, Peers: peers, Balancer: board, Budget: budget, Quota: q, Meter: m, Log: l,
 	})
 }
 
