--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -49,9 +49,9 @@
 
 // Meter counts what callers were told.
 type Meter interface {
-	// Answered counts an answer; own says that it is not a target's. The class
+	// ObserveResponse counts an answer; own says that it is not a target's. The class
 	// is zero where no route was found.
-	Answered(class crpolicy.Class, status int, own bool, took time.Duration)
+	ObserveResponse(class crpolicy.Class, status int, own bool, took time.Duration)
 	// Repeated counts a request that is sent to a further target.
 	Repeated()
 }
@@ -127,7 +127,7 @@
 	crlink.CloseAfterChunks(w, r)
 	q := &request{Entry: e, started: started, http: r, view: e.view.Load()}
 	answer := q.handle()
-	e.opts.Meter.Answered(q.class(), answer.status, answer.own, e.opts.Clock().Sub(started))
+	e.opts.Meter.ObserveResponse(q.class(), answer.status, answer.own, e.opts.Clock().Sub(started))
 	if r.Context().Err() != nil {
 		q.log(answer, "caller left")
 		return
--- a/io/crmesh/meters.go
+++ b/io/crmesh/meters.go
@@ -37,8 +37,8 @@
 
 var _ cringress.Meter = (*meters)(nil)
 
-// Answered implements cringress.Meter.
-func (m *meters) Answered(class crpolicy.Class, status int, own bool, took time.Duration) {
+// ObserveResponse implements cringress.Meter.
+func (m *meters) ObserveResponse(class crpolicy.Class, status int, own bool, took time.Duration) {
 	name := "answers.target." + strconv.Itoa(status) + ".total"
 	if own {
 		name = "answers.own." + strconv.Itoa(status) + ".total"
