--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -52,8 +52,8 @@
 	// ObserveResponse counts an answer; own says that it is not a target's. The class
 	// is zero where no route was found.
 	ObserveResponse(class crpolicy.Class, status int, own bool, took time.Duration)
-	// Repeated counts a request that is sent to a further target.
-	Repeated()
+	// ObserveRetry counts a request that is sent to a further target.
+	ObserveRetry()
 }
 
 // Options are what an entry needs.
--- a/io/cringress/dispatch.go
+++ b/io/cringress/dispatch.go
@@ -96,7 +96,7 @@
 		return false
 	}
 	if d.repeat {
-		d.opts.Meter.Repeated()
+		d.opts.Meter.ObserveRetry()
 		d.opts.Log.Event(crlog.RequestRepeated, crlog.Fields{
 			"request": d.caller.ID, "service": string(d.service), "target": string(choice.Target), "choice": choice.Reason(), "after": d.last.reason,
 		})
--- a/io/crmesh/meters.go
+++ b/io/crmesh/meters.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// Repeated implements cringress.Meter.
-func (m *meters) Repeated() { m.repeats.Inc(1) }
+// ObserveRetry implements cringress.Meter.
+func (m *meters) ObserveRetry() { m.repeats.Inc(1) }
 
 // gauges registers what is read when the page is asked for.
 func (d *daemon) gauges() {
