--- a/io/crentry/answer.go
+++ b/io/crentry/answer.go
@@ -24,7 +24,7 @@
 	if !s.body.connReusable() {
 		w.Header().Set("Connection", "close")
 	}
-	writeHead(w, &ex.Answer)
+	writeHead(w, &ex.Response)
 	if err := e.copyBody(w, r, ex, &s.prefix); err != nil {
 		s.recordBodyError(err)
 		e.countOutcome(crforward.OutcomeCut)
@@ -63,12 +63,12 @@
 var copyBufferPool = sync.Pool{New: func() any { b := make([]byte, copyBufferSize); return &b }}
 
 func (e *Entry) copyBody(w http.ResponseWriter, r *http.Request, ex *crhop.Exchange, prefix *bodyPrefix) error {
-	if bodyless(r.Method, ex.Answer.Status) {
+	if bodyless(r.Method, ex.Response.Status) {
 		return nil
 	}
 	buf := *prefix.buf
 	rc := http.NewResponseController(w)
-	timer := e.newWriteTimer(rc, ex.Answer.Length)
+	timer := e.newWriteTimer(rc, ex.Response.Length)
 	defer timer.close()
 	var total int64
 	for n, err := prefix.n, prefix.err; ; n, err = ex.Body.Read(buf) {
@@ -82,14 +82,14 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return checkLength(total, ex.Answer.Length)
+			return checkLength(total, ex.Response.Length)
 		}
 		if err != nil {
 			return err
 		}
 		// A response of unknown length may be a live stream, so each part is
 		// flushed. With a known length net/http decides when to send.
-		if ex.Answer.Length < 0 {
+		if ex.Response.Length < 0 {
 			timer.start()
 			err := rc.Flush()
 			timer.stop()
@@ -127,7 +127,7 @@
 // read reads the first part of a body, or all of a short one.
 func (p *bodyPrefix) read(ex *crhop.Exchange) error {
 	p.buf = copyBufferPool.Get().(*[]byte)
-	short := ex.Answer.Length >= 0 && ex.Answer.Length <= netHTTPBuffer
+	short := ex.Response.Length >= 0 && ex.Response.Length <= netHTTPBuffer
 	for p.err == nil && (p.n == 0 || short) && p.n < len(*p.buf) {
 		var n int
 		n, p.err = ex.Body.Read((*p.buf)[p.n:])
@@ -135,7 +135,7 @@
 	}
 	switch {
 	case errors.Is(p.err, io.EOF):
-		return checkLength(int64(p.n), ex.Answer.Length)
+		return checkLength(int64(p.n), ex.Response.Length)
 	case p.n > 0 && !short:
 		return nil // copyBody reports the error after it has written these bytes
 	}
@@ -153,7 +153,7 @@
 // sent to the caller.
 func (s *activeRequest) readPrefix(n int, target *crroute.Target, ex *crhop.Exchange) bool {
 	s.target = target
-	if bodyless(s.method, ex.Answer.Status) {
+	if bodyless(s.method, ex.Response.Status) {
 		return true
 	}
 	err := s.prefix.read(ex)
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -194,15 +194,15 @@
 func (s *activeRequest) handleExitResponse(n int, target *crroute.Target, ex *crhop.Exchange, started crid.Instant) bool {
 	now := s.entry.opts.Clock()
 	took := now.Sub(started)
-	target.Load().SetReportedInFlight(ex.Answer.InFlight, now)
-	switch ex.Answer.Kind {
+	target.Load().SetReportedInFlight(ex.Response.InFlight, now)
+	switch ex.Response.Kind {
 	case crhop.KindAnswer:
 		s.tracker.ResponseStarted(n)
 		return s.handleUpstreamResponse(n, target, ex, took)
 	case crhop.KindRefusal:
-		s.tracker.Refused(n, ex.Answer.NotRun, ex.Answer.RetryAfter)
-		s.reason = ex.Answer.Reason
-		switch ex.Answer.Fault {
+		s.tracker.Refused(n, ex.Response.NotRun, ex.Response.RetryAfter)
+		s.reason = ex.Response.Reason
+		switch ex.Response.Fault {
 		case crhop.FaultConnect:
 			target.Load().RecordUnreachable(now)
 			s.observe(target, OutcomeFailed, took)
@@ -222,13 +222,13 @@
 	case crhop.KindFailure:
 		s.tracker.ResponseStarted(n)
 		s.tracker.Failed(n)
-		s.reason = ex.Answer.Reason
-		if ex.Answer.Fault == crhop.FaultBody {
+		s.reason = ex.Response.Reason
+		if ex.Response.Fault == crhop.FaultBody {
 			return false
 		}
-		s.wrongResponse = ex.Answer.Fault == crhop.FaultWrong
+		s.wrongResponse = ex.Response.Fault == crhop.FaultWrong
 		target.Load().RecordFailure()
-		s.observe(target, outcomeOf(ex.Answer.Fault), took)
+		s.observe(target, outcomeOf(ex.Response.Fault), took)
 	}
 	return false
 }
@@ -249,7 +249,7 @@
 // was shed or failed is retried on another target. If it cannot be retried, the response
 // is relayed unchanged.
 func (s *activeRequest) handleUpstreamResponse(n int, target *crroute.Target, ex *crhop.Exchange, took time.Duration) bool {
-	status := ex.Answer.Status
+	status := ex.Response.Status
 	shed := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 	switch {
 	case shed:
--- a/io/crexit/crexit.go
+++ b/io/crexit/crexit.go
@@ -242,10 +242,10 @@
 	var ex *crhop.Exchange
 	if ledger := s.ledgerFor(f.Session); ledger == nil {
 		ex = refusal(crforward.ReasonClosed.String(), true, refusedRetry)
-		ex.Answer.Renew = true
+		ex.Response.Renew = true
 	} else {
 		ex = s.exit.Run(ctx, ledger, &f, r)
-		ex.Answer.Renew = ledger.ShouldRenew()
+		ex.Response.Renew = ledger.ShouldRenew()
 	}
 	if f.Length == 0 {
 		r.Release() // with a body, net/http may read on after its answer
@@ -274,7 +274,7 @@
 func writeAnswer(stream *quic.Stream, ex *crhop.Exchange) error {
 	w := crwire.NewWriter(stream)
 	defer w.Release()
-	if err := w.Value(ex.Answer); err != nil {
+	if err := w.Value(ex.Response); err != nil {
 		return err
 	}
 	if err := crhop.CopyChunks(w, ex.Body); err != nil {
@@ -312,14 +312,14 @@
 
 func refusal(reason string, notRun bool, retry time.Duration) *crhop.Exchange {
 	return &crhop.Exchange{
-		Answer: crhop.Answer{Kind: crhop.KindRefusal, NotRun: notRun, Reason: reason, RetryAfter: retry},
-		Body:   noBody,
+		Response: crhop.Answer{Kind: crhop.KindRefusal, NotRun: notRun, Reason: reason, RetryAfter: retry},
+		Body:     noBody,
 	}
 }
 
 func failure(fault crhop.Fault, reason string) *crhop.Exchange {
 	return &crhop.Exchange{
-		Answer: crhop.Answer{Kind: crhop.KindFailure, Fault: fault, Reason: reason},
-		Body:   noBody,
+		Response: crhop.Answer{Kind: crhop.KindFailure, Fault: fault, Reason: reason},
+		Body:     noBody,
 	}
 }
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -42,7 +42,7 @@
 	if f.Class != crpolicy.ClassRepeat {
 		if left := t.holdoff.Remaining(f.Account, now); left > 0 {
 			ex := refusal("target sheds", true, max(refusedRetry, left))
-			ex.Answer.Fault = crhop.FaultShed
+			ex.Response.Fault = crhop.FaultShed
 			return ex
 		}
 	}
@@ -53,7 +53,7 @@
 	t.inflight.Add(1)
 	run := &run{exit: x, target: t, ledger: ledger, forward: f, id: f.ID.String(), deadline: deadline}
 	ex := run.do(ctx, body)
-	ex.Answer.InFlight = t.inflight.Load()
+	ex.Response.InFlight = t.inflight.Load()
 	ex.Body = &runBody{ReadCloser: ex.Body, end: run.end}
 	return ex
 }
@@ -96,7 +96,7 @@
 	if queue == nil {
 		r.ledger.Cancel(r.forward.ID, r.exit.opts.Clock())
 		ex := refusal("target has no policy", true, refusedRetry)
-		ex.Answer.Fault = crhop.FaultUnready
+		ex.Response.Fault = crhop.FaultUnready
 		return ex
 	}
 	lease, err := queue.Acquire(ctx, r.forward.Account, r.deadline)
@@ -159,7 +159,7 @@
 	r.noteShed(resp)
 	r.observe(0, resp.StatusCode)
 	return &crhop.Exchange{
-		Answer: crhop.Answer{
+		Response: crhop.Answer{
 			Kind:   crhop.KindAnswer,
 			Status: resp.StatusCode,
 			Header: resp.Header,
@@ -258,7 +258,7 @@
 		ex := refusal("upstream takes no connection", true, refusedRetry)
 		if caller.Err() == nil && !r.body.broken() {
 			r.observe(crhop.FaultConnect, 0)
-			ex.Answer.Fault = crhop.FaultConnect
+			ex.Response.Fault = crhop.FaultConnect
 		}
 		return ex
 	case r.body.broken(), caller.Err() != nil:
--- a/io/crexit/session_test.go
+++ b/io/crexit/session_test.go
@@ -34,9 +34,9 @@
 	h.pulse.Tick(crclock.Now().Add(2 * time.Hour)) // a pause of two hours, by the pulse's clock
 	ex, err := h.client.Forward(t.Context(), "exit", forward(2, crpolicy.ClassOnce), nil, func(*crhop.Handle) {})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(ex.Answer.Kind).To(gomega.Equal(crhop.KindRefusal))
-	g.Expect(ex.Answer.NotRun).To(gomega.BeTrue())
-	g.Expect(ex.Answer.Reason).To(gomega.Equal(crforward.ReasonStale.String()))
+	g.Expect(ex.Response.Kind).To(gomega.Equal(crhop.KindRefusal))
+	g.Expect(ex.Response.NotRun).To(gomega.BeTrue())
+	g.Expect(ex.Response.Reason).To(gomega.Equal(crforward.ReasonStale.String()))
 	g.Expect(ex.Body.Close()).To(gomega.Succeed())
 	g.Eventually(old.Context().Done()).Should(gomega.BeClosed())
 	renewed, err := h.peers.Session(t.Context(), "exit")
@@ -81,7 +81,7 @@
 				f := forward(worker<<32|n, crpolicy.ClassRepeat)
 				f.Left = 0
 				ex, err := h.client.Forward(context.Background(), "exit", f, nil, func(*crhop.Handle) {})
-				if err != nil || ex.Answer.Reason == crforward.ReasonClosed.String() {
+				if err != nil || ex.Response.Reason == crforward.ReasonClosed.String() {
 					closed.Add(1)
 				}
 				if err == nil {
@@ -100,7 +100,7 @@
 		f := forward(n, crpolicy.ClassRepeat)
 		f.Left = 0
 		ex := h.exit.Run(t.Context(), h.exit.Own(), f, nil)
-		g.Expect(ex.Answer.Reason).To(gomega.Equal(crforward.ReasonExpired.String()))
+		g.Expect(ex.Response.Reason).To(gomega.Equal(crforward.ReasonExpired.String()))
 		_ = ex.Body.Close()
 	}
 }
@@ -153,7 +153,7 @@
 	send := func(n uint64) {
 		wg.Go(func() {
 			ex := h.exit.Run(t.Context(), h.exit.Own(), forward(n, crpolicy.ClassOnce), nil)
-			kinds <- ex.Answer.Kind
+			kinds <- ex.Response.Kind
 			_ = ex.Body.Close()
 		})
 	}
--- a/io/crexit/shed_test.go
+++ b/io/crexit/shed_test.go
@@ -36,7 +36,7 @@
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		_, _ = io.Copy(io.Discard, ex.Body)
 		g.Expect(ex.Body.Close()).To(gomega.Succeed())
-		return ex.Answer
+		return ex.Response
 	}
 	g.Expect(send(crpolicy.ClassOnce).Status).To(gomega.Equal(http.StatusOK))
 	draining.Store(true)
--- a/io/crexit/watch_test.go
+++ b/io/crexit/watch_test.go
@@ -119,8 +119,8 @@
 	w.lab.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("POST", "/lab/drain", nil)) //nolint:noctx // a recorder's request
 	w.Eventually(w.last(&w.leaving), 3*time.Second).Should(gomega.Equal(1))
 	ex := w.exit.Run(t.Context(), w.exit.Own(), forward(1, crpolicy.ClassOnce), nil)
-	w.Expect(ex.Answer.Kind).To(gomega.Equal(crhop.KindRefusal))
-	w.Expect(ex.Answer.NotRun).To(gomega.BeTrue())
+	w.Expect(ex.Response.Kind).To(gomega.Equal(crhop.KindRefusal))
+	w.Expect(ex.Response.NotRun).To(gomega.BeTrue())
 	w.Expect(w.lab.Runs().Total).To(gomega.BeZero())
 }
 
--- a/io/crhop/client.go
+++ b/io/crhop/client.go
@@ -22,8 +22,8 @@
 // closed: until then the exit takes the answer as not delivered, and the stream
 // stays open.
 type Exchange struct {
-	Answer Answer
-	Body   io.ReadCloser // the answer's body; io.EOF only after a whole body
+	Response Answer
+	Body     io.ReadCloser // the answer's body; io.EOF only after a whole body
 }
 
 // Client forwards to exits of other daemons.
@@ -70,7 +70,7 @@
 		session.Done()
 		return nil, fmt.Errorf("%w: %w", ErrLost, err)
 	}
-	if ex.Answer.Renew {
+	if ex.Response.Renew {
 		c.peers.Retire(session)
 	}
 	ex.Body.(*answerBody).close = func() {
@@ -126,7 +126,7 @@
 	}
 	r := crwire.NewReader(stream)
 	ex := &Exchange{}
-	if err := r.Value(&ex.Answer); err != nil {
+	if err := r.Value(&ex.Response); err != nil {
 		r.Release()
 		return nil, err
 	}
