--- a/io/crentry/answer.go
+++ b/io/crentry/answer.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func writeHead(w http.ResponseWriter, a *crhop.Answer) {
+func writeHead(w http.ResponseWriter, a *crhop.Response) {
 	h := w.Header()
 	listed := connectionHeaders(a.Header)
 	for name, values := range a.Header {
--- a/io/crexit/crexit.go
+++ b/io/crexit/crexit.go
@@ -312,14 +312,14 @@
 
 func refusal(reason string, notRun bool, retry time.Duration) *crhop.Exchange {
 	return &crhop.Exchange{
-		Response: crhop.Answer{Kind: crhop.KindRefusal, NotRun: notRun, Reason: reason, RetryAfter: retry},
+		Response: crhop.Response{Kind: crhop.KindRefusal, NotRun: notRun, Reason: reason, RetryAfter: retry},
 		Body:     noBody,
 	}
 }
 
 func failure(fault crhop.Fault, reason string) *crhop.Exchange {
 	return &crhop.Exchange{
-		Response: crhop.Answer{Kind: crhop.KindFailure, Fault: fault, Reason: reason},
+		Response: crhop.Response{Kind: crhop.KindFailure, Fault: fault, Reason: reason},
 		Body:     noBody,
 	}
 }
--- a/io/crexit/hop_test.go
+++ b/io/crexit/hop_test.go
@@ -37,14 +37,14 @@
 }
 
 // rawForward sends a forward as it is, with the session number it names.
-func rawForward(s *crpeer.Session, f *crhop.Forward) (crhop.Answer, error) {
+func rawForward(s *crpeer.Session, f *crhop.Forward) (crhop.Response, error) {
 	stream, err := s.Open()
 	if err != nil {
-		return crhop.Answer{}, err
+		return crhop.Response{}, err
 	}
 	defer s.Done()
 	w := crwire.NewWriter(stream)
-	var answer crhop.Answer
+	var answer crhop.Response
 	err = errors.Join(w.Kind(crhop.StreamForward), w.Value(f), w.End(), stream.Close())
 	return answer, errors.Join(err, crwire.NewReader(stream).Value(&answer))
 }
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -159,7 +159,7 @@
 	r.noteShed(resp)
 	r.observe(0, resp.StatusCode)
 	return &crhop.Exchange{
-		Response: crhop.Answer{
+		Response: crhop.Response{
 			Kind:   crhop.KindAnswer,
 			Status: resp.StatusCode,
 			Header: resp.Header,
--- a/io/crexit/shed_test.go
+++ b/io/crexit/shed_test.go
@@ -28,7 +28,7 @@
 	}), service)
 	n := uint64(0)
 	account := crid.Account("a")
-	send := func(class crpolicy.Class) crhop.Answer {
+	send := func(class crpolicy.Class) crhop.Response {
 		n++
 		f := forward(n, class)
 		f.Account = account
--- a/io/crhop/client.go
+++ b/io/crhop/client.go
@@ -22,7 +22,7 @@
 // closed: until then the exit takes the answer as not delivered, and the stream
 // stays open.
 type Exchange struct {
-	Response Answer
+	Response Response
 	Body     io.ReadCloser // the answer's body; io.EOF only after a whole body
 }
 
--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -3,7 +3,7 @@
 // own, so that answers can neither mix nor overtake one another.
 //
 // On the stream go a kind byte, a [Forward] and the body's chunks with an end
-// mark one way; an [Answer] and its body the other way. A [Revoke] has a stream
+// mark one way; an [Response] and its body the other way. A [Revoke] has a stream
 // of its own in the same session.
 //
 // # Usage
@@ -44,7 +44,7 @@
 
 // Forward is the head of a forwarded request.
 type Forward struct {
-	Session crforward.SessionID   `cbor:"x"`
+	Session crforward.SessionID `cbor:"x"`
 	ID      crid.Request        `cbor:"i"`
 	Service crid.Service        `cbor:"s"`
 	Target  crid.Target         `cbor:"t"`
@@ -86,8 +86,8 @@
 	FaultShed                     // the target only sheds, and the exit holds work off it; nothing ran
 )
 
-// Answer is the head of what the exit answers.
-type Answer struct {
+// Response is the head of what the exit answers.
+type Response struct {
 	Kind       Kind                `cbor:"k"`
 	Status     int                 `cbor:"s"`
 	Header     map[string][]string `cbor:"d"`
@@ -103,8 +103,8 @@
 // Revoke asks whether a forward was started, and that it never be if not.
 type Revoke struct {
 	Session crforward.SessionID `cbor:"x"`
-	ID      crid.Request      `cbor:"i"`
-	Target  crid.Target       `cbor:"t"`
+	ID      crid.Request        `cbor:"i"`
+	Target  crid.Target         `cbor:"t"`
 }
 
 // Revoked answers a Revoke.
