--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -196,7 +196,7 @@
 	took := now.Sub(started)
 	target.Load().SetReportedInFlight(ex.Response.InFlight, now)
 	switch ex.Response.Kind {
-	case crhop.KindAnswer:
+	case crhop.KindResponse:
 		s.tracker.ResponseStarted(n)
 		return s.handleUpstreamResponse(n, target, ex, took)
 	case crhop.KindRefusal:
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -160,7 +160,7 @@
 	r.observe(0, resp.StatusCode)
 	return &crhop.Exchange{
 		Response: crhop.Response{
-			Kind:   crhop.KindAnswer,
+			Kind:   crhop.KindResponse,
 			Status: resp.StatusCode,
 			Header: resp.Header,
 			Length: resp.ContentLength,
--- a/io/crexit/session_test.go
+++ b/io/crexit/session_test.go
@@ -169,6 +169,6 @@
 	wg.Wait()
 	g.Expect(kinds).To(gomega.HaveLen(8))
 	for range 8 {
-		g.Expect(<-kinds).To(gomega.Equal(crhop.KindAnswer))
+		g.Expect(<-kinds).To(gomega.Equal(crhop.KindResponse))
 	}
 }
--- a/io/crexit/shed_test.go
+++ b/io/crexit/shed_test.go
@@ -52,7 +52,7 @@
 	}
 	g.Expect(asked.Load()).To(gomega.BeZero())
 	account = "another" // which the upstream might well serve
-	g.Expect(send(crpolicy.ClassOnce).Kind).To(gomega.Equal(crhop.KindAnswer))
+	g.Expect(send(crpolicy.ClassOnce).Kind).To(gomega.Equal(crhop.KindResponse))
 	g.Expect(send(crpolicy.ClassOnce).Kind).To(gomega.Equal(crhop.KindRefusal), "two accounts were turned away")
 	draining.Store(false)
 	g.Expect(send(crpolicy.ClassRepeat).Status).To(gomega.Equal(http.StatusOK), "reads show that it is back")
--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -63,8 +63,8 @@
 
 // The kinds of answer.
 const (
-	// KindAnswer carries the upstream's answer.
-	KindAnswer Kind = iota + 1
+	// KindResponse carries the upstream's answer.
+	KindResponse Kind = iota + 1
 	// KindRefusal says that the exit did not run the request; NotRun says
 	// whether that is proved.
 	KindRefusal
