--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -239,7 +239,7 @@
 		return OutcomeWrong
 	case crhop.FaultTimeout:
 		return OutcomeStalled
-	case crhop.FaultBroken, crhop.FaultConnect, crhop.FaultBody:
+	case crhop.FaultUpstreamFailed, crhop.FaultConnect, crhop.FaultBody:
 		return OutcomeFailed
 	}
 	return OutcomeFailed
--- a/io/crexit/body.go
+++ b/io/crexit/body.go
@@ -127,5 +127,5 @@
 	if b.silent.Load() {
 		return crhop.FaultTimeout
 	}
-	return crhop.FaultBroken
+	return crhop.FaultUpstreamFailed
 }
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -234,14 +234,14 @@
 	case r.body.broken():
 		return failure(crhop.FaultBody, "the request's body broke off")
 	case resp.StatusCode < http.StatusOK:
-		r.observe(crhop.FaultBroken, resp.StatusCode)
-		return failure(crhop.FaultBroken, "the upstream gave no final status")
+		r.observe(crhop.FaultUpstreamFailed, resp.StatusCode)
+		return failure(crhop.FaultUpstreamFailed, "the upstream gave no final status")
 	case !r.echoed(resp):
 		r.observe(crhop.FaultWrong, resp.StatusCode)
 		return failure(crhop.FaultWrong, "the answer is not this request's")
 	case endless(resp):
-		r.observe(crhop.FaultBroken, resp.StatusCode)
-		return failure(crhop.FaultBroken, "the answer has neither length nor chunks")
+		r.observe(crhop.FaultUpstreamFailed, resp.StatusCode)
+		return failure(crhop.FaultUpstreamFailed, "the answer has neither length nor chunks")
 	}
 	return nil
 }
@@ -267,8 +267,8 @@
 		r.observe(crhop.FaultTimeout, 0)
 		return failure(crhop.FaultTimeout, "no answer before the deadline")
 	default:
-		r.observe(crhop.FaultBroken, 0)
-		return failure(crhop.FaultBroken, "the upstream broke off")
+		r.observe(crhop.FaultUpstreamFailed, 0)
+		return failure(crhop.FaultUpstreamFailed, "the upstream broke off")
 	}
 }
 
--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -77,13 +77,13 @@
 
 // The faults of a started request.
 const (
-	FaultBroken  Fault = iota + 1 // the connection failed
-	FaultTimeout                  // the deadline passed
-	FaultWrong                    // the answer was another request's
-	FaultConnect                  // the upstream took no connection; nothing ran
-	FaultBody                     // the request's own body broke off; no evidence against the target
-	FaultUnready                  // the exit has no policy for the target yet; nothing ran
-	FaultShed                     // the target only sheds, and the exit holds work off it; nothing ran
+	FaultUpstreamFailed Fault = iota + 1 // the connection failed
+	FaultTimeout                         // the deadline passed
+	FaultWrong                           // the answer was another request's
+	FaultConnect                         // the upstream took no connection; nothing ran
+	FaultBody                            // the request's own body broke off; no evidence against the target
+	FaultUnready                         // the exit has no policy for the target yet; nothing ran
+	FaultShed                            // the target only sheds, and the exit holds work off it; nothing ran
 )
 
 // Response is the head of what the exit answers.
