--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -203,7 +203,7 @@
 		s.tracker.Refused(n, ex.Response.NotRun, ex.Response.RetryAfter)
 		s.reason = ex.Response.Reason
 		switch ex.Response.Fault {
-		case crhop.FaultConnect:
+		case crhop.FaultConnectFailed:
 			target.Load().RecordUnreachable(now)
 			s.observe(target, OutcomeFailed, took)
 		case crhop.FaultUnready:
@@ -239,7 +239,7 @@
 		return OutcomeWrong
 	case crhop.FaultTimeout:
 		return OutcomeStalled
-	case crhop.FaultUpstreamFailed, crhop.FaultConnect, crhop.FaultBody:
+	case crhop.FaultUpstreamFailed, crhop.FaultConnectFailed, crhop.FaultBody:
 		return OutcomeFailed
 	}
 	return OutcomeFailed
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -257,8 +257,8 @@
 	case r.unsent():
 		ex := refusal("upstream takes no connection", true, refusedRetry)
 		if caller.Err() == nil && !r.body.broken() {
-			r.observe(crhop.FaultConnect, 0)
-			ex.Response.Fault = crhop.FaultConnect
+			r.observe(crhop.FaultConnectFailed, 0)
+			ex.Response.Fault = crhop.FaultConnectFailed
 		}
 		return ex
 	case r.body.broken(), caller.Err() != nil:
--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -80,7 +80,7 @@
 	FaultUpstreamFailed Fault = iota + 1 // the connection failed
 	FaultTimeout                         // the deadline passed
 	FaultWrong                           // the answer was another request's
-	FaultConnect                         // the upstream took no connection; nothing ran
+	FaultConnectFailed                   // the upstream took no connection; nothing ran
 	FaultBody                            // the request's own body broke off; no evidence against the target
 	FaultUnready                         // the exit has no policy for the target yet; nothing ran
 	FaultShed                            // the target only sheds, and the exit holds work off it; nothing ran
