--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -223,7 +223,7 @@
 		s.tracker.ResponseStarted(n)
 		s.tracker.Failed(n)
 		s.reason = ex.Response.Reason
-		if ex.Response.Fault == crhop.FaultBody {
+		if ex.Response.Fault == crhop.FaultRequestBody {
 			return false
 		}
 		s.wrongResponse = ex.Response.Fault == crhop.FaultWrong
@@ -239,7 +239,7 @@
 		return OutcomeWrong
 	case crhop.FaultTimeout:
 		return OutcomeStalled
-	case crhop.FaultUpstreamFailed, crhop.FaultConnectFailed, crhop.FaultBody:
+	case crhop.FaultUpstreamFailed, crhop.FaultConnectFailed, crhop.FaultRequestBody:
 		return OutcomeFailed
 	}
 	return OutcomeFailed
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -232,7 +232,7 @@
 func (r *run) reject(resp *http.Response) *crhop.Exchange {
 	switch {
 	case r.body.broken():
-		return failure(crhop.FaultBody, "the request's body broke off")
+		return failure(crhop.FaultRequestBody, "the request's body broke off")
 	case resp.StatusCode < http.StatusOK:
 		r.observe(crhop.FaultUpstreamFailed, resp.StatusCode)
 		return failure(crhop.FaultUpstreamFailed, "the upstream gave no final status")
@@ -262,7 +262,7 @@
 		}
 		return ex
 	case r.body.broken(), caller.Err() != nil:
-		return failure(crhop.FaultBody, "the request broke off")
+		return failure(crhop.FaultRequestBody, "the request broke off")
 	case late:
 		r.observe(crhop.FaultTimeout, 0)
 		return failure(crhop.FaultTimeout, "no answer before the deadline")
