--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -206,7 +206,7 @@
 		case crhop.FaultConnectFailed:
 			target.Load().RecordUnreachable(now)
 			s.observe(target, OutcomeFailed, took)
-		case crhop.FaultUnready:
+		case crhop.FaultNotReady:
 			// Its quick refusals make it look the least loaded. Unless it is
 			// avoided, it attracts the requests of the whole service, and a
 			// request with all its attempts at this daemon is refused.
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -96,7 +96,7 @@
 	if queue == nil {
 		r.ledger.Cancel(r.forward.ID, r.exit.opts.Clock())
 		ex := refusal("target has no policy", true, refusedRetry)
-		ex.Response.Fault = crhop.FaultUnready
+		ex.Response.Fault = crhop.FaultNotReady
 		return ex
 	}
 	lease, err := queue.Acquire(ctx, r.forward.Account, r.deadline)
--- a/io/crexit/unready_test.go
+++ b/io/crexit/unready_test.go
@@ -27,5 +27,5 @@
 	ex := exit.Run(t.Context(), exit.Own(), forward(1, crpolicy.ClassOnce), strings.NewReader(""))
 	g.Expect(ex.Response.Kind).To(gomega.Equal(crhop.KindRefusal))
 	g.Expect(ex.Response.NotRun).To(gomega.BeTrue())
-	g.Expect(ex.Response.Fault).To(gomega.Equal(crhop.FaultUnready))
+	g.Expect(ex.Response.Fault).To(gomega.Equal(crhop.FaultNotReady))
 }
--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -82,7 +82,7 @@
 	FaultWrong                           // the answer was another request's
 	FaultConnectFailed                   // the upstream took no connection; nothing ran
 	FaultRequestBody                     // the request's own body broke off; no evidence against the target
-	FaultUnready                         // the exit has no policy for the target yet; nothing ran
+	FaultNotReady                        // the exit has no policy for the target yet; nothing ran
 	FaultShed                            // the target only sheds, and the exit holds work off it; nothing ran
 )
 
