--- a/io/crexit/crexit.go
+++ b/io/crexit/crexit.go
@@ -255,7 +255,7 @@
 	err := writeAnswer(stream, ex)
 	_ = ex.Body.Close() // frees the slot, whatever the delivery takes
 	if err != nil {
-		stream.CancelWrite(crhop.CodeCut)
+		stream.CancelWrite(crhop.CodeAborted)
 		return
 	}
 	_ = stream.Close()
--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -30,7 +30,7 @@
 // Stream error codes.
 const (
 	CodeCancelled = 1 // the sender has given up
-	CodeCut       = 2 // the body broke off at the sender's source
+	CodeAborted   = 2 // the body broke off at the sender's source
 )
 
 // Errors of the hop.
