--- a/io/crexit/crexit.go
+++ b/io/crexit/crexit.go
@@ -242,10 +242,10 @@
 	var ex *crhop.Exchange
 	if ledger := s.ledgerFor(f.Session); ledger == nil {
 		ex = refusal(crforward.ReasonClosed.String(), true, refusedRetry)
-		ex.Response.Renew = true
+		ex.Response.RenewSession = true
 	} else {
 		ex = s.exit.Run(ctx, ledger, &f, r)
-		ex.Response.Renew = ledger.ShouldRenew()
+		ex.Response.RenewSession = ledger.ShouldRenew()
 	}
 	if f.Length == 0 {
 		r.Release() // with a body, net/http may read on after its answer
--- a/io/crhop/client.go
+++ b/io/crhop/client.go
@@ -70,7 +70,7 @@
 		session.Done()
 		return nil, fmt.Errorf("%w: %w", ErrLost, err)
 	}
-	if ex.Response.Renew {
+	if ex.Response.RenewSession {
 		c.peers.Retire(session)
 	}
 	ex.Body.(*answerBody).close = func() {
--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -88,16 +88,16 @@
 
 // Response is the head of what the exit answers.
 type Response struct {
-	Kind       Kind                `cbor:"k"`
-	Status     int                 `cbor:"s"`
-	Header     map[string][]string `cbor:"d"`
-	Length     int64               `cbor:"n"` // of the body, -1 when unknown
-	NotRun     bool                `cbor:"r"`
-	Fault      Fault               `cbor:"f"`
-	Reason     string              `cbor:"w"`
-	RetryAfter time.Duration       `cbor:"a"`
-	InFlight   int64               `cbor:"l"` // requests at the target, the exit's count
-	Renew      bool                `cbor:"e"` // the next forwards need a new session
+	Kind         Kind                `cbor:"k"`
+	Status       int                 `cbor:"s"`
+	Header       map[string][]string `cbor:"d"`
+	Length       int64               `cbor:"n"` // of the body, -1 when unknown
+	NotRun       bool                `cbor:"r"`
+	Fault        Fault               `cbor:"f"`
+	Reason       string              `cbor:"w"`
+	RetryAfter   time.Duration       `cbor:"a"`
+	InFlight     int64               `cbor:"l"` // requests at the target, the exit's count
+	RenewSession bool                `cbor:"e"` // the next forwards need a new session
 }
 
 // Revoke asks whether a forward was started, and that it never be if not.
