--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -180,7 +180,7 @@
 		Target:  target.Name(),
 		Account: s.req.account,
 		Class:   s.req.route.Class,
-		Left:    timeout,
+		Timeout: timeout,
 		Method:  s.method,
 		URI:     s.req.uri,
 		Host:    s.host,
--- a/io/crexit/hop_test.go
+++ b/io/crexit/hop_test.go
@@ -89,7 +89,7 @@
 var service = crpolicy.Service{Name: "s", Slots: 256, Queue: 256}
 
 func forward(n uint64, class crpolicy.Class) *crhop.Forward {
-	f := &crhop.Forward{Service: "s", Target: "t", Account: "a", Class: class, Left: 5 * time.Second, Method: "GET", URI: "/x", Host: "h"}
+	f := &crhop.Forward{Service: "s", Target: "t", Account: "a", Class: class, Timeout: 5 * time.Second, Method: "GET", URI: "/x", Host: "h"}
 	for i := range 8 {
 		f.ID[i] = byte(n >> (8 * i))
 	}
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -46,7 +46,7 @@
 			return ex
 		}
 	}
-	deadline := now.Add(f.Left)
+	deadline := now.Add(f.Timeout)
 	if err := ledger.Register(f.ID, f.Class, now, deadline); err != nil {
 		return refused(err)
 	}
--- a/io/crexit/session_test.go
+++ b/io/crexit/session_test.go
@@ -57,7 +57,7 @@
 		_, _ = io.WriteString(w, "answer")
 	}), service)
 	long := forward(1<<60, crpolicy.ClassOnce)
-	long.URI, long.Left = "/long", time.Minute
+	long.URI, long.Timeout = "/long", time.Minute
 	result := make(chan error, 1)
 	go func() {
 		ex, err := h.client.Forward(context.Background(), "exit", long, nil, func(*crhop.Handle) {})
@@ -79,7 +79,7 @@
 		wg.Go(func() {
 			for n := range 2 * records / 16 {
 				f := forward(worker<<32|n, crpolicy.ClassRepeat)
-				f.Left = 0
+				f.Timeout = 0
 				ex, err := h.client.Forward(context.Background(), "exit", f, nil, func(*crhop.Handle) {})
 				if err != nil || ex.Response.Reason == crforward.ReasonClosed.String() {
 					closed.Add(1)
@@ -98,7 +98,7 @@
 
 	for n := range 2 * records {
 		f := forward(n, crpolicy.ClassRepeat)
-		f.Left = 0
+		f.Timeout = 0
 		ex := h.exit.Run(t.Context(), h.exit.Own(), f, nil)
 		g.Expect(ex.Response.Reason).To(gomega.Equal(crforward.ReasonExpired.String()))
 		_ = ex.Body.Close()
--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -50,7 +50,7 @@
 	Target  crid.Target         `cbor:"t"`
 	Account crid.Account        `cbor:"a"`
 	Class   crpolicy.Class      `cbor:"c"`
-	Left    time.Duration       `cbor:"l"` // until the deadline, when sent
+	Timeout time.Duration       `cbor:"l"` // until the deadline, when sent
 	Method  string              `cbor:"m"`
 	URI     string              `cbor:"u"`
 	Host    string              `cbor:"h"`
--- a/io/crhop/head_test.go
+++ b/io/crhop/head_test.go
@@ -36,13 +36,13 @@
 	}
 	f := crhop.Forward{
 		Session: 1 << 60, Service: "booking", Target: "booking-1", Account: "survey", Class: crpolicy.ClassOnce,
-		Left: time.Second, Method: "POST", URI: "/holds/1", Host: "booking.example", Header: header,
+		Timeout: time.Second, Method: "POST", URI: "/holds/1", Host: "booking.example", Header: header,
 	}
 	b.Run("named", func(b *testing.B) { roundTrip(b, f) })
 	b.Run("array", func(b *testing.B) {
 		roundTrip(b, arrayForward{
 			Session: f.Session, Service: f.Service, Target: f.Target, Account: f.Account, Class: f.Class,
-			Left: f.Left, Method: f.Method, URI: f.URI, Host: f.Host, Header: f.Header,
+			Left: f.Timeout, Method: f.Method, URI: f.URI, Host: f.Host, Header: f.Header,
 		})
 	})
 }
