--- a/io/crhop/client.go
+++ b/io/crhop/client.go
@@ -238,7 +238,7 @@
 	defer r.Release()
 	var answer Revoked
 	err := r.Value(&answer)
-	return answer.Verdict, err
+	return answer.Result, err
 }
 
 // RevokeTimeout bounds the wait for the answer to a revoke. The caller's final
--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -109,5 +109,5 @@
 
 // Revoked answers a Revoke.
 type Revoked struct {
-	Verdict crforward.RevokeResult `cbor:"v"`
+	Result crforward.RevokeResult `cbor:"v"`
 }
