--- a/io/crexit/crexit.go
+++ b/io/crexit/crexit.go
@@ -295,7 +295,7 @@
 	}
 	w := crwire.NewWriter(stream)
 	defer w.Release()
-	if w.Value(crhop.Revoked{Result: verdict}) != nil || w.End() != nil {
+	if w.Value(crhop.RevokeResponse{Result: verdict}) != nil || w.End() != nil {
 		stream.CancelWrite(crhop.CodeCancelled)
 		return
 	}
--- a/io/crhop/client.go
+++ b/io/crhop/client.go
@@ -236,7 +236,7 @@
 	}
 	r := crwire.NewReader(stream)
 	defer r.Release()
-	var answer Revoked
+	var answer RevokeResponse
 	err := r.Value(&answer)
 	return answer.Result, err
 }
--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -107,7 +107,7 @@
 	Target  crid.Target         `cbor:"t"`
 }
 
-// Revoked answers a Revoke.
-type Revoked struct {
+// RevokeResponse answers a Revoke.
+type RevokeResponse struct {
 	Result crforward.RevokeResult `cbor:"v"`
 }
