--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -1,11 +1,13 @@
-// Package cringress is the entry: it takes requests of callers, finds out whose
-// they are and where they may go, and sees to it that each gets the whole answer
-// to its own request or an honest refusal.
+// Package cringress is the HTTP handler with which the daemon of io/crmesh serves
+// callers. It finds the route, the account and the service of a request, applies the
+// account's rate limit, and offers the request to targets, by io/croffer or in process by
+// io/cregress, until one has responded. It buffers the whole response, so that the caller
+// gets either that or a refusal. The daemon of io/crdaemon uses io/crentry instead.
 //
 // # Usage
 //
 //	entry := cringress.New(cringress.Options{...})
-//	entry.Use(view)
+//	entry.SetView(view)
 //	http.Serve(listener, entry)
 package cringress
 
@@ -33,34 +35,34 @@
 )
 
 const (
-	// waitUntold is how long a caller is waited for that tells no time, on a
-	// route without a timeout.
-	waitUntold = 30 * time.Second
-	// bodyMost bounds the body of a request that is held in memory, whatever
-	// the operator allows: a daemon has a few hundred megabytes.
-	bodyMost = 16 << 20
+	// defaultCallerTimeout is the deadline of a request whose caller sends none, on a route
+	// without a timeout.
+	defaultCallerTimeout = 30 * time.Second
+	// maxBodyBytes bounds the body of a request, which is held in memory, whatever the
+	// operator allows: a daemon has a few hundred megabytes.
+	maxBodyBytes = 16 << 20
 )
 
-// Quota holds accounts to their rate over the whole fleet.
+// Quota is the fleet-wide rate limiter of accounts.
 type Quota interface {
-	// Take takes a token, or tells when there is one.
+	// Take takes a token, or returns how long to wait for one.
 	Take(ctx context.Context, a *crplan.Account) (ok bool, wait time.Duration)
 }
 
-// Meter counts what callers were told.
+// Meter records metrics of responses and retries.
 type Meter interface {
-	// ObserveResponse counts an answer; own says that it is not a target's. The class
-	// is zero where no route was found.
-	ObserveResponse(class crpolicy.Class, status int, own bool, took time.Duration)
-	// ObserveRetry counts a request that is sent to a further target.
+	// ObserveResponse counts a response; local means that the entry generated it, not a
+	// target. The class is zero if no route was found.
+	ObserveResponse(class crpolicy.Class, status int, local bool, latency time.Duration)
+	// ObserveRetry counts a retry on a further target.
 	ObserveRetry()
 }
 
-// Options are what an entry needs.
+// Options configure an Entry.
 type Options struct {
 	Self     crid.Daemon
 	Domain   crid.Domain
-	Service  crid.Service // of the instance that it stands on
+	Service  crid.Service // of this daemon's own target
 	Dialect  crdialect.Dialect
 	Clock    func() crid.Instant
 	Local    *cregress.Exit
@@ -72,95 +74,95 @@
 	Log      *crlog.Logger
 }
 
-// Entry serves callers.
+// Entry is the HTTP handler for callers.
 type Entry struct {
-	opts   Options
-	view   atomic.Pointer[crmesh.View]
-	open   atomic.Int64
-	ending context.Context //nolint:containedctx // ends what is in progress
-	end    context.CancelFunc
+	opts     Options
+	view     atomic.Pointer[crmesh.View]
+	inFlight atomic.Int64
+	abortCtx context.Context //nolint:containedctx // cancelled by Abort
+	abort    context.CancelFunc
 }
 
-// New returns an entry that refuses all until Use.
+// New returns an entry that refuses all requests until SetView.
 func New(opts Options) *Entry {
 	e := &Entry{opts: opts}
-	e.ending, e.end = context.WithCancel(context.Background())
+	e.abortCtx, e.abort = context.WithCancel(context.Background())
 	e.view.Store(&crmesh.View{})
 	return e
 }
 
-// SetView makes a view the one that requests are handled by.
+// SetView replaces the view that new requests are handled by.
 func (e *Entry) SetView(v *crmesh.View) { e.view.Store(v) }
 
-// InFlight is the number of requests in progress.
-func (e *Entry) InFlight() int64 { return e.open.Load() }
+// InFlight is the number of requests in flight.
+func (e *Entry) InFlight() int64 { return e.inFlight.Load() }
 
-// Abort answers what is in progress with what is known of it by now. The process is about
-// to end, and its callers would get no word at all.
-func (e *Entry) Abort() { e.end() }
+// Abort cancels the requests in flight and answers each with what is known of it. It is
+// called before the process exits, when their callers would otherwise get no response.
+func (e *Entry) Abort() { e.abort() }
 
-// reply is the final answer to a caller.
-type reply struct {
-	status   int
-	header   http.Header
-	body     []byte
-	after    time.Duration // when to come back; zero: not told
-	reason   string        // of an answer of our own
-	own      bool          // the answer is not a target's
-	targets  int           // that the request was sent to
-	offers   int
-	budget   string             // spent of what was allowed, where that kept the request from being sent again
-	refusals string             // why offers came to nothing, each with its number
-	choice   crplace.Choice     // of the target that gave the answer
-	told     crplace.LoadReport // by its exit, last
+// response is the final response to a caller.
+type response struct {
+	status     int
+	header     http.Header
+	body       []byte
+	retryAfter time.Duration // Retry-After; zero: none
+	reason     string        // of a refusal
+	local      bool          // generated by this entry, not by a target
+	targets    int           // that the request was sent to
+	offers     int
+	budget     string             // "spent of allowed", if the retry budget prevented a retry
+	refusals   string             // reasons of refused offers with their counts, for logs
+	choice     crplace.Choice     // of the target that responded
+	report     crplace.LoadReport // last report of its exit
 }
 
-func refusal(status int, reason string, after time.Duration) reply {
-	return reply{status: status, reason: reason, after: after, own: true}
+func refusal(status int, reason string, retryAfter time.Duration) response {
+	return response{status: status, reason: reason, retryAfter: retryAfter, local: true}
 }
 
 // ServeHTTP implements http.Handler.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e.open.Add(1)
-	defer e.open.Add(-1)
+	e.inFlight.Add(1)
+	defer e.inFlight.Add(-1)
 	started := e.opts.Clock()
 	crlink.CloseAfterChunks(w, r)
 	q := &request{Entry: e, started: started, http: r, view: e.view.Load()}
-	answer := q.handle()
-	e.opts.Meter.ObserveResponse(q.class(), answer.status, answer.own, e.opts.Clock().Sub(started))
+	resp := q.handle()
+	e.opts.Meter.ObserveResponse(q.class(), resp.status, resp.local, e.opts.Clock().Sub(started))
 	if r.Context().Err() != nil {
-		q.log(answer, "caller left")
+		q.log(resp, "caller left")
 		return
 	}
-	q.log(answer, "")
-	q.write(w, answer)
+	q.log(resp, "")
+	q.write(w, resp)
 }
 
-// request is one request of a caller on its way.
+// request is the state of one request of a caller.
 type request struct {
 	*Entry
-	started  crid.Instant
-	http     *http.Request
-	caller   crdialect.Caller
-	view     *crmesh.View
-	route    *crplan.Route
-	account  *crplan.Account // nil: none
-	service  crid.Service
-	body     []byte
-	leaves   crid.Instant // when the caller leaves
-	deadline crid.Instant // when it is answered in any case
+	started        crid.Instant
+	http           *http.Request
+	caller         crdialect.Caller
+	view           *crmesh.View
+	route          *crplan.Route
+	account        *crplan.Account // nil: no key, or an unknown one
+	service        crid.Service
+	body           []byte
+	callerDeadline crid.Instant // when the caller stops waiting
+	deadline       crid.Instant // when it is answered at the latest
 }
 
-// handle leads a request through its steps.
-func (q *request) handle() reply {
-	if answer, ok := q.identify(); !ok {
-		return answer
+// handle serves the request and returns the response.
+func (q *request) handle() response {
+	if resp, ok := q.identify(); !ok {
+		return resp
 	}
-	if answer, ok := q.readBody(); !ok {
-		return answer
+	if resp, ok := q.readBody(); !ok {
+		return resp
 	}
-	if answer, ok := q.takeToken(); !ok {
-		return answer
+	if resp, ok := q.takeToken(); !ok {
+		return resp
 	}
 	q.opts.Budget.RecordRequest(q.started, q.service)
 	if q.isCall() {
@@ -168,16 +170,16 @@
 	}
 	ctx, cancel := context.WithTimeout(q.http.Context(), q.deadline.Sub(q.opts.Clock()))
 	defer cancel()
-	defer context.AfterFunc(q.ending, cancel)()
-	answer := q.dispatch(ctx)
-	if q.isCall() && answer.status >= http.StatusInternalServerError {
+	defer context.AfterFunc(q.abortCtx, cancel)()
+	resp := q.dispatch(ctx)
+	if q.isCall() && resp.status >= http.StatusInternalServerError {
 		q.opts.Local.CallFailed()
 	}
-	return answer
+	return resp
 }
 
 // identify finds the route, the account and the service.
-func (q *request) identify() (reply, bool) {
+func (q *request) identify() (response, bool) {
 	caller, err := q.opts.Dialect.Caller(q.http.Header)
 	q.caller = caller
 	if err != nil {
@@ -185,7 +187,7 @@
 	}
 	plan := q.view.Plan
 	if plan == nil {
-		return refusal(http.StatusServiceUnavailable, "no configuration yet", comeBack), false
+		return refusal(http.StatusServiceUnavailable, "no configuration yet", minRetryAfter), false
 	}
 	route, ok := plan.Route(q.http.Host, q.http.URL.EscapedPath())
 	if !ok {
@@ -199,54 +201,54 @@
 		return refusal(http.StatusUnauthorized, "unknown key", 0), false
 	}
 	q.service = route.Pick(rand.Float64())
-	q.setTimes()
-	return reply{}, true
+	q.setDeadlines()
+	return response{}, true
 }
 
-func (q *request) setTimes() {
+func (q *request) setDeadlines() {
 	wait := q.caller.Wait
 	if wait <= 0 {
-		wait = waitUntold
+		wait = defaultCallerTimeout
 	}
-	q.leaves = q.started.Add(wait)
-	q.deadline = q.leaves
+	q.callerDeadline = q.started.Add(wait)
+	q.deadline = q.callerDeadline
 	if t := q.route.Timeout; t > 0 && t < wait {
 		q.deadline = q.started.Add(t)
 	}
 }
 
-func (q *request) readBody() (reply, bool) {
-	most := int64(bodyMost)
+func (q *request) readBody() (response, bool) {
+	limit := int64(maxBodyBytes)
 	if allowed := q.view.Plan.Limits().BodyBytes; allowed > 0 {
-		most = min(most, allowed)
+		limit = min(limit, allowed)
 	}
-	if q.http.ContentLength > most {
+	if q.http.ContentLength > limit {
 		return refusal(http.StatusRequestEntityTooLarge, "the body is too large", 0), false
 	}
-	body, err := io.ReadAll(io.LimitReader(q.http.Body, most+1))
+	body, err := io.ReadAll(io.LimitReader(q.http.Body, limit+1))
 	if err != nil {
 		return refusal(http.StatusBadRequest, "the body broke off", 0), false
 	}
-	if int64(len(body)) > most {
+	if int64(len(body)) > limit {
 		return refusal(http.StatusRequestEntityTooLarge, "the body is too large", 0), false
 	}
 	q.body = body
-	return reply{}, true
+	return response{}, true
 }
 
-func (q *request) takeToken() (reply, bool) {
+func (q *request) takeToken() (response, bool) {
 	if q.account == nil || q.account.Rate <= 0 {
-		return reply{}, true
+		return response{}, true
 	}
 	ok, wait := q.opts.Quota.Take(q.http.Context(), q.account)
 	if !ok {
-		return refusal(http.StatusTooManyRequests, "the account's rate is used up", max(wait, comeBack)), false
+		return refusal(http.StatusTooManyRequests, "the account's rate is used up", max(wait, minRetryAfter)), false
 	}
-	return reply{}, true
+	return response{}, true
 }
 
-// isCall reports whether the request is a call of the target on this machine:
-// these carry no key where callers have to.
+// isCall reports whether the request is a nested call by the target on this machine:
+// such calls carry no key although callers must.
 func (q *request) isCall() bool {
 	return q.account == nil && q.route != nil && q.route.AllowAnonymous && q.view.Plan.RequiresKey()
 }
@@ -258,18 +260,18 @@
 	return q.route.Priority
 }
 
-// write sends the answer to the caller.
-func (q *request) write(w http.ResponseWriter, a reply) {
+// write sends the response to the caller.
+func (q *request) write(w http.ResponseWriter, a response) {
 	h := w.Header()
 	for name, values := range a.header {
 		h[name] = values
 	}
-	if a.own {
+	if a.local {
 		h.Set("Content-Type", "text/plain; charset=utf-8")
 		a.body = []byte(a.reason + "\n")
 	}
-	if a.after > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(jittered(a.after).Seconds(), 'f', 3, 64))
+	if a.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(jittered(a.retryAfter).Seconds(), 'f', 3, 64))
 	}
 	if a.status != http.StatusNoContent && a.status != http.StatusNotModified {
 		h.Set("Content-Length", strconv.Itoa(len(a.body)))
@@ -283,15 +285,15 @@
 	}
 }
 
-// jittered spreads a time to come back, so that callers refused together do not
-// return together.
+// jittered adds ±25 % of jitter to a Retry-After, so that callers refused together do
+// not retry together.
 func jittered(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + rand.Float64()/2))
 }
 
-// log writes the request's line: of each that failed, and of a sample of those that
-// went well.
-func (q *request) log(a reply, end string) {
+// log writes the log line of a request: for each failed one and for a sample of the
+// successful ones.
+func (q *request) log(a response, end string) {
 	event := crlog.RequestFailed
 	if a.status < http.StatusBadRequest && end == "" {
 		if !crlog.Sampled(q.caller.ID) {
@@ -302,7 +304,7 @@
 	f := crlog.Fields{
 		"request": q.caller.ID, "status": strconv.Itoa(a.status), "reason": a.reason, "service": string(q.service),
 		"target": string(a.choice.Target), "choice": a.choice.Reason(),
-		"believed": crlog.Percent(a.choice.UnhealthyProb), "told": crlog.Percent(a.told.UnhealthyProb), "class": q.class().String(), "refusals": a.refusals, "targets": strconv.Itoa(a.targets), "offers": strconv.Itoa(a.offers),
+		"believed": crlog.Percent(a.choice.UnhealthyProb), "told": crlog.Percent(a.report.UnhealthyProb), "class": q.class().String(), "refusals": a.refusals, "targets": strconv.Itoa(a.targets), "offers": strconv.Itoa(a.offers),
 		"budget": a.budget, "took": q.opts.Clock().Sub(q.started).Round(time.Millisecond).String(), "end": end,
 	}
 	if q.account != nil {
@@ -314,7 +316,7 @@
 	q.opts.Log.Event(event, f)
 }
 
-// class is the route's, or zero where none was found.
+// class is the route's class, or zero if no route was found.
 func (q *request) class() crpolicy.Class {
 	if q.route == nil {
 		return 0
