--- a/io/crdaemon/hop.go
+++ b/io/crdaemon/hop.go
@@ -26,7 +26,7 @@
 
 var _ crentry.Forwarder = (*hop)(nil)
 
-// Forward implements crentry.Hop.
+// Forward implements crentry.Forwarder.
 func (h *hop) Forward(
 	ctx context.Context, to *crroute.Target, f *crhop.Forward, body crentry.BodySource, sent func(crentry.Revoker),
 ) (*crhop.Exchange, error) {
--- a/io/crhop/client.go
+++ b/io/crhop/client.go
@@ -18,41 +18,41 @@
 	"camphorroad/io/crwire"
 )
 
-// Exchange is one forward under way, its answer's head read. Its body must be
-// closed: until then the exit takes the answer as not delivered, and the stream
-// stays open.
+// Exchange is a forward whose response head has been read. Its body must be closed:
+// until then the stream stays open and the exit does not count the response as
+// delivered.
 type Exchange struct {
 	Response Response
-	Body     io.ReadCloser // the answer's body; io.EOF only after a whole body
+	Body     io.ReadCloser // response body; io.EOF only after the whole body
 }
 
-// Client forwards to exits of other daemons.
+// Client forwards requests to the exits of other daemons.
 type Client struct {
-	peers *crpeer.Transport
+	transport *crpeer.Transport
 
 	mu  sync.Mutex
 	ids map[*crpeer.Session]crforward.SessionID
 }
 
-// NewClient returns a client over the transport.
-func NewClient(peers *crpeer.Transport) *Client {
-	return &Client{peers: peers, ids: make(map[*crpeer.Session]crforward.SessionID)}
+// NewClient returns a client that uses the transport.
+func NewClient(transport *crpeer.Transport) *Client {
+	return &Client{transport: transport, ids: make(map[*crpeer.Session]crforward.SessionID)}
 }
 
-// Handle is a forward's place: what a later revoke needs.
+// Handle identifies a forward for a later revoke.
 type Handle struct {
-	session *crpeer.Session
-	number  crforward.SessionID
-	id      crid.Request
-	target  crid.Target
+	session   *crpeer.Session
+	sessionID crforward.SessionID
+	id        crid.Request
+	target    crid.Target
 }
 
-// Forward opens a stream to the daemon and forwards a request. sent is called
-// just before the first byte goes out. The body may be nil.
+// Forward opens a stream to the daemon and forwards a request. It calls sent just before
+// it writes the first byte. The body may be nil.
 //
-// The error wraps ErrNotSent where nothing was written, else ErrLost.
+// The error wraps ErrNotSent if nothing was written, and ErrLost otherwise.
 func (c *Client) Forward(ctx context.Context, to crid.Daemon, f *Forward, body io.Reader, sent func(*Handle)) (*Exchange, error) {
-	session, err := c.peers.Session(ctx, to)
+	session, err := c.transport.Session(ctx, to)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
@@ -60,8 +60,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	f.Session = c.number(session)
-	sent(&Handle{session: session, number: f.Session, id: f.ID, target: f.Target})
+	f.Session = c.sessionID(session)
+	sent(&Handle{session: session, sessionID: f.Session, id: f.ID, target: f.Target})
 	stop := context.AfterFunc(ctx, func() { cancel(stream) })
 	ex, err := exchange(stream, f, body)
 	if err != nil {
@@ -71,9 +71,9 @@
 		return nil, fmt.Errorf("%w: %w", ErrLost, err)
 	}
 	if ex.Response.RenewSession {
-		c.peers.Retire(session)
+		c.transport.Retire(session)
 	}
-	ex.Body.(*answerBody).close = func() {
+	ex.Body.(*responseBody).close = func() {
 		stop()
 		cancel(stream)
 		session.Done()
@@ -81,8 +81,8 @@
 	return ex, nil
 }
 
-// number returns the random number of a session, drawn at its first use.
-func (c *Client) number(s *crpeer.Session) crforward.SessionID {
+// sessionID returns the random ID of a session, generated at its first use.
+func (c *Client) sessionID(s *crpeer.Session) crforward.SessionID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, ok := c.ids[s]
@@ -90,7 +90,7 @@
 		return n
 	}
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // never fails, by its documentation
+	_, _ = rand.Read(b[:]) // documented never to fail
 	n = crforward.SessionID(binary.BigEndian.Uint64(b[:]))
 	c.ids[s] = n
 	context.AfterFunc(s.Context(), func() { c.forget(s) })
@@ -114,10 +114,10 @@
 		w.Release()
 		return nil, err
 	}
-	// An exit that has answered early stops reading, and our writes fail; the
-	// answer is there all the same. Only the read tells whether there is one.
-	// The write side stays open, though nothing follows, until the answer's body
-	// is closed: its end is how the exit learns that the answer has arrived.
+	// An exit that has responded early stops reading, and writes fail although
+	// there is a response. So write errors are ignored, and only the read decides.
+	// The write side stays open until the response body is closed: its end tells
+	// the exit that the response was delivered.
 	if body == nil {
 		_ = w.End()
 		w.Release()
@@ -130,19 +130,19 @@
 		r.Release()
 		return nil, err
 	}
-	ex.Body = &answerBody{reader: r}
+	ex.Body = &responseBody{reader: r}
 	return ex, nil
 }
 
-func finish(stream *quic.Stream, w *crwire.Writer) error {
+func endAndClose(stream *quic.Stream, w *crwire.Writer) error {
 	if err := w.End(); err != nil {
 		return err
 	}
 	return stream.Close()
 }
 
-// sendBody ends with the stream: the stream's cancellation fails the write, and
-// the caller's connection ends the read.
+// sendBody ends with the stream: cancelling the stream fails the write, and the caller's
+// connection ends the read.
 func sendBody(stream *quic.Stream, w *crwire.Writer, body io.Reader) {
 	defer w.Release()
 	if err := CopyChunks(w, body); err != nil {
@@ -153,15 +153,15 @@
 	_ = w.End()
 }
 
-const copyBuffer = 32 << 10
+const copyBufferSize = 32 << 10
 
-var buffers = sync.Pool{New: func() any { b := make([]byte, copyBuffer); return &b }}
+var copyBufferPool = sync.Pool{New: func() any { b := make([]byte, copyBufferSize); return &b }}
 
-// CopyChunks sends body as chunks, each flushed, so that a slow source's bytes
-// are not held back. It does not send the end mark.
+// CopyChunks sends body as chunks and flushes each, so that the bytes of a slow source
+// are not delayed. It does not send the end marker.
 func CopyChunks(w *crwire.Writer, body io.Reader) error {
-	buf := buffers.Get().(*[]byte)
-	defer buffers.Put(buf)
+	buf := copyBufferPool.Get().(*[]byte)
+	defer copyBufferPool.Put(buf)
 	for {
 		n, err := body.Read(*buf)
 		if werr := w.Chunk((*buf)[:n]); werr != nil {
@@ -179,14 +179,14 @@
 	}
 }
 
-// answerBody is read and closed by one goroutine.
-type answerBody struct {
+// responseBody is for one goroutine.
+type responseBody struct {
 	reader *crwire.Reader
 	close  func()
 }
 
 // Read implements io.Reader.
-func (b *answerBody) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	if b.reader == nil {
 		return 0, io.ErrClosedPipe
 	}
@@ -194,7 +194,7 @@
 }
 
 // Close implements io.Closer.
-func (b *answerBody) Close() error {
+func (b *responseBody) Close() error {
 	if b.reader == nil {
 		return nil
 	}
@@ -204,8 +204,8 @@
 	return nil
 }
 
-// Revoke asks the exit about a forward, over the session it was sent in. Where
-// that session has ended, or no answer comes in time, nothing is known.
+// Revoke asks the exit to revoke a forward, over the session in which it was sent. The
+// result is unknown if that session has ended or no response arrives in time.
 func (c *Client) Revoke(ctx context.Context, h *Handle) crforward.RevokeResult {
 	stream, err := h.session.Open()
 	if err != nil {
@@ -217,30 +217,30 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		_ = stream.SetDeadline(deadline)
 	}
-	verdict, err := askRevoke(stream, Revoke{Session: h.number, ID: h.id, Target: h.target})
+	result, err := exchangeRevoke(stream, Revoke{Session: h.sessionID, ID: h.id, Target: h.target})
 	if err != nil {
 		cancel(stream)
 		return crforward.RevokeResultUnknown
 	}
-	return verdict
+	return result
 }
 
-func askRevoke(stream *quic.Stream, rv Revoke) (crforward.RevokeResult, error) {
+func exchangeRevoke(stream *quic.Stream, rv Revoke) (crforward.RevokeResult, error) {
 	w := crwire.NewWriter(stream)
 	defer w.Release()
 	if err := errors.Join(w.Kind(StreamRevoke), w.Value(rv)); err != nil {
 		return 0, err
 	}
-	if err := finish(stream, w); err != nil {
+	if err := endAndClose(stream, w); err != nil {
 		return 0, err
 	}
 	r := crwire.NewReader(stream)
 	defer r.Release()
-	var answer RevokeResponse
-	err := r.Value(&answer)
-	return answer.Result, err
+	var resp RevokeResponse
+	err := r.Value(&resp)
+	return resp.Result, err
 }
 
-// RevokeTimeout bounds the wait for the answer to a revoke. The caller's final
-// answer waits for it, so it is short.
+// RevokeTimeout bounds the wait for the response to a revoke. It is short, because the
+// caller's response waits for it.
 const RevokeTimeout = 150 * time.Millisecond
--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -1,15 +1,15 @@
-// Package crhop is the protocol of one hop: what an entry daemon sends an exit
-// daemon for a request, and what it gets back. A request has a stream of its
-// own, so that answers can neither mix nor overtake one another.
+// Package crhop is the protocol by which the entry of io/crentry forwards a request to
+// the exit of io/crexit on another daemon, and its client. Each request has its own
+// stream, so that responses can be neither mixed up nor block one another.
 //
-// On the stream go a kind byte, a [Forward] and the body's chunks with an end
-// mark one way; an [Response] and its body the other way. A [Revoke] has a stream
-// of its own in the same session.
+// The entry sends a kind byte, a [Forward] and the chunks of the body with an end marker
+// on the stream, and the exit sends a [Response] and its body. A [Revoke] has its own
+// stream in the same session. The daemon of io/crmesh uses io/croffer instead.
 //
 // # Usage
 //
-//	ex, err := hop.Forward(ctx, target, &crhop.Forward{...}, body)
-//	if ex.Answer.Kind == crhop.KindAnswer { io.Copy(w, ex.Body) }
+//	ex, err := client.Forward(ctx, daemon, &crhop.Forward{...}, body, sent)
+//	if ex.Response.Kind == crhop.KindResponse { io.Copy(w, ex.Body) }
 package crhop
 
 import (
@@ -21,7 +21,7 @@
 	"camphorroad/core/crpolicy"
 )
 
-// The kinds of stream, sent as its first byte.
+// The kinds of stream, sent as the first byte.
 const (
 	StreamForward byte = iota + 1
 	StreamRevoke
@@ -29,15 +29,15 @@
 
 // Stream error codes.
 const (
-	CodeCancelled = 1 // the sender has given up
-	CodeAborted   = 2 // the body broke off at the sender's source
+	CodeCancelled = 1 // the sender abandoned the request
+	CodeAborted   = 2 // the body was truncated at the sender's source
 )
 
-// Errors of the hop.
+// Errors of a forward.
 var (
-	// ErrNotSent tells that nothing of the forward was written.
+	// ErrNotSent means that nothing of the forward was written.
 	ErrNotSent = errors.New("forward not sent")
-	// ErrLost tells that the session or stream failed after the forward may
+	// ErrLost means that the session or stream failed after the forward may
 	// have been sent.
 	ErrLost = errors.New("forward lost")
 )
@@ -50,7 +50,7 @@
 	Target  crid.Target         `cbor:"t"`
 	Account crid.Account        `cbor:"a"`
 	Class   crpolicy.Class      `cbor:"c"`
-	Timeout time.Duration       `cbor:"l"` // until the deadline, when sent
+	Timeout time.Duration       `cbor:"l"` // remaining time until the deadline, when sent
 	Method  string              `cbor:"m"`
 	URI     string              `cbor:"u"`
 	Host    string              `cbor:"h"`
@@ -58,35 +58,35 @@
 	Length  int64               `cbor:"n"` // of the body, -1 when unknown
 }
 
-// Kind says what an answer is.
+// Kind is the kind of a response.
 type Kind uint8
 
-// The kinds of answer.
+// The kinds of response.
 const (
-	// KindResponse carries the upstream's answer.
+	// KindResponse carries the upstream's response.
 	KindResponse Kind = iota + 1
-	// KindRefusal says that the exit did not run the request; NotRun says
-	// whether that is proved.
+	// KindRefusal means that the exit did not run the request; NotRun says
+	// whether that is proven.
 	KindRefusal
-	// KindFailure says that the request was started and no good answer came.
+	// KindFailure means that the request was started and got no valid response.
 	KindFailure
 )
 
-// Fault says how a started request failed.
+// Fault is the cause of a failed or refused request.
 type Fault uint8
 
-// The faults of a started request.
+// The causes of failures and refusals.
 const (
-	FaultUpstreamFailed Fault = iota + 1 // the connection failed
+	FaultUpstreamFailed Fault = iota + 1 // the connection failed, or the response was malformed
 	FaultTimeout                         // the deadline passed
-	FaultWrong                           // the answer was another request's
-	FaultConnectFailed                   // the upstream took no connection; nothing ran
-	FaultRequestBody                     // the request's own body broke off; no evidence against the target
+	FaultWrong                           // the response belongs to another request
+	FaultConnectFailed                   // the upstream accepted no connection; nothing ran
+	FaultRequestBody                     // the request body was truncated; not a failure of the target
 	FaultNotReady                        // the exit has no policy for the target yet; nothing ran
-	FaultShed                            // the target only sheds, and the exit holds work off it; nothing ran
+	FaultShed                            // the target sheds all requests, and the exit sends it none; nothing ran
 )
 
-// Response is the head of what the exit answers.
+// Response is the head of the exit's response.
 type Response struct {
 	Kind         Kind                `cbor:"k"`
 	Status       int                 `cbor:"s"`
@@ -96,18 +96,18 @@
 	Fault        Fault               `cbor:"f"`
 	Reason       string              `cbor:"w"`
 	RetryAfter   time.Duration       `cbor:"a"`
-	InFlight     int64               `cbor:"l"` // requests at the target, the exit's count
-	RenewSession bool                `cbor:"e"` // the next forwards need a new session
+	InFlight     int64               `cbor:"l"` // requests at the target, as counted by the exit
+	RenewSession bool                `cbor:"e"` // further forwards need a new session
 }
 
-// Revoke asks whether a forward was started, and that it never be if not.
+// Revoke asks whether a forward was started and, if not, prevents it from ever starting.
 type Revoke struct {
 	Session crforward.SessionID `cbor:"x"`
 	ID      crid.Request        `cbor:"i"`
 	Target  crid.Target         `cbor:"t"`
 }
 
-// RevokeResponse answers a Revoke.
+// RevokeResponse is the response to a Revoke.
 type RevokeResponse struct {
 	Result crforward.RevokeResult `cbor:"v"`
 }
--- a/io/crhop/head_test.go
+++ b/io/crhop/head_test.go
@@ -12,7 +12,7 @@
 	"camphorroad/io/crhop"
 )
 
-// arrayForward is a Forward whose fields have places in place of names.
+// arrayForward is a Forward encoded as an array.
 type arrayForward struct {
 	_       struct{} `cbor:",toarray"`
 	Session crforward.SessionID
@@ -29,7 +29,8 @@
 	Length  int64
 }
 
-// BenchmarkHead measures the codec of a forward's head both ways.
+// BenchmarkHead measures encoding and decoding of a forward's head as a map and as an
+// array.
 func BenchmarkHead(b *testing.B) {
 	header := map[string][]string{
 		"Accept": {"*/*"}, "Accept-Encoding": {"gzip"}, "User-Agent": {"survey/1.0"}, "Content-Type": {"application/json"},
