--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -1,6 +1,6 @@
 // Package crhop is the protocol by which the entry of io/crentry forwards a request to
 // the exit of io/crexit on another daemon, and its client. Each request has its own
-// stream, so that responses can be neither mixed up nor block one another.
+// stream, so that responses cannot be mixed up or reordered.
 //
 // The entry sends a kind byte, a [Forward] and the chunks of the body with an end marker
 // on the stream, and the exit sends a [Response] and its body. A [Revoke] has its own
@@ -83,7 +83,7 @@
 	FaultConnectFailed                   // the upstream accepted no connection; nothing ran
 	FaultRequestBody                     // the request body was truncated; not a failure of the target
 	FaultNotReady                        // the exit has no policy for the target yet; nothing ran
-	FaultShed                            // the target sheds all requests, and the exit sends it none; nothing ran
+	FaultShed                            // the target sheds every request, so the exit holds off; nothing ran
 )
 
 // Response is the head of the exit's response.
--- a/io/crhop/head_test.go
+++ b/io/crhop/head_test.go
@@ -21,7 +21,7 @@
 	Target  crid.Target
 	Account crid.Account
 	Class   crpolicy.Class
-	Left    time.Duration
+	Timeout time.Duration
 	Method  string
 	URI     string
 	Host    string
@@ -43,7 +43,7 @@
 	b.Run("array", func(b *testing.B) {
 		roundTrip(b, arrayForward{
 			Session: f.Session, Service: f.Service, Target: f.Target, Account: f.Account, Class: f.Class,
-			Left: f.Timeout, Method: f.Method, URI: f.URI, Host: f.Host, Header: f.Header,
+			Timeout: f.Timeout, Method: f.Method, URI: f.URI, Host: f.Host, Header: f.Header,
 		})
 	})
 }
