--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -204,19 +204,19 @@
 
 func newEntry(cfg crsettings.Settings, s *shell, peers *crpeer.Transport) *crentry.Entry {
 	return crentry.New(crentry.Options{
-		View:    s.view.Load,
-		Trusted: s.isTrusted,
-		Admit:   s,
-		Hop: &hop{
+		View:     s.view.Load,
+		Trusted:  s.isTrusted,
+		Admitter: s,
+		Forwarder: &hop{
 			self: s.self, exit: s.exit, client: crhop.NewClient(peers), clock: crclock.Now,
 			recorder: s.recorder, maxBuffered: int64(cfg.Limits.ReplayBytes),
 		},
-		Clock:   crclock.Now,
-		Observe: s.recordAttempt,
-		Chooser: newPicker(cfg.Policy),
-		Replay:  cfg.Limits.ReplayBytes,
-		Held:    int64(cfg.Limits.HoldInFlight),
-		Idle:    cfg.Limits.BodyIdle.Duration,
+		Clock:           crclock.Now,
+		Observe:         s.recordAttempt,
+		Picker:          newPicker(cfg.Policy),
+		ReplayBytes:     cfg.Limits.ReplayBytes,
+		MaxInFlight:     int64(cfg.Limits.HoldInFlight),
+		BodyIdleTimeout: cfg.Limits.BodyIdle.Duration,
 	})
 }
 
@@ -244,8 +244,8 @@
 	}
 	d := &daemon{cfg: cfg, log: log, shell: s, entry: entry, exit: exit, peerID: id, callerCert: cert}
 	d.callerServer = crentry.NewServer(m.timeRequests(entry, crclock.Now), crentry.ServerOptions{
-		HeaderBytes: cfg.Limits.HeaderBytes,
-		HeaderTime:  cfg.Limits.HeaderTime.Duration,
+		MaxHeaderBytes:    cfg.Limits.HeaderBytes,
+		ReadHeaderTimeout: cfg.Limits.HeaderTime.Duration,
 	})
 	d.adminServer = &http.Server{
 		Handler:           cradmin.New(cradmin.Options{Ready: s.checkReady, State: d.state, Metrics: registry}),
@@ -367,7 +367,7 @@
 	d.log.Event(crlog.DaemonDraining, nil)
 	_ = d.shell.loop.Post(crevent.Stopping{Now: crclock.Now()})
 	time.Sleep(drainNotice)
-	d.entry.Stop()
+	d.entry.Drain()
 	d.exit.Drain()
 	ctx, cancel := context.WithTimeout(context.Background(), d.cfg.Limits.DrainTime.Duration)
 	defer cancel()
--- a/io/crdaemon/hop.go
+++ b/io/crdaemon/hop.go
@@ -24,9 +24,9 @@
 	maxBuffered int64 // largest request body, in bytes, that is buffered completely before it is sent
 }
 
-var _ crentry.Hop = (*hop)(nil)
+var _ crentry.Forwarder = (*hop)(nil)
 
-// Forward implements crentry.Hop.
+// Forward implements crentry.Forwarder.
 func (h *hop) Forward(
 	ctx context.Context, to *crroute.Target, f *crhop.Forward, body crentry.BodySource, sent func(crentry.Revoker),
 ) (*crhop.Exchange, error) {
--- a/io/crdaemon/steer.go
+++ b/io/crdaemon/steer.go
@@ -58,7 +58,7 @@
 		return crhealth.ResultStalled
 	case crentry.OutcomeShed:
 		return crhealth.ResultShed
-	case crentry.OutcomeUnreached:
+	case crentry.OutcomeUnreachable:
 		return crhealth.ResultUnreachable
 	}
 	return crhealth.ResultUnreachable
--- a/io/crexit/body.go
+++ b/io/crexit/body.go
@@ -128,5 +128,5 @@
 	if b.timedOut.Load() {
 		return crhop.FaultTimeout
 	}
-	return crhop.FaultBroken
+	return crhop.FaultUpstreamFailed
 }
--- a/io/crexit/crexit.go
+++ b/io/crexit/crexit.go
@@ -243,10 +243,10 @@
 	var ex *crhop.Exchange
 	if ledger := s.ledgerFor(f.Session); ledger == nil {
 		ex = refusal(crforward.ReasonClosed.String(), true, defaultRetryAfter)
-		ex.Answer.Renew = true
+		ex.Response.RenewSession = true
 	} else {
 		ex = s.exit.Run(ctx, ledger, &f, r)
-		ex.Answer.Renew = ledger.ShouldRenew()
+		ex.Response.RenewSession = ledger.ShouldRenew()
 	}
 	if f.Length == 0 {
 		r.Release() // with a body, net/http may still read r after the response
@@ -256,7 +256,7 @@
 	err := writeAnswer(stream, ex)
 	_ = ex.Body.Close() // frees the slot before the delivery, which may take long
 	if err != nil {
-		stream.CancelWrite(crhop.CodeCut)
+		stream.CancelWrite(crhop.CodeAborted)
 		return
 	}
 	_ = stream.Close()
@@ -275,7 +275,7 @@
 func writeAnswer(stream *quic.Stream, ex *crhop.Exchange) error {
 	w := crwire.NewWriter(stream)
 	defer w.Release()
-	if err := w.Value(ex.Answer); err != nil {
+	if err := w.Value(ex.Response); err != nil {
 		return err
 	}
 	if err := crhop.CopyChunks(w, ex.Body); err != nil {
@@ -296,7 +296,7 @@
 	}
 	w := crwire.NewWriter(stream)
 	defer w.Release()
-	if w.Value(crhop.Revoked{Verdict: verdict}) != nil || w.End() != nil {
+	if w.Value(crhop.RevokeResponse{Result: verdict}) != nil || w.End() != nil {
 		stream.CancelWrite(crhop.CodeCancelled)
 		return
 	}
@@ -313,14 +313,14 @@
 
 func refusal(reason string, notRun bool, retry time.Duration) *crhop.Exchange {
 	return &crhop.Exchange{
-		Answer: crhop.Answer{Kind: crhop.KindRefusal, NotRun: notRun, Reason: reason, RetryAfter: retry},
-		Body:   noBody,
+		Response: crhop.Response{Kind: crhop.KindRefusal, NotRun: notRun, Reason: reason, RetryAfter: retry},
+		Body:     noBody,
 	}
 }
 
 func failure(fault crhop.Fault, reason string) *crhop.Exchange {
 	return &crhop.Exchange{
-		Answer: crhop.Answer{Kind: crhop.KindFailure, Fault: fault, Reason: reason},
-		Body:   noBody,
+		Response: crhop.Response{Kind: crhop.KindFailure, Fault: fault, Reason: reason},
+		Body:     noBody,
 	}
 }
--- a/io/crexit/hop_test.go
+++ b/io/crexit/hop_test.go
@@ -37,14 +37,14 @@
 }
 
 // rawForward sends a forward unchanged, with the session number that it carries.
-func rawForward(s *crpeer.Session, f *crhop.Forward) (crhop.Answer, error) {
+func rawForward(s *crpeer.Session, f *crhop.Forward) (crhop.Response, error) {
 	stream, err := s.Open()
 	if err != nil {
-		return crhop.Answer{}, err
+		return crhop.Response{}, err
 	}
 	defer s.Done()
 	w := crwire.NewWriter(stream)
-	var answer crhop.Answer
+	var answer crhop.Response
 	err = errors.Join(w.Kind(crhop.StreamForward), w.Value(f), w.End(), stream.Close())
 	return answer, errors.Join(err, crwire.NewReader(stream).Value(&answer))
 }
@@ -89,7 +89,7 @@
 var service = crpolicy.Service{Name: "s", Slots: 256, Queue: 256}
 
 func forward(n uint64, class crpolicy.Class) *crhop.Forward {
-	f := &crhop.Forward{Service: "s", Target: "t", Account: "a", Class: class, Left: 5 * time.Second, Method: "GET", URI: "/x", Host: "h"}
+	f := &crhop.Forward{Service: "s", Target: "t", Account: "a", Class: class, Timeout: 5 * time.Second, Method: "GET", URI: "/x", Host: "h"}
 	for i := range 8 {
 		f.ID[i] = byte(n >> (8 * i))
 	}
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -42,18 +42,18 @@
 	if f.Class != crpolicy.ClassRepeat {
 		if left := t.holdoff.Remaining(f.Account, now); left > 0 {
 			ex := refusal("target sheds", true, max(defaultRetryAfter, left))
-			ex.Answer.Fault = crhop.FaultShed
+			ex.Response.Fault = crhop.FaultShed
 			return ex
 		}
 	}
-	deadline := now.Add(f.Left)
+	deadline := now.Add(f.Timeout)
 	if err := ledger.Register(f.ID, f.Class, now, deadline); err != nil {
 		return ledgerRefusal(err)
 	}
 	t.inflight.Add(1)
 	run := &run{exit: x, target: t, ledger: ledger, forward: f, id: f.ID.String(), deadline: deadline}
 	ex := run.do(ctx, body)
-	ex.Answer.InFlight = t.inflight.Load()
+	ex.Response.InFlight = t.inflight.Load()
 	ex.Body = &runBody{ReadCloser: ex.Body, end: run.end}
 	return ex
 }
@@ -96,7 +96,7 @@
 	if queue == nil {
 		r.ledger.Cancel(r.forward.ID, r.exit.opts.Clock())
 		ex := refusal("target has no policy", true, defaultRetryAfter)
-		ex.Answer.Fault = crhop.FaultUnready
+		ex.Response.Fault = crhop.FaultNotReady
 		return ex
 	}
 	lease, err := queue.Acquire(ctx, r.forward.Account, r.deadline)
@@ -159,8 +159,8 @@
 	r.recordShed(resp)
 	r.observe(0, resp.StatusCode)
 	return &crhop.Exchange{
-		Answer: crhop.Answer{
-			Kind:   crhop.KindAnswer,
+		Response: crhop.Response{
+			Kind:   crhop.KindResponse,
 			Status: resp.StatusCode,
 			Header: resp.Header,
 			Length: resp.ContentLength,
@@ -231,16 +231,16 @@
 func (r *run) reject(resp *http.Response) *crhop.Exchange {
 	switch {
 	case r.body.broken():
-		return failure(crhop.FaultBody, "the request's body broke off")
+		return failure(crhop.FaultRequestBody, "the request's body broke off")
 	case resp.StatusCode < http.StatusOK:
-		r.observe(crhop.FaultBroken, resp.StatusCode)
-		return failure(crhop.FaultBroken, "the upstream gave no final status")
+		r.observe(crhop.FaultUpstreamFailed, resp.StatusCode)
+		return failure(crhop.FaultUpstreamFailed, "the upstream gave no final status")
 	case !r.echoMatches(resp):
 		r.observe(crhop.FaultWrong, resp.StatusCode)
 		return failure(crhop.FaultWrong, "the answer is not this request's")
 	case closeDelimited(resp):
-		r.observe(crhop.FaultBroken, resp.StatusCode)
-		return failure(crhop.FaultBroken, "the answer has neither length nor chunks")
+		r.observe(crhop.FaultUpstreamFailed, resp.StatusCode)
+		return failure(crhop.FaultUpstreamFailed, "the answer has neither length nor chunks")
 	}
 	return nil
 }
@@ -256,18 +256,18 @@
 	case r.unsent():
 		ex := refusal("upstream takes no connection", true, defaultRetryAfter)
 		if caller.Err() == nil && !r.body.broken() {
-			r.observe(crhop.FaultConnect, 0)
-			ex.Answer.Fault = crhop.FaultConnect
+			r.observe(crhop.FaultConnectFailed, 0)
+			ex.Response.Fault = crhop.FaultConnectFailed
 		}
 		return ex
 	case r.body.broken(), caller.Err() != nil:
-		return failure(crhop.FaultBody, "the request broke off")
+		return failure(crhop.FaultRequestBody, "the request broke off")
 	case timedOut:
 		r.observe(crhop.FaultTimeout, 0)
 		return failure(crhop.FaultTimeout, "no answer before the deadline")
 	default:
-		r.observe(crhop.FaultBroken, 0)
-		return failure(crhop.FaultBroken, "the upstream broke off")
+		r.observe(crhop.FaultUpstreamFailed, 0)
+		return failure(crhop.FaultUpstreamFailed, "the upstream broke off")
 	}
 }
 
--- a/io/crexit/session_test.go
+++ b/io/crexit/session_test.go
@@ -33,9 +33,9 @@
 	h.pulse.Tick(crclock.Now().Add(2 * time.Hour)) // simulates a pause of two hours
 	ex, err := h.client.Forward(t.Context(), "exit", forward(2, crpolicy.ClassOnce), nil, func(*crhop.Handle) {})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(ex.Answer.Kind).To(gomega.Equal(crhop.KindRefusal))
-	g.Expect(ex.Answer.NotRun).To(gomega.BeTrue())
-	g.Expect(ex.Answer.Reason).To(gomega.Equal(crforward.ReasonStale.String()))
+	g.Expect(ex.Response.Kind).To(gomega.Equal(crhop.KindRefusal))
+	g.Expect(ex.Response.NotRun).To(gomega.BeTrue())
+	g.Expect(ex.Response.Reason).To(gomega.Equal(crforward.ReasonStale.String()))
 	g.Expect(ex.Body.Close()).To(gomega.Succeed())
 	g.Eventually(old.Context().Done()).Should(gomega.BeClosed())
 	renewed, err := h.peers.Session(t.Context(), "exit")
@@ -56,7 +56,7 @@
 		_, _ = io.WriteString(w, "answer")
 	}), service)
 	long := forward(1<<60, crpolicy.ClassOnce)
-	long.URI, long.Left = "/long", time.Minute
+	long.URI, long.Timeout = "/long", time.Minute
 	result := make(chan error, 1)
 	go func() {
 		ex, err := h.client.Forward(context.Background(), "exit", long, nil, func(*crhop.Handle) {})
@@ -78,9 +78,9 @@
 		wg.Go(func() {
 			for n := range 2 * records / 16 {
 				f := forward(worker<<32|n, crpolicy.ClassRepeat)
-				f.Left = 0
+				f.Timeout = 0
 				ex, err := h.client.Forward(context.Background(), "exit", f, nil, func(*crhop.Handle) {})
-				if err != nil || ex.Answer.Reason == crforward.ReasonClosed.String() {
+				if err != nil || ex.Response.Reason == crforward.ReasonClosed.String() {
 					closed.Add(1)
 				}
 				if err == nil {
@@ -97,9 +97,9 @@
 
 	for n := range 2 * records {
 		f := forward(n, crpolicy.ClassRepeat)
-		f.Left = 0
+		f.Timeout = 0
 		ex := h.exit.Run(t.Context(), h.exit.LocalLedger(), f, nil)
-		g.Expect(ex.Answer.Reason).To(gomega.Equal(crforward.ReasonExpired.String()))
+		g.Expect(ex.Response.Reason).To(gomega.Equal(crforward.ReasonExpired.String()))
 		_ = ex.Body.Close()
 	}
 }
@@ -152,7 +152,7 @@
 	send := func(n uint64) {
 		wg.Go(func() {
 			ex := h.exit.Run(t.Context(), h.exit.LocalLedger(), forward(n, crpolicy.ClassOnce), nil)
-			kinds <- ex.Answer.Kind
+			kinds <- ex.Response.Kind
 			_ = ex.Body.Close()
 		})
 	}
@@ -168,6 +168,6 @@
 	wg.Wait()
 	g.Expect(kinds).To(gomega.HaveLen(8))
 	for range 8 {
-		g.Expect(<-kinds).To(gomega.Equal(crhop.KindAnswer))
+		g.Expect(<-kinds).To(gomega.Equal(crhop.KindResponse))
 	}
 }
--- a/io/crexit/shed_test.go
+++ b/io/crexit/shed_test.go
@@ -28,7 +28,7 @@
 	}), service)
 	n := uint64(0)
 	account := crid.Account("a")
-	send := func(class crpolicy.Class) crhop.Answer {
+	send := func(class crpolicy.Class) crhop.Response {
 		n++
 		f := forward(n, class)
 		f.Account = account
@@ -36,7 +36,7 @@
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		_, _ = io.Copy(io.Discard, ex.Body)
 		g.Expect(ex.Body.Close()).To(gomega.Succeed())
-		return ex.Answer
+		return ex.Response
 	}
 	g.Expect(send(crpolicy.ClassOnce).Status).To(gomega.Equal(http.StatusOK))
 	draining.Store(true)
@@ -52,7 +52,7 @@
 	}
 	g.Expect(received.Load()).To(gomega.BeZero())
 	account = "another" // the upstream may shed by account and serve this one
-	g.Expect(send(crpolicy.ClassOnce).Kind).To(gomega.Equal(crhop.KindAnswer))
+	g.Expect(send(crpolicy.ClassOnce).Kind).To(gomega.Equal(crhop.KindResponse))
 	g.Expect(send(crpolicy.ClassOnce).Kind).To(gomega.Equal(crhop.KindRefusal), "requests of two accounts were shed")
 	draining.Store(false)
 	g.Expect(send(crpolicy.ClassRepeat).Status).To(gomega.Equal(http.StatusOK), "a repeat request shows that the target has recovered")
--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -1,15 +1,15 @@
-// Package crhop is the protocol of one hop: what an entry daemon sends an exit
-// daemon for a request, and what it gets back. A request has a stream of its
-// own, so that answers can neither mix nor overtake one another.
+// Package crhop is the protocol by which the entry of io/crentry forwards a request to
+// the exit of io/crexit on another daemon, and its client. Each request has its own
+// stream, so that responses cannot be mixed up or reordered.
 //
-// On the stream go a kind byte, a [Forward] and the body's chunks with an end
-// mark one way; an [Answer] and its body the other way. A [Revoke] has a stream
-// of its own in the same session.
+// The entry sends a kind byte, a [Forward] and the chunks of the body with an end marker
+// on the stream, and the exit sends a [Response] and its body. A [Revoke] has its own
+// stream in the same session. The daemon of io/crmesh uses io/croffer instead.
 //
 // # Usage
 //
-//	ex, err := hop.Forward(ctx, target, &crhop.Forward{...}, body)
-//	if ex.Answer.Kind == crhop.KindAnswer { io.Copy(w, ex.Body) }
+//	ex, err := client.Forward(ctx, daemon, &crhop.Forward{...}, body, sent)
+//	if ex.Response.Kind == crhop.KindResponse { io.Copy(w, ex.Body) }
 package crhop
 
 import (
@@ -21,7 +21,7 @@
 	"camphorroad/core/crpolicy"
 )
 
-// The kinds of stream, sent as its first byte.
+// The kinds of stream, sent as the first byte.
 const (
 	StreamForward byte = iota + 1
 	StreamRevoke
@@ -29,15 +29,15 @@
 
 // Stream error codes.
 const (
-	CodeCancelled = 1 // the sender has given up
-	CodeCut       = 2 // the body broke off at the sender's source
+	CodeCancelled = 1 // the sender abandoned the request
+	CodeAborted   = 2 // the body was truncated at the sender's source
 )
 
-// Errors of the hop.
+// Errors of a forward.
 var (
-	// ErrNotSent tells that nothing of the forward was written.
+	// ErrNotSent means that nothing of the forward was written.
 	ErrNotSent = errors.New("forward not sent")
-	// ErrLost tells that the session or stream failed after the forward may
+	// ErrLost means that the session or stream failed after the forward may
 	// have been sent.
 	ErrLost = errors.New("forward lost")
 )
@@ -50,7 +50,7 @@
 	Target  crid.Target         `cbor:"t"`
 	Account crid.Account        `cbor:"a"`
 	Class   crpolicy.Class      `cbor:"c"`
-	Left    time.Duration       `cbor:"l"` // until the deadline, when sent
+	Timeout time.Duration       `cbor:"l"` // remaining time until the deadline, when sent
 	Method  string              `cbor:"m"`
 	URI     string              `cbor:"u"`
 	Host    string              `cbor:"h"`
@@ -58,56 +58,56 @@
 	Length  int64               `cbor:"n"` // of the body, -1 when unknown
 }
 
-// Kind says what an answer is.
+// Kind is the kind of a response.
 type Kind uint8
 
-// The kinds of answer.
+// The kinds of response.
 const (
-	// KindAnswer carries the upstream's answer.
-	KindAnswer Kind = iota + 1
-	// KindRefusal says that the exit did not run the request; NotRun says
-	// whether that is proved.
+	// KindResponse carries the upstream's response.
+	KindResponse Kind = iota + 1
+	// KindRefusal means that the exit did not run the request; NotRun says
+	// whether that is proven.
 	KindRefusal
-	// KindFailure says that the request was started and no good answer came.
+	// KindFailure means that the request was started and got no valid response.
 	KindFailure
 )
 
-// Fault says how a started request failed.
+// Fault is the cause of a failed or refused request.
 type Fault uint8
 
-// The faults of a started request.
+// The causes of failures and refusals.
 const (
-	FaultBroken  Fault = iota + 1 // the connection failed
-	FaultTimeout                  // the deadline passed
-	FaultWrong                    // the answer was another request's
-	FaultConnect                  // the upstream took no connection; nothing ran
-	FaultBody                     // the request's own body broke off; no evidence against the target
-	FaultUnready                  // the exit has no policy for the target yet; nothing ran
-	FaultShed                     // the target only sheds, and the exit holds work off it; nothing ran
+	FaultUpstreamFailed Fault = iota + 1 // the connection failed, or the response was malformed
+	FaultTimeout                         // the deadline passed
+	FaultWrong                           // the response belongs to another request
+	FaultConnectFailed                   // the upstream accepted no connection; nothing ran
+	FaultRequestBody                     // the request body was truncated; not a failure of the target
+	FaultNotReady                        // the exit has no policy for the target yet; nothing ran
+	FaultShed                            // the target sheds every request, so the exit holds off; nothing ran
 )
 
-// Answer is the head of what the exit answers.
-type Answer struct {
-	Kind       Kind                `cbor:"k"`
-	Status     int                 `cbor:"s"`
-	Header     map[string][]string `cbor:"d"`
-	Length     int64               `cbor:"n"` // of the body, -1 when unknown
-	NotRun     bool                `cbor:"r"`
-	Fault      Fault               `cbor:"f"`
-	Reason     string              `cbor:"w"`
-	RetryAfter time.Duration       `cbor:"a"`
-	InFlight   int64               `cbor:"l"` // requests at the target, the exit's count
-	Renew      bool                `cbor:"e"` // the next forwards need a new session
+// Response is the head of the exit's response.
+type Response struct {
+	Kind         Kind                `cbor:"k"`
+	Status       int                 `cbor:"s"`
+	Header       map[string][]string `cbor:"d"`
+	Length       int64               `cbor:"n"` // of the body, -1 when unknown
+	NotRun       bool                `cbor:"r"`
+	Fault        Fault               `cbor:"f"`
+	Reason       string              `cbor:"w"`
+	RetryAfter   time.Duration       `cbor:"a"`
+	InFlight     int64               `cbor:"l"` // requests at the target, as counted by the exit
+	RenewSession bool                `cbor:"e"` // further forwards need a new session
 }
 
-// Revoke asks whether a forward was started, and that it never be if not.
+// Revoke asks whether a forward was started and, if not, prevents it from ever starting.
 type Revoke struct {
 	Session crforward.SessionID `cbor:"x"`
 	ID      crid.Request        `cbor:"i"`
 	Target  crid.Target         `cbor:"t"`
 }
 
-// Revoked answers a Revoke.
-type Revoked struct {
-	Verdict crforward.RevokeResult `cbor:"v"`
+// RevokeResponse is the response to a Revoke.
+type RevokeResponse struct {
+	Result crforward.RevokeResult `cbor:"v"`
 }
--- a/io/crhop/head_test.go
+++ b/io/crhop/head_test.go
@@ -12,7 +12,7 @@
 	"camphorroad/io/crhop"
 )
 
-// arrayForward is a Forward whose fields have places in place of names.
+// arrayForward is a Forward encoded as an array.
 type arrayForward struct {
 	_       struct{} `cbor:",toarray"`
 	Session crforward.SessionID
@@ -21,7 +21,7 @@
 	Target  crid.Target
 	Account crid.Account
 	Class   crpolicy.Class
-	Left    time.Duration
+	Timeout time.Duration
 	Method  string
 	URI     string
 	Host    string
@@ -29,20 +29,21 @@
 	Length  int64
 }
 
-// BenchmarkHead measures the codec of a forward's head both ways.
+// BenchmarkHead measures encoding and decoding of a forward's head as a map and as an
+// array.
 func BenchmarkHead(b *testing.B) {
 	header := map[string][]string{
 		"Accept": {"*/*"}, "Accept-Encoding": {"gzip"}, "User-Agent": {"survey/1.0"}, "Content-Type": {"application/json"},
 	}
 	f := crhop.Forward{
 		Session: 1 << 60, Service: "booking", Target: "booking-1", Account: "survey", Class: crpolicy.ClassOnce,
-		Left: time.Second, Method: "POST", URI: "/holds/1", Host: "booking.example", Header: header,
+		Timeout: time.Second, Method: "POST", URI: "/holds/1", Host: "booking.example", Header: header,
 	}
 	b.Run("named", func(b *testing.B) { roundTrip(b, f) })
 	b.Run("array", func(b *testing.B) {
 		roundTrip(b, arrayForward{
 			Session: f.Session, Service: f.Service, Target: f.Target, Account: f.Account, Class: f.Class,
-			Left: f.Left, Method: f.Method, URI: f.URI, Host: f.Host, Header: f.Header,
+			Timeout: f.Timeout, Method: f.Method, URI: f.URI, Host: f.Host, Header: f.Header,
 		})
 	})
 }
--- a/io/crmesh/meters.go
+++ b/io/crmesh/meters.go
@@ -37,8 +37,8 @@
 
 var _ cringress.Meter = (*meters)(nil)
 
-// Answered implements cringress.Meter.
-func (m *meters) Answered(class crpolicy.Class, status int, own bool, took time.Duration) {
+// ObserveResponse implements cringress.Meter.
+func (m *meters) ObserveResponse(class crpolicy.Class, status int, own bool, took time.Duration) {
 	name := "answers.target." + strconv.Itoa(status) + ".total"
 	if own {
 		name = "answers.own." + strconv.Itoa(status) + ".total"
@@ -49,8 +49,8 @@
 	}
 }
 
-// Repeated implements cringress.Meter.
-func (m *meters) Repeated() { m.repeats.Inc(1) }
+// ObserveRetry implements cringress.Meter.
+func (m *meters) ObserveRetry() { m.repeats.Inc(1) }
 
 // gauges registers what is read when the page is asked for.
 func (d *daemon) gauges() {
@@ -58,7 +58,7 @@
 		"target.load":                            func() int64 { return int64(d.exit.LoadReport().Load) },
 		"target.slots":                           func() int64 { return int64(d.exit.LoadReport().Slots) },
 		"target.sick.percent":                    func() int64 { return int64(d.exit.LoadReport().UnhealthyProb * 100) },
-		"requests.open":                          d.entry.Open,
+		"requests.open":                          d.entry.InFlight,
 		"peers.silent":                           func() int64 { return int64(len(d.loop.view.Load().Silent)) },
 		"peers.alive":                            func() int64 { return int64(len(d.loop.view.Load().Live) - 1) },
 		"plan.version":                           d.planVersion,
