--- a/io/crtrace/replay.go
+++ b/io/crtrace/replay.go
@@ -16,8 +16,8 @@
 
 // Errors of a replay. Both come within an [EventError].
 var (
-	// ErrDiffers tells that the reducers gave other effects than recorded.
-	ErrDiffers = errors.New("effects differ from those recorded")
+	// ErrDiverged tells that the reducers gave other effects than recorded.
+	ErrDiverged = errors.New("effects differ from those recorded")
 	// ErrBroken tells of an outcome that must not be.
 	ErrBroken = errors.New("invariant broken")
 )
@@ -119,7 +119,7 @@
 	effects := p.root.Step(ev)
 	p.note(ev, effects)
 	if len(p.records) > 0 {
-		return p.fail(fmt.Errorf("%w: no %s was asked for", ErrDiffers, p.records[0].Kind))
+		return p.fail(fmt.Errorf("%w: no %s was asked for", ErrDiverged, p.records[0].Kind))
 	}
 	if err := p.inv.check(ev.At(), effects); err != nil {
 		return p.fail(fmt.Errorf("%w: %w", ErrBroken, err))
@@ -129,7 +129,7 @@
 		return p.fail(err)
 	}
 	if got != want {
-		return p.fail(fmt.Errorf("%w: %d effects, recorded were %d: %s", ErrDiffers, got.Effects, want.Effects, names(effects)))
+		return p.fail(fmt.Errorf("%w: %d effects, recorded were %d: %s", ErrDiverged, got.Effects, want.Effects, names(effects)))
 	}
 	return nil
 }
@@ -182,7 +182,7 @@
 // take returns the next record of the event, which must be of the kind.
 func (p *player) take(kind string, v any) error {
 	if len(p.records) == 0 || p.records[0].Kind != kind {
-		return fmt.Errorf("%w: no %s was recorded here", ErrDiffers, kind)
+		return fmt.Errorf("%w: no %s was recorded here", ErrDiverged, kind)
 	}
 	rec := p.records[0]
 	p.records = p.records[1:]
--- a/io/crtrace/trace_test.go
+++ b/io/crtrace/trace_test.go
@@ -143,7 +143,7 @@
 	})
 	report, err := Replay(bytes.NewReader(trace))
 	var at *EventError
-	if !errors.Is(err, ErrDiffers) || !errors.As(err, &at) || at.Number() != changed || report.Events != changed {
+	if !errors.Is(err, ErrDiverged) || !errors.As(err, &at) || at.Number() != changed || report.Events != changed {
 		t.Errorf("replay gives %v after %d events", err, report.Events)
 	}
 }
