--- a/io/crtrace/replay.go
+++ b/io/crtrace/replay.go
@@ -18,8 +18,8 @@
 var (
 	// ErrDiverged tells that the reducers gave other effects than recorded.
 	ErrDiverged = errors.New("effects differ from those recorded")
-	// ErrBroken tells of an outcome that must not be.
-	ErrBroken = errors.New("invariant broken")
+	// ErrInvariantViolated tells of an outcome that must not be.
+	ErrInvariantViolated = errors.New("invariant broken")
 )
 
 // EventError is an error with the number of the event, the first being 1.
@@ -122,7 +122,7 @@
 		return p.fail(fmt.Errorf("%w: no %s was asked for", ErrDiverged, p.records[0].Kind))
 	}
 	if err := p.inv.check(ev.At(), effects); err != nil {
-		return p.fail(fmt.Errorf("%w: %w", ErrBroken, err))
+		return p.fail(fmt.Errorf("%w: %w", ErrInvariantViolated, err))
 	}
 	got, err := p.codec.sum(effects)
 	if err != nil {
