--- a/io/crtrace/crtrace.go
+++ b/io/crtrace/crtrace.go
@@ -49,8 +49,8 @@
 	// ErrTruncated tells that the file ends within a record, as that of a
 	// daemon that was killed does.
 	ErrTruncated = errors.New("trace ends within a record")
-	// ErrRecord tells of a record that can not be read.
-	ErrRecord = errors.New("bad record")
+	// ErrInvalidRecord tells of a record that can not be read.
+	ErrInvalidRecord = errors.New("bad record")
 )
 
 // Error is an error with the offset, in bytes, of the record it is in.
@@ -97,18 +97,18 @@
 func encode(kind string, body any) ([]byte, error) {
 	b, err := cbor.Marshal(body)
 	if err != nil {
-		return nil, fmt.Errorf("%w: encode %s: %w", ErrRecord, kind, err)
+		return nil, fmt.Errorf("%w: encode %s: %w", ErrInvalidRecord, kind, err)
 	}
 	rec, err := cbor.Marshal(record{Kind: kind, Body: b})
 	if err != nil {
-		return nil, fmt.Errorf("%w: encode %s: %w", ErrRecord, kind, err)
+		return nil, fmt.Errorf("%w: encode %s: %w", ErrInvalidRecord, kind, err)
 	}
 	return append(binary.AppendUvarint(nil, uint64(len(rec))), rec...), nil
 }
 
 func (r record) decode(v any) error {
 	if err := cbor.Unmarshal(r.Body, v); err != nil {
-		return fmt.Errorf("%w: %s: %w", ErrRecord, r.Kind, err)
+		return fmt.Errorf("%w: %s: %w", ErrInvalidRecord, r.Kind, err)
 	}
 	return nil
 }
@@ -142,7 +142,7 @@
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		return record{}, r.fail(ErrTruncated)
 	case err != nil || n > maxRecord:
-		return record{}, r.fail(fmt.Errorf("%w: its length can not be right", ErrRecord))
+		return record{}, r.fail(fmt.Errorf("%w: its length can not be right", ErrInvalidRecord))
 	}
 	// The length may be wrong: memory grows with what is really there.
 	var b bytes.Buffer
@@ -156,7 +156,7 @@
 	r.next += int64(len(binary.AppendUvarint(nil, n))) + got
 	var rec record
 	if err := cbor.Unmarshal(b.Bytes(), &rec); err != nil {
-		return record{}, r.fail(fmt.Errorf("%w: %w", ErrRecord, err))
+		return record{}, r.fail(fmt.Errorf("%w: %w", ErrInvalidRecord, err))
 	}
 	return rec, nil
 }
--- a/io/crtrace/event.go
+++ b/io/crtrace/event.go
@@ -90,7 +90,7 @@
 	case crevent.Received:
 		msg, err := c.redacted.Encode(redactMessage(ev.Msg))
 		if err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrRecord, err)
+			return nil, fmt.Errorf("%w: %w", ErrInvalidRecord, err)
 		}
 		return encode(kindReceived, received{Now: ev.Now, From: ev.From, Msg: msg})
 	case crconfig.ReadResult:
@@ -100,7 +100,7 @@
 	}
 	kind, ok := c.kinds[reflect.TypeOf(ev)]
 	if !ok {
-		return nil, fmt.Errorf("%w: no kind for the event %T", ErrRecord, ev)
+		return nil, fmt.Errorf("%w: no kind for the event %T", ErrInvalidRecord, ev)
 	}
 	return encode(kind, ev)
 }
@@ -145,11 +145,11 @@
 	}
 	msg, err := c.redacted.Decode(r.Msg)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrRecord, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidRecord, err)
 	}
 	if p, ok := msg.(push); ok {
 		if msg, err = p.restore(); err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrRecord, err)
+			return nil, fmt.Errorf("%w: %w", ErrInvalidRecord, err)
 		}
 	}
 	return crevent.Received{Now: r.Now, From: r.From, Msg: msg}, nil
@@ -162,7 +162,7 @@
 	}
 	data, err := r.Value.data()
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrRecord, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidRecord, err)
 	}
 	return crconfig.ReadResult{Now: r.Now, Digest: r.Value.Digest, Data: data, Fault: r.Fault}, nil
 }
@@ -173,7 +173,7 @@
 	for _, eff := range effects {
 		b, err := c.sums.Marshal(plainEffect(eff))
 		if err != nil {
-			return done{}, fmt.Errorf("%w: effect %s: %w", ErrRecord, eff.EffectName(), err)
+			return done{}, fmt.Errorf("%w: effect %s: %w", ErrInvalidRecord, eff.EffectName(), err)
 		}
 		_, _ = h.WriteString(eff.EffectName())
 		_, _ = h.Write(b)
--- a/io/crtrace/note.go
+++ b/io/crtrace/note.go
@@ -95,7 +95,7 @@
 	}
 	text, err := cbor.Diagnose(body)
 	if err != nil {
-		return "", fmt.Errorf("%w: %s: %w", ErrRecord, rec.Kind, err)
+		return "", fmt.Errorf("%w: %s: %w", ErrInvalidRecord, rec.Kind, err)
 	}
 	return prefix + text, nil
 }
--- a/io/crtrace/replay.go
+++ b/io/crtrace/replay.go
@@ -95,7 +95,7 @@
 	h := header{Params: crdaemon.DefaultParams()}
 	h.Params.Member.IdleInterval = 0 // a trace that does not name it is from before daemons rested
 	if rec.Kind != kindHeader {
-		return p.r.fail(fmt.Errorf("%w: %q where the parameters should be", ErrRecord, rec.Kind))
+		return p.r.fail(fmt.Errorf("%w: %q where the parameters should be", ErrInvalidRecord, rec.Kind))
 	}
 	if err := rec.decode(&h); err != nil {
 		return p.r.fail(err)
@@ -156,7 +156,7 @@
 		return nil, done{}, p.r.fail(err)
 	}
 	if ev == nil {
-		return nil, done{}, p.r.fail(fmt.Errorf("%w: %q where an event should be", ErrRecord, rec.Kind))
+		return nil, done{}, p.r.fail(fmt.Errorf("%w: %q where an event should be", ErrInvalidRecord, rec.Kind))
 	}
 	p.kind = rec.Kind
 	p.records = p.records[:0]
--- a/io/crtrace/trace_test.go
+++ b/io/crtrace/trace_test.go
@@ -162,9 +162,9 @@
 	}{
 		"empty":          {nil, ErrFormat},
 		"another format": {[]byte(strings.Repeat("not a trace ", 9)), ErrFormat},
-		"wild length":    {long, ErrRecord},
-		"unknown kind":   {unknown, ErrRecord},
-		"no CBOR":        {append([]byte(magic), 2, 0xff, 0xff), ErrRecord},
+		"wild length":    {long, ErrInvalidRecord},
+		"unknown kind":   {unknown, ErrInvalidRecord},
+		"no CBOR":        {append([]byte(magic), 2, 0xff, 0xff), ErrInvalidRecord},
 	} {
 		_, err := Replay(bytes.NewReader(tt.file))
 		var at *Error
