--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -178,7 +178,7 @@
 func newRecorder(lc fx.Lifecycle, cfg crsettings.Trace, params crdaemon.Params, log *crlog.Logger) (*crtrace.Recorder, error) {
 	rec, err := crtrace.Create(cfg.File, crtrace.Options{
 		Params:  params,
-		Size:    cfg.Size,
+		MaxBytes:    cfg.Size,
 		Stopped: func(err error) { log.Event(crlog.TraceStopped, crlog.Fields{"error": err.Error()}) },
 	})
 	if err != nil {
--- a/io/crtrace/recorder.go
+++ b/io/crtrace/recorder.go
@@ -21,7 +21,7 @@
 // Options configure a Recorder.
 type Options struct {
 	Params crdaemon.Params
-	Size   int64 // bytes at most
+	MaxBytes   int64 // bytes at most
 	// Stopped is called once, when nothing more is recorded for an error.
 	Stopped func(err error)
 }
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Recorder{opts: opts, codec: c, file: file, w: bufio.NewWriter(file), left: opts.Size}
+	r := &Recorder{opts: opts, codec: c, file: file, w: bufio.NewWriter(file), left: opts.MaxBytes}
 	r.add([]byte(magic), nil)
 	r.add(encode(kindHeader, header{Params: opts.Params}))
 	r.commit(true)
--- a/io/crtrace/redact_test.go
+++ b/io/crtrace/redact_test.go
@@ -18,7 +18,7 @@
 	value := append(bytes.Repeat([]byte("filling "), 8), hash[:]...)
 	digest := crconfig.DigestOf(value)
 	var file memory
-	rec, err := newRecorder(&file, Options{Params: crdaemon.DefaultParams(), Size: 1 << 20})
+	rec, err := newRecorder(&file, Options{Params: crdaemon.DefaultParams(), MaxBytes: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/io/crtrace/trace_test.go
+++ b/io/crtrace/trace_test.go
@@ -258,7 +258,7 @@
 func TestFullTraceStops(t *testing.T) {
 	var file memory
 	var why []error
-	rec, err := newRecorder(&file, Options{Params: crdaemon.DefaultParams(), Size: 2000, Stopped: func(err error) { why = append(why, err) }})
+	rec, err := newRecorder(&file, Options{Params: crdaemon.DefaultParams(), MaxBytes: 2000, Stopped: func(err error) { why = append(why, err) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -291,7 +291,7 @@
 }
 
 func BenchmarkRecord(b *testing.B) {
-	rec, err := newRecorder(&memory{}, Options{Size: 1 << 40})
+	rec, err := newRecorder(&memory{}, Options{MaxBytes: 1 << 40})
 	if err != nil {
 		b.Fatal(err)
 	}
