--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -179,7 +179,7 @@
 	rec, err := crtrace.Create(cfg.File, crtrace.Options{
 		Params:  params,
 		MaxBytes:    cfg.Size,
-		Stopped: func(err error) { log.Event(crlog.TraceStopped, crlog.Fields{"error": err.Error()}) },
+		OnStop: func(err error) { log.Event(crlog.TraceStopped, crlog.Fields{"error": err.Error()}) },
 	})
 	if err != nil {
 		return nil, err
--- a/io/crtrace/recorder.go
+++ b/io/crtrace/recorder.go
@@ -22,8 +22,8 @@
 type Options struct {
 	Params crdaemon.Params
 	MaxBytes   int64 // bytes at most
-	// Stopped is called once, when nothing more is recorded for an error.
-	Stopped func(err error)
+	// OnStop is called once, when nothing more is recorded for an error.
+	OnStop func(err error)
 }
 
 // Recorder writes a trace. A fault ends the recording, never the daemon. Its
@@ -157,7 +157,7 @@
 	_ = r.w.Flush()
 	_ = r.file.Close()
 	r.w = nil
-	if r.opts.Stopped != nil {
-		r.opts.Stopped(err)
+	if r.opts.OnStop != nil {
+		r.opts.OnStop(err)
 	}
 }
--- a/io/crtrace/trace_test.go
+++ b/io/crtrace/trace_test.go
@@ -258,7 +258,7 @@
 func TestFullTraceStops(t *testing.T) {
 	var file memory
 	var why []error
-	rec, err := newRecorder(&file, Options{Params: crdaemon.DefaultParams(), MaxBytes: 2000, Stopped: func(err error) { why = append(why, err) }})
+	rec, err := newRecorder(&file, Options{Params: crdaemon.DefaultParams(), MaxBytes: 2000, OnStop: func(err error) { why = append(why, err) }})
 	if err != nil {
 		t.Fatal(err)
 	}
