--- a/io/crtrace/recorder.go
+++ b/io/crtrace/recorder.go
@@ -81,8 +81,8 @@
 	r.commit(r.tick)
 }
 
-// Parse returns a parser that records what it gives.
-func (r *Recorder) Parse(parse crconfig.Parser) crconfig.Parser {
+// WrapParser returns a parser that records what it gives.
+func (r *Recorder) WrapParser(parse crconfig.Parser) crconfig.Parser {
 	return func(manifest []byte) (crconfig.Manifest, error) {
 		m, err := parse(manifest)
 		r.add(encode(kindParse, parsed{Manifest: m, Fault: textOf(err)}))
--- a/io/crtrace/redact_test.go
+++ b/io/crtrace/redact_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	account := crpolicy.Account{Name: "survey", Rate: 5, Keys: []crpolicy.KeyHash{hash}}
-	parse := rec.Parse(func([]byte) (crconfig.Manifest, error) { return crconfig.Manifest{}, nil })
+	parse := rec.WrapParser(func([]byte) (crconfig.Manifest, error) { return crconfig.Manifest{}, nil })
 	get := rec.Load(func(rev crid.Revision, _ crconfig.Manifest, _ map[string][]byte) (*crpolicy.Snapshot, error) {
 		return crpolicy.NewSnapshot(rev, nil, []crpolicy.Account{account}), nil
 	})
