--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -167,7 +167,7 @@
 			return nil, err
 		}
 		opts.Recorder = rec
-		parse, load = rec.WrapParser(parse), rec.Load(load)
+		parse, load = rec.WrapParser(parse), rec.WrapLoader(load)
 	}
 	control := crdaemon.NewReducers(params, parse, load)
 	s.config, s.account = control.Config, control.Account
--- a/io/crtrace/recorder.go
+++ b/io/crtrace/recorder.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// Load returns a loader that records what it gives.
-func (r *Recorder) Load(load crconfig.Loader) crconfig.Loader {
+// WrapLoader returns a loader that records what it gives.
+func (r *Recorder) WrapLoader(load crconfig.Loader) crconfig.Loader {
 	return func(rev crid.Revision, m crconfig.Manifest, values map[string][]byte) (*crpolicy.Snapshot, error) {
 		snap, err := load(rev, m, values)
 		if err != nil {
--- a/io/crtrace/redact_test.go
+++ b/io/crtrace/redact_test.go
@@ -24,7 +24,7 @@
 	}
 	account := crpolicy.Account{Name: "survey", Rate: 5, Keys: []crpolicy.KeyHash{hash}}
 	parse := rec.WrapParser(func([]byte) (crconfig.Manifest, error) { return crconfig.Manifest{}, nil })
-	get := rec.Load(func(rev crid.Revision, _ crconfig.Manifest, _ map[string][]byte) (*crpolicy.Snapshot, error) {
+	get := rec.WrapLoader(func(rev crid.Revision, _ crconfig.Manifest, _ map[string][]byte) (*crpolicy.Snapshot, error) {
 		return crpolicy.NewSnapshot(rev, nil, []crpolicy.Account{account}), nil
 	})
 	half := len(value) - 16 // the hash is cut in two
