--- a/e2e/trace_test.go
+++ b/e2e/trace_test.go
@@ -100,7 +100,7 @@
 		must(d.WaitReady(within(10 * time.Second)))
 		report := replay(d, "frozen")
 		Expect(report.Reported).To(HaveKey(crmember.EventLeaseLost))
-		Expect(report.Tenures[len(report.Tenures)-1]).To(Equal(report.Tenures[len(report.Tenures)-3]))
+		Expect(report.ActiveLists[len(report.ActiveLists)-1]).To(Equal(report.ActiveLists[len(report.ActiveLists)-3]))
 	})
 
 	// While a list of instances is handed over, two daemons might believe to
@@ -113,7 +113,7 @@
 		Eventually(func() int { return f.Daemon(2).Get(a, "/kits/1").Status }, "10s", "50ms").ShouldNot(Equal(200))
 		time.Sleep(3 * time.Second)
 		report := replay(f.Daemon(0), "list")
-		lists := slices.DeleteFunc(report.Tenures, func(list crid.Revision) bool { return list == 0 })
+		lists := slices.DeleteFunc(report.ActiveLists, func(list crid.Revision) bool { return list == 0 })
 		Expect(lists).To(HaveLen(2))
 		Expect(lists[1]).To(BeNumerically(">", lists[0]))
 	})
--- a/io/crtrace/note.go
+++ b/io/crtrace/note.go
@@ -35,10 +35,10 @@
 	if t.Until == 0 {
 		list = 0
 	}
-	if n := len(r.Tenures); n > 0 && r.Tenures[n-1] == list {
+	if n := len(r.ActiveLists); n > 0 && r.ActiveLists[n-1] == list {
 		return
 	}
-	r.Tenures = append(r.Tenures, list)
+	r.ActiveLists = append(r.ActiveLists, list)
 }
 
 // Show prints the records of a trace, one a line: the number of the event that
--- a/io/crtrace/replay.go
+++ b/io/crtrace/replay.go
@@ -45,7 +45,7 @@
 	Effects   map[string]int  `json:"effects"` // by name
 	Reported  map[int]int     `json:"reports"` // by the number of the log's event
 	Revisions []crid.Revision `json:"revisions"`
-	Tenures   []crid.Revision `json:"tenures"` // lists; 0 for each loss of standing
+	ActiveLists   []crid.Revision `json:"tenures"` // lists; 0 for each loss of standing
 }
 
 // Replay runs the real reducers over a trace. The report covers what was
@@ -221,7 +221,7 @@
 		fmt.Sprintf("daemon\t%s", r.Daemon),
 		fmt.Sprintf("events\t%d", r.Events),
 		fmt.Sprintf("revisions\t%v", r.Revisions),
-		fmt.Sprintf("tenures\t%v", r.Tenures),
+		fmt.Sprintf("tenures\t%v", r.ActiveLists),
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.Effects)) {
 		lines = append(lines, fmt.Sprintf("effect %s\t%d", name, r.Effects[name]))
