--- a/e2e/trace_test.go
+++ b/e2e/trace_test.go
@@ -82,7 +82,7 @@
 		}
 		report := replay(f.Daemon(0), "calm")
 		Expect(report.Revisions).To(HaveLen(1))
-		Expect(report.Reported).NotTo(HaveKey(crmember.EventLeaseLost))
+		Expect(report.LogEvents).NotTo(HaveKey(crmember.EventLeaseLost))
 	})
 
 	// A process that was frozen wakes up with old facts, and finds what the
@@ -99,7 +99,7 @@
 		Eventually(d.Ready, "10s", "20ms").ShouldNot(Succeed())
 		must(d.WaitReady(within(10 * time.Second)))
 		report := replay(d, "frozen")
-		Expect(report.Reported).To(HaveKey(crmember.EventLeaseLost))
+		Expect(report.LogEvents).To(HaveKey(crmember.EventLeaseLost))
 		Expect(report.ActiveLists[len(report.ActiveLists)-1]).To(Equal(report.ActiveLists[len(report.ActiveLists)-3]))
 	})
 
@@ -129,8 +129,8 @@
 		Eventually(f.Daemon(0).Log, inForce, "50ms").Should(ContainSubstring(`"former":"1"`))
 		report := replay(f.Daemon(0), "away")
 		Expect(report.Revisions).To(HaveLen(2))
-		Expect(report.Reported).To(HaveKey(crconfig.EventPlatformUnavailable))
-		Expect(report.Reported).NotTo(HaveKey(crmember.EventLeaseLost))
+		Expect(report.LogEvents).To(HaveKey(crconfig.EventPlatformUnavailable))
+		Expect(report.LogEvents).NotTo(HaveKey(crmember.EventLeaseLost))
 	})
 
 	// A target answers wrongly, and then a second one. The floor of two leaves
@@ -153,7 +153,7 @@
 		Eventually(log, "10s", "100ms").Should(And(ContainSubstring("target ejected"), ContainSubstring("floor holds")))
 		i := slices.IndexFunc(f.Daemons(), func(d *crfleet.Daemon) bool { return eventIn(d, "target ejected") })
 		report := replay(f.Daemon(i), "sick")
-		Expect(report.Reported).To(HaveKey(crhealth.EventEjected))
+		Expect(report.LogEvents).To(HaveKey(crhealth.EventEjected))
 		Expect(report.Effects).To(HaveKey("steer"))
 	})
 })
--- a/io/crtrace/note.go
+++ b/io/crtrace/note.go
@@ -20,7 +20,7 @@
 		p.report.Effects[eff.EffectName()]++
 		switch eff := eff.(type) {
 		case crevent.Report:
-			p.report.Reported[eff.Number]++
+			p.report.LogEvents[eff.Number]++
 		case crconfig.Applied:
 			p.report.Revisions = append(p.report.Revisions, eff.Snapshot.Revision())
 		case crmember.Lease:
--- a/io/crtrace/replay.go
+++ b/io/crtrace/replay.go
@@ -43,7 +43,7 @@
 	Daemon    crid.Daemon     `json:"daemon"`
 	Events    int             `json:"events"`
 	Effects   map[string]int  `json:"effects"` // by name
-	Reported  map[int]int     `json:"reports"` // by the number of the log's event
+	LogEvents  map[int]int     `json:"reports"` // by the number of the log's event
 	Revisions []crid.Revision `json:"revisions"`
 	ActiveLists   []crid.Revision `json:"tenures"` // lists; 0 for each loss of standing
 }
@@ -52,7 +52,7 @@
 // replayed before the error, if any: an *[Error] of the file, an *[EventError]
 // of the outcome.
 func Replay(src io.Reader) (Report, error) {
-	p := &player{report: Report{Effects: make(map[string]int), Reported: make(map[int]int)}}
+	p := &player{report: Report{Effects: make(map[string]int), LogEvents: make(map[int]int)}}
 	err := p.run(src)
 	return p.report, err
 }
@@ -226,8 +226,8 @@
 	for _, name := range slices.Sorted(maps.Keys(r.Effects)) {
 		lines = append(lines, fmt.Sprintf("effect %s\t%d", name, r.Effects[name]))
 	}
-	for _, n := range slices.Sorted(maps.Keys(r.Reported)) {
-		lines = append(lines, fmt.Sprintf("report %d\t%d", n, r.Reported[n]))
+	for _, n := range slices.Sorted(maps.Keys(r.LogEvents)) {
+		lines = append(lines, fmt.Sprintf("report %d\t%d", n, r.LogEvents[n]))
 	}
 	for _, line := range lines {
 		if _, err := fmt.Fprintln(w, line); err != nil {
--- a/io/crtrace/trace_test.go
+++ b/io/crtrace/trace_test.go
@@ -75,7 +75,7 @@
 	for _, e := range crlog.Catalogue() {
 		known[e.Number] = true
 	}
-	for n := range report.Reported {
+	for n := range report.LogEvents {
 		if !known[n] {
 			t.Errorf("event %d was reported and is not catalogued", n)
 		}
