--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -177,9 +177,9 @@
 
 func newRecorder(lc fx.Lifecycle, cfg crsettings.Trace, params crdaemon.Params, log *crlog.Logger) (*crtrace.Recorder, error) {
 	rec, err := crtrace.Create(cfg.File, crtrace.Options{
-		Params:  params,
-		MaxBytes:    cfg.Size,
-		OnStop: func(err error) { log.Event(crlog.TraceStopped, crlog.Fields{"error": err.Error()}) },
+		Params:   params,
+		MaxBytes: cfg.Size,
+		OnStop:   func(err error) { log.Event(crlog.TraceStopped, crlog.Fields{"error": err.Error()}) },
 	})
 	if err != nil {
 		return nil, err
--- a/io/crtrace/crtrace.go
+++ b/io/crtrace/crtrace.go
@@ -1,22 +1,26 @@
-// Package crtrace records the control events of a daemon, and replays them.
+// Package crtrace records the control events of a daemon and replays them.
 //
-// A trace is a file: a first line that names the format, then records, each a
-// length and a CBOR array of a kind and a body. After the header with the
-// parameters come, for each event, the event itself, what the parser and the
-// loader of configurations gave for it, and a digest of its effects. The seed
-// is in the first event. Replay runs the real reducers over the events and
-// compares the digests.
+// io/crdaemon records a trace if the settings name a file, and the command "trace"
+// replays and prints traces. A trace contains the inputs of the reducers; it is not
+// a log (io/crlog) and does not follow single requests.
 //
-// A trace holds no key and no hash of a key: published values are recorded by
-// digest and size only, and a loaded configuration without its accounts' keys.
-// What is left out has no part in decisions, so the replay is exact all the
-// same, on the processor architecture that the trace was recorded on. One thing
-// is not reproduced: a value that a peer altered and that came in several parts.
+// A trace file starts with a line that names the format. Records follow, each a
+// length and a CBOR array of a kind and a body. The first record is the header with
+// the parameters. Each event then has a record of the event itself, records of the
+// results of the configuration parser and loader, and a record with the digest of
+// its effects. The first event contains the random seed. Replay runs the production
+// reducers over the events and compares the digests.
+//
+// A trace contains no key and no hash of a key: published values are recorded by
+// digest and size, and loaded configurations without the keys of accounts. The
+// reducers do not use the omitted data, so a replay is exact on the processor
+// architecture that the trace was recorded on. One case is not reproduced: a value
+// that was altered by a peer and received in several parts.
 //
 // # Usage
 //
-//	rec, err := crtrace.Create("daemon.trace", crtrace.Options{Params: params, Size: 64 << 20})
-//	root := crdaemon.NewReducers(params, rec.Parse(parse), rec.Load(load)).Root
+//	rec, err := crtrace.Create("daemon.trace", crtrace.Options{Params: params, MaxBytes: 64 << 20})
+//	root := crdaemon.NewReducers(params, rec.WrapParser(parse), rec.WrapLoader(load)).Root
 //	rec.Event(ev)
 //	rec.Effects(root.Step(ev))
 //
@@ -36,24 +40,24 @@
 	"camphorroad/core/crdaemon"
 )
 
-// magic is the first line of a trace; its number grows with the format.
+// magic is the first line of a trace. Its number is the version of the format.
 const magic = "camphorroad trace 1\n"
 
-// maxRecord bounds one record, in bytes.
+// maxRecord is the maximum size of a record in bytes.
 const maxRecord = 64 << 20
 
-// Errors of this layer. All come within an [Error] that tells where.
+// Errors of the file format. Replay and Show wrap them in an [Error] with the offset.
 var (
-	// ErrFormat tells that the file is no trace, or of another format.
+	// ErrFormat means that the file is not a trace or has another format version.
 	ErrFormat = errors.New("not a trace of this format")
-	// ErrTruncated tells that the file ends within a record, as that of a
-	// daemon that was killed does.
+	// ErrTruncated means that the file ends within a record or an event, for
+	// example because the daemon was killed.
 	ErrTruncated = errors.New("trace ends within a record")
-	// ErrInvalidRecord tells of a record that can not be read.
+	// ErrInvalidRecord means that a record cannot be encoded or decoded.
 	ErrInvalidRecord = errors.New("bad record")
 )
 
-// Error is an error with the offset, in bytes, of the record it is in.
+// Error is an error with the offset of the record in which it occurred.
 type Error struct {
 	offset int64
 	err    error
@@ -65,10 +69,10 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.err }
 
-// Offset is where the record begins.
+// Offset returns the position of the start of the record in bytes.
 func (e *Error) Offset() int64 { return e.offset }
 
-// The kinds of records that are no events.
+// Kinds of records other than events.
 const (
 	kindHeader = "params"
 	kindParse  = "parse"
@@ -88,10 +92,10 @@
 	Params crdaemon.Params `cbor:"p"`
 }
 
-// done closes an event.
+// done is the last record of an event.
 type done struct {
 	Effects int    `cbor:"n"`
-	Sum     uint64 `cbor:"s"` // of the effects, in order
+	Sum     uint64 `cbor:"s"` // digest of the effects, in order
 }
 
 func encode(kind string, body any) ([]byte, error) {
@@ -115,14 +119,14 @@
 
 // reader reads the records of a trace.
 type reader struct {
-	r      *bufio.Reader
-	offset int64 // of the record read last
-	next   int64
+	r          *bufio.Reader
+	offset     int64 // of the last record read
+	nextOffset int64
 }
 
-// newReader checks the first line.
+// newReader returns a reader after checking the first line.
 func newReader(src io.Reader) (*reader, error) {
-	r := &reader{r: bufio.NewReader(src), next: int64(len(magic))}
+	r := &reader{r: bufio.NewReader(src), nextOffset: int64(len(magic))}
 	line := make([]byte, len(magic))
 	if _, err := io.ReadFull(r.r, line); err != nil || string(line) != magic {
 		return nil, r.fail(ErrFormat)
@@ -132,9 +136,9 @@
 
 func (r *reader) fail(err error) error { return &Error{offset: r.offset, err: err} }
 
-// read returns the next record; io.EOF, unwrapped, tells of an orderly end.
+// read returns the next record, or an unwrapped io.EOF at the end of the trace.
 func (r *reader) read() (record, error) {
-	r.offset = r.next
+	r.offset = r.nextOffset
 	n, err := binary.ReadUvarint(r.r)
 	switch {
 	case errors.Is(err, io.EOF):
@@ -142,9 +146,9 @@
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		return record{}, r.fail(ErrTruncated)
 	case err != nil || n > maxRecord:
-		return record{}, r.fail(fmt.Errorf("%w: its length can not be right", ErrInvalidRecord))
+		return record{}, r.fail(fmt.Errorf("%w: length out of range", ErrInvalidRecord))
 	}
-	// The length may be wrong: memory grows with what is really there.
+	// The length may be wrong, so the buffer grows with the bytes that are read.
 	var b bytes.Buffer
 	got, err := io.CopyN(&b, r.r, int64(n))
 	if errors.Is(err, io.EOF) {
@@ -153,7 +157,7 @@
 	if err != nil {
 		return record{}, r.fail(err)
 	}
-	r.next += int64(len(binary.AppendUvarint(nil, n))) + got
+	r.nextOffset += int64(len(binary.AppendUvarint(nil, n))) + got
 	var rec record
 	if err := cbor.Unmarshal(b.Bytes(), &rec); err != nil {
 		return record{}, r.fail(fmt.Errorf("%w: %w", ErrInvalidRecord, err))
--- a/io/crtrace/event.go
+++ b/io/crtrace/event.go
@@ -17,14 +17,14 @@
 	"camphorroad/io/crwire"
 )
 
-// The kinds of events that are not recorded field by field.
+// Kinds of events that have their own record type.
 const (
 	kindReceived = "received"
 	kindRead     = "read"
 	kindListRead = "listread"
 )
 
-// plainEvents returns the events that are recorded field by field, by kind.
+// plainEvents returns, by kind, the events that are encoded as they are.
 func plainEvents() map[string]reflect.Type {
 	return map[string]reflect.Type{
 		"started":   reflect.TypeFor[crevent.Started](),
@@ -40,12 +40,12 @@
 type received struct {
 	Now  crid.Instant `cbor:"t"`
 	From crid.Daemon  `cbor:"f"`
-	Msg  []byte       `cbor:"m"` // with its kind
+	Msg  []byte       `cbor:"m"` // encoded by codec.registry, with its kind
 }
 
 type read struct {
 	Now   crid.Instant   `cbor:"t"`
-	Value piece          `cbor:"v"`
+	Value redactedChunk  `cbor:"v"`
 	Fault crconfig.Fault `cbor:"f"`
 }
 
@@ -56,12 +56,12 @@
 	Fault     crconfig.Fault        `cbor:"f"`
 }
 
-// codec turns events into records and back.
+// codec converts between events and records.
 type codec struct {
-	redacted *crwire.Registry // all messages as they are recorded
-	kinds    map[reflect.Type]string
-	types    map[string]reflect.Type
-	sums     cbor.EncMode // the same bytes for the same value, maps included
+	registry   *crwire.Registry // all messages, in their recorded form
+	kindByType map[reflect.Type]string
+	typeByKind map[string]reflect.Type
+	canonical  cbor.EncMode // deterministic: sorts the keys of maps
 }
 
 func newCodec() (*codec, error) {
@@ -73,22 +73,22 @@
 	if err != nil {
 		return nil, err
 	}
-	sums, err := cbor.CanonicalEncOptions().EncMode()
+	canonical, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
 		return nil, err
 	}
-	c := &codec{redacted: redacted, kinds: make(map[reflect.Type]string), types: plainEvents(), sums: sums}
-	for kind, t := range c.types {
-		c.kinds[t] = kind
+	c := &codec{registry: redacted, kindByType: make(map[reflect.Type]string), typeByKind: plainEvents(), canonical: canonical}
+	for kind, t := range c.typeByKind {
+		c.kindByType[t] = kind
 	}
 	return c, nil
 }
 
-// encode returns the record of an event; its error is ErrRecord.
+// encode returns the encoded record of an event. Its errors wrap ErrInvalidRecord.
 func (c *codec) encode(ev crevent.Event) ([]byte, error) {
 	switch ev := ev.(type) {
 	case crevent.Received:
-		msg, err := c.redacted.Encode(redactMessage(ev.Msg))
+		msg, err := c.registry.Encode(redactMessage(ev.Msg))
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrInvalidRecord, err)
 		}
@@ -98,24 +98,26 @@
 	case crconfig.ListResult:
 		return encode(kindListRead, listRead{Now: ev.Now, Rev: ev.List.Revision(), Instances: ev.List.Instances(), Fault: ev.Fault})
 	}
-	kind, ok := c.kinds[reflect.TypeOf(ev)]
+	kind, ok := c.kindByType[reflect.TypeOf(ev)]
 	if !ok {
 		return nil, fmt.Errorf("%w: no kind for the event %T", ErrInvalidRecord, ev)
 	}
 	return encode(kind, ev)
 }
 
-// redactRead keeps a digest that does not fit the data from fitting the filler.
+// redactRead returns the recorded form of a read. A placeholder always matches its
+// digest, so a read without a fault whose data does not match is recorded as
+// FaultMissing.
 func redactRead(ev crconfig.ReadResult) read {
 	fits := crconfig.DigestOf(ev.Data) == ev.Digest
-	r := read{Now: ev.Now, Value: redact(ev.Digest, 0, len(ev.Data), ev.Data), Fault: ev.Fault}
+	r := read{Now: ev.Now, Value: redactChunk(ev.Digest, 0, len(ev.Data), ev.Data), Fault: ev.Fault}
 	if !fits && ev.Fault == crconfig.FaultNone {
 		r.Fault = crconfig.FaultMissing
 	}
 	return r
 }
 
-// decode returns the event of a record, or nil for a record of another kind.
+// decode returns the event of a record, or nil if the record is not an event.
 func (c *codec) decode(rec record) (crevent.Event, error) {
 	switch rec.Kind {
 	case kindReceived:
@@ -127,7 +129,7 @@
 		err := rec.decode(&l)
 		return crconfig.ListResult{Now: l.Now, List: crinstance.NewList(l.Rev, l.Instances), Fault: l.Fault}, err
 	}
-	t, ok := c.types[rec.Kind]
+	t, ok := c.typeByKind[rec.Kind]
 	if !ok {
 		return nil, nil
 	}
@@ -143,11 +145,11 @@
 	if err := rec.decode(&r); err != nil {
 		return nil, err
 	}
-	msg, err := c.redacted.Decode(r.Msg)
+	msg, err := c.registry.Decode(r.Msg)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidRecord, err)
 	}
-	if p, ok := msg.(push); ok {
+	if p, ok := msg.(redactedPush); ok {
 		if msg, err = p.restore(); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrInvalidRecord, err)
 		}
@@ -160,18 +162,18 @@
 	if err := rec.decode(&r); err != nil {
 		return nil, err
 	}
-	data, err := r.Value.data()
+	data, err := r.Value.placeholder()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidRecord, err)
 	}
 	return crconfig.ReadResult{Now: r.Now, Digest: r.Value.Digest, Data: data, Fault: r.Fault}, nil
 }
 
-// sum digests the effects of one event.
-func (c *codec) sum(effects []crevent.Effect) (done, error) {
+// digestEffects returns the number and the digest of the effects of one event.
+func (c *codec) digestEffects(effects []crevent.Effect) (done, error) {
 	h := xxhash.New()
 	for _, eff := range effects {
-		b, err := c.sums.Marshal(plainEffect(eff))
+		b, err := c.canonical.Marshal(digestedPart(eff))
 		if err != nil {
 			return done{}, fmt.Errorf("%w: effect %s: %w", ErrInvalidRecord, eff.EffectName(), err)
 		}
@@ -181,9 +183,9 @@
 	return done{Effects: len(effects), Sum: h.Sum64()}, nil
 }
 
-// plainEffect returns what of an effect is digested: all but what a trace leaves
-// out.
-func plainEffect(eff crevent.Effect) any {
+// digestedPart returns the part of an effect that is digested. It excludes all data
+// that a trace does not contain.
+func digestedPart(eff crevent.Effect) any {
 	switch eff := eff.(type) {
 	case crevent.Send:
 		return []any{eff.To, eff.Msg.MessageKind(), redactMessage(eff.Msg)}
--- a/io/crtrace/floor.go
+++ b/io/crtrace/floor.go
@@ -10,47 +10,50 @@
 	"camphorroad/core/crpolicy"
 )
 
-// floor holds what this daemon knows of capacity, and the ejections that its
-// traffic goes by since the last event.
-type floor struct {
+// floorInvariant checks that ejections leave each service at least as many targets as
+// its floor. It tracks the policy, the instances and the peers that this daemon knows,
+// and the routing updates of the current event.
+type floorInvariant struct {
 	self     crid.Daemon
 	stopping bool
 	snapshot *crpolicy.Snapshot
 	list     crinstance.List
 	peers    map[crid.Daemon]crmember.Peer
-	steers   map[crid.Service]crhealth.RoutingUpdate // of the event under way
+	updates  map[crid.Service]crhealth.RoutingUpdate // last one of each service in the current event
 }
 
-func (f *floor) takePeers(peers []crmember.Peer) {
+func (f *floorInvariant) setPeers(peers []crmember.Peer) {
 	f.peers = make(map[crid.Daemon]crmember.Peer, len(peers))
 	for _, p := range peers {
 		f.peers[p.Daemon] = p
 	}
 }
 
-func (f *floor) takeSteer(s crhealth.RoutingUpdate) {
-	if f.steers == nil {
-		f.steers = make(map[crid.Service]crhealth.RoutingUpdate)
+func (f *floorInvariant) setRouting(update crhealth.RoutingUpdate) {
+	if f.updates == nil {
+		f.updates = make(map[crid.Service]crhealth.RoutingUpdate)
 	}
-	f.steers[s.Service] = s
+	f.updates[update.Service] = update
 }
 
-// check looks at the last steer of each service once the event is over: within
-// one event the news of a lost peer and the answer to it are two effects.
-func (f *floor) check() error {
-	for service, steer := range f.steers {
-		if err := f.checkService(service, steer); err != nil {
+// check runs after all effects of an event and uses the last update of each service:
+// the loss of a peer and the routing update that follows are two effects of one event.
+func (f *floorInvariant) check() error {
+	for service, update := range f.updates {
+		if err := f.checkService(service, update); err != nil {
 			return err
 		}
 	}
-	clear(f.steers)
+	clear(f.updates)
 	return nil
 }
 
-// checkService: ejecting never pushes capacity below the floor. A target that is
-// ejected and cold is not capacity; one that is cold only is taken for capacity,
-// since it can not be told from one that has just returned.
-func (f *floor) checkService(service crid.Service, steer crhealth.RoutingUpdate) error {
+// checkService returns an error if ejections leave a service fewer targets than its
+// floor. If the capacity is at or below the floor, no target may be ejected. A target
+// that is ejected and in slow start is not capacity. A target that is only in slow
+// start counts as capacity, since it cannot be distinguished from one whose ejection
+// has just ended.
+func (f *floorInvariant) checkService(service crid.Service, update crhealth.RoutingUpdate) error {
 	if f.snapshot == nil {
 		return nil
 	}
@@ -58,15 +61,15 @@
 	if !ok {
 		return nil
 	}
-	state := make(map[crid.Target]crhealth.TargetState, len(steer.Targets))
-	for _, t := range steer.Targets {
+	state := make(map[crid.Target]crhealth.TargetState, len(update.Targets))
+	for _, t := range update.Targets {
 		state[t.Target] = t
 	}
 	capacity, ejected := 0, 0
 	for _, inst := range f.list.Instances() {
 		for _, t := range inst.Targets {
 			s := state[t.Name]
-			if t.Service != service || !f.takesWork(inst) || (s.Ejected && s.Weight < crhealth.FullWeight) {
+			if t.Service != service || !f.available(inst) || (s.Ejected && s.Weight < crhealth.FullWeight) {
 				continue
 			}
 			capacity++
@@ -76,12 +79,12 @@
 		}
 	}
 	if ejected > max(capacity-policy.Floor, 0) {
-		return fmt.Errorf("%d of %d targets of %s are ejected with a floor of %d", ejected, capacity, service, policy.Floor)
+		return fmt.Errorf("%d of %d targets of service %s are ejected with a floor of %d", ejected, capacity, service, policy.Floor)
 	}
 	return nil
 }
 
-func (f *floor) takesWork(inst crinstance.Instance) bool {
+func (f *floorInvariant) available(inst crinstance.Instance) bool {
 	if inst.Leaving() {
 		return false
 	}
--- a/io/crtrace/invariant.go
+++ b/io/crtrace/invariant.go
@@ -12,17 +12,17 @@
 	"camphorroad/core/crmember"
 )
 
-// invariants are the outcomes that must hold in every trace. They look at
-// effects alone and share no code with the reducers that they check.
+// invariants checks conditions that must hold in every trace. It reads events and
+// effects only and shares no code with the reducers that it checks.
 type invariants struct {
-	inForce crid.Revision // newest configuration
-	tenure  crmember.Lease
-	highest crid.Revision // newest list that this daemon had tenure under
-	floor   floor
+	revision   crid.Revision // of the last applied configuration
+	lease      crmember.Lease
+	newestList crid.Revision // newest list that this daemon held a lease under
+	floor      floorInvariant
 }
 
-// begin takes the event itself.
-func (inv *invariants) begin(ev crevent.Event) {
+// observeEvent updates the state from an event before its effects are checked.
+func (inv *invariants) observeEvent(ev crevent.Event) {
 	switch ev := ev.(type) {
 	case crevent.Started:
 		inv.floor.self = ev.Self
@@ -31,73 +31,75 @@
 	}
 }
 
-// check takes the effects of one event, and returns the first that must not be.
+// check returns the first violation among the effects of one event.
 func (inv *invariants) check(now crid.Instant, effects []crevent.Effect) error {
 	for _, eff := range effects {
-		if err := inv.one(now, eff); err != nil {
+		if err := inv.checkEffect(now, eff); err != nil {
 			return err
 		}
 	}
 	return inv.floor.check()
 }
 
-func (inv *invariants) one(now crid.Instant, eff crevent.Effect) error {
+func (inv *invariants) checkEffect(now crid.Instant, eff crevent.Effect) error {
 	switch eff := eff.(type) {
 	case crconfig.Applied:
 		inv.floor.snapshot = eff.Snapshot
-		return inv.force(eff.Snapshot.Revision())
+		return inv.checkRevision(eff.Snapshot.Revision())
 	case crinstance.ListUpdated:
 		if eff.List.Revision() > inv.floor.list.Revision() {
 			inv.floor.list = eff.List
 		}
 	case crmember.PeersChanged:
-		inv.floor.takePeers(eff.Peers)
+		inv.floor.setPeers(eff.Peers)
 	case crhealth.RoutingUpdate:
-		inv.floor.takeSteer(eff)
+		inv.floor.setRouting(eff)
 	case crmember.Lease:
-		return inv.hold(eff)
+		return inv.checkLease(eff)
 	case crevent.Send:
 		if grant, ok := eff.Msg.(craccount.Grant); ok {
-			return inv.grant(now, eff.To, grant)
+			return inv.checkGrant(now, eff.To, grant)
 		}
 	}
 	return nil
 }
 
-// force: an accepted configuration never reverts.
-func (inv *invariants) force(rev crid.Revision) error {
-	if rev <= inv.inForce {
-		return fmt.Errorf("revision %d came into force after %d", rev, inv.inForce)
+// checkRevision returns an error if the revision of the applied configuration does
+// not increase.
+func (inv *invariants) checkRevision(rev crid.Revision) error {
+	if rev <= inv.revision {
+		return fmt.Errorf("revision %d applied after revision %d", rev, inv.revision)
 	}
-	inv.inForce = rev
+	inv.revision = rev
 	return nil
 }
 
-// hold: who had tenure under a list has none under an older one, where others
-// have handed over.
-func (inv *invariants) hold(t crmember.Lease) error {
-	inv.tenure = t
-	if t.Until == 0 {
+// checkLease returns an error if a lease is under an older list than a previous
+// lease. The daemons of the older list may have handed over their shares by then.
+func (inv *invariants) checkLease(lease crmember.Lease) error {
+	inv.lease = lease
+	if lease.Until == 0 {
 		return nil
 	}
-	if t.Active < inv.highest {
-		return fmt.Errorf("tenure under list %d after list %d", t.Active, inv.highest)
+	if lease.Active < inv.newestList {
+		return fmt.Errorf("lease under list %d after a lease under list %d", lease.Active, inv.newestList)
 	}
-	inv.highest = t.Active
+	inv.newestList = lease.Active
 	return nil
 }
 
-// grant: no tokens without tenure, or the bridge of a handover. Which shares the
-// bridge leaves to this daemon is not looked at.
-func (inv *invariants) grant(now crid.Instant, to crid.Daemon, g craccount.Grant) error {
-	t := inv.tenure
-	until := t.JointUntil
-	if t.Active != 0 && t.Now.Before(t.Until) {
-		until = t.Until
+// checkGrant returns an error if tokens are granted without a lease, unless a
+// handover is in progress and JointUntil has not passed. It does not check which
+// shares this daemon keeps during the handover.
+func (inv *invariants) checkGrant(now crid.Instant, to crid.Daemon, g craccount.Grant) error {
+	lease := inv.lease
+	until := lease.JointUntil
+	if lease.Active != 0 && lease.Now.Before(lease.Until) {
+		until = lease.Until
 	}
 	for _, item := range g.Items {
 		if item.Tokens > 0 && !now.Before(until) {
-			return fmt.Errorf("%d tokens of account %s granted to %s without tenure", item.Tokens, item.Account, to)
+			return fmt.Errorf("%d tokens of account %s granted to %s without a lease", item.Tokens, item.Account, to)
 		}
 	}
 	return nil
--- a/io/crtrace/note.go
+++ b/io/crtrace/note.go
@@ -11,28 +11,29 @@
 	"camphorroad/core/crmember"
 )
 
-// note adds one event to the report.
-func (p *player) note(ev crevent.Event, effects []crevent.Effect) {
+// summarize adds one event and its effects to the report.
+func (r *replayer) summarize(ev crevent.Event, effects []crevent.Effect) {
 	if started, ok := ev.(crevent.Started); ok {
-		p.report.Daemon = started.Self
+		r.report.Daemon = started.Self
 	}
 	for _, eff := range effects {
-		p.report.Effects[eff.EffectName()]++
+		r.report.Effects[eff.EffectName()]++
 		switch eff := eff.(type) {
 		case crevent.Report:
-			p.report.LogEvents[eff.Number]++
+			r.report.LogEvents[eff.Number]++
 		case crconfig.Applied:
-			p.report.Revisions = append(p.report.Revisions, eff.Snapshot.Revision())
+			r.report.Revisions = append(r.report.Revisions, eff.Snapshot.Revision())
 		case crmember.Lease:
-			p.report.tenure(eff)
+			r.report.addLease(eff)
 		}
 	}
 }
 
-// tenure notes changes only; renewals come with every beat.
-func (r *Report) tenure(t crmember.Lease) {
-	list := t.Active
-	if t.Until == 0 {
+// addLease adds a lease only if its list differs from the last one, since every
+// heartbeat renews the lease.
+func (r *Report) addLease(lease crmember.Lease) {
+	list := lease.Active
+	if lease.Until == 0 {
 		list = 0
 	}
 	if n := len(r.ActiveLists); n > 0 && r.ActiveLists[n-1] == list {
@@ -41,8 +42,8 @@
 	r.ActiveLists = append(r.ActiveLists, list)
 }
 
-// Show prints the records of a trace, one a line: the number of the event that
-// they belong to, kind and content.
+// Show prints one line per record of a trace: the number of the event that the
+// record belongs to, the kind and the content.
 func Show(src io.Reader, w io.Writer) error {
 	c, err := newCodec()
 	if err != nil {
@@ -54,13 +55,13 @@
 	}
 	for number := 0; ; {
 		rec, err := r.read()
-		if err == io.EOF { //nolint:errorlint // an orderly end comes unwrapped
+		if err == io.EOF { //nolint:errorlint // read returns io.EOF unwrapped at the end of the trace
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		text, err := c.text(rec)
+		text, err := c.diagnose(rec)
 		if err != nil {
 			return r.fail(err)
 		}
@@ -81,8 +82,9 @@
 	return true
 }
 
-// text is a record in CBOR's diagnostic notation, a message with its sender.
-func (c *codec) text(rec record) (string, error) {
+// diagnose returns a record in CBOR's diagnostic notation. A received message is
+// preceded by its time and sender.
+func (c *codec) diagnose(rec record) (string, error) {
 	body := []byte(rec.Body)
 	prefix := ""
 	if rec.Kind == kindReceived {
--- a/io/crtrace/recorder.go
+++ b/io/crtrace/recorder.go
@@ -15,33 +15,33 @@
 	"camphorroad/core/crpolicy"
 )
 
-// ErrFull tells that the trace has reached its size.
+// ErrFull means that the next event would exceed Options.MaxBytes.
 var ErrFull = errors.New("the trace has reached its size")
 
 // Options configure a Recorder.
 type Options struct {
-	Params crdaemon.Params
-	MaxBytes   int64 // bytes at most
-	// OnStop is called once, when nothing more is recorded for an error.
+	Params   crdaemon.Params
+	MaxBytes int64 // of the file
+	// OnStop is called once if an error ends the recording. It may be nil.
 	OnStop func(err error)
 }
 
-// Recorder writes a trace. A fault ends the recording, never the daemon. Its
-// methods but Close belong to the control goroutine.
+// Recorder writes a trace. An error ends the recording but not the daemon. All
+// methods except Close must be called from the control goroutine.
 type Recorder struct {
 	opts  Options
 	codec *codec
-	buf   []byte // the event under way, which is written whole or not at all
-	err   error  // of the event under way
-	tick  bool
-
-	mu   sync.Mutex
-	file io.WriteCloser
-	w    *bufio.Writer // nil once stopped
-	left int64
+	buf   []byte // records of the current event, which are written together or not at all
+	err   error  // of the current event
+	tick  bool   // the current event is a tick
+
+	mu        sync.Mutex
+	file      io.WriteCloser
+	w         *bufio.Writer // nil after the recording has ended
+	remaining int64
 }
 
-// Create begins a trace in a new file; what was in it is lost.
+// Create starts a trace in a file. An existing file is truncated.
 func Create(path string, opts Options) (*Recorder, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -59,58 +59,58 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Recorder{opts: opts, codec: c, file: file, w: bufio.NewWriter(file), left: opts.MaxBytes}
-	r.add([]byte(magic), nil)
-	r.add(encode(kindHeader, header{Params: opts.Params}))
+	r := &Recorder{opts: opts, codec: c, file: file, w: bufio.NewWriter(file), remaining: opts.MaxBytes}
+	r.append([]byte(magic), nil)
+	r.append(encode(kindHeader, header{Params: opts.Params}))
 	r.commit(true)
 	return r, nil
 }
 
-// Event records an event that is about to be applied.
+// Event records an event before the reducers apply it.
 func (r *Recorder) Event(ev crevent.Event) {
 	_, r.tick = ev.(crevent.Tick)
-	r.add(r.codec.encode(ev))
+	r.append(r.codec.encode(ev))
 }
 
-// Effects records what came of the event. What a killed daemon has recorded is
-// in the file but for the time since its last tick.
+// Effects records the digest of the effects of the event. The file is flushed at
+// each tick, so a killed daemon loses only the events since its last tick.
 func (r *Recorder) Effects(effects []crevent.Effect) {
-	sum, err := r.codec.sum(effects)
-	r.add(nil, err)
-	r.add(encode(kindDone, sum))
+	sum, err := r.codec.digestEffects(effects)
+	r.append(nil, err)
+	r.append(encode(kindDone, sum))
 	r.commit(r.tick)
 }
 
-// WrapParser returns a parser that records what it gives.
+// WrapParser returns a parser that records the results of parse.
 func (r *Recorder) WrapParser(parse crconfig.Parser) crconfig.Parser {
 	return func(manifest []byte) (crconfig.Manifest, error) {
 		m, err := parse(manifest)
-		r.add(encode(kindParse, parsed{Manifest: m, Fault: textOf(err)}))
+		r.append(encode(kindParse, parsed{Manifest: m, Fault: errorText(err)}))
 		return m, err
 	}
 }
 
-// WrapLoader returns a loader that records what it gives.
+// WrapLoader returns a loader that records the results of load.
 func (r *Recorder) WrapLoader(load crconfig.Loader) crconfig.Loader {
 	return func(rev crid.Revision, m crconfig.Manifest, values map[string][]byte) (*crpolicy.Snapshot, error) {
 		snap, err := load(rev, m, values)
 		if err != nil {
-			r.add(encode(kindLoad, loaded{Rev: rev, Fault: textOf(err)}))
+			r.append(encode(kindLoad, loaded{Rev: rev, Fault: errorText(err)}))
 			return snap, err
 		}
-		r.add(encode(kindLoad, redactSnapshot(rev, snap)))
+		r.append(encode(kindLoad, redactSnapshot(rev, snap)))
 		return snap, nil
 	}
 }
 
-func textOf(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
 	return err.Error()
 }
 
-// Close ends the trace.
+// Close flushes and closes the file.
 func (r *Recorder) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,13 +122,13 @@
 	return errors.Join(err, r.file.Close())
 }
 
-// add takes one record of the event under way.
-func (r *Recorder) add(b []byte, err error) {
+// append adds one encoded record, or its error, to the current event.
+func (r *Recorder) append(b []byte, err error) {
 	r.buf = append(r.buf, b...)
 	r.err = errors.Join(r.err, err)
 }
 
-// commit writes the event under way.
+// commit writes the records of the current event.
 func (r *Recorder) commit(flush bool) {
 	b, err := r.buf, r.err
 	r.buf, r.err = r.buf[:0], nil
@@ -137,8 +137,8 @@
 	if r.w == nil {
 		return
 	}
-	r.left -= int64(len(b))
-	if err == nil && r.left < 0 {
+	r.remaining -= int64(len(b))
+	if err == nil && r.remaining < 0 {
 		err = ErrFull
 	}
 	if err == nil {
@@ -152,7 +152,7 @@
 	}
 }
 
-// stop ends the recording for an error; what is whole stays in the file.
+// stop ends the recording after an error. Complete events stay in the file.
 func (r *Recorder) stop(err error) {
 	_ = r.w.Flush()
 	_ = r.file.Close()
--- a/io/crtrace/redact.go
+++ b/io/crtrace/redact.go
@@ -9,80 +9,81 @@
 	"camphorroad/core/crpolicy"
 )
 
-// A published value is recorded without its content, in which hashes of keys
-// stand. Replay puts a filler of the same size in its place: the value's digest,
-// again and again. The digest of a filler is found in its first bytes, so that
-// parts of a value fit together as the value's own did. What is shorter than a
-// digest can hold no hash of a key, and is recorded as it is.
-const fillerUnit = len(crconfig.Digest{})
+// A published value is recorded without its content, which may contain hashes of
+// keys. Replay uses a placeholder of the same size: the digest of the value,
+// repeated. The digest is read from the first bytes of the placeholder, so that the
+// parts of a value can be joined as the original parts were. A value shorter than a
+// digest cannot contain a hash of a key and is recorded unchanged.
+const digestSize = len(crconfig.Digest{})
 
-// piece is a stretch of a value.
-type piece struct {
-	Digest crconfig.Digest `cbor:"d"`
-	Off    int             `cbor:"o"`
-	Size   int             `cbor:"s"` // bytes of the whole value
-	Len    int             `cbor:"n"` // bytes of this stretch
-	Plain  []byte          `cbor:"p"` // the bytes of a short value
+// redactedChunk is the recorded form of a contiguous part of a value.
+type redactedChunk struct {
+	Digest  crconfig.Digest `cbor:"d"`
+	Off     int             `cbor:"o"`
+	Size    int             `cbor:"s"` // bytes of the whole value
+	Len     int             `cbor:"n"` // bytes of this chunk
+	Content []byte          `cbor:"p"` // set only if the value is shorter than a digest
 }
 
-func redact(digest crconfig.Digest, off, size int, data []byte) piece {
-	p := piece{Digest: digest, Off: off, Size: size, Len: len(data)}
-	if size < fillerUnit && len(data) < fillerUnit {
-		p.Plain = data
+func redactChunk(digest crconfig.Digest, off, size int, data []byte) redactedChunk {
+	c := redactedChunk{Digest: digest, Off: off, Size: size, Len: len(data)}
+	if size < digestSize && len(data) < digestSize {
+		c.Content = data
 	}
-	return p
+	return c
 }
 
-var errPiece = errors.New("a stretch of a value is longer than any message")
+var errChunkTooLong = errors.New("chunk of a value is longer than the maximum size of a record")
 
-func (p piece) data() ([]byte, error) {
-	if p.Plain != nil || p.Len == 0 {
-		return p.Plain, nil
+func (c redactedChunk) placeholder() ([]byte, error) {
+	if c.Content != nil || c.Len == 0 {
+		return c.Content, nil
 	}
-	if p.Len < 0 || p.Len > maxRecord {
-		return nil, errPiece
+	if c.Len < 0 || c.Len > maxRecord {
+		return nil, errChunkTooLong
 	}
-	b := make([]byte, p.Len)
+	b := make([]byte, c.Len)
 	for i := range b {
-		at := (p.Off%fillerUnit + i%fillerUnit + fillerUnit) % fillerUnit
-		b[i] = p.Digest[at]
+		at := (c.Off%digestSize + i%digestSize + digestSize) % digestSize
+		b[i] = c.Digest[at]
 	}
 	return b, nil
 }
 
-// digestOf is the digest of a filler, or of a short value.
+// digestOf returns the digest that a placeholder stands for, or the digest of a short
+// value.
 func digestOf(data []byte) crconfig.Digest {
-	if len(data) < fillerUnit {
+	if len(data) < digestSize {
 		return crconfig.DigestOf(data)
 	}
-	return crconfig.Digest(data[:fillerUnit])
+	return crconfig.Digest(data[:digestSize])
 }
 
-// push is crconfig.Push without the content of values.
-type push struct {
-	Parts []piece `cbor:"p"`
+// redactedPush is a crconfig.Push without the content of the values.
+type redactedPush struct {
+	Parts []redactedChunk `cbor:"p"`
 }
 
 // MessageKind implements crevent.Message.
-func (push) MessageKind() string { return crconfig.Push{}.MessageKind() }
+func (redactedPush) MessageKind() string { return crconfig.Push{}.MessageKind() }
 
-// redactMessage returns a message as it is recorded.
+// redactMessage returns the recorded form of a message.
 func redactMessage(msg crevent.Message) crevent.Message {
 	m, ok := msg.(crconfig.Push)
 	if !ok {
 		return msg
 	}
-	var p push
+	var p redactedPush
 	for _, part := range m.Parts {
-		p.Parts = append(p.Parts, redact(part.Digest, part.Offset, part.Size, part.Data))
+		p.Parts = append(p.Parts, redactChunk(part.Digest, part.Offset, part.Size, part.Data))
 	}
 	return p
 }
 
-func (p push) restore() (crevent.Message, error) {
+func (p redactedPush) restore() (crevent.Message, error) {
 	var m crconfig.Push
 	for _, part := range p.Parts {
-		data, err := part.data()
+		data, err := part.placeholder()
 		if err != nil {
 			return nil, err
 		}
@@ -91,18 +92,18 @@
 	return m, nil
 }
 
-// parsed is what the parser gave for a manifest.
+// parsed is the recorded result of the manifest parser.
 type parsed struct {
 	Manifest crconfig.Manifest `cbor:"m"`
-	Fault    string            `cbor:"f"` // empty: none
+	Fault    string            `cbor:"f"` // empty if there was no error
 }
 
-// loaded is what the loader gave for a configuration, without any key.
+// loaded is the recorded result of the configuration loader, without keys.
 type loaded struct {
 	Rev      crid.Revision      `cbor:"r"`
 	Services []crpolicy.Service `cbor:"s"`
 	Accounts []crpolicy.Account `cbor:"a"`
-	Fault    string             `cbor:"f"` // empty: none
+	Fault    string             `cbor:"f"` // empty if there was no error
 }
 
 func redactSnapshot(rev crid.Revision, snap *crpolicy.Snapshot) loaded {
--- a/io/crtrace/redact_test.go
+++ b/io/crtrace/redact_test.go
@@ -11,23 +11,23 @@
 	"camphorroad/core/crpolicy"
 )
 
-// A trace is copied to wherever a fault is looked into. The hash of a key in it
-// would let whoever reads it test guesses, so no published value is recorded.
-func TestTraceHoldsNoHashOfAKey(t *testing.T) {
+// Traces are copied to other machines for debugging. The hash of a key would let a
+// reader test guesses of the key, so no published value is recorded.
+func TestTraceContainsNoKeyHash(t *testing.T) {
 	hash := crpolicy.HashKey("crk_secret")
 	value := append(bytes.Repeat([]byte("filling "), 8), hash[:]...)
 	digest := crconfig.DigestOf(value)
-	var file memory
+	var file memoryFile
 	rec, err := newRecorder(&file, Options{Params: crdaemon.DefaultParams(), MaxBytes: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
 	account := crpolicy.Account{Name: "survey", Rate: 5, Keys: []crpolicy.KeyHash{hash}}
 	parse := rec.WrapParser(func([]byte) (crconfig.Manifest, error) { return crconfig.Manifest{}, nil })
-	get := rec.WrapLoader(func(rev crid.Revision, _ crconfig.Manifest, _ map[string][]byte) (*crpolicy.Snapshot, error) {
+	load := rec.WrapLoader(func(rev crid.Revision, _ crconfig.Manifest, _ map[string][]byte) (*crpolicy.Snapshot, error) {
 		return crpolicy.NewSnapshot(rev, nil, []crpolicy.Account{account}), nil
 	})
-	half := len(value) - 16 // the hash is cut in two
+	half := len(value) - 16 // splits the hash between two parts
 	events := []crevent.Event{
 		crconfig.ReadResult{Now: 1, Digest: digest, Data: value},
 		crconfig.ReadResult{Now: 1, Digest: crconfig.Digest{1}, Data: value},
@@ -39,7 +39,7 @@
 	for _, ev := range events {
 		rec.Event(ev)
 		_, _ = parse(value)
-		_, _ = get(1, crconfig.Manifest{}, nil)
+		_, _ = load(1, crconfig.Manifest{}, nil)
 		rec.Effects(nil)
 	}
 	if err := rec.Close(); err != nil {
@@ -49,23 +49,24 @@
 		t.Error("the account's limits are not recorded")
 	}
 	if bytes.Contains(file.Bytes(), hash[:8]) || bytes.Contains(file.Bytes(), hash[16:]) {
-		t.Error("the trace holds a hash, or half of it")
+		t.Error("the trace contains a hash or half of one")
 	}
 }
 
-// The parts of a filler fit together, and tell the digest of the value.
-func TestFillerTellsItsDigest(t *testing.T) {
+// The placeholders of the parts of a value must join to a placeholder of the whole
+// value, from which its digest can be read.
+func TestPlaceholderContainsDigest(t *testing.T) {
 	value := bytes.Repeat([]byte("value "), 20)
 	digest := crconfig.DigestOf(value)
 	var whole []byte
 	for _, cut := range [][2]int{{0, 7}, {7, 50}, {50, len(value)}} {
-		part, err := redact(digest, cut[0], len(value), value[cut[0]:cut[1]]).data()
+		part, err := redactChunk(digest, cut[0], len(value), value[cut[0]:cut[1]]).placeholder()
 		if err != nil {
 			t.Fatal(err)
 		}
 		whole = append(whole, part...)
 	}
 	if len(whole) != len(value) || digestOf(whole) != digest {
-		t.Error("the filler does not stand for the value")
+		t.Error("the placeholder does not have the size and digest of the value")
 	}
 }
--- a/io/crtrace/replay.go
+++ b/io/crtrace/replay.go
@@ -14,15 +14,16 @@
 	"camphorroad/core/crpolicy"
 )
 
-// Errors of a replay. Both come within an [EventError].
+// Errors of a replay. Both are wrapped in an [EventError].
 var (
-	// ErrDiverged tells that the reducers gave other effects than recorded.
+	// ErrDiverged means that the effects of an event, or its requests to the parser
+	// or loader, differ from the recorded ones.
 	ErrDiverged = errors.New("effects differ from those recorded")
-	// ErrInvariantViolated tells of an outcome that must not be.
-	ErrInvariantViolated = errors.New("invariant broken")
+	// ErrInvariantViolated means that the effects of an event violate an invariant.
+	ErrInvariantViolated = errors.New("invariant violated")
 )
 
-// EventError is an error with the number of the event, the first being 1.
+// EventError is an error with the number and the kind of the event.
 type EventError struct {
 	number int
 	kind   string
@@ -35,44 +36,44 @@
 // Unwrap returns the cause.
 func (e *EventError) Unwrap() error { return e.err }
 
-// Number is the event's number.
+// Number returns the number of the event, starting at 1.
 func (e *EventError) Number() int { return e.number }
 
-// Report says what a replay came to.
+// Report summarizes a replay.
 type Report struct {
-	Daemon    crid.Daemon     `json:"daemon"`
-	Events    int             `json:"events"`
-	Effects   map[string]int  `json:"effects"` // by name
-	LogEvents  map[int]int     `json:"reports"` // by the number of the log's event
-	Revisions []crid.Revision `json:"revisions"`
-	ActiveLists   []crid.Revision `json:"tenures"` // lists; 0 for each loss of standing
+	Daemon      crid.Daemon     `json:"daemon"`
+	Events      int             `json:"events"`
+	Effects     map[string]int  `json:"effects"` // counts by name
+	LogEvents   map[int]int     `json:"reports"` // counts by number of the log event
+	Revisions   []crid.Revision `json:"revisions"`
+	ActiveLists []crid.Revision `json:"tenures"` // revisions of the instance lists of successive leases; 0 for each loss of the lease
 }
 
-// Replay runs the real reducers over a trace. The report covers what was
-// replayed before the error, if any: an *[Error] of the file, an *[EventError]
-// of the outcome.
+// Replay runs the production reducers over a trace. The error is an *[Error] if the
+// file cannot be read, or an *[EventError] if an event diverges or violates an
+// invariant. The report covers the events up to the error.
 func Replay(src io.Reader) (Report, error) {
-	p := &player{report: Report{Effects: make(map[string]int), LogEvents: make(map[int]int)}}
-	err := p.run(src)
-	return p.report, err
+	r := &replayer{report: Report{Effects: make(map[string]int), LogEvents: make(map[int]int)}}
+	err := r.run(src)
+	return r.report, err
 }
 
-// player replays one trace.
-type player struct {
+// replayer replays one trace.
+type replayer struct {
 	codec  *codec
-	r      *reader
+	reader *reader
 	root   *crdaemon.Root
 	inv    invariants
 	report Report
 
-	kind    string // of the event
-	records []record
+	kind    string   // of the current event
+	pending []record // parser and loader records of the current event, not yet consumed
 }
 
-func (p *player) run(src io.Reader) error {
-	err := p.open(src)
+func (r *replayer) run(src io.Reader) error {
+	err := r.readHeader(src)
 	for err == nil {
-		err = p.event()
+		err = r.replayEvent()
 	}
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -80,65 +81,64 @@
 	return err
 }
 
-func (p *player) open(src io.Reader) error {
+func (r *replayer) readHeader(src io.Reader) error {
 	var err error
-	if p.codec, err = newCodec(); err != nil {
+	if r.codec, err = newCodec(); err != nil {
 		return err
 	}
-	if p.r, err = newReader(src); err != nil {
+	if r.reader, err = newReader(src); err != nil {
 		return err
 	}
-	rec, err := p.r.read()
+	rec, err := r.reader.read()
 	if err != nil {
 		return err
 	}
 	h := header{Params: crdaemon.DefaultParams()}
-	h.Params.Member.IdleInterval = 0 // a trace that does not name it is from before daemons rested
+	h.Params.Member.IdleInterval = 0 // traces without this field come from daemons that had no idle interval
 	if rec.Kind != kindHeader {
-		return p.r.fail(fmt.Errorf("%w: %q where the parameters should be", ErrInvalidRecord, rec.Kind))
+		return r.reader.fail(fmt.Errorf("%w: expected the parameters, got %q", ErrInvalidRecord, rec.Kind))
 	}
 	if err := rec.decode(&h); err != nil {
-		return p.r.fail(err)
+		return r.reader.fail(err)
 	}
-	control := crdaemon.NewReducers(h.Params, p.parse, p.load)
+	control := crdaemon.NewReducers(h.Params, r.parse, r.load)
 	control.Config.SetDigestFunc(digestOf)
-	p.root = control.Root
+	r.root = control.Root
 	return nil
 }
 
-// event replays one event with the records that belong to it. The event is
-// applied only once its last record was read, so that a truncated trace is
-// replayed up to its last whole event.
-func (p *player) event() error {
-	ev, want, err := p.next()
+// replayEvent replays one event. All records of the event are read before it is
+// applied, so that a truncated trace replays up to its last complete event.
+func (r *replayer) replayEvent() error {
+	ev, want, err := r.readEvent()
 	if err != nil {
 		return err
 	}
-	p.report.Events++
-	p.inv.begin(ev)
-	effects := p.root.Step(ev)
-	p.note(ev, effects)
-	if len(p.records) > 0 {
-		return p.fail(fmt.Errorf("%w: no %s was asked for", ErrDiverged, p.records[0].Kind))
+	r.report.Events++
+	r.inv.observeEvent(ev)
+	effects := r.root.Step(ev)
+	r.summarize(ev, effects)
+	if len(r.pending) > 0 {
+		return r.fail(fmt.Errorf("%w: the reducers did not request the recorded %s", ErrDiverged, r.pending[0].Kind))
 	}
-	if err := p.inv.check(ev.At(), effects); err != nil {
-		return p.fail(fmt.Errorf("%w: %w", ErrInvariantViolated, err))
+	if err := r.inv.check(ev.At(), effects); err != nil {
+		return r.fail(fmt.Errorf("%w: %w", ErrInvariantViolated, err))
 	}
-	got, err := p.codec.sum(effects)
+	got, err := r.codec.digestEffects(effects)
 	if err != nil {
-		return p.fail(err)
+		return r.fail(err)
 	}
 	if got != want {
-		return p.fail(fmt.Errorf("%w: %d effects, recorded were %d: %s", ErrDiverged, got.Effects, want.Effects, names(effects)))
+		return r.fail(fmt.Errorf("%w: got %d effects, recorded %d: %s", ErrDiverged, got.Effects, want.Effects, effectNames(effects)))
 	}
 	return nil
 }
 
-func (p *player) fail(err error) error {
-	return &EventError{number: p.report.Events, kind: p.kind, err: err}
+func (r *replayer) fail(err error) error {
+	return &EventError{number: r.report.Events, kind: r.kind, err: err}
 }
 
-func names(effects []crevent.Effect) []string {
+func effectNames(effects []crevent.Effect) []string {
 	all := make([]string, 0, len(effects))
 	for _, eff := range effects {
 		all = append(all, eff.EffectName())
@@ -146,24 +146,24 @@
 	return all
 }
 
-func (p *player) next() (crevent.Event, done, error) {
-	rec, err := p.r.read()
+func (r *replayer) readEvent() (crevent.Event, done, error) {
+	rec, err := r.reader.read()
 	if err != nil {
 		return nil, done{}, err
 	}
-	ev, err := p.codec.decode(rec)
+	ev, err := r.codec.decode(rec)
 	if err != nil {
-		return nil, done{}, p.r.fail(err)
+		return nil, done{}, r.reader.fail(err)
 	}
 	if ev == nil {
-		return nil, done{}, p.r.fail(fmt.Errorf("%w: %q where an event should be", ErrInvalidRecord, rec.Kind))
+		return nil, done{}, r.reader.fail(fmt.Errorf("%w: expected an event, got %q", ErrInvalidRecord, rec.Kind))
 	}
-	p.kind = rec.Kind
-	p.records = p.records[:0]
+	r.kind = rec.Kind
+	r.pending = r.pending[:0]
 	for {
-		rec, err := p.r.read()
+		rec, err := r.reader.read()
 		if errors.Is(err, io.EOF) {
-			return nil, done{}, p.r.fail(ErrTruncated)
+			return nil, done{}, r.reader.fail(ErrTruncated)
 		}
 		if err != nil {
 			return nil, done{}, err
@@ -171,51 +171,52 @@
 		if rec.Kind == kindDone {
 			var d done
 			if err := rec.decode(&d); err != nil {
-				return nil, done{}, p.r.fail(err)
+				return nil, done{}, r.reader.fail(err)
 			}
 			return ev, d, nil
 		}
-		p.records = append(p.records, rec)
+		r.pending = append(r.pending, rec)
 	}
 }
 
-// take returns the next record of the event, which must be of the kind.
-func (p *player) take(kind string, v any) error {
-	if len(p.records) == 0 || p.records[0].Kind != kind {
-		return fmt.Errorf("%w: no %s was recorded here", ErrDiverged, kind)
+// takeRecord decodes the next pending record into v. The record must be of the given
+// kind.
+func (r *replayer) takeRecord(kind string, v any) error {
+	if len(r.pending) == 0 || r.pending[0].Kind != kind {
+		return fmt.Errorf("%w: the reducers requested a %s that was not recorded", ErrDiverged, kind)
 	}
-	rec := p.records[0]
-	p.records = p.records[1:]
+	rec := r.pending[0]
+	r.pending = r.pending[1:]
 	return rec.decode(v)
 }
 
-func (p *player) parse([]byte) (crconfig.Manifest, error) {
+func (r *replayer) parse([]byte) (crconfig.Manifest, error) {
 	var m parsed
-	if err := p.take(kindParse, &m); err != nil {
+	if err := r.takeRecord(kindParse, &m); err != nil {
 		return crconfig.Manifest{}, err
 	}
-	return m.Manifest, faultOf(m.Fault)
+	return m.Manifest, errorOf(m.Fault)
 }
 
-func (p *player) load(rev crid.Revision, _ crconfig.Manifest, _ map[string][]byte) (*crpolicy.Snapshot, error) {
+func (r *replayer) load(rev crid.Revision, _ crconfig.Manifest, _ map[string][]byte) (*crpolicy.Snapshot, error) {
 	var l loaded
-	if err := p.take(kindLoad, &l); err != nil {
+	if err := r.takeRecord(kindLoad, &l); err != nil {
 		return nil, err
 	}
-	if err := faultOf(l.Fault); err != nil {
+	if err := errorOf(l.Fault); err != nil {
 		return nil, err
 	}
 	return crpolicy.NewSnapshot(rev, l.Services, l.Accounts), nil
 }
 
-func faultOf(text string) error {
+func errorOf(text string) error {
 	if text == "" {
 		return nil
 	}
 	return errors.New(text)
 }
 
-// Write prints the report, one fact a line.
+// Write prints the report as lines of a key and a value, separated by a tab.
 func (r Report) Write(w io.Writer) error {
 	lines := []string{
 		fmt.Sprintf("daemon\t%s", r.Daemon),
--- a/io/crtrace/source_test.go
+++ b/io/crtrace/source_test.go
@@ -11,22 +11,22 @@
 	"testing"
 )
 
-// An event that the codec does not know stops the trace of a daemon in service,
-// just when somebody wants it. The events are read from the source, so that a new
-// one can not be forgotten. Notices come from the reducers and are not recorded.
-func TestEveryEventOfCoreIsRecorded(t *testing.T) {
+// An event that the codec does not know ends the recording of a running daemon. The
+// test finds event types in the source, so that it covers new ones. Notices between
+// reducers are not recorded.
+func TestEveryCoreEventIsRecorded(t *testing.T) {
 	c, err := newCodec()
 	if err != nil {
 		t.Fatal(err)
 	}
 	known := map[string]bool{"crevent.Received": true, "crconfig.ReadResult": true, "crconfig.ListResult": true}
-	for typ := range c.kinds {
+	for typ := range c.kindByType {
 		known[typ.String()] = true
 	}
-	recorded := reached(t, "crdaemon")
+	recorded := coreDependencies(t, "crdaemon")
 	events := slices.DeleteFunc(coreEvents(t), func(name string) bool {
 		pkg, _, _ := strings.Cut(name, ".")
-		return unrecorded[pkg] && !recorded[pkg]
+		return withoutRecorder[pkg] && !recorded[pkg]
 	})
 	if len(events) < 8 {
 		t.Fatalf("only %d events were found in core", len(events))
@@ -38,13 +38,14 @@
 	}
 }
 
-// unrecorded names the packages of reducers that run without a recorder. Their
-// events cannot come into a trace as long as the recorded root reducer,
-// core/crdaemon, reaches none of them.
-var unrecorded = map[string]bool{"crmesh": true}
+// withoutRecorder lists packages of reducers that run without a recorder. Their
+// events cannot occur in a trace as long as the recorded root reducer,
+// core/crdaemon, does not import them.
+var withoutRecorder = map[string]bool{"crmesh": true}
 
-// reached returns the packages of core that a package imports, at any depth.
-func reached(t *testing.T, root string) map[string]bool {
+// coreDependencies returns a package and the packages of core that it imports,
+// directly or indirectly.
+func coreDependencies(t *testing.T, root string) map[string]bool {
 	t.Helper()
 	out := make(map[string]bool)
 	for open := []string{root}; len(open) > 0; open = open[1:] {
@@ -78,7 +79,7 @@
 	return out
 }
 
-// coreEvents finds the types of core that have the method At and not EffectName.
+// coreEvents returns the types of core that have a method At but no EffectName.
 func coreEvents(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("../../core/*/*.go")
--- a/io/crtrace/trace_test.go
+++ b/io/crtrace/trace_test.go
@@ -23,13 +23,13 @@
 	"camphorroad/io/crlog"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// recordings are runs of three daemons as processes: each is what one of them
-// recorded in e2e/trace_test.go.
-func recordings() []string { return []string{"calm", "frozen", "list", "away", "sick"} }
+// traceNames returns the names of the traces under testdata. e2e/trace_test.go
+// recorded each on one of three daemon processes.
+func traceNames() []string { return []string{"calm", "frozen", "list", "away", "sick"} }
 
-func load(t *testing.T, name string) []byte {
+func readTrace(t *testing.T, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("testdata", name+".trace"))
 	if err != nil {
@@ -38,12 +38,12 @@
 	return b
 }
 
-// A change of a reducer that changes what a daemon did in one of these runs
-// shows here. If the change is meant, `make traces` records them anew.
-func TestRecordedRunsReplayToTheirStatedOutcomes(t *testing.T) {
-	for _, name := range recordings() {
+// Fails if a change of a reducer alters the effects in a recorded run. After an
+// intended change, `make traces` records the traces again.
+func TestRecordedTracesReplayToGoldenReports(t *testing.T) {
+	for _, name := range traceNames() {
 		t.Run(name, func(t *testing.T) {
-			report, err := Replay(bytes.NewReader(load(t, name)))
+			report, err := Replay(bytes.NewReader(readTrace(t, name)))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -62,14 +62,14 @@
 				t.Fatal(err)
 			}
 			if got.String() != string(want) {
-				t.Errorf("outcome differs from %s:\n%s", golden, &got)
+				t.Errorf("report differs from %s:\n%s", golden, &got)
 			}
-			checkCatalogued(t, report)
+			checkLogEventsInCatalogue(t, report)
 		})
 	}
 }
 
-func checkCatalogued(t *testing.T, report Report) {
+func checkLogEventsInCatalogue(t *testing.T, report Report) {
 	t.Helper()
 	known := make(map[int]bool)
 	for _, e := range crlog.Catalogue() {
@@ -77,15 +77,15 @@
 	}
 	for n := range report.LogEvents {
 		if !known[n] {
-			t.Errorf("event %d was reported and is not catalogued", n)
+			t.Errorf("event %d was reported but is not in the catalogue", n)
 		}
 	}
 }
 
-// A daemon that was killed leaves half a record. What was recorded before must
-// still replay, or the traces of the worst moments would be worth nothing.
-func TestTruncatedTraceReplaysUpToItsEnd(t *testing.T) {
-	whole := load(t, "calm")
+// A killed daemon leaves an incomplete record at the end of its trace. The events
+// before it must still replay, so that the trace of a crash can be analyzed.
+func TestTruncatedTraceReplaysUpToLastCompleteEvent(t *testing.T) {
+	whole := readTrace(t, "calm")
 	full, err := Replay(bytes.NewReader(whole))
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 	report, err := Replay(bytes.NewReader(whole[:len(whole)/2]))
 	var at *Error
 	if !errors.Is(err, ErrTruncated) || !errors.As(err, &at) {
-		t.Fatalf("half a trace gives %v", err)
+		t.Fatalf("replay of half a trace returned %v", err)
 	}
 	if at.Offset() <= int64(len(magic)) || at.Offset() >= int64(len(whole)/2) {
 		t.Errorf("offset %d of %d bytes", at.Offset(), len(whole)/2)
@@ -103,8 +103,8 @@
 	}
 }
 
-// rewrite returns a trace with some of its records changed.
-func rewrite(t *testing.T, trace []byte, change func(n int, rec *record)) []byte {
+// rewriteTrace returns a copy of a trace with change applied to each record.
+func rewriteTrace(t *testing.T, trace []byte, change func(n int, rec *record)) []byte {
 	t.Helper()
 	r, err := newReader(bytes.NewReader(trace))
 	if err != nil {
@@ -128,12 +128,11 @@
 	}
 }
 
-// A reducer that does other than the daemon did must be found at the first
-// event where it does.
-func TestFirstDifferenceIsNamed(t *testing.T) {
-	const changed = 40 // the fortieth event's digest
+// A replay must stop at the first event whose effects differ from the recorded ones.
+func TestReplayReportsFirstDivergentEvent(t *testing.T) {
+	const changed = 40 // number of the first event with an altered digest
 	seen := 0
-	trace := rewrite(t, load(t, "calm"), func(_ int, rec *record) {
+	trace := rewriteTrace(t, readTrace(t, "calm"), func(_ int, rec *record) {
 		if rec.Kind == kindDone {
 			seen++
 		}
@@ -144,13 +143,13 @@
 	report, err := Replay(bytes.NewReader(trace))
 	var at *EventError
 	if !errors.Is(err, ErrDiverged) || !errors.As(err, &at) || at.Number() != changed || report.Events != changed {
-		t.Errorf("replay gives %v after %d events", err, report.Events)
+		t.Errorf("replay returned %v after %d events", err, report.Events)
 	}
 }
 
-func TestBadFilesAreRefusedWithTheirOffset(t *testing.T) {
-	good := load(t, "calm")
-	unknown := rewrite(t, good, func(n int, rec *record) {
+func TestInvalidFilesAreRejectedWithOffset(t *testing.T) {
+	good := readTrace(t, "calm")
+	unknown := rewriteTrace(t, good, func(n int, rec *record) {
 		if n == 1 {
 			rec.Kind = "mystery"
 		}
@@ -160,55 +159,55 @@
 		file []byte
 		want error
 	}{
-		"empty":          {nil, ErrFormat},
-		"another format": {[]byte(strings.Repeat("not a trace ", 9)), ErrFormat},
-		"wild length":    {long, ErrInvalidRecord},
-		"unknown kind":   {unknown, ErrInvalidRecord},
-		"no CBOR":        {append([]byte(magic), 2, 0xff, 0xff), ErrInvalidRecord},
+		"empty":            {nil, ErrFormat},
+		"another format":   {[]byte(strings.Repeat("not a trace ", 9)), ErrFormat},
+		"length too large": {long, ErrInvalidRecord},
+		"unknown kind":     {unknown, ErrInvalidRecord},
+		"invalid CBOR":     {append([]byte(magic), 2, 0xff, 0xff), ErrInvalidRecord},
 	} {
 		_, err := Replay(bytes.NewReader(tt.file))
 		var at *Error
 		if !errors.Is(err, tt.want) || !errors.As(err, &at) {
-			t.Errorf("%s gives %v", name, err)
+			t.Errorf("%s: replay returned %v", name, err)
 		}
 	}
 }
 
-// Each invariant is broken once, since a check that can not fail proves nothing.
-func TestInvariantsCanFail(t *testing.T) {
-	force := func(rev crid.Revision) crevent.Effect {
+// Violates each invariant at least once, to show that its check can fail.
+func TestInvariantViolationsAreDetected(t *testing.T) {
+	applied := func(rev crid.Revision) crevent.Effect {
 		return crconfig.Applied{Snapshot: crpolicy.NewSnapshot(rev, nil, nil)}
 	}
-	tenure := func(list crid.Revision, until crid.Instant) crevent.Effect {
+	lease := func(list crid.Revision, until crid.Instant) crevent.Effect {
 		return crmember.Lease{Active: list, Until: until}
 	}
 	grant := crevent.Send{To: "b", Msg: craccount.Grant{Items: []craccount.GrantItem{{Account: "a", Tokens: 1}}}}
 	for _, tt := range []struct {
 		name    string
 		effects []crevent.Effect
-		broken  bool
+		wantErr bool
 	}{
-		{"revision grows", []crevent.Effect{force(1), force(3)}, false},
-		{"revision goes back", []crevent.Effect{force(3), force(2)}, true},
-		{"revision again", []crevent.Effect{force(3), force(3)}, true},
-		{"tenure comes back", []crevent.Effect{tenure(2, 9), tenure(2, 0), tenure(2, 20)}, false},
-		{"tenure under an older list", []crevent.Effect{tenure(2, 9), tenure(0, 0), tenure(1, 20)}, true},
-		{"grant with tenure", []crevent.Effect{tenure(2, 11), grant}, false},
-		{"grant in a handover", []crevent.Effect{tenure(2, 9), crmember.Lease{Now: 9, JointUntil: 11}, grant}, false},
-		{"grant after the bridge", []crevent.Effect{crmember.Lease{Now: 9, JointUntil: 10}, grant}, true},
-		{"grant on a bridge that tenure ended", []crevent.Effect{crmember.Lease{Active: 2, Until: 10, JointUntil: 20}, grant}, true},
-		{"grant after tenure", []crevent.Effect{tenure(2, 10), grant}, true},
-		{"grant without tenure", []crevent.Effect{grant}, true},
+		{"revision increases", []crevent.Effect{applied(1), applied(3)}, false},
+		{"revision decreases", []crevent.Effect{applied(3), applied(2)}, true},
+		{"revision repeated", []crevent.Effect{applied(3), applied(3)}, true},
+		{"lease regained", []crevent.Effect{lease(2, 9), lease(2, 0), lease(2, 20)}, false},
+		{"lease under an older list", []crevent.Effect{lease(2, 9), lease(0, 0), lease(1, 20)}, true},
+		{"grant with a lease", []crevent.Effect{lease(2, 11), grant}, false},
+		{"grant during a handover", []crevent.Effect{lease(2, 9), crmember.Lease{Now: 9, JointUntil: 11}, grant}, false},
+		{"grant after the end of a handover", []crevent.Effect{crmember.Lease{Now: 9, JointUntil: 10}, grant}, true},
+		{"grant after a lease that replaced a handover", []crevent.Effect{crmember.Lease{Active: 2, Until: 10, JointUntil: 20}, grant}, true},
+		{"grant after the lease", []crevent.Effect{lease(2, 10), grant}, true},
+		{"grant without a lease", []crevent.Effect{grant}, true},
 	} {
 		var inv invariants
-		if err := inv.check(10, tt.effects); (err != nil) != tt.broken {
+		if err := inv.check(10, tt.effects); (err != nil) != tt.wantErr {
 			t.Errorf("%s: %v", tt.name, err)
 		}
 	}
 }
 
-// A floor that is broken by ejecting leaves a service short of healthy targets.
-func TestFloorInvariantCanFail(t *testing.T) {
+// Ejections below the floor leave a service with too few targets.
+func TestFloorViolationsAreDetected(t *testing.T) {
 	var instances []crinstance.Instance
 	for _, name := range []crid.Daemon{"a", "b", "c"} {
 		instances = append(instances, crinstance.Instance{
@@ -217,13 +216,13 @@
 		})
 	}
 	policy := crpolicy.NewSnapshot(1, []crpolicy.Service{{Name: "booking", Floor: 2}}, nil)
-	start := []crevent.Effect{
+	initial := []crevent.Effect{
 		crinstance.ListUpdated{List: crinstance.NewList(1, instances)},
 		crconfig.Applied{Snapshot: policy},
 		crmember.PeersChanged{Peers: []crmember.Peer{{Daemon: "b", Reachable: true}, {Daemon: "c", Reachable: true}}},
 	}
-	lost := crmember.PeersChanged{Peers: []crmember.Peer{{Daemon: "b", Reachable: true}, {Daemon: "c"}}}
-	steer := func(weight int, ejected ...crid.Target) crevent.Effect {
+	unreachable := crmember.PeersChanged{Peers: []crmember.Peer{{Daemon: "b", Reachable: true}, {Daemon: "c"}}}
+	ejections := func(weight int, ejected ...crid.Target) crevent.Effect {
 		s := crhealth.RoutingUpdate{Service: "booking"}
 		for _, target := range ejected {
 			s.Targets = append(s.Targets, crhealth.TargetState{Target: target, Ejected: true, Weight: weight})
@@ -233,32 +232,33 @@
 	for _, tt := range []struct {
 		name    string
 		effects []crevent.Effect
-		broken  bool
+		wantErr bool
 	}{
-		{"down to the floor", []crevent.Effect{steer(crhealth.FullWeight, "b")}, false},
-		{"below the floor", []crevent.Effect{steer(crhealth.FullWeight, "b", "c")}, true},
-		{"one is lost as well", []crevent.Effect{lost, steer(crhealth.FullWeight, "b")}, true},
-		{"the lost one is ejected", []crevent.Effect{lost, steer(crhealth.FullWeight, "c")}, false},
-		{"mended within the event", []crevent.Effect{steer(crhealth.FullWeight, "b", "c"), steer(crhealth.FullWeight, "b")}, false},
-		{"a cold one is no capacity", []crevent.Effect{steer(1, "b")}, false},
+		{"ejected down to the floor", []crevent.Effect{ejections(crhealth.FullWeight, "b")}, false},
+		{"ejected below the floor", []crevent.Effect{ejections(crhealth.FullWeight, "b", "c")}, true},
+		{"another daemon is unreachable", []crevent.Effect{unreachable, ejections(crhealth.FullWeight, "b")}, true},
+		{"target of the unreachable daemon is ejected", []crevent.Effect{unreachable, ejections(crhealth.FullWeight, "c")}, false},
+		{"corrected within the event", []crevent.Effect{ejections(crhealth.FullWeight, "b", "c"), ejections(crhealth.FullWeight, "b")}, false},
+		{"ejected target in slow start is not capacity", []crevent.Effect{ejections(1, "b")}, false},
 	} {
 		var inv invariants
-		inv.begin(crevent.Started{Self: "a"})
-		if err := inv.check(1, append(slices.Clone(start), tt.effects...)); (err != nil) != tt.broken {
+		inv.observeEvent(crevent.Started{Self: "a"})
+		if err := inv.check(1, append(slices.Clone(initial), tt.effects...)); (err != nil) != tt.wantErr {
 			t.Errorf("%s: %v", tt.name, err)
 		}
 	}
 }
 
-type memory struct{ bytes.Buffer }
+type memoryFile struct{ bytes.Buffer }
 
-func (*memory) Close() error { return nil }
+func (*memoryFile) Close() error { return nil }
 
-// A full trace must cost the daemon nothing, and still replay.
-func TestFullTraceStops(t *testing.T) {
-	var file memory
-	var why []error
-	rec, err := newRecorder(&file, Options{Params: crdaemon.DefaultParams(), MaxBytes: 2000, OnStop: func(err error) { why = append(why, err) }})
+// A trace that reaches MaxBytes must end without an effect on the daemon, and must
+// still replay.
+func TestRecordingStopsAtMaxBytes(t *testing.T) {
+	var file memoryFile
+	var causes []error
+	rec, err := newRecorder(&file, Options{Params: crdaemon.DefaultParams(), MaxBytes: 2000, OnStop: func(err error) { causes = append(causes, err) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,8 +268,8 @@
 		rec.Event(ev)
 		rec.Effects(root.Step(ev))
 	}
-	if len(why) != 1 || !errors.Is(why[0], ErrFull) || file.Len() > 2000 {
-		t.Errorf("stopped by %v with %d bytes", why, file.Len())
+	if len(causes) != 1 || !errors.Is(causes[0], ErrFull) || file.Len() > 2000 {
+		t.Errorf("stopped by %v with %d bytes", causes, file.Len())
 	}
 	if report, err := Replay(&file.Buffer); err != nil || report.Events == 0 {
 		t.Errorf("%d events replayed: %v", report.Events, err)
@@ -281,17 +281,17 @@
 
 func TestShow(t *testing.T) {
 	var out bytes.Buffer
-	if err := Show(bytes.NewReader(load(t, "calm")), &out); err != nil {
+	if err := Show(bytes.NewReader(readTrace(t, "calm")), &out); err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(out.String(), "\n")
 	if !strings.HasPrefix(lines[0], "0\tparams\t") || !strings.HasPrefix(lines[1], "1\tstarted\t") || !strings.HasPrefix(lines[2], "1\tdone\t") {
-		t.Errorf("shows\n%s", strings.Join(lines[:3], "\n"))
+		t.Errorf("unexpected first lines:\n%s", strings.Join(lines[:3], "\n"))
 	}
 }
 
 func BenchmarkRecord(b *testing.B) {
-	rec, err := newRecorder(&memory{}, Options{MaxBytes: 1 << 40})
+	rec, err := newRecorder(&memoryFile{}, Options{MaxBytes: 1 << 40})
 	if err != nil {
 		b.Fatal(err)
 	}
