--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -169,7 +169,7 @@
 			return nil, err
 		}
 		opts.Recorder = rec
-		parse, load = rec.Parse(parse), rec.Load(load)
+		parse, load = rec.WrapParser(parse), rec.WrapLoader(load)
 	}
 	control := crdaemon.NewReducers(params, parse, load)
 	s.config, s.account = control.Config, control.Account
@@ -179,9 +179,9 @@
 
 func newTraceRecorder(lc fx.Lifecycle, cfg crsettings.Trace, params crdaemon.Params, log *crlog.Logger) (*crtrace.Recorder, error) {
 	rec, err := crtrace.Create(cfg.File, crtrace.Options{
-		Params:  params,
-		Size:    cfg.Size,
-		Stopped: func(err error) { log.Event(crlog.TraceStopped, crlog.Fields{"error": err.Error()}) },
+		Params:   params,
+		MaxBytes: cfg.Size,
+		OnStop:   func(err error) { log.Event(crlog.TraceStopped, crlog.Fields{"error": err.Error()}) },
 	})
 	if err != nil {
 		return nil, err
