--- a/command/lab/soak.go
+++ b/command/lab/soak.go
@@ -97,19 +97,19 @@
 		return 0, err
 	}
 	text := report.Summary() + "\n"
-	for _, line := range report.Broken() {
+	for _, line := range report.Violations() {
 		text += "  " + line + "\n"
 	}
-	if len(report.Broken()) > 0 {
+	if len(report.Violations()) > 0 {
 		text += "  played: " + strings.Join(report.Faults(), "; ") + "\n"
 	}
 	if _, err := fmt.Fprint(f.Out, text); err != nil {
 		return 0, err
 	}
-	if len(report.Broken()) > 0 && o.Keep != "" {
-		return len(report.Broken()), nil
+	if len(report.Violations()) > 0 && o.Keep != "" {
+		return len(report.Violations()), nil
 	}
-	return len(report.Broken()), os.RemoveAll(dir)
+	return len(report.Violations()), os.RemoveAll(dir)
 }
 
 func (o *SoakOptions) directory(seed uint64) (string, error) {
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -63,7 +63,7 @@
 			})
 			Expect(err).NotTo(HaveOccurred())
 			AddReportEntry(report.Summary(), strings.Join(report.Faults(), "\n"))
-			Expect(report.Broken()).To(BeEmpty())
+			Expect(report.Violations()).To(BeEmpty())
 		})
 	}
 })
--- a/lab/crsoak/caller.go
+++ b/lab/crsoak/caller.go
@@ -15,139 +15,141 @@
 	"camphorroad/lab/crstage"
 )
 
-// callerWait is how long a caller waits for its answer.
-const callerWait = 2 * time.Second
+// callerTimeout is the deadline of a caller's request.
+const callerTimeout = 2 * time.Second
 
-// call is one request of a caller and what came of it.
+// call is one request of a caller and its result.
 type call struct {
-	id      string
-	machine int
-	kind    kind
-	path    string
-	body    string
-	account string
-	key     string
-	sent    time.Time
-	took    time.Duration
-	status  int    // zero: no whole answer came
-	fault   string // what was wrong with a success
-	err     string
-}
-
-// kind is a kind of request.
-type kind struct {
-	path    string
-	method  string
-	service string
-	once    bool
-	targets int // that a request may be sent to, at most
-}
-
-func kinds() []kind {
-	return []kind{
-		{path: "/look/", method: http.MethodGet, service: "s0", targets: 3},
-		{path: "/hold/", method: http.MethodPost, service: "s0", once: true, targets: 3},
-		{path: "/read/", method: http.MethodGet, service: "s1", targets: 2},
-		{path: "/pay/", method: http.MethodPut, service: "s1", once: true, targets: 2},
+	id       string
+	machine  int
+	kind     requestKind
+	path     string
+	body     string
+	account  string
+	key      string
+	sent     time.Time
+	latency  time.Duration
+	status   int    // zero: no complete response
+	mismatch string // how a 200 response differs from the expected one
+	err      string
+}
+
+// requestKind is a route of the configuration that callers send requests to.
+type requestKind struct {
+	path          string
+	method        string
+	service       string
+	nonIdempotent bool
+	maxAttempts   int
+}
+
+func requestKinds() []requestKind {
+	return []requestKind{
+		{path: "/look/", method: http.MethodGet, service: "s0", maxAttempts: 3},
+		{path: "/hold/", method: http.MethodPost, service: "s0", nonIdempotent: true, maxAttempts: 3},
+		{path: "/read/", method: http.MethodGet, service: "s1", maxAttempts: 2},
+		{path: "/pay/", method: http.MethodPut, service: "s1", nonIdempotent: true, maxAttempts: 2},
 	}
 }
 
-// book keeps all calls.
-type book struct {
-	next  atomic.Int64
-	mu    sync.Mutex
-	calls []call
+// callLog records all calls of a run.
+type callLog struct {
+	nextID atomic.Int64
+	mu     sync.Mutex
+	calls  []call
 }
 
-func (b *book) add(c call) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.calls = append(b.calls, c)
+func (l *callLog) add(c call) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.calls = append(l.calls, c)
 }
 
-func (b *book) all() []call {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return append([]call(nil), b.calls...)
+func (l *callLog) snapshot() []call {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]call(nil), l.calls...)
 }
 
-// keyring is the keys of the accounts over time.
+// keyring holds the accounts with their valid keys, and when keys were issued and
+// revoked.
 type keyring struct {
 	mu        sync.Mutex
 	accounts  []crstage.Account
-	owner     map[string]string
-	issued    map[string]time.Time
-	withdrawn map[string]time.Time
+	owners    map[string]string
+	issuedAt  map[string]time.Time
+	revokedAt map[string]time.Time
 }
 
 func newKeyring(accounts []crstage.Account) *keyring {
 	k := &keyring{
-		accounts: accounts, owner: make(map[string]string), issued: make(map[string]time.Time), withdrawn: make(map[string]time.Time),
+		accounts: accounts, owners: make(map[string]string), issuedAt: make(map[string]time.Time), revokedAt: make(map[string]time.Time),
 	}
 	for _, a := range accounts {
 		for _, key := range a.Keys {
-			k.owner[key] = a.Name
+			k.owners[key] = a.Name
 		}
 	}
 	return k
 }
 
-// oldShare is the part of the requests that bear a withdrawn key, if there is one.
-const oldShare = 0.04
+// revokedKeyShare is the share of requests with a revoked key, once there is one.
+const revokedKeyShare = 0.04
 
 func (k *keyring) pick(r *rand.Rand) (name, key string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if r.Float64() < oldShare {
-		for key := range k.withdrawn {
-			return k.owner[key], key
+	if r.Float64() < revokedKeyShare {
+		for key := range k.revokedAt {
+			return k.owners[key], key
 		}
 	}
 	a := k.accounts[r.IntN(len(k.accounts))]
 	return a.Name, a.Keys[r.IntN(len(a.Keys))]
 }
 
-func (k *keyring) now() []crstage.Account {
+func (k *keyring) current() []crstage.Account {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return append([]crstage.Account(nil), k.accounts...)
 }
 
-// replace withdraws the first key of an account and gives it another one; it
-// returns the accounts as they then are.
-func (k *keyring) replace(i int, key string) []crstage.Account {
+// rotate revokes the oldest key of account i, issues the given key in its place, and
+// returns the updated accounts.
+func (k *keyring) rotate(i int, key string) []crstage.Account {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	at := time.Now()
 	a := &k.accounts[i]
-	k.withdrawn[a.Keys[0]] = at
-	k.issued[key] = at
-	k.owner[key] = a.Name
+	k.revokedAt[a.Keys[0]] = at
+	k.issuedAt[key] = at
+	k.owners[key] = a.Name
 	a.Keys = append(append([]string(nil), a.Keys[1:]...), key)
 	return append([]crstage.Account(nil), k.accounts...)
 }
 
-// times returns when a key was issued and withdrawn; zero: at the start, and not.
-func (k *keyring) times(key string) (issued, withdrawn time.Time) {
+// validity returns when a key was issued and revoked. A zero issuedAt means that the
+// key is valid from the start of the run; a zero revokedAt, that it was not revoked.
+func (k *keyring) validity(key string) (issuedAt, revokedAt time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.issued[key], k.withdrawn[key]
+	return k.issuedAt[key], k.revokedAt[key]
 }
 
-// caller sends requests at one machine one after the other. It keeps its
-// connection open until the process at the other end is gone.
+// caller sends requests to one machine, one at a time, over one keep-alive connection
+// that stays open until the daemon exits.
 type caller struct {
-	machine *machine
-	book    *book
-	keys    *keyring
-	rand    *rand.Rand
-	client  *http.Client
-	pause   func() time.Duration
+	machine  *machine
+	calls    *callLog
+	keys     *keyring
+	rand     *rand.Rand
+	client   *http.Client
+	interval func() time.Duration
 }
 
-func newCaller(m *machine, b *book, k *keyring, seed uint64, pause func() time.Duration) *caller {
+func newCaller(m *machine, l *callLog, k *keyring, seed uint64, interval func() time.Duration) *caller {
 	return &caller{
-		machine: m, book: b, keys: k, rand: rand.New(rand.NewPCG(seed, uint64(m.index))), pause: pause,
+		machine: m, calls: l, keys: k, rand: rand.New(rand.NewPCG(seed, uint64(m.index))), interval: interval,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}},
 	}
 }
@@ -155,8 +157,8 @@
 func (c *caller) run(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		c.call(ctx)
-		wait := time.Duration((0.5 + c.rand.Float64()) * float64(c.pause()))
+		c.send(ctx)
+		wait := time.Duration((0.5 + c.rand.Float64()) * float64(c.interval()))
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait):
@@ -164,58 +166,59 @@
 	}
 }
 
-// call sends one request and books what came of it. The end of the run does not
-// cut it.
-func (c *caller) call(ctx context.Context) {
-	all := kinds()
-	k := all[c.rand.IntN(len(all))]
+// send sends one request and records its result. It does not inherit the cancellation
+// of ctx, so that the end of the run does not abort the request.
+func (c *caller) send(ctx context.Context) {
+	kinds := requestKinds()
+	k := kinds[c.rand.IntN(len(kinds))]
 	name, key := c.keys.pick(c.rand)
-	done := call{
-		id: "q" + strconv.FormatInt(c.book.next.Add(1), 10), machine: c.machine.index, kind: k, account: name, key: key, sent: time.Now(),
+	result := call{
+		id: "q" + strconv.FormatInt(c.calls.nextID.Add(1), 10), machine: c.machine.index, kind: k, account: name, key: key, sent: time.Now(),
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callerWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callerTimeout)
 	defer cancel()
-	done.path = k.path + strconv.Itoa(c.rand.IntN(100)) + "?a=1&b=%2F"
-	if k.once {
-		done.body = "body of " + done.id
+	result.path = k.path + strconv.Itoa(c.rand.IntN(100)) + "?a=1&b=%2F"
+	if k.nonIdempotent {
+		result.body = "body of " + result.id
 	}
-	req, err := http.NewRequestWithContext(ctx, k.method, "http://"+c.machine.plan.real(c.machine.index, crstage.PortCaller)+done.path, strings.NewReader(done.body))
+	req, err := http.NewRequestWithContext(ctx, k.method, "http://"+c.machine.addrs.listenAddr(c.machine.index, crstage.PortCaller)+result.path, strings.NewReader(result.body))
 	if err != nil {
-		done.err = err.Error()
-		c.book.add(done)
+		result.err = err.Error()
+		c.calls.add(result)
 		return
 	}
 	req.Host = "h.example"
-	req.Header.Set("Request-Id", done.id)
-	req.Header.Set("Deadline-Milliseconds", strconv.FormatInt(callerWait.Milliseconds(), 10))
+	req.Header.Set("Request-Id", result.id)
+	req.Header.Set("Deadline-Milliseconds", strconv.FormatInt(callerTimeout.Milliseconds(), 10))
 	req.Header.Set("Authorization", "Bearer "+key)
-	c.answer(req, &done)
-	done.took = time.Since(done.sent)
-	c.book.add(done)
+	c.roundTrip(req, &result)
+	result.latency = time.Since(result.sent)
+	c.calls.add(result)
 }
 
-func (c *caller) answer(req *http.Request, done *call) {
-	// A round trip alone: a client that sends again by itself would be two callers.
+func (c *caller) roundTrip(req *http.Request, result *call) {
+	// The transport is called directly: a client that repeats a request by itself would
+	// count as two callers.
 	resp, err := c.client.Transport.RoundTrip(req)
 	if err != nil {
-		done.err = err.Error()
+		result.err = err.Error()
 		return
 	}
-	defer func() { _ = resp.Body.Close() }() // it was read to its end
+	defer func() { _ = resp.Body.Close() }() // the body has been read
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		done.err = err.Error()
+		result.err = err.Error()
 		return
 	}
-	done.status = resp.StatusCode
+	result.status = resp.StatusCode
 	if resp.StatusCode != http.StatusOK {
 		return
 	}
-	want := fmt.Sprintf("answer to %s %s %s\n", done.id, done.kind.method, done.path)
+	want := fmt.Sprintf("answer to %s %s %s\n", result.id, result.kind.method, result.path)
 	switch {
 	case resp.Header.Get("Response-Seal") == "":
-		done.fault = "a success without the target's seal"
+		result.mismatch = "200 response without Response-Seal"
 	case string(text) != want:
-		done.fault = fmt.Sprintf("the answer is %q", text)
+		result.mismatch = fmt.Sprintf("unexpected response body %q", text)
 	}
 }
--- a/lab/crsoak/check.go
+++ b/lab/crsoak/check.go
@@ -11,250 +11,254 @@
 	"camphorroad/lab/crtarget"
 )
 
-// Bounds of the promises, as the operators' pages give them.
+// Limits of the promises in the operators' documentation, and the tolerances of the
+// checks.
 const (
-	routeTimeout = 1500 * time.Millisecond
-	heldSlack    = 500 * time.Millisecond
-	revokeBound  = 5 * time.Second
-	applyBound   = 2 * time.Second
-	drainSlack   = 300 * time.Millisecond // for a request on its way
-	quotaSpan    = 5 * time.Second
-	quotaOver    = 1.25
-	quotaSlack   = 20
-	calmTime     = 4 * time.Second
-	calmServed   = 0.95
-	// settleTime is how long after a fault a machine does not count as sound.
+	routeTimeout   = 1500 * time.Millisecond
+	latencySlack   = 500 * time.Millisecond
+	revokeBound    = 5 * time.Second
+	applyBound     = 2 * time.Second
+	drainSlack     = 300 * time.Millisecond // for requests in flight
+	quotaWindow    = 5 * time.Second
+	quotaTolerance = 1.25
+	quotaSlack     = 20
+	recoveryTime   = 4 * time.Second
+	recoveryRatio  = 0.95
+	// settleTime is how long a machine still counts as affected after a fault ended.
 	settleTime = 3 * time.Second
 )
 
-// evidence is what a run left behind.
-type evidence struct {
-	calls    []call
-	runs     map[string][]crtarget.Run // by request
-	allRuns  []crtarget.Run
-	spans    []span
-	leaves   []leaving
-	stops    []stopped
-	exits    []string
-	keys     *keyring
-	accounts []crstage.Account
-	machines []*machine
-	calm     time.Time // when the last fault had ended; zero: not yet
+// observations is the data of a run that the checks read.
+type observations struct {
+	calls           []call
+	runsByRequest   map[string][]crtarget.Run // by request ID
+	allRuns         []crtarget.Run
+	injections      []injection
+	drainStarts     []drainStart
+	stops           []daemonStop
+	unexpectedExits []string
+	keys            *keyring
+	accounts        []crstage.Account
+	machines        []*machine
+	recoveryStart   time.Time // settleTime after the last fault; zero while faults are injected
 }
 
-// verdict collects what broke a promise.
-type verdict struct{ broken []string }
+// violations collects one line for each violated promise.
+type violations struct{ list []string }
 
-func (v *verdict) add(format string, args ...any) {
-	v.broken = append(v.broken, fmt.Sprintf(format, args...))
+func (v *violations) add(format string, args ...any) {
+	v.list = append(v.list, fmt.Sprintf(format, args...))
 }
 
-// always checks what no fault excuses.
-func (e *evidence) always(v *verdict) {
-	for _, c := range e.calls {
-		e.checkAnswer(v, c)
-		e.checkRuns(v, c)
+// checkInvariants checks the promises that hold during every fault.
+func (o *observations) checkInvariants(v *violations) {
+	for _, c := range o.calls {
+		o.checkResponse(v, c)
+		o.checkRuns(v, c)
 	}
-	for _, exit := range e.exits {
+	for _, exit := range o.unexpectedExits {
 		v.add("exit: %s", exit)
 	}
-	e.checkQuota(v)
-	e.checkBudget(v)
+	o.checkQuota(v)
+	o.checkRetryBudget(v)
 }
 
-func (e *evidence) checkAnswer(v *verdict, c call) {
-	runs := e.runs[c.id]
-	if c.fault != "" {
-		v.add("mixed: %s at machine %d: %s", c.id, c.machine, c.fault)
+func (o *observations) checkResponse(v *violations, c call) {
+	runs := o.runsByRequest[c.id]
+	if c.mismatch != "" {
+		v.add("mixed: %s at machine %d: %s", c.id, c.machine, c.mismatch)
 	}
-	if refused(c.status) && len(runs) > 0 {
-		v.add("refused: %s was answered %d and ran at %s", c.id, c.status, runs[0].Target)
+	if isRejection(c.status) && len(runs) > 0 {
+		v.add("refused: %s got status %d but ran at %s", c.id, c.status, runs[0].Target)
 	}
-	issued, withdrawn := e.keys.times(c.key)
-	if (c.status == http.StatusUnauthorized || c.status == http.StatusNotFound) && issued.IsZero() && withdrawn.IsZero() {
-		v.add("denied: %s was answered %d though its key always held", c.id, c.status)
+	issuedAt, revokedAt := o.keys.validity(c.key)
+	if (c.status == http.StatusUnauthorized || c.status == http.StatusNotFound) && issuedAt.IsZero() && revokedAt.IsZero() {
+		v.add("denied: %s got status %d, but its key was valid throughout the run", c.id, c.status)
 	}
 }
 
-func refused(status int) bool {
+func isRejection(status int) bool {
 	return slices.Contains([]int{
 		http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest,
 	}, status)
 }
 
-func (e *evidence) checkRuns(v *verdict, c call) {
-	runs := e.runs[c.id]
-	if c.kind.once && len(runs) > 1 {
+func (o *observations) checkRuns(v *violations, c call) {
+	runs := o.runsByRequest[c.id]
+	if c.kind.nonIdempotent && len(runs) > 1 {
 		v.add("twice: %s ran at %s and at %s", c.id, runs[0].Target, runs[1].Target)
 	}
-	if len(runs) > c.kind.targets {
+	if len(runs) > c.kind.maxAttempts {
 		v.add("attempts: %s ran %d times", c.id, len(runs))
 	}
 	for _, r := range runs {
 		if r.Account != c.account {
-			v.add("account: %s of %s ran for %q", c.id, c.account, r.Account)
+			v.add("account: %s of account %s ran for account %q", c.id, c.account, r.Account)
 		}
 		if r.Header.Get("Authorization") != "" {
-			v.add("key: %s bore its key to %s", c.id, r.Target)
+			v.add("key: %s was forwarded to %s with its API key", c.id, r.Target)
 		}
 		if r.Method != c.kind.method || r.URI != c.path || r.Body != c.body {
 			v.add("changed: %s ran as %s %s %q", c.id, r.Method, r.URI, r.Body)
 		}
-		if want := e.machines[c.machine].service(); r.From != want {
-			v.add("from: %s came from %s and ran as of %s", c.id, want, r.From)
+		if want := o.machines[c.machine].service(); r.From != want {
+			v.add("from: %s entered at service %s, but its target saw service %q", c.id, want, r.From)
 		}
 	}
 }
 
-// checkQuota counts each account's runs in windows that end with a run.
-func (e *evidence) checkQuota(v *verdict) {
-	for _, a := range e.accounts {
+// checkQuota checks the number of runs of each account in every window that ends with
+// a run.
+func (o *observations) checkQuota(v *violations) {
+	for _, a := range o.accounts {
 		if a.Rate <= 0 {
 			continue // no limit
 		}
-		most := (a.Rate*quotaSpan.Seconds()+a.Burst)*quotaOver + quotaSlack
+		limit := (a.Rate*quotaWindow.Seconds()+a.Burst)*quotaTolerance + quotaSlack
 		var times []time.Time
-		for _, r := range e.allRuns {
+		for _, r := range o.allRuns {
 			if r.Account == a.Name {
 				times = append(times, r.At)
 			}
 		}
-		if n, end := fullest(times, quotaSpan); float64(n) > most {
-			v.add("quota: %s ran %d requests in %v until %s, %.0f are allowed", a.Name, n, quotaSpan, end.Format("15:04:05.000"), most)
+		if n, end := maxInWindow(times, quotaWindow); float64(n) > limit {
+			v.add("quota: %s ran %d requests in the %v before %s, limit is %.0f", a.Name, n, quotaWindow, end.Format("15:04:05.000"), limit)
 		}
 	}
 }
 
-// fullest returns the most times that lie within a span, and when that ends.
-func fullest(times []time.Time, span time.Duration) (most int, end time.Time) {
+// maxInWindow returns the maximum number of times in any window of the given length,
+// and the last time in that window. It sorts times in place.
+func maxInWindow(times []time.Time, window time.Duration) (count int, end time.Time) {
 	slices.SortFunc(times, time.Time.Compare)
 	first := 0
-	for i, at := range times {
-		for at.Sub(times[first]) > span {
+	for i, t := range times {
+		for t.Sub(times[first]) > window {
 			first++
 		}
-		if n := i - first + 1; n > most {
-			most, end = n, at
+		if n := i - first + 1; n > count {
+			count, end = n, t
 		}
 	}
-	return most, end
+	return count, end
 }
 
-// checkBudget compares the runs beyond the first with the requests of the same
-// window or the one before it.
-func (e *evidence) checkBudget(v *verdict) {
+// checkRetryBudget compares the retries of each service in a window with the requests
+// of that window or of the one before, whichever has more.
+func (o *observations) checkRetryBudget(v *violations) {
 	for i := range services {
 		service := fmt.Sprintf("s%d", i)
-		var asked, again []time.Time
-		for _, c := range e.calls {
+		var sent, retries []time.Time
+		for _, c := range o.calls {
 			if c.kind.service != service {
 				continue
 			}
-			asked = append(asked, c.sent)
-			runs := e.runs[c.id]
+			sent = append(sent, c.sent)
+			runs := o.runsByRequest[c.id]
 			for _, r := range runs[min(len(runs), 1):] {
-				again = append(again, r.At)
+				retries = append(retries, r.At)
 			}
 		}
-		slices.SortFunc(again, time.Time.Compare)
-		for _, end := range again {
-			n := within(again, end.Add(-crstage.BudgetSpan), end)
-			requests := max(within(asked, end.Add(-crstage.BudgetSpan), end), within(asked, end.Add(-2*crstage.BudgetSpan), end.Add(-crstage.BudgetSpan)))
-			if bound := crstage.BudgetRatio*float64(requests) + crstage.BudgetSlack; float64(n) > bound {
-				v.add("budget: %s got %d repeats in %v, %.0f are allowed", service, n, crstage.BudgetSpan, bound)
+		slices.SortFunc(retries, time.Time.Compare)
+		for _, end := range retries {
+			n := countBetween(retries, end.Add(-crstage.BudgetSpan), end)
+			requests := max(countBetween(sent, end.Add(-crstage.BudgetSpan), end), countBetween(sent, end.Add(-2*crstage.BudgetSpan), end.Add(-crstage.BudgetSpan)))
+			if limit := crstage.BudgetRatio*float64(requests) + crstage.BudgetSlack; float64(n) > limit {
+				v.add("budget: %s got %d retries in %v, limit is %.0f", service, n, crstage.BudgetSpan, limit)
 				break
 			}
 		}
 	}
 }
 
-func within(times []time.Time, from, to time.Time) int {
+func countBetween(times []time.Time, from, to time.Time) int {
 	n := 0
-	for _, at := range times {
-		if at.After(from) && !at.After(to) {
+	for _, t := range times {
+		if t.After(from) && !t.After(to) {
 			n++
 		}
 	}
 	return n
 }
 
-// Faults that excuse a check where they touch its machine and time.
+// Kinds of faults that suspend a check on the affected machines, for the time of the
+// fault and settleTime after it.
 var (
-	ofProcess = []string{"kill", "herd", "pause"}
-	ofNews    = []string{"kill", "herd", "pause", "term", "roll", "store", "store link", "peer", "datagrams", "loss", "compact"}
+	processFaults     = []string{"kill", "herd", "pause"}
+	propagationFaults = []string{"kill", "herd", "pause", "term", "roll", "store", "store link", "peer", "datagrams", "loss", "compact"}
 )
 
-// harmed reports whether faults of some kinds touched a machine in a time, or
-// shortly before it.
-func (e *evidence) harmed(kinds []string, machine int, from, to time.Time) bool {
-	return slices.ContainsFunc(e.spans, func(s span) bool {
-		return slices.Contains(kinds, s.kind) && s.touches(machine, from.Add(-settleTime), to)
+// affected reports whether a fault of the given kinds affected a machine between from
+// and to, or in the settleTime before from.
+func (o *observations) affected(kinds []string, machine int, from, to time.Time) bool {
+	return slices.ContainsFunc(o.injections, func(i injection) bool {
+		return slices.Contains(kinds, i.kind) && i.overlaps(machine, from.Add(-settleTime), to)
 	})
 }
 
-// bounded checks what has to hold in time where nothing harmed it.
-func (e *evidence) bounded(v *verdict) {
-	for _, c := range e.calls {
-		e.checkHeld(v, c)
-		e.checkCut(v, c)
-		e.checkKey(v, c)
+// checkTimeBounds checks the promises that hold only on machines without a fault.
+func (o *observations) checkTimeBounds(v *violations) {
+	for _, c := range o.calls {
+		o.checkLatency(v, c)
+		o.checkLost(v, c)
+		o.checkKeyPropagation(v, c)
 	}
-	e.checkLeaving(v)
-	for _, s := range e.stops {
-		if !s.inTime && !e.harmed(ofProcess, s.machine, s.at, s.finished) {
-			v.add("stop: machine %d had not ended %v after SIGTERM", s.machine, s.took.Round(time.Millisecond))
+	o.checkDrain(v)
+	for _, stop := range o.stops {
+		if !stop.inTime && !o.affected(processFaults, stop.machine, stop.at, stop.finished) {
+			v.add("stop: machine %d had not exited %v after SIGTERM", stop.machine, stop.took.Round(time.Millisecond))
 		}
 	}
-	e.checkCalm(v)
+	o.checkRecovery(v)
 }
 
-func (e *evidence) checkHeld(v *verdict, c call) {
-	if c.took > routeTimeout+heldSlack && !e.harmed(ofProcess, c.machine, c.sent, c.sent.Add(c.took)) {
-		v.add("held: %s at machine %d for %v, then %d %s", c.id, c.machine, c.took.Round(time.Millisecond), c.status, c.err)
+func (o *observations) checkLatency(v *violations, c call) {
+	if c.latency > routeTimeout+latencySlack && !o.affected(processFaults, c.machine, c.sent, c.sent.Add(c.latency)) {
+		v.add("held: %s at machine %d took %v, status %d %s", c.id, c.machine, c.latency.Round(time.Millisecond), c.status, c.err)
 	}
 }
 
-// checkCut looks at requests that were passed on and never answered, though the
-// process at which they entered was neither killed nor paused.
-func (e *evidence) checkCut(v *verdict, c call) {
-	if c.status != 0 || len(e.runs[c.id]) == 0 || e.harmed(ofProcess, c.machine, c.sent, c.sent.Add(c.took)) {
+// checkLost reports requests that ran at a target but got no response, although the
+// daemon that received them was neither killed nor paused.
+func (o *observations) checkLost(v *violations, c call) {
+	if c.status != 0 || len(o.runsByRequest[c.id]) == 0 || o.affected(processFaults, c.machine, c.sent, c.sent.Add(c.latency)) {
 		return
 	}
-	v.add("lost: %s at machine %d ran and got no answer after %v: %s", c.id, c.machine, c.took.Round(time.Millisecond), c.err)
+	v.add("lost: %s at machine %d ran, but got no response after %v: %s", c.id, c.machine, c.latency.Round(time.Millisecond), c.err)
 }
 
-func (e *evidence) checkKey(v *verdict, c call) {
-	issued, withdrawn := e.keys.times(c.key)
-	if !withdrawn.IsZero() && c.sent.Sub(withdrawn) > revokeBound && len(e.runs[c.id]) > 0 && !e.harmed(ofNews, c.machine, withdrawn, c.sent) {
-		v.add("withdrawn: %s ran %v after its key was withdrawn", c.id, c.sent.Sub(withdrawn).Round(time.Millisecond))
+func (o *observations) checkKeyPropagation(v *violations, c call) {
+	issuedAt, revokedAt := o.keys.validity(c.key)
+	if !revokedAt.IsZero() && c.sent.Sub(revokedAt) > revokeBound && len(o.runsByRequest[c.id]) > 0 && !o.affected(propagationFaults, c.machine, revokedAt, c.sent) {
+		v.add("withdrawn: %s ran %v after its key was revoked", c.id, c.sent.Sub(revokedAt).Round(time.Millisecond))
 	}
-	known := !issued.IsZero() && c.sent.Sub(issued) > applyBound && withdrawn.IsZero()
-	if known && c.status == http.StatusUnauthorized && !e.harmed(ofNews, c.machine, issued, c.sent) {
-		v.add("apply: %s was answered 401 %v after its key was issued", c.id, c.sent.Sub(issued).Round(time.Millisecond))
+	valid := !issuedAt.IsZero() && c.sent.Sub(issuedAt) > applyBound && revokedAt.IsZero()
+	if valid && c.status == http.StatusUnauthorized && !o.affected(propagationFaults, c.machine, issuedAt, c.sent) {
+		v.add("apply: %s got status 401 %v after its key was issued", c.id, c.sent.Sub(issuedAt).Round(time.Millisecond))
 	}
 }
 
-func (e *evidence) checkLeaving(v *verdict) {
-	entry := make(map[string]call, len(e.calls))
-	for _, c := range e.calls {
-		entry[c.id] = c
+func (o *observations) checkDrain(v *violations) {
+	callByID := make(map[string]call, len(o.calls))
+	for _, c := range o.calls {
+		callByID[c.id] = c
 	}
-	for _, l := range e.leaves {
-		for _, r := range e.allRuns {
-			if r.Target != l.id || r.At.Sub(l.at) < crstage.DrainTime+drainSlack {
+	for _, d := range o.drainStarts {
+		for _, r := range o.allRuns {
+			if r.Target != d.targetID || r.At.Sub(d.at) < crstage.DrainTime+drainSlack {
 				continue
 			}
-			c, known := entry[r.ID]
-			if !known || e.harmed(ofNews, c.machine, l.at, r.At) || e.harmed(ofNews, machineOf(l.id), l.at, r.At) {
+			c, known := callByID[r.ID]
+			if !known || o.affected(propagationFaults, c.machine, d.at, r.At) || o.affected(propagationFaults, machineOfTarget(d.targetID), d.at, r.At) {
 				continue
 			}
-			v.add("drain: %s reached %s %v after it said that it leaves", r.ID, l.id, r.At.Sub(l.at).Round(time.Millisecond))
+			v.add("drain: %s ran at %s %v after the target started to drain", r.ID, d.targetID, r.At.Sub(d.at).Round(time.Millisecond))
 		}
 	}
 }
 
-// machineOf reads the machine's number from its target's name.
-func machineOf(id string) int {
+// machineOfTarget returns the index of the machine from a target ID, or -1.
+func machineOfTarget(id string) int {
 	var machine, start int
 	if _, err := fmt.Sscanf(id, "i-%d-%d", &machine, &start); err != nil {
 		return -1
@@ -262,32 +266,32 @@
 	return machine
 }
 
-// checkCalm looks at the time after the last fault.
-func (e *evidence) checkCalm(v *verdict) {
-	if e.calm.IsZero() {
+// checkRecovery checks the share of successful requests after the last fault.
+func (o *observations) checkRecovery(v *violations) {
+	if o.recoveryStart.IsZero() {
 		return
 	}
-	n, served := 0, 0
-	for _, c := range e.calls {
-		_, withdrawn := e.keys.times(c.key)
-		if c.sent.Before(e.calm) || !withdrawn.IsZero() || c.status == http.StatusTooManyRequests {
+	total, served := 0, 0
+	for _, c := range o.calls {
+		_, revokedAt := o.keys.validity(c.key)
+		if c.sent.Before(o.recoveryStart) || !revokedAt.IsZero() || c.status == http.StatusTooManyRequests {
 			continue
 		}
-		n++
+		total++
 		if c.status == http.StatusOK {
 			served++
 		}
 	}
-	if float64(served) < calmServed*float64(n) {
-		v.add("recovery: %d of %d requests were served after the last fault", served, n)
+	if float64(served) < recoveryRatio*float64(total) {
+		v.add("recovery: %d of %d requests were served after the last fault", served, total)
 	}
 }
 
-// checkLogs looks for what the race detector and a crash write.
-func checkLogs(v *verdict, machine int, text string) {
-	for _, sign := range []string{"WARNING: DATA RACE", "panic:", "fatal error:"} {
-		if strings.Contains(text, sign) {
-			v.add("log: machine %d wrote %q", machine, sign)
+// checkLogs searches a daemon's log for data races and crashes.
+func checkLogs(v *violations, machine int, text string) {
+	for _, marker := range []string{"WARNING: DATA RACE", "panic:", "fatal error:"} {
+		if strings.Contains(text, marker) {
+			v.add("log: machine %d wrote %q", machine, marker)
 		}
 	}
 }
--- a/lab/crsoak/crsoak.go
+++ b/lab/crsoak/crsoak.go
@@ -1,19 +1,24 @@
-// Package crsoak runs daemons as separate processes beside stand-ins of store and
-// targets, harms them from outside, and checks what callers and targets see.
+// Package crsoak is a fault-injection soak test. It runs a fleet of daemons as
+// separate processes with an in-process store and in-process targets, injects faults
+// from outside the processes, and checks the responses that callers get and the
+// requests that targets run. The command `camphorlab soak` and the end-to-end tests
+// use it. Package crstage, in contrast, provides a store and targets without faults;
+// crsoak takes its settings and records from there.
 //
-// Faults are drawn from a seed and come in series and one upon the other:
-// connections to peers, store and targets are delayed, reset, silenced, or cut one
-// way; datagrams are lost; processes are told to stop, killed, paused and started
-// again; targets fail gray, crash and leave; the store fails; keys are withdrawn.
-// Clocks and storage are left alone: daemons keep nothing, and read a clock of the
-// kernel that only its administrator could change.
+// The faults are drawn from a seed. They follow one another and may overlap:
+// connections to peers, store and targets are delayed, reset, stalled, or blocked in
+// one direction; datagrams are dropped; processes are stopped, killed, paused and
+// restarted; targets fail in part, crash and drain; the store fails; keys are revoked.
+// Clock and disk faults are not injected: daemons store nothing on disk, and they
+// read a kernel clock that only an administrator can change.
 //
-// The seed fixes the faults and their times, not the schedule of the processes.
+// The seed determines the faults and their times, but not how the kernel schedules
+// the processes, so two runs of a seed may differ.
 //
 // # Usage
 //
 //	report, err := crsoak.Run(ctx, crsoak.Options{Binary: "bin/camphorroad", Seed: 7, Length: 15 * time.Second})
-//	for _, line := range report.Broken() { ... }
+//	for _, line := range report.Violations() { ... }
 package crsoak
 
 import (
@@ -34,62 +39,64 @@
 
 // Options are the settings of a run.
 type Options struct {
-	Binary   string        // the daemon's program
-	Env      []string      // its variables besides those of this process
-	Dir      string        // for settings and logs; it must exist
-	Seed     uint64        // of the faults
-	Machines int           // zero: six
-	Length   time.Duration // of the faults; calm time comes after it
-	Net      int           // second byte of the loopback addresses, 1 to 250: two runs at a time need two
+	Binary   string        // path of the daemon's executable
+	Env      []string      // environment variables of the daemon, added to those of this process
+	Dir      string        // existing directory for settings files and logs
+	Seed     uint64        // determines the faults and their times
+	Machines int           // number of daemons; zero means six
+	Length   time.Duration // duration of the faults; a period without faults follows
+	Net      int           // second byte of the loopback addresses, 1 to 250; concurrent runs need different values
 }
 
 const (
-	defaultMachines = 6
-	callersEach     = 3
-	// callerPause is the mean time between two requests of a caller; a crowd
-	// takes a quarter of it.
-	callerPause = 60 * time.Millisecond
-	startTime   = 30 * time.Second
-	watchEvery  = time.Second
+	defaultMachines   = 6
+	callersPerMachine = 3
+	// callerInterval is the mean time between a response and the next request of a
+	// caller. During a "burst" fault it is divided by four.
+	callerInterval = 60 * time.Millisecond
+	startTimeout   = 30 * time.Second
+	checkInterval  = time.Second
 )
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
-	seed    uint64
-	broken  []string
-	answers map[int]int
-	faults  []string
+	seed       uint64
+	violations []string
+	statuses   map[int]int
+	faults     []string
 }
 
-// Seed returns the run's seed.
+// Seed returns the seed of the run.
 func (r *Report) Seed() uint64 { return r.seed }
 
-// Broken returns each broken promise in a line; none: all held.
-func (r *Report) Broken() []string { return slices.Clone(r.broken) }
+// Violations returns one line for each violated promise.
+func (r *Report) Violations() []string { return slices.Clone(r.violations) }
 
-// Faults returns what was played, in the order of the starts.
+// Faults returns one line for each injected fault, in order of start time.
 func (r *Report) Faults() []string { return slices.Clone(r.faults) }
 
-// Summary counts the answers by status; 0 stands for none.
+// Summary returns the numbers of faults, of responses by status, and of violations in
+// one line. Status 0 counts the requests without a complete response.
 func (r *Report) Summary() string {
 	text := fmt.Sprintf("seed %d: %d faults", r.seed, len(r.faults))
-	for _, status := range slices.Sorted(maps.Keys(r.answers)) {
-		text += fmt.Sprintf(", %d: %d", status, r.answers[status])
+	for _, status := range slices.Sorted(maps.Keys(r.statuses)) {
+		text += fmt.Sprintf(", %d: %d", status, r.statuses[status])
 	}
-	return text + fmt.Sprintf(", broken: %d", len(r.broken))
+	return text + fmt.Sprintf(", broken: %d", len(r.violations))
 }
 
-// soak is a run.
+// soak is the state of one run.
 type soak struct {
-	opts   Options
-	fleet  *fleet
-	keys   *keyring
-	book   *book
-	player *player
-	calm   time.Time
+	opts          Options
+	fleet         *fleet
+	keys          *keyring
+	calls         *callLog
+	injector      *injector
+	recoveryStart time.Time
 }
 
-// accounts of each run: one that is held to its rate, and three that are not.
+// accounts returns the accounts of each run: one that reaches its rate limit, and
+// three that do not.
 func accounts() []crstage.Account {
 	return []crstage.Account{
 		{Name: "small", Keys: []string{"k-small-1", "k-small-2"}, Rate: 15, Burst: 15},
@@ -99,7 +106,8 @@
 	}
 }
 
-// Run plays one seed. An error means that the run itself could not be carried out.
+// Run performs a run and returns its report. An error means that the run could not be
+// completed; violated promises are reported by [Report.Violations] only.
 func Run(ctx context.Context, opts Options) (report *Report, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -107,7 +115,7 @@
 	if opts.Machines == 0 {
 		opts.Machines = defaultMachines
 	}
-	s := &soak{opts: opts, keys: newKeyring(accounts()), book: &book{}}
+	s := &soak{opts: opts, keys: newKeyring(accounts()), calls: &callLog{}}
 	s.fleet, err = newFleet(ctx, opts)
 	if s.fleet != nil {
 		defer func() { err = errors.Join(err, s.fleet.close()) }()
@@ -115,33 +123,33 @@
 	if err != nil {
 		return nil, err
 	}
-	s.player = &player{fleet: s.fleet, keys: s.keys, version: 1}
+	s.injector = &injector{fleet: s.fleet, keys: s.keys, version: 1}
 	if err := crstage.Publish(s.fleet.store, 1, accounts()); err != nil {
 		return nil, err
 	}
 	if err := s.waitReady(ctx); err != nil {
 		return nil, err
 	}
-	return s.play(ctx)
+	return s.run(ctx)
 }
 
-// waitReady waits until all daemons say that they can serve.
+// waitReady waits until all daemons report ready.
 func (s *soak) waitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startTime)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for _, m := range s.fleet.machines {
 		for !isReady(ctx, m) {
 			if ctx.Err() != nil {
-				return fmt.Errorf("machine %d is not ready after %v", m.index, startTime)
+				return fmt.Errorf("machine %d is not ready after %v", m.index, startTimeout)
 			}
-			pause(ctx, 50*time.Millisecond)
+			sleep(ctx, 50*time.Millisecond)
 		}
 	}
 	return nil
 }
 
 func isReady(ctx context.Context, m *machine) bool {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.plan.real(m.index, crstage.PortReady)+"/ready", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.addrs.listenAddr(m.index, crstage.PortReady)+"/ready", nil)
 	if err != nil {
 		return false
 	}
@@ -152,54 +160,56 @@
 	return resp.Body.Close() == nil && resp.StatusCode == http.StatusOK
 }
 
-// play runs callers and faults, then callers alone, and checks.
-func (s *soak) play(ctx context.Context) (*Report, error) {
-	calling, stopCalling := context.WithCancel(ctx)
+// run sends requests while faults are injected and for recoveryTime afterwards, and
+// then checks the promises.
+func (s *soak) run(ctx context.Context) (*Report, error) {
+	callersCtx, stopCalling := context.WithCancel(ctx)
 	defer stopCalling()
 	var callers sync.WaitGroup
 	for _, m := range s.fleet.machines {
-		for i := range callersEach {
-			c := newCaller(m, s.book, s.keys, s.opts.Seed*1000+uint64(i), s.pauseTime)
+		for i := range callersPerMachine {
+			c := newCaller(m, s.calls, s.keys, s.opts.Seed*1000+uint64(i), s.callerInterval)
 			callers.Add(1)
 			go func() {
 				defer callers.Done()
-				c.run(calling)
+				c.run(callersCtx)
 			}()
 		}
 	}
-	faults, stopFaults := context.WithCancel(ctx)
+	faultsCtx, stopFaults := context.WithCancel(ctx)
 	defer stopFaults()
-	watched := s.watch(faults, stopFaults)
+	monitorDone := s.stopOnViolation(faultsCtx, stopFaults)
 	rng := rand.New(rand.NewPCG(s.opts.Seed, 1))
-	s.player.play(faults, schedule(rng, s.opts.Machines, s.opts.Length))
+	s.injector.run(faultsCtx, schedule(rng, s.opts.Machines, s.opts.Length))
 	stopFaults()
-	<-watched
-	pause(ctx, settleTime)
-	s.calm = time.Now()
-	pause(ctx, calmTime)
+	<-monitorDone
+	sleep(ctx, settleTime)
+	s.recoveryStart = time.Now()
+	sleep(ctx, recoveryTime)
 	stopCalling()
 	callers.Wait()
 	return s.report(ctx)
 }
 
-func (s *soak) pauseTime() time.Duration {
-	if s.player.isFast() {
-		return callerPause / 4
+func (s *soak) callerInterval() time.Duration {
+	if s.injector.inBurst() {
+		return callerInterval / 4
 	}
-	return callerPause
+	return callerInterval
 }
 
-// watch checks what no fault excuses while the run goes on, and ends the faults
-// as soon as a promise is broken: the logs then end close to the cause.
-func (s *soak) watch(ctx context.Context, stop func()) <-chan struct{} {
+// stopOnViolation checks the invariants periodically and calls stop at the first
+// violation, so that the logs end close to its cause. The returned channel is closed
+// when the checks have ended.
+func (s *soak) stopOnViolation(ctx context.Context, stop func()) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for ctx.Err() == nil {
-			pause(ctx, watchEvery)
-			v := &verdict{}
-			s.evidence().always(v)
-			if len(v.broken) > 0 {
+			sleep(ctx, checkInterval)
+			v := &violations{}
+			s.observe().checkInvariants(v)
+			if len(v.list) > 0 {
 				stop()
 			}
 		}
@@ -207,44 +217,45 @@
 	return done
 }
 
-// evidence reads the calls first: what ran for them is then all there.
-func (s *soak) evidence() *evidence {
-	e := &evidence{calls: s.book.all(), keys: s.keys, accounts: accounts(), machines: s.fleet.machines, calm: s.calm}
-	e.allRuns = s.fleet.allRuns()
-	e.runs = make(map[string][]crtarget.Run, len(e.calls))
-	for _, r := range e.allRuns {
-		e.runs[r.ID] = append(e.runs[r.ID], r)
-	}
-	s.player.mu.Lock()
-	e.spans, e.leaves, e.stops = slices.Clone(s.player.spans), slices.Clone(s.player.leaves), slices.Clone(s.player.stops)
-	s.player.mu.Unlock()
+// observe copies the data that the run has collected. It reads the calls before the
+// runs, so that the runs of every call are included.
+func (s *soak) observe() *observations {
+	o := &observations{calls: s.calls.snapshot(), keys: s.keys, accounts: accounts(), machines: s.fleet.machines, recoveryStart: s.recoveryStart}
+	o.allRuns = s.fleet.allRuns()
+	o.runsByRequest = make(map[string][]crtarget.Run, len(o.calls))
+	for _, r := range o.allRuns {
+		o.runsByRequest[r.ID] = append(o.runsByRequest[r.ID], r)
+	}
+	s.injector.mu.Lock()
+	o.injections, o.drainStarts, o.stops = slices.Clone(s.injector.injections), slices.Clone(s.injector.drainStarts), slices.Clone(s.injector.stops)
+	s.injector.mu.Unlock()
 	s.fleet.mu.Lock()
-	e.exits = slices.Clone(s.fleet.exits)
+	o.unexpectedExits = slices.Clone(s.fleet.unexpectedExits)
 	s.fleet.mu.Unlock()
-	return e
+	return o
 }
 
 func (s *soak) report(ctx context.Context) (*Report, error) {
-	if err := errors.Join(append(s.player.errs, ctx.Err())...); err != nil {
+	if err := errors.Join(append(s.injector.errs, ctx.Err())...); err != nil {
 		return nil, err
 	}
-	v := &verdict{}
-	e := s.evidence()
-	e.always(v)
-	e.bounded(v)
+	v := &violations{}
+	o := s.observe()
+	o.checkInvariants(v)
+	o.checkTimeBounds(v)
 	for _, m := range s.fleet.machines {
-		text, err := os.ReadFile(m.proc.log())
+		text, err := os.ReadFile(m.proc.logFile())
 		if err != nil {
 			return nil, err
 		}
 		checkLogs(v, m.index, string(text))
 	}
-	r := &Report{seed: s.opts.Seed, broken: v.broken, answers: make(map[int]int)}
-	for _, c := range e.calls {
-		r.answers[c.status]++
+	r := &Report{seed: s.opts.Seed, violations: v.list, statuses: make(map[int]int)}
+	for _, c := range o.calls {
+		r.statuses[c.status]++
 	}
-	for _, sp := range e.spans {
-		r.faults = append(r.faults, fmt.Sprintf("%s %s for %.1f s", sp.from.Format("15:04:05.000"), sp.name, sp.to.Sub(sp.from).Seconds()))
+	for _, inj := range o.injections {
+		r.faults = append(r.faults, fmt.Sprintf("%s %s for %.1f s", inj.from.Format("15:04:05.000"), inj.name, inj.to.Sub(inj.from).Seconds()))
 	}
 	return r, nil
 }
--- a/lab/crsoak/datagram.go
+++ b/lab/crsoak/datagram.go
@@ -10,24 +10,25 @@
 	"camphorroad/lab/crstage"
 )
 
-// pair is a way between two machines, by their numbers.
-type pair struct{ from, to int }
+// direction is an ordered pair of machine indexes.
+type direction struct{ from, to int }
 
-// datagrams carries the messages between daemons. Each daemon sends to the known
-// address of a peer, and is seen by it under its own known address.
-type datagrams struct {
-	plan  addresses
-	conns []*net.UDPConn // at the machines' known addresses
-	mu    sync.Mutex
-	cuts  map[pair]bool
-	loss  float64
-	done  sync.WaitGroup
+// datagramRelay forwards datagrams between the daemons. A daemon sends to the
+// advertised address of a peer; the peer receives the datagram from the advertised
+// address of the sender.
+type datagramRelay struct {
+	addrs    addressPlan
+	conns    []*net.UDPConn // at the machines' advertised addresses
+	mu       sync.Mutex
+	blocked  map[direction]bool
+	lossRate float64
+	done     sync.WaitGroup
 }
 
-func newDatagrams(ctx context.Context, plan addresses, n int) (*datagrams, error) {
-	d := &datagrams{plan: plan, cuts: make(map[pair]bool)}
+func newDatagramRelay(ctx context.Context, addrs addressPlan, n int) (*datagramRelay, error) {
+	d := &datagramRelay{addrs: addrs, blocked: make(map[direction]bool)}
 	for i := range n {
-		addr := netip.MustParseAddrPort(plan.known(i, crstage.PortPeer))
+		addr := netip.MustParseAddrPort(addrs.advertisedAddr(i, crstage.PortPeer))
 		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 		if err != nil {
 			d.close()
@@ -42,52 +43,52 @@
 	return d, nil
 }
 
-// forward passes on what comes for a machine.
-func (d *datagrams) forward(ctx context.Context, to int) {
+// forward forwards the datagrams that are sent to a machine.
+func (d *datagramRelay) forward(ctx context.Context, to int) {
 	defer d.done.Done()
 	buf := make([]byte, 2048)
-	real := netip.MustParseAddrPort(d.plan.real(to, crstage.PortPeer))
+	dest := netip.MustParseAddrPort(d.addrs.listenAddr(to, crstage.PortPeer))
 	for ctx.Err() == nil {
 		n, from, err := d.conns[to].ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if ctx.Err() != nil || isClosed(err) {
 				return
 			}
-			continue // a dead daemon's port answers with an error
+			continue // ICMP port unreachable from a daemon that is not running
 		}
-		sender, ok := d.plan.machineOf(from.Addr())
-		if !ok || !d.passes(pair{sender, to}) {
+		sender, ok := d.addrs.machineOf(from.Addr())
+		if !ok || !d.forwards(direction{sender, to}) {
 			continue
 		}
-		_, _ = d.conns[sender].WriteToUDPAddrPort(buf[:n], real) // a datagram may be lost
+		_, _ = d.conns[sender].WriteToUDPAddrPort(buf[:n], dest) // datagrams may be lost
 	}
 }
 
-func (d *datagrams) passes(p pair) bool {
+func (d *datagramRelay) forwards(dir direction) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.cuts[p] && (d.loss == 0 || rand.Float64() >= d.loss)
+	return !d.blocked[dir] && (d.lossRate == 0 || rand.Float64() >= d.lossRate)
 }
 
-func (d *datagrams) cut(p pair, is bool) {
+func (d *datagramRelay) setBlocked(dir direction, blocked bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if is {
-		d.cuts[p] = true
+	if blocked {
+		d.blocked[dir] = true
 		return
 	}
-	delete(d.cuts, p)
+	delete(d.blocked, dir)
 }
 
-func (d *datagrams) lose(share float64) {
+func (d *datagramRelay) setLoss(rate float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.loss = share
+	d.lossRate = rate
 }
 
-func (d *datagrams) close() {
+func (d *datagramRelay) close() {
 	for _, c := range d.conns {
-		_ = c.Close() // ends its reader
+		_ = c.Close() // ends its forward loop
 	}
 	d.done.Wait()
 }
--- a/lab/crsoak/fault.go
+++ b/lab/crsoak/fault.go
@@ -14,33 +14,34 @@
 	"camphorroad/lab/crtarget"
 )
 
-// span is a fault as it was played: the checks ask what was harmed when.
-type span struct {
+// injection records when a fault was injected, and at which machines.
+type injection struct {
 	name     string
 	kind     string
-	machines []int // empty: all
+	machines []int // empty means all
 	from, to time.Time
 }
 
-// touches reports whether the fault concerns a machine in a time; negative: any.
-func (s span) touches(machine int, from, to time.Time) bool {
-	if s.to.Before(from) || s.from.After(to) {
+// overlaps reports whether the fault affected a machine between from and to. A
+// negative machine stands for any.
+func (i injection) overlaps(machine int, from, to time.Time) bool {
+	if i.to.Before(from) || i.from.After(to) {
 		return false
 	}
-	return machine < 0 || len(s.machines) == 0 || slices.Contains(s.machines, machine)
+	return machine < 0 || len(i.machines) == 0 || slices.Contains(i.machines, machine)
 }
 
-// step is a fault of the schedule.
-type step struct {
-	at, lasts time.Duration
-	kind      string
-	machines  []int
-	pick      uint64 // what is left to chance within the fault
+// fault is a scheduled fault.
+type fault struct {
+	start, duration time.Duration
+	kind            string
+	machines        []int
+	seed            uint64 // of the random choices within the fault
 }
 
-// kindsOfFault lists every fault, each with the most machines that it concerns at
-// a time; zero: all of them.
-func kindsOfFault() map[string]int {
+// faultKinds returns the names of all faults, each with the maximum number of machines
+// that it affects at a time. Zero means all machines.
+func faultKinds() map[string]int {
 	return map[string]int{
 		"term": 2, "kill": 2, "pause": 2, "hup": 3, "roll": 0, "herd": 3,
 		"peer": 2, "store link": 2, "target link": 2, "datagrams": 2, "loss": 0,
@@ -49,49 +50,48 @@
 	}
 }
 
-// schedule draws the faults of a run: in series, and now and then one upon the
-// other.
-func schedule(r *rand.Rand, n int, length time.Duration) []step {
-	all := kindsOfFault()
+// schedule draws the faults of a run. Faults may overlap.
+func schedule(r *rand.Rand, n int, length time.Duration) []fault {
+	all := faultKinds()
 	names := make([]string, 0, len(all))
 	for name := range all {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	var out []step
+	var out []fault
 	for at := time.Second; at < length; at += time.Duration((0.3 + r.Float64()) * float64(1200*time.Millisecond)) {
-		s := step{at: at, kind: names[r.IntN(len(names))], pick: r.Uint64()}
-		s.lasts = 300*time.Millisecond + time.Duration(r.Float64()*float64(2500*time.Millisecond))
-		if most := all[s.kind]; most > 0 {
-			s.machines = r.Perm(n)[:1+r.IntN(most)]
+		f := fault{start: at, kind: names[r.IntN(len(names))], seed: r.Uint64()}
+		f.duration = 300*time.Millisecond + time.Duration(r.Float64()*float64(2500*time.Millisecond))
+		if limit := all[f.kind]; limit > 0 {
+			f.machines = r.Perm(n)[:1+r.IntN(limit)]
 		}
-		out = append(out, s)
+		out = append(out, f)
 	}
 	return out
 }
 
-// player plays faults on a fleet and keeps what it played.
-type player struct {
-	fleet   *fleet
-	keys    *keyring
-	mu      sync.Mutex
-	spans   []span
-	leaves  []leaving
-	stops   []stopped
-	errs    []error
-	version int
-	fast    bool // callers send more
-	running sync.WaitGroup
+// injector injects faults into a fleet and records them.
+type injector struct {
+	fleet       *fleet
+	keys        *keyring
+	mu          sync.Mutex
+	injections  []injection
+	drainStarts []drainStart
+	stops       []daemonStop
+	errs        []error
+	version     int
+	burst       bool // callers send at a higher rate
+	running     sync.WaitGroup
 }
 
-// leaving is a target that said that it leaves.
-type leaving struct {
-	id string
-	at time.Time
+// drainStart records when a target was registered as leaving.
+type drainStart struct {
+	targetID string
+	at       time.Time
 }
 
-// stopped is a planned stop of a daemon.
-type stopped struct {
+// daemonStop records a stop of a daemon by SIGTERM.
+type daemonStop struct {
 	machine  int
 	at       time.Time
 	took     time.Duration
@@ -99,95 +99,96 @@
 	finished time.Time
 }
 
-// play starts each fault at its time and waits until the last has ended.
-func (p *player) play(ctx context.Context, steps []step) {
+// run starts each fault at its time and waits until all have ended. After ctx is done,
+// the remaining faults start at once and end early.
+func (in *injector) run(ctx context.Context, faults []fault) {
 	began := time.Now()
-	for _, s := range steps {
+	for _, f := range faults {
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Until(began.Add(s.at))):
+		case <-time.After(time.Until(began.Add(f.start))):
 		}
-		p.running.Add(1)
+		in.running.Add(1)
 		go func() {
-			defer p.running.Done()
-			p.note(p.one(ctx, s))
+			defer in.running.Done()
+			in.recordError(in.inject(ctx, f))
 		}()
 	}
-	p.running.Wait()
+	in.running.Wait()
 }
 
-func (p *player) note(err error) {
+func (in *injector) recordError(err error) {
 	if err == nil {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.errs = append(p.errs, err)
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	in.errs = append(in.errs, err)
 }
 
-// one plays a fault from its start to its end.
-func (p *player) one(ctx context.Context, s step) error {
-	played := span{name: fmt.Sprintf("%s %v", s.kind, s.machines), kind: s.kind, machines: s.machines, from: time.Now()}
-	r := rand.New(rand.NewPCG(s.pick, 0))
-	p.mu.Lock()
-	i := len(p.spans)
-	played.to = played.from.Add(time.Hour)
-	p.spans = append(p.spans, played)
-	p.mu.Unlock()
-	err := p.harm(ctx, s, r)
-	p.mu.Lock()
-	p.spans[i].to = time.Now()
-	p.mu.Unlock()
+// inject injects a fault, waits for its end, and records both times.
+func (in *injector) inject(ctx context.Context, f fault) error {
+	inj := injection{name: fmt.Sprintf("%s %v", f.kind, f.machines), kind: f.kind, machines: f.machines, from: time.Now()}
+	r := rand.New(rand.NewPCG(f.seed, 0))
+	in.mu.Lock()
+	i := len(in.injections)
+	inj.to = inj.from.Add(time.Hour)
+	in.injections = append(in.injections, inj)
+	in.mu.Unlock()
+	err := in.apply(ctx, f, r)
+	in.mu.Lock()
+	in.injections[i].to = time.Now()
+	in.mu.Unlock()
 	return err
 }
 
-func (p *player) harm(ctx context.Context, s step, r *rand.Rand) error {
-	switch s.kind {
+func (in *injector) apply(ctx context.Context, f fault, r *rand.Rand) error {
+	switch f.kind {
 	case "term", "kill", "pause", "hup", "herd":
-		return p.each(s.machines, func(m *machine) error { return p.signalled(ctx, m, s) })
+		return in.forEach(f.machines, func(m *machine) error { return in.signalProcess(ctx, m, f) })
 	case "roll":
-		return p.roll(ctx, r)
+		return in.rollingRestart(ctx, r)
 	case "peer", "store link", "target link":
-		return p.links(ctx, s, r)
+		return in.degradeLinks(ctx, f, r)
 	case "datagrams":
-		return p.cutDatagrams(ctx, s, r)
+		return in.blockDatagrams(ctx, f, r)
 	case "loss":
-		p.fleet.grams.lose(0.05 + r.Float64()/4)
-		pause(ctx, s.lasts)
-		p.fleet.grams.lose(0)
+		in.fleet.datagrams.setLoss(0.05 + r.Float64()/4)
+		sleep(ctx, f.duration)
+		in.fleet.datagrams.setLoss(0)
 	case "store":
 		modes := []crstore.Mode{crstore.Busy, crstore.Many, crstore.Reset, crstore.Silent, crstore.Slow, crstore.LoseOne}
-		p.fleet.store.Fail(crstore.Fault{Mode: modes[r.IntN(len(modes))], Delay: 250 * time.Millisecond})
-		pause(ctx, s.lasts)
-		p.fleet.store.Fail(crstore.Fault{})
+		in.fleet.store.Fail(crstore.Fault{Mode: modes[r.IntN(len(modes))], Delay: 250 * time.Millisecond})
+		sleep(ctx, f.duration)
+		in.fleet.store.Fail(crstore.Fault{})
 	case "compact":
-		p.fleet.store.Deafen()
-		pause(ctx, min(s.lasts, time.Second))
-		p.fleet.store.Compact()
+		in.fleet.store.Deafen()
+		sleep(ctx, min(f.duration, time.Second))
+		in.fleet.store.Compact()
 	case "target":
-		ill := sickness(r.IntN(8))
-		return p.each(s.machines, func(m *machine) error {
-			target, _ := m.at()
-			target.Set(ill)
-			pause(ctx, s.lasts)
-			target.Set(calm())
+		behaviour := grayFailure(r.IntN(8))
+		return in.forEach(f.machines, func(m *machine) error {
+			target, _ := m.currentTarget()
+			target.Set(behaviour)
+			sleep(ctx, f.duration)
+			target.Set(healthyBehaviour())
 			return nil
 		})
 	case "crash", "leave":
-		return p.each(s.machines, func(m *machine) error { return p.replaceTarget(ctx, m, s) })
+		return in.forEach(f.machines, func(m *machine) error { return in.replaceTarget(ctx, m, f) })
 	case "config", "withdraw":
-		return p.configure(s)
+		return in.publishConfig(f)
 	case "burst":
-		p.setFast(true)
-		pause(ctx, s.lasts)
-		p.setFast(false)
+		in.setBurst(true)
+		sleep(ctx, f.duration)
+		in.setBurst(false)
 	}
 	return nil
 }
 
-// sickness is a way in which a target fails gray.
-func sickness(i int) crtarget.Behaviour {
-	b := calm()
+// grayFailure returns the i-th of eight partial failures of a target.
+func grayFailure(i int) crtarget.Behaviour {
+	b := healthyBehaviour()
 	switch i {
 	case 0:
 		b.Fail = 0.7
@@ -209,159 +210,162 @@
 	return b
 }
 
-// each plays a fault at several machines at one time.
-func (p *player) each(machines []int, harm func(*machine) error) error {
-	var all sync.WaitGroup
+// forEach applies a fault to several machines concurrently.
+func (in *injector) forEach(machines []int, apply func(*machine) error) error {
+	var wg sync.WaitGroup
 	for _, i := range machines {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
-			p.note(harm(p.fleet.machines[i]))
+			defer wg.Done()
+			in.recordError(apply(in.fleet.machines[i]))
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 	return nil
 }
 
-func (p *player) signalled(ctx context.Context, m *machine, s step) error {
-	switch s.kind {
+func (in *injector) signalProcess(ctx context.Context, m *machine, f fault) error {
+	switch f.kind {
 	case "hup":
 		return m.proc.signal(syscall.SIGHUP)
 	case "pause":
 		if err := m.proc.signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
-		pause(ctx, s.lasts)
+		sleep(ctx, f.duration)
 		return m.proc.signal(syscall.SIGCONT)
 	case "term":
-		if err := p.stop(m); err != nil {
+		if err := in.stop(m); err != nil {
 			return err
 		}
 	default:
 		if err := m.proc.kill(); err != nil {
 			return err
 		}
-		pause(ctx, s.lasts/2)
+		sleep(ctx, f.duration/2)
 	}
 	return m.proc.start()
 }
 
-// stop tells a daemon to end and keeps how that went.
-func (p *player) stop(m *machine) error {
-	st := stopped{machine: m.index, at: time.Now()}
+// stop stops a daemon and records the result.
+func (in *injector) stop(m *machine) error {
+	stop := daemonStop{machine: m.index, at: time.Now()}
 	inTime, err := m.proc.stop()
-	st.took, st.inTime, st.finished = time.Since(st.at), inTime, time.Now()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.stops = append(p.stops, st)
+	stop.took, stop.inTime, stop.finished = time.Since(stop.at), inTime, time.Now()
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	in.stops = append(in.stops, stop)
 	return err
 }
 
-// roll stops and starts the daemons of a third of the machines in turn.
-func (p *player) roll(ctx context.Context, r *rand.Rand) error {
-	n := len(p.fleet.machines)
+// rollingRestart restarts the daemons of a third of the machines, one after the other.
+func (in *injector) rollingRestart(ctx context.Context, r *rand.Rand) error {
+	n := len(in.fleet.machines)
 	for _, i := range r.Perm(n)[:(n+2)/3] {
 		if ctx.Err() != nil {
 			return nil
 		}
-		m := p.fleet.machines[i]
-		if err := p.stop(m); err != nil {
+		m := in.fleet.machines[i]
+		if err := in.stop(m); err != nil {
 			return err
 		}
 		if err := m.proc.start(); err != nil {
 			return err
 		}
-		pause(ctx, 500*time.Millisecond)
+		sleep(ctx, 500*time.Millisecond)
 	}
 	return nil
 }
 
-func (p *player) links(ctx context.Context, s step, r *rand.Rand) error {
-	name := map[string]string{"peer": "peer", "store link": "store", "target link": "target"}[s.kind]
-	way := Link(1 + r.IntN(links-1))
-	p.setLinks(s.machines, name, way)
-	pause(ctx, s.lasts)
-	p.setLinks(s.machines, name, Pass)
+func (in *injector) degradeLinks(ctx context.Context, f fault, r *rand.Rand) error {
+	name := map[string]string{"peer": "peer", "store link": "store", "target link": "target"}[f.kind]
+	mode := LinkMode(1 + r.IntN(linkModes-1))
+	in.setLinkMode(f.machines, name, mode)
+	sleep(ctx, f.duration)
+	in.setLinkMode(f.machines, name, Pass)
 	return nil
 }
 
-func (p *player) setLinks(machines []int, name string, way Link) {
+func (in *injector) setLinkMode(machines []int, name string, mode LinkMode) {
 	for _, i := range machines {
-		p.fleet.machines[i].links[name].set(way)
+		in.fleet.machines[i].links[name].setMode(mode)
 	}
 }
 
-// cutDatagrams loses what goes to, comes from, or both, some machines.
-func (p *player) cutDatagrams(ctx context.Context, s step, r *rand.Rand) error {
+// blockDatagrams drops datagrams to the given machines, from them, both or neither.
+func (in *injector) blockDatagrams(ctx context.Context, f fault, r *rand.Rand) error {
 	to, from := r.IntN(3) != 0, r.IntN(3) != 0
-	p.setDatagrams(s.machines, to, from, true)
-	pause(ctx, s.lasts)
-	p.setDatagrams(s.machines, to, from, false)
+	in.setDatagramsBlocked(f.machines, to, from, true)
+	sleep(ctx, f.duration)
+	in.setDatagramsBlocked(f.machines, to, from, false)
 	return nil
 }
 
-func (p *player) setDatagrams(machines []int, to, from, cut bool) {
+func (in *injector) setDatagramsBlocked(machines []int, to, from, blocked bool) {
 	for _, i := range machines {
-		for j := range p.fleet.machines {
+		for j := range in.fleet.machines {
 			if to {
-				p.fleet.grams.cut(pair{from: j, to: i}, cut)
+				in.fleet.datagrams.setBlocked(direction{from: j, to: i}, blocked)
 			}
 			if from {
-				p.fleet.grams.cut(pair{from: i, to: j}, cut)
+				in.fleet.datagrams.setBlocked(direction{from: i, to: j}, blocked)
 			}
 		}
 	}
 }
 
-// leaveTime is how long a leaving target still serves.
-const leaveTime = crstage.DrainTime + 700*time.Millisecond
+// drainServeTime is how long a leaving target keeps serving. It exceeds DrainTime, so
+// that requests after the drain are noticed.
+const drainServeTime = crstage.DrainTime + 700*time.Millisecond
 
-// replaceTarget ends a target, with a word or without, and starts another one at
-// its address later.
-func (p *player) replaceTarget(ctx context.Context, m *machine, s step) error {
-	m.replacing.Lock()
-	defer m.replacing.Unlock()
-	_, id := m.at()
-	if s.kind == "leave" {
-		p.fleet.register(m, true)
-		p.mu.Lock()
-		p.leaves = append(p.leaves, leaving{id: id, at: time.Now()})
-		p.mu.Unlock()
-		pause(ctx, leaveTime)
+// replaceTarget closes a target and later starts another one at its address. For a
+// "leave" fault the target is first registered as leaving and keeps serving for
+// drainServeTime.
+func (in *injector) replaceTarget(ctx context.Context, m *machine, f fault) error {
+	m.replaceMu.Lock()
+	defer m.replaceMu.Unlock()
+	_, id := m.currentTarget()
+	if f.kind == "leave" {
+		in.fleet.register(m, true)
+		in.mu.Lock()
+		in.drainStarts = append(in.drainStarts, drainStart{targetID: id, at: time.Now()})
+		in.mu.Unlock()
+		sleep(ctx, drainServeTime)
 	}
-	p.fleet.endTarget(m)
-	pause(ctx, s.lasts/2)
-	crstage.Deregister(p.fleet.store, id)
-	return p.fleet.startTarget(m)
+	in.fleet.stopTarget(m)
+	sleep(ctx, f.duration/2)
+	crstage.Deregister(in.fleet.store, id)
+	return in.fleet.startTarget(m)
 }
 
-// configure publishes a new version; one that withdraws a key gives its account
-// another one.
-func (p *player) configure(s step) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.version++
-	accounts := p.keys.now()
-	if s.kind == "withdraw" {
-		accounts = p.keys.replace(int(s.pick%uint64(len(accounts))), fmt.Sprintf("k-%d", p.version))
+// publishConfig publishes a new version of the configuration. For a "withdraw" fault
+// it also rotates a key of one account.
+func (in *injector) publishConfig(f fault) error {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	in.version++
+	accounts := in.keys.current()
+	if f.kind == "withdraw" {
+		accounts = in.keys.rotate(int(f.seed%uint64(len(accounts))), fmt.Sprintf("k-%d", in.version))
 	}
-	return crstage.Publish(p.fleet.store, p.version, accounts)
+	return crstage.Publish(in.fleet.store, in.version, accounts)
 }
 
-func (p *player) setFast(is bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.fast = is
+func (in *injector) setBurst(on bool) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	in.burst = on
 }
 
-func (p *player) isFast() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.fast
+func (in *injector) inBurst() bool {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	return in.burst
 }
 
-// pause waits; the end of the run cuts it short, so that each fault is undone.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx is done, so that faults are reverted early when the
+// run ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/lab/crsoak/relay.go
+++ b/lab/crsoak/relay.go
@@ -8,32 +8,34 @@
 	"time"
 )
 
-// Link is how a relay treats what passes.
-type Link uint8
+// LinkMode is how a relay treats the data that it forwards.
+type LinkMode uint8
 
-// The ways.
+// The modes of a relay.
 const (
-	Pass   Link = iota // at once
-	Delay              // each piece later
-	Reset              // connections are reset, and new ones too
-	Silent             // connections stay open and carry nothing
-	OneWay             // what the dialled side sends is lost
-	links  = int(OneWay) + 1
+	Pass      LinkMode = iota // forwards without delay
+	Delay                     // delays each write by linkDelay
+	Reset                     // resets open and new connections
+	Silent                    // keeps connections open and forwards nothing
+	OneWay                    // drops the data from the dialled side
+	linkModes = int(OneWay) + 1
 )
 
-// String returns the way's name.
-func (l Link) String() string { return [links]string{"pass", "delay", "reset", "silent", "one way"}[l] }
+// String returns the name of the mode.
+func (m LinkMode) String() string {
+	return [linkModes]string{"pass", "delay", "reset", "silent", "one way"}[m]
+}
 
-// linkDelay is how much later a piece comes on a delayed link: far more than the
-// milliseconds between domains, and less than the timeout of an offer.
+// linkDelay is the delay of each write in mode Delay. It is far above the latency
+// between domains, a few milliseconds, and below the timeout of an offer.
 const linkDelay = 60 * time.Millisecond
 
-// relay carries connections to one address, and harms them.
+// relay forwards TCP connections to one address and injects faults into them.
 type relay struct {
 	target   string
 	listener net.Listener
 	mu       sync.Mutex
-	link     Link
+	mode     LinkMode
 	conns    map[net.Conn]bool
 	done     sync.WaitGroup
 }
@@ -49,23 +51,23 @@
 	return r, nil
 }
 
-// set changes the way; connections that a reset meets are gone.
-func (r *relay) set(l Link) {
+// setMode changes the mode. Mode Reset also resets the open connections.
+func (r *relay) setMode(mode LinkMode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.link = l
-	if l != Reset {
+	r.mode = mode
+	if mode != Reset {
 		return
 	}
 	for c := range r.conns {
-		cut(c)
+		reset(c)
 	}
 }
 
-func (r *relay) now() Link {
+func (r *relay) currentMode() LinkMode {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.link
+	return r.mode
 }
 
 func (r *relay) accept(ctx context.Context) {
@@ -75,123 +77,125 @@
 		if err != nil {
 			return
 		}
-		if r.now() == Reset {
-			cut(c)
+		if r.currentMode() == Reset {
+			reset(c)
 			continue
 		}
 		r.done.Add(1)
-		go r.carry(ctx, c)
+		go r.proxy(ctx, c)
 	}
 }
 
-// carry dials as soon as the link is not silent, and copies both ways.
-func (r *relay) carry(ctx context.Context, c net.Conn) {
+// proxy dials the target and copies data in both directions until both have ended.
+func (r *relay) proxy(ctx context.Context, c net.Conn) {
 	defer r.done.Done()
-	r.hold(c)
-	defer r.drop(c)
+	r.track(c)
+	defer r.release(c)
 	d, err := new(net.Dialer).DialContext(ctx, "tcp4", r.target)
 	if err != nil {
-		cut(c)
+		reset(c)
 		return
 	}
-	r.hold(d)
-	defer r.drop(d)
-	var both sync.WaitGroup
-	both.Add(2)
-	go r.copy(&both, d, c, false)
-	go r.copy(&both, c, d, true)
-	both.Wait()
+	r.track(d)
+	defer r.release(d)
+	var wg sync.WaitGroup
+	wg.Add(2)
+	go r.copy(&wg, d, c, false)
+	go r.copy(&wg, c, d, true)
+	wg.Wait()
 }
 
-// copy passes pieces on; back says that they come from the dialled side.
-func (r *relay) copy(both *sync.WaitGroup, to, from net.Conn, back bool) {
-	defer both.Done()
+// copy forwards data in one direction. fromTarget says that it comes from the dialled
+// side.
+func (r *relay) copy(wg *sync.WaitGroup, to, from net.Conn, fromTarget bool) {
+	defer wg.Done()
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !r.pass(to, buf[:n], back) {
+		if n > 0 && !r.forward(to, buf[:n], fromTarget) {
 			return
 		}
 		if err != nil {
-			r.end(to, err)
+			r.propagateClose(to, err)
 			return
 		}
 	}
 }
 
-// pass writes a piece as the link allows; it reports whether the copy goes on.
-// Bytes lost on the way would be sent again by TCP: a connection that lost any
-// carries nothing more.
-func (r *relay) pass(to net.Conn, piece []byte, back bool) bool {
+// forward writes data as the mode allows and reports whether copy continues. A
+// connection that has lost data is reset when the mode changes: TCP would retransmit
+// lost bytes, so a stream must not continue after a gap.
+func (r *relay) forward(to net.Conn, piece []byte, fromTarget bool) bool {
 	lost := false
 	for {
-		switch l := r.now(); {
-		case l == Silent || (l == OneWay && back):
+		switch mode := r.currentMode(); {
+		case mode == Silent || (mode == OneWay && fromTarget):
 			lost = true
-			if !r.held(to) {
+			if !r.tracked(to) {
 				return false
 			}
 			time.Sleep(linkDelay)
 			continue
-		case l == Delay:
+		case mode == Delay:
 			time.Sleep(linkDelay)
 		}
 		break
 	}
 	if lost {
-		cut(to)
+		reset(to)
 		return false
 	}
 	_, err := to.Write(piece)
 	return err == nil
 }
 
-// end passes an end on: a half close as such, and anything else as a reset.
-func (r *relay) end(to net.Conn, err error) {
+// propagateClose forwards the end of a stream: EOF as a half close, any other error as
+// a reset.
+func (r *relay) propagateClose(to net.Conn, err error) {
 	tcp, ok := to.(*net.TCPConn)
 	if ok && err == io.EOF { //nolint:errorlint // Read returns it bare
-		_ = tcp.CloseWrite() // the other side may be gone already
+		_ = tcp.CloseWrite() // the connection may be closed already
 		return
 	}
-	cut(to)
+	reset(to)
 }
 
-func (r *relay) hold(c net.Conn) {
+func (r *relay) track(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conns[c] = true
 }
 
-func (r *relay) held(c net.Conn) bool {
+func (r *relay) tracked(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.conns[c]
 }
 
-func (r *relay) drop(c net.Conn) {
+func (r *relay) release(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, c)
-	_ = c.Close() // both ways have ended
+	_ = c.Close() // both directions have ended
 }
 
-// close ends the relay and all its connections.
+// close closes the listener and resets all connections.
 func (r *relay) close() {
-	_ = r.listener.Close() // nothing is accepted any more
+	_ = r.listener.Close() // ends accept
 	r.mu.Lock()
-	r.link = Pass
+	r.mode = Pass
 	for c := range r.conns {
-		cut(c)
+		reset(c)
 		delete(r.conns, c)
 	}
 	r.mu.Unlock()
 	r.done.Wait()
 }
 
-// cut resets a connection.
-func cut(c net.Conn) {
+// reset closes a connection with a TCP reset.
+func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // so that closing resets
+		_ = tcp.SetLinger(0) // makes Close send a reset
 	}
 	_ = c.Close() // it may be closed already
 }
