--- a/io/crmesh/crmesh.go
+++ b/io/crmesh/crmesh.go
@@ -1,6 +1,7 @@
-// Package crmesh wires a daemon that joins a fleet by the store's records, and
-// runs it: entry, exit, messages between daemons, the store's followers, the
-// control loop and the operators' pages.
+// Package crmesh assembles and runs the daemon that finds its fleet through the
+// records in the store: ingress, egress, messages between daemons, the watches on
+// the store, the control loop and the admin endpoints. The command join uses it.
+// The state machine behind the control loop is core/crmesh.
 //
 // # Usage
 //
@@ -40,49 +41,50 @@
 )
 
 const (
-	// beatNear and beatFar are the times between beats to peers of the same
-	// domain and of others. Load counts most nearby, where requests go first;
-	// bytes between domains are dear, and what is urgent is sent at once.
-	beatNear = 400 * time.Millisecond
-	beatFar  = time.Second
-	// memoryShare is the part of the machine's memory that the collector aims
-	// to stay under.
-	memoryShare = 0.7
+	// localHeartbeatInterval and remoteHeartbeatInterval are the times between
+	// heartbeats to peers in the same domain and in other domains. Load reports matter
+	// most within the domain, where requests are sent first. Traffic between domains
+	// is expensive, and urgent changes are sent at once.
+	localHeartbeatInterval  = 400 * time.Millisecond
+	remoteHeartbeatInterval = time.Second
+	// memoryLimitRatio is the fraction of the machine's memory that is set as the soft
+	// limit of the garbage collector.
+	memoryLimitRatio = 0.7
 )
 
-// Options are what a daemon is made of.
+// Options configure a daemon.
 type Options struct {
 	Settings crsite.Settings
 	Store    crwatch.Store
 	Decoder  crwatch.Decoder
 	Dialect  crdialect.Dialect
 	Log      io.Writer
-	// Reload tells that the settings file has changed; Read reads it. Both may
-	// be nil.
+	// Reload signals that the settings file has changed; Read reads it. Both may be
+	// nil.
 	Reload <-chan os.Signal
 	Read   func() (crsite.Settings, error)
 }
 
-// Run starts a daemon, serves until ctx ends, drains, and returns.
+// Run starts a daemon, serves until ctx is cancelled, drains, and returns.
 func Run(ctx context.Context, opts Options) error {
-	// net/http prints bytes of answers that nobody asked for to the standard
-	// logger: some account's data, outside of the numbered events.
+	// net/http logs unsolicited response bytes to the standard logger. They may
+	// contain account data, and bypass the numbered events.
 	log.SetOutput(io.Discard)
 	if m := opts.Settings.Limits.Memory; m > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(m) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitRatio * float64(m) * (1 << 20)))
 	}
 	var d *daemon
 	app := fx.New(
 		fx.Supply(opts),
 		fx.Provide(
-			crlog.NewQueue, newLogger, newBoard, newExit, newPeers, newBudget, newLoop, newOwnerMeter, newFeed, newFollower, newChannel, newQuota, newEntry,
+			crlog.NewQueue, newLogger, newBalancer, newExit, newPeerClient, newBudget, newLoop, newOwnerLimiter, newFeed, newFollower, newChannel, newQuota, newEntry,
 			newDaemon, newMeters, metrics.NewRegistry,
 		),
 		fx.Populate(&d),
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
 	)
 	if err := app.Err(); err != nil {
-		return fmt.Errorf("wire the daemon: %w", err)
+		return fmt.Errorf("assemble the daemon: %w", err)
 	}
 	return d.run(ctx)
 }
@@ -91,7 +93,7 @@
 	return crlog.New(q, opts.Settings.Log, opts.Settings.Name)
 }
 
-func newBoard() *crplace.Balancer { return crplace.NewBalancer() }
+func newBalancer() *crplace.Balancer { return crplace.NewBalancer() }
 
 func newExit(opts Options, l *crlog.Logger, loop *loop) *cregress.Exit {
 	x := cregress.New(cregress.Options{
@@ -102,7 +104,9 @@
 	return x
 }
 
-func newPeers(opts Options) *croffer.Client { return croffer.NewClient(opts.Settings.Listen.Ports[0]) }
+func newPeerClient(opts Options) *croffer.Client {
+	return croffer.NewClient(opts.Settings.Listen.Ports[0])
+}
 
 func newBudget(opts Options) *crbudget.Budget {
 	b := opts.Settings.Bounds
@@ -125,16 +129,16 @@
 }
 
 func newEntry(
-	opts Options, x *cregress.Exit, peers *croffer.Client, board *crplace.Balancer, budget *crbudget.Budget, q *quota, m *meters, l *crlog.Logger,
+	opts Options, x *cregress.Exit, peers *croffer.Client, balancer *crplace.Balancer, budget *crbudget.Budget, q *quota, m *meters, l *crlog.Logger,
 ) *cringress.Entry {
 	s := opts.Settings
 	return cringress.New(cringress.Options{
 		Self: crid.Daemon(s.Address), Domain: s.Domain, Service: s.Service, Dialect: opts.Dialect, Clock: crclock.Now,
-		Local: x, Peers: peers, Board: board, Budget: budget, Quota: q, Meter: m, Log: l,
+		Local: x, Peers: peers, Board: balancer, Budget: budget, Quota: q, Meter: m, Log: l,
 	})
 }
 
-// seeds returns the daemons that the settings name.
+// seeds returns the daemons listed as seeds in the settings.
 func seeds(s crsite.Settings) []crid.Daemon {
 	out := make([]crid.Daemon, 0, len(s.Seeds))
 	for _, address := range s.Seeds {
--- a/io/crmesh/crmesh_test.go
+++ b/io/crmesh/crmesh_test.go
@@ -16,7 +16,7 @@
 	"camphorroad/lab/crtarget"
 )
 
-func TestARequestIsServedWhole(t *testing.T) {
+func TestRequestAndResponseArriveUnchanged(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	for range 20 {
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestWhatTheConfigurationDoesNotAllowIsRefused(t *testing.T) {
+func TestUnknownRoutesAndKeysAreRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
 	g.Expect(f.machines[0].call(http.MethodGet, "/other/", "k1").status).To(gomega.Equal(http.StatusNotFound))
@@ -42,30 +42,30 @@
 	g.Expect(f.machines[0].call(http.MethodGet, "/look/", "").status).To(gomega.Equal(http.StatusUnauthorized))
 }
 
-// A target fails everything. Idempotent requests are served elsewhere; of those
-// that may run only once, only the first few are lost there, from whichever
-// machine they come.
-func TestASickTargetIsLeftAfterItsFirstFailure(t *testing.T) {
+// A target fails all requests. Idempotent requests are retried elsewhere; only the
+// first few non-idempotent ones are lost, whichever machine receives them.
+func TestFailingTargetIsAvoidedAfterItsFirstFailure(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 4)
 	f.machines[2].target.Set(crtarget.Behaviour{Fail: 1})
-	lost := 0
+	failed := 0
 	for i := range 80 {
 		a := f.machines[i%4].call(http.MethodPost, "/hold/", "k1")
 		if a.status != http.StatusOK {
-			lost++
+			failed++
 		}
 		g.Expect(f.runs(a.id)).To(gomega.HaveLen(1))
 		time.Sleep(5 * time.Millisecond)
 	}
-	g.Expect(lost).To(gomega.BeNumerically("<=", 3))
+	g.Expect(failed).To(gomega.BeNumerically("<=", 3))
 	for i := range 20 {
 		g.Expect(f.machines[i%4].call(http.MethodGet, "/look/", "k1").status).To(gomega.Equal(http.StatusOK))
 	}
 }
 
-// A sick target recovers. Idempotent requests find out, and it gets work again.
-func TestARecoveredTargetIsUsedAgain(t *testing.T) {
+// A failing target recovers. Idempotent requests probe it, and it gets all kinds of
+// requests again.
+func TestRecoveredTargetIsUsedAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
 	f.machines[1].target.Set(crtarget.Behaviour{Fail: 1})
@@ -73,7 +73,7 @@
 		f.machines[1].call(http.MethodGet, "/look/", "k1")
 	}
 	f.machines[1].target.Set(crtarget.Behaviour{})
-	holds := func() int {
+	nonIdempotentRuns := func() int {
 		f.machines[1].call(http.MethodGet, "/look/", "k1")
 		f.machines[1].call(http.MethodPost, "/hold/", "k1")
 		n := 0
@@ -84,12 +84,13 @@
 		}
 		return n
 	}
-	g.Eventually(holds, 6*time.Second, 30*time.Millisecond).Should(gomega.BeNumerically(">", 3))
+	g.Eventually(nonIdempotentRuns, 6*time.Second, 30*time.Millisecond).Should(gomega.BeNumerically(">", 3))
 }
 
-// A target runs a request that may run only once and loses the answer. Nobody
-// knows whether it ran, so that it must not be sent again, nor called refused.
-func TestALostAnswerIsNeitherRepeatedNorCalledRefused(t *testing.T) {
+// A target runs a non-idempotent request and resets the connection before its
+// response. Whether it ran is unknown, so it must be neither retried nor reported as
+// refused.
+func TestLostResponseIsNeitherRetriedNorReportedAsRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	for _, m := range f.machines {
@@ -102,9 +103,9 @@
 	}
 }
 
-// Targets say that they are full. That is proof that nothing ran, so that the
-// request goes to another one, whatever its kind.
-func TestWhatATargetDidNotRunGoesElsewhere(t *testing.T) {
+// A target sheds requests. That proves that they did not run, so they are retried on
+// another target, whatever their kind.
+func TestRequestShedByATargetIsRetriedElsewhere(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
 	f.machines[0].target.Set(crtarget.Behaviour{Shed: 1})
@@ -114,7 +115,7 @@
 	}
 }
 
-func TestPagesTellMetricsAndState(t *testing.T) {
+func TestMetricsPage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
 	m := f.machines[0]
@@ -136,9 +137,9 @@
 	g.Expect(m.log.String()).NotTo(gomega.ContainSubstring("k9"), "no key in the log")
 }
 
-// A caller spells its path in an odd but legal way. The target has to get it to
-// the letter.
-func TestPathAndQueryReachTheTargetToTheLetter(t *testing.T) {
+// The escapes in a path are unusual but legal. The target must get the path byte for
+// byte.
+func TestPathAndQueryReachTheTargetUnchanged(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 1)
 	for _, uri := range []string{"/look/a%2Fb?x=%20y&&z", "/look/a;b=c/?", "/look/%7Eme"} {
@@ -148,9 +149,9 @@
 	}
 }
 
-// All slots of the service are taken for long. A caller is told at once that its
-// request did not run, and when to come back.
-func TestAFullServiceRefusesAtOnceAndTruly(t *testing.T) {
+// All slots of a service are taken for long. A caller must be refused at once, with a
+// Retry-After header, and its request must not have run.
+func TestFullServiceRefusesWithoutRunning(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
 	f.publish(2, 1000, "k1")
@@ -159,7 +160,7 @@
 	}
 	time.Sleep(time.Second)
 	var mu sync.Mutex
-	var refused []answer
+	var refused []response
 	var done sync.WaitGroup
 	for i := range 60 {
 		done.Add(1)
@@ -175,25 +176,25 @@
 	}
 	done.Wait()
 	g.Expect(refused).NotTo(gomega.BeEmpty())
-	quick := 0
+	fast := 0
 	for _, a := range refused {
 		g.Expect(f.runs(a.id)).To(gomega.BeEmpty())
 		after, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(after).To(gomega.BeNumerically(">", 0.1))
 		if a.took < 300*time.Millisecond {
-			quick++
+			fast++
 		}
 	}
-	g.Expect(quick).To(gomega.BeNumerically(">", len(refused)/2))
+	g.Expect(fast).To(gomega.BeNumerically(">", len(refused)/2))
 	for _, m := range f.machines {
 		g.Expect(m.target.Most()).To(gomega.BeNumerically("<=", 4), "slots")
 	}
 }
 
-// A key is withdrawn while its caller is connected. It must stop working within
-// two seconds, at every machine.
-func TestAWithdrawnKeyStopsWorkingEverywhere(t *testing.T) {
+// A key is removed while its caller is connected. Every daemon must refuse it within
+// two seconds.
+func TestRevokedKeyIsRefusedByAllDaemons(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	f.publish(2, 500, "k2")
@@ -204,13 +205,13 @@
 	}
 }
 
-// The store turns one machine away and serves the others. A key is withdrawn
-// meanwhile: the machine learns it from its peers.
-func TestAMachineThatTheStoreTurnsAwayLearnsFromPeers(t *testing.T) {
+// The store refuses one daemon while a key is removed. The daemon must get the change
+// from its peers.
+func TestDaemonWithoutTheStoreUpdatesFromPeers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	m := f.machines[1]
-	m.refuse.Store(true)
+	m.storeUnavailable.Store(true)
 	m.store.CloseClientConnections()
 	time.Sleep(500 * time.Millisecond)
 	f.publish(2, 500, "k2")
@@ -219,9 +220,9 @@
 	g.Expect(m.call(http.MethodGet, "/look/", "k2").status).To(gomega.Equal(http.StatusOK))
 }
 
-// The store forgets its history while the watches that wait are deaf to a
-// change. Some daemon's fresh watch finds out, and the others hear of it.
-func TestAChangeLostWithTheStoresHistoryIsFound(t *testing.T) {
+// The store compacts its history while the open watches miss a change. A new watch of
+// one daemon finds it, and the others hear of it.
+func TestChangeLostByCompactionIsFound(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 4)
 	time.Sleep(time.Second)
@@ -235,9 +236,9 @@
 	}
 }
 
-// A wrong configuration and a forged record appear in the store. What was in
-// force stays so, and the log names both.
-func TestWhatCannotBeReadHarmsNothing(t *testing.T) {
+// An invalid configuration and an invalid record appear in the store. The values in
+// force must stay, and the log must name both.
+func TestInvalidStoreValuesAreIgnoredAndLogged(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
 	f.store.Put("op/config", []byte(`{"version":"00000009","virtual-hosts":[{"host":"h"`))
@@ -247,9 +248,8 @@
 	g.Expect(m.call(http.MethodGet, "/look/", "k1").status).To(gomega.Equal(http.StatusOK))
 }
 
-// A target says that it leaves. Nothing new may reach it a moment later, from
-// whichever machine.
-func TestALeavingTargetGetsNothingNew(t *testing.T) {
+// A target registers as draining. A moment later no machine may send it new requests.
+func TestDrainingTargetGetsNoNewRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	f.register(f.machines[1], "draining")
@@ -261,25 +261,25 @@
 	g.Expect(f.machines[1].target.Runs()).To(gomega.HaveLen(before))
 }
 
-// An address passes to another target before the daemons have heard of it. The
-// stranger says so, and the request goes elsewhere.
-func TestAStrangerAtATargetsAddressRunsNothing(t *testing.T) {
+// An address is reused by another target before the daemons have heard of it. That
+// target rejects the request by its ID, and the request is retried elsewhere.
+func TestOtherTargetAtAReusedAddressRunsNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
 	m := f.machines[1]
 	address := m.target.Address()
 	m.target.Close()
-	stranger, err := crtarget.Start(crtarget.Options{Address: address, ID: "i-other", Slots: 4})
+	other, err := crtarget.Start(crtarget.Options{Address: address, ID: "i-other", Slots: 4})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	defer stranger.Close()
+	defer other.Close()
 	for range 10 {
 		g.Expect(m.call(http.MethodPost, "/hold/", "k1").status).To(gomega.Equal(http.StatusOK))
 	}
-	g.Expect(stranger.Runs()).To(gomega.BeEmpty())
+	g.Expect(other.Runs()).To(gomega.BeEmpty())
 }
 
-// One account sends far more than its rate, through all machines together.
-func TestARateHoldsOverAllMachines(t *testing.T) {
+// One account exceeds its rate through all daemons together.
+func TestRateLimitHoldsAcrossDaemons(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	f.publish(2, 20, "k1")
@@ -299,16 +299,16 @@
 	g.Expect(served).To(gomega.BeNumerically("<=", 20*3+20+20))
 }
 
-// A machine is told to stop while requests run at its target and come to its
-// caller port. None may be cut, and peers send it nothing more.
-func TestAPlannedStopCutsNothing(t *testing.T) {
+// A daemon is stopped while requests run at its target and arrive at its caller port.
+// None may be cut, and peers must send it nothing more.
+func TestShutdownCutsNoRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	for _, m := range f.machines {
 		m.target.Set(crtarget.Behaviour{Work: 300 * time.Millisecond})
 	}
 	var mu sync.Mutex
-	var failed []answer
+	var failed []response
 	stop := make(chan struct{})
 	var done sync.WaitGroup
 	for i := range 6 {
@@ -331,60 +331,61 @@
 		}()
 	}
 	time.Sleep(500 * time.Millisecond)
-	f.machines[2].end()
+	f.machines[2].shutDown()
 	close(stop)
 	done.Wait()
 	g.Expect(failed).To(gomega.BeEmpty())
 	g.Expect(f.machines[2].log.String()).To(gomega.ContainSubstring(`"event":603`))
 }
 
-// A request takes nearly as long as a daemon has for its stop. Its answer must not be
-// cut while there is time for it.
-func TestAPlannedStopUsesItsGrace(t *testing.T) {
+// A request takes nearly the whole grace period of a stopping daemon. Its response
+// must not be cut.
+func TestShutdownUsesItsGracePeriod(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 1)
 	m := f.machines[0]
-	m.end()
+	m.shutDown()
 	m.cfg.Bounds.Grace = 1.6
 	m.start()
-	f.settle()
+	f.waitReady()
 	m.target.Set(crtarget.Behaviour{Work: 1300 * time.Millisecond})
-	got := make(chan answer, 1)
+	got := make(chan response, 1)
 	go func() { got <- m.call(http.MethodPost, "/hold/", "k1") }()
 	g.Eventually(func() int { return len(m.target.Runs()) }).Should(gomega.Equal(1))
-	m.end()
+	m.shutDown()
 	g.Expect((<-got).status).To(gomega.Equal(http.StatusOK))
 	g.Expect(m.log.String()).NotTo(gomega.ContainSubstring(`"event":608`))
 }
 
-// A stopping daemon's time is up before that of a request, and its caller gets no word at all.
-func TestAPlannedStopAnswersWhatDoesNotEndInTime(t *testing.T) {
+// The grace period of a stopping daemon ends before its requests do. Their callers
+// must get an answer rather than a closed connection.
+func TestShutdownAnswersRequestsThatExceedTheGracePeriod(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
 	m := f.machines[0]
-	m.end()
+	m.shutDown()
 	m.cfg.Bounds.Grace = 1.6
 	m.start()
-	f.settle()
+	f.waitReady()
 	for _, other := range f.machines {
 		other.target.Set(crtarget.Behaviour{Work: 4 * time.Second})
 	}
-	got := make(chan answer, 2)
+	got := make(chan response, 2)
 	for range 2 {
 		go func() { got <- m.call(http.MethodPost, "/hold/", "k1") }()
 	}
 	g.Eventually(func() int { return len(m.target.Runs()) + len(f.machines[1].target.Runs()) }).Should(gomega.Equal(2))
-	m.end()
+	m.shutDown()
 	for range 2 {
 		g.Expect((<-got).status).To(gomega.BeElementOf(http.StatusBadGateway, http.StatusGatewayTimeout))
 	}
 	g.Expect(m.log.String()).NotTo(gomega.ContainSubstring(`"event":608`))
 }
 
-// A daemon is told to stop while its target is the only one that serves. The target
-// would lie idle until the next daemon has started; what ends before this one does
-// is still taken.
-func TestAStoppingDaemonStillTakesWhatEndsInTime(t *testing.T) {
+// A daemon is stopped while its target is the only one that serves. Requests that end
+// within the grace period must still be served, or the target would be idle until the
+// next daemon has started.
+func TestStoppingDaemonServesRequestsThatEndInTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
 	f.machines[0].target.Set(crtarget.Behaviour{Shed: 1})
@@ -392,7 +393,7 @@
 	stopping := make(chan struct{})
 	go func() {
 		defer close(stopping)
-		f.machines[1].end()
+		f.machines[1].shutDown()
 	}()
 	g.Eventually(f.machines[1].ready).ShouldNot(gomega.Equal(http.StatusOK))
 	a := f.machines[0].call(http.MethodPost, "/hold/", "k1")
@@ -401,14 +402,14 @@
 	<-stopping
 }
 
-// A process starts while the store is away. It must not say that it is ready
-// before it can serve, and learns what it needs from its seeds.
-func TestAProcessThatStartsWithoutTheStoreLearnsFromSeeds(t *testing.T) {
+// A daemon starts while the store is unavailable. It must report ready only once it
+// can serve, and fetch what it needs from its seeds.
+func TestStartWithoutTheStoreFetchesFromSeeds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	m := f.machines[2]
-	m.end()
-	m.refuse.Store(true)
+	m.shutDown()
+	m.storeUnavailable.Store(true)
 	m.store.CloseClientConnections()
 	m.start()
 	g.Eventually(m.ready, 4*time.Second, 50*time.Millisecond).Should(gomega.Equal(http.StatusOK))
@@ -416,10 +417,9 @@
 		Should(gomega.Equal(http.StatusOK))
 }
 
-// Machines go dark: connections to them are taken and nothing is answered. Callers
-// elsewhere must be told at once that nothing takes their request, and not only
-// when each dark machine has cost its timeout.
-func TestDarkMachinesDoNotHoldCallersUp(t *testing.T) {
+// Several daemons accept connections and never answer. Callers of the others must be
+// refused at once, rather than after a timeout for each of them.
+func TestUnresponsiveDaemonsDoNotDelayCallers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 1)
 	m := f.machines[0]
@@ -428,9 +428,9 @@
 		l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", address+":"+strconv.Itoa(m.cfg.Listen.Ports[0]))
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		defer func() { _ = l.Close() }()
-		dark := &machine{id: "dark-" + strconv.Itoa(i)}
-		dark.cfg.Target, dark.cfg.Domain = address+":80", "a"
-		f.register(dark, "ready")
+		silent := &machine{id: "dark-" + strconv.Itoa(i)}
+		silent.cfg.Target, silent.cfg.Domain = address+":80", "a"
+		f.register(silent, "ready")
 	}
 	g.Eventually(func() int { return strings.Count(m.state(), `"Target"`) }, 3*time.Second).Should(gomega.Equal(7))
 	m.target.Close()
@@ -440,8 +440,8 @@
 	g.Eventually(f.machines[0].log.String, time.Second, 10*time.Millisecond).Should(gomega.ContainSubstring("silent: 3"))
 }
 
-// The store is away for long, and all stays as it was.
-func TestAnOutageOfTheStoreChangesNothing(t *testing.T) {
+// The store is unavailable; requests must be served as before.
+func TestRequestsAreServedDuringAStoreOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	f.store.Fail(crstore.Fault{Mode: crstore.Busy})
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -31,22 +31,25 @@
 )
 
 const (
-	// settle is how long a stopping daemon still takes callers: they learn from
-	// two questions to the ready page, a second apart, that it stops.
-	settle = 2600 * time.Millisecond
-	// reserve is kept of the grace, to end before the kill. What is still at a target
-	// then is cut, so that it is no more than ending takes.
-	reserve = 150 * time.Millisecond
-	// lastWord is the time before the end at which callers are told what is known of
-	// requests that are still in progress.
-	lastWord = 80 * time.Millisecond
-	// drainPoll is the time between looks at what is still in progress.
-	drainPoll = 20 * time.Millisecond
-	// headerTime is how long a peer or caller may take for a request's head.
-	headerTime = 10 * time.Second
-	// idleTime is how long an unused connection of a caller is kept; callers
-	// close theirs sooner.
-	idleTime = 2 * time.Minute
+	// callerDrainTime is how long a stopping daemon still accepts requests from
+	// callers. They learn of the stop from two probes of the ready page, a second
+	// apart.
+	callerDrainTime = 2600 * time.Millisecond
+	// shutdownReserve is subtracted from the grace period, so that the process ends
+	// before it is killed. A request that is still at a target then is cut, so the
+	// reserve is no longer than the exit takes.
+	shutdownReserve = 150 * time.Millisecond
+	// finalAnswerMargin is the time before the end of the drain at which callers of
+	// requests still in progress get an answer with what is known of them.
+	finalAnswerMargin = 80 * time.Millisecond
+	// drainPollInterval is the time between checks for requests in progress.
+	drainPollInterval = 20 * time.Millisecond
+	// headerTimeout bounds the time in which a peer or caller sends the head of a
+	// request.
+	headerTimeout = 10 * time.Second
+	// idleTimeout is how long an unused connection of a caller is kept; callers close
+	// theirs sooner.
+	idleTimeout = 2 * time.Minute
 )
 
 type daemon struct {
@@ -54,7 +57,7 @@
 	log         *crlog.Logger
 	queue       *crlog.Queue
 	loop        *loop
-	board       *crplace.Balancer
+	balancer    *crplace.Balancer
 	exit        *cregress.Exit
 	entry       *cringress.Entry
 	peers       *croffer.Client
@@ -66,33 +69,33 @@
 }
 
 func newDaemon(
-	opts Options, l *crlog.Logger, q *crlog.Queue, lp *loop, board *crplace.Balancer, x *cregress.Exit, e *cringress.Entry,
+	opts Options, l *crlog.Logger, q *crlog.Queue, lp *loop, balancer *crplace.Balancer, x *cregress.Exit, e *cringress.Entry,
 	peers *croffer.Client, feed *crfeed.Feed, f *crwatch.Follower, ch *crbeat.Channel, m metrics.Registry,
 ) *daemon {
 	return &daemon{
-		opts: opts, log: l, queue: q, loop: lp, board: board, exit: x, entry: e, peers: peers, feed: feed, follower: f, channel: ch,
+		opts: opts, log: l, queue: q, loop: lp, balancer: balancer, exit: x, entry: e, peers: peers, feed: feed, follower: f, channel: ch,
 		metrics: m, incarnation: uint64(time.Now().UnixNano()),
 	}
 }
 
-// run serves until ctx ends, then drains.
+// run serves until ctx is cancelled, then drains.
 func (d *daemon) run(ctx context.Context) error {
-	// What serves must outlive the order to stop by the time of the drain.
-	alive, stop := context.WithCancel(context.WithoutCancel(ctx))
+	// The servers and tasks run on during the drain, after ctx is cancelled.
+	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	servers, err := d.listen(alive)
+	servers, err := d.listen(serveCtx)
 	if err != nil {
 		return err
 	}
-	d.gauges()
+	d.registerGauges()
 	d.log.Event(crlog.MeshStarted, crlog.Fields{
 		"service": string(d.opts.Settings.Service), "domain": string(d.opts.Settings.Domain),
-		"pages": d.pagesAddress(), "target": d.opts.Settings.Target,
+		"pages": d.adminAddress(), "target": d.opts.Settings.Target,
 	})
-	logs, endLogs := context.WithCancel(context.WithoutCancel(ctx))
-	written := group(logs, func(ctx context.Context) error { return d.queue.Run(ctx, d.opts.Log) })
-	tasks := group(alive,
-		func(ctx context.Context) error { return d.loop.run(ctx, d.perform(ctx)) },
+	logCtx, stopLogs := context.WithCancel(context.WithoutCancel(ctx))
+	logWriter := group(logCtx, func(ctx context.Context) error { return d.queue.Run(ctx, d.opts.Log) })
+	tasks := group(serveCtx,
+		func(ctx context.Context) error { return d.loop.run(ctx, d.effectHandler(ctx)) },
 		func(ctx context.Context) error { return d.follower.Run(ctx, crwatch.Records) },
 		func(ctx context.Context) error { return d.follower.Run(ctx, crwatch.Configuration) },
 		d.channel.Run,
@@ -104,14 +107,14 @@
 	stop()
 	err = ignoreCancelled(tasks.Wait())
 	d.log.Event(crlog.MeshStopped, nil)
-	endLogs()
-	return errors.Join(err, written.Wait())
+	stopLogs()
+	return errors.Join(err, logWriter.Wait())
 }
 
 // servers are the daemon's listeners.
 type servers struct {
 	caller, peer *http.Server
-	pages        []*http.Server
+	admin        []*http.Server
 }
 
 func (d *daemon) listen(ctx context.Context) (servers, error) {
@@ -119,20 +122,20 @@
 	var out servers
 	out.caller = newServer(d.entry)
 	out.peer = newServer(croffer.Handler(d.exit, crclock.Now, croffer.Pages{
-		Copy: d.copyFor,
+		Copy: d.updateFor,
 		Feed: func(ctx context.Context, q croffer.FeedQuery) croffer.FeedPage {
 			return d.feed.Serve(ctx, d.follower, q)
 		},
 	}))
 	pages := cradmin.New(cradmin.Options{Ready: d.ready, State: d.state, Metrics: d.metrics})
 	addresses := map[string]*http.Server{s.Listen.Caller: out.caller, peerAddress(s): out.peer}
-	admin := []string{s.Listen.Ready, d.pagesAddress()}
+	admin := []string{s.Listen.Ready, d.adminAddress()}
 	if s.Listen.Control != "" {
 		admin = append(admin, s.Listen.Control)
 	}
 	for _, address := range admin {
 		server := newServer(pages)
-		out.pages = append(out.pages, server)
+		out.admin = append(out.admin, server)
 		addresses[address] = server
 	}
 	for _, address := range slices.Sorted(maps.Keys(addresses)) {
@@ -141,22 +144,22 @@
 			return servers{}, fmt.Errorf("listen at %s: %w", address, err)
 		}
 		server := addresses[address]
-		go func() { _ = server.Serve(l) }() // ends when the server is shut down
+		go func() { _ = server.Serve(l) }() // returns on shutdown
 	}
 	return out, nil
 }
 
-// copyFor returns what a peer lacks of the store.
-func (d *daemon) copyFor(data []byte) (any, error) {
+// updateFor returns the records and configuration that a peer is missing.
+func (d *daemon) updateFor(data []byte) (any, error) {
 	var have crwatch.Revisions
 	if err := cbor.Unmarshal(data, &have); err != nil {
-		return nil, fmt.Errorf("decode what the peer has: %w", err)
+		return nil, fmt.Errorf("decode the revisions of the peer: %w", err)
 	}
 	return d.follower.UpdateFor(have), nil
 }
 
-// pagesAddress is where operators read state and metrics.
-func (d *daemon) pagesAddress() string {
+// adminAddress is the listen address of the state and metrics pages.
+func (d *daemon) adminAddress() string {
 	s := d.opts.Settings
 	if s.Listen.Pages != "" {
 		return s.Listen.Pages
@@ -165,10 +168,10 @@
 }
 
 func newServer(h http.Handler) *http.Server {
-	return &http.Server{Handler: h, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}
+	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
 
-// ready says why callers should not come yet, or any more.
+// ready returns the reason why callers should not send requests, or nil.
 func (d *daemon) ready() error {
 	v := d.loop.view.Load()
 	switch {
@@ -182,48 +185,49 @@
 	return nil
 }
 
-// drain lets what is in progress end: callers keep coming until they have seen
-// the ready page, and are served.
+// drain waits for the requests in progress. Callers keep sending requests until they
+// have seen the ready page, and these are served.
 func (d *daemon) drain(s servers) {
 	began := time.Now()
-	grace := d.opts.Settings.Bounds.GraceTime() - reserve
+	grace := d.opts.Settings.Bounds.GraceTime() - shutdownReserve
 	d.log.Event(crlog.MeshStopping, crlog.Fields{"open": strconv.FormatInt(d.entry.Open(), 10)})
 	d.exit.Finish(crclock.Now().Add(grace))
 	d.feed.Stop()
 	d.loop.emit(crevent.Stopping{Now: crclock.Now()})
 	s.caller.SetKeepAlivesEnabled(false)
-	// The target is used as long as callers come. It would else lie idle for the whole
-	// stop, and with half of the daemons stopped in turn a fifth of the fleet's
-	// capacity with it.
-	time.Sleep(min(settle, grace/2))
+	// The target is used as long as callers send requests. Otherwise it would be idle
+	// for the whole stop; with half of the daemons restarted one after the other, that
+	// is a fifth of the fleet's capacity.
+	time.Sleep(min(callerDrainTime, grace/2))
 	d.exit.Stop()
 	d.loop.emit(crmesh.TargetChanged{Now: crclock.Now()})
 	left := grace - time.Since(began)
-	last := time.AfterFunc(left-lastWord, d.entry.End)
-	defer last.Stop()
+	finalAnswers := time.AfterFunc(left-finalAnswerMargin, d.entry.End)
+	defer finalAnswers.Stop()
 	ctx, cancel := context.WithTimeout(context.Background(), left)
 	defer cancel()
 	err := s.caller.Shutdown(ctx)
 	for err == nil && !d.exit.Idle() && ctx.Err() == nil {
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	err = errors.Join(err, s.peer.Shutdown(ctx))
-	// The library looks for open connections half a second apart at times, so that it
+	// http.Server.Shutdown polls for open connections up to half a second apart, so it
 	// may not have seen that the last request has ended.
 	if err != nil && (d.entry.Open() > 0 || !d.exit.Idle()) {
 		d.log.Event(crlog.MeshCut, crlog.Fields{"open": strconv.FormatInt(d.entry.Open(), 10), "error": err.Error()})
 	}
-	for _, page := range s.pages {
-		_ = page.Close() // whoever reads them asks again
+	for _, page := range s.admin {
+		_ = page.Close() // readers of the admin pages retry
 	}
 }
 
-// housekeepingEvery is the time between looks at what waits in vain.
-const housekeepingEvery = 100 * time.Millisecond
+// housekeepingInterval is the time between checks for expired requests.
+const housekeepingInterval = 100 * time.Millisecond
 
-// housekeeping ends what waits in vain, and says when log lines were lost.
+// housekeeping expires waiting requests, logs the number of dropped log lines, and
+// logs when the daemon becomes ready.
 func (d *daemon) housekeeping(ctx context.Context) error {
-	ticker := time.NewTicker(housekeepingEvery)
+	ticker := time.NewTicker(housekeepingInterval)
 	defer ticker.Stop()
 	ready := false
 	for {
@@ -243,8 +247,8 @@
 	}
 }
 
-// reload reads the settings again when told to. The process must go on whatever
-// it finds: SIGHUP ends one that does not handle it.
+// reload reads the settings again on a signal. An error must not end the process: an
+// unhandled SIGHUP would.
 func (d *daemon) reload(ctx context.Context) error {
 	for {
 		select {
@@ -263,9 +267,9 @@
 	}
 }
 
-// dump is the state on request.
+// dump is the body of the state page.
 type dump struct {
-	Plan    string                               `json:"plan"` // version, hexadecimal
+	Plan    string                               `json:"plan"` // hexadecimal version
 	Daemons []crid.Daemon                        `json:"daemons"`
 	Silent  []crid.Daemon                        `json:"silent"`
 	Targets map[crid.Service][]crplace.Candidate `json:"targets"`
@@ -287,26 +291,26 @@
 	return out, nil
 }
 
-func newChannel(opts Options, loop *loop, m *ownerMeter) (*crbeat.Channel, error) {
+func newChannel(opts Options, loop *loop, limiter *ownerLimiter) (*crbeat.Channel, error) {
 	return crbeat.Listen(crbeat.Options{
 		Address: peerAddress(opts.Settings),
 		Heard: func(from crid.Daemon, b crmesh.Heartbeat) {
 			loop.emit(crmesh.HeartbeatReceived{Now: crclock.Now(), From: from, Heartbeat: b})
 		},
-		Grant: m.answer,
+		Grant: limiter.answer,
 	})
 }
 
-func names[T ~string](of map[T]bool) string {
-	list := make([]string, 0, len(of))
-	for name := range of {
+func joinKeys[T ~string](set map[T]bool) string {
+	list := make([]string, 0, len(set))
+	for name := range set {
 		list = append(list, string(name))
 	}
 	slices.Sort(list)
 	return strings.Join(list, " ")
 }
 
-func minus[T comparable](a, b map[T]bool) map[T]bool {
+func difference[T comparable](a, b map[T]bool) map[T]bool {
 	out := make(map[T]bool)
 	for k := range a {
 		if !b[k] {
--- a/io/crmesh/fleet_test.go
+++ b/io/crmesh/fleet_test.go
@@ -25,19 +25,19 @@
 	"camphorroad/platform"
 )
 
-// buffer is a log that can be read while it is written.
-type buffer struct {
+// syncBuffer is a log that can be read while it is written.
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
-func (b *buffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.String()
@@ -45,16 +45,16 @@
 
 // machine is one daemon with its target.
 type machine struct {
-	t       *testing.T
-	address string
-	target  *crtarget.Target
-	id      string
-	store   *httptest.Server
-	refuse  atomic.Bool // the store turns this machine away
-	log     *buffer
-	cfg     crsite.Settings
-	stop    context.CancelFunc
-	ended   chan error
+	t                *testing.T
+	address          string
+	target           *crtarget.Target
+	id               string
+	store            *httptest.Server
+	storeUnavailable atomic.Bool // the store refuses this machine's requests
+	log              *syncBuffer
+	cfg              crsite.Settings
+	stop             context.CancelFunc
+	done             chan error
 }
 
 // fleet is a few machines with one store, all on loopback addresses.
@@ -69,35 +69,35 @@
 
 func init() { nextPort.Store(21000) }
 
-// newFleet starts machines in domains a and b by turns, with a target of service
+// newFleet starts machines, alternately in domains a and b, with a target of service
 // s1 each, and waits until all serve.
 func newFleet(t *testing.T, n int) *fleet {
 	t.Helper()
 	f := &fleet{t: t, store: crstore.New(), ports: int(nextPort.Add(20))}
 	f.publish(1, 500, "k1")
-	t.Cleanup(f.end)
+	t.Cleanup(f.shutDown)
 	for i := range n {
 		f.add(i)
 	}
-	f.settle()
+	f.waitReady()
 	return f
 }
 
-// end stops all daemons at one time.
-func (f *fleet) end() {
+// shutDown stops all daemons concurrently.
+func (f *fleet) shutDown() {
 	var done sync.WaitGroup
 	for _, m := range f.machines {
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			m.end()
+			m.shutDown()
 		}()
 	}
 	done.Wait()
 }
 
-// settle waits until all machines are ready and know all targets.
-func (f *fleet) settle() {
+// waitReady waits until all machines are ready and know all targets.
+func (f *fleet) waitReady() {
 	f.t.Helper()
 	g := gomega.NewWithT(f.t)
 	for _, m := range f.machines {
@@ -120,13 +120,13 @@
 func (f *fleet) add(i int) *machine {
 	f.t.Helper()
 	g := gomega.NewWithT(f.t)
-	m := &machine{t: f.t, address: "127.0.0." + strconv.Itoa(10+i), id: "i-" + strconv.Itoa(i), log: &buffer{}}
+	m := &machine{t: f.t, address: "127.0.0." + strconv.Itoa(10+i), id: "i-" + strconv.Itoa(i), log: &syncBuffer{}}
 	target, err := crtarget.Start(crtarget.Options{Address: m.address + ":" + strconv.Itoa(f.ports), ID: m.id, Slots: 4})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	m.target = target
 	f.t.Cleanup(target.Close)
 	m.store = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if m.refuse.Load() {
+		if m.storeUnavailable.Load() {
 			http.Error(w, "busy", http.StatusServiceUnavailable)
 			return
 		}
@@ -154,23 +154,23 @@
 
 func (m *machine) start() {
 	ctx, cancel := context.WithCancel(context.Background())
-	m.stop, m.ended = cancel, make(chan error, 1)
-	ended := m.ended
+	m.stop, m.done = cancel, make(chan error, 1)
+	done := m.done
 	go func() {
-		ended <- crmesh.Run(ctx, crmesh.Options{
+		done <- crmesh.Run(ctx, crmesh.Options{
 			Settings: m.cfg, Store: platform.NewStore(m.cfg.Store.Address), Decoder: platform.Decoder{}, Dialect: platform.Dialect{}, Log: m.log,
 		})
 	}()
 }
 
-// end stops the daemon and waits until it has ended.
-func (m *machine) end() {
+// shutDown stops the daemon and waits until it has ended.
+func (m *machine) shutDown() {
 	if m.stop == nil {
 		return
 	}
 	m.stop()
 	m.stop = nil
-	if err := <-m.ended; err != nil {
+	if err := <-m.done; err != nil {
 		m.t.Errorf("%s: %v", m.id, err)
 	}
 }
@@ -204,10 +204,10 @@
 	return body
 }
 
-var requests atomic.Int64
+var nextRequest atomic.Int64
 
-// answer is what a caller got.
-type answer struct {
+// response is the response that a caller received.
+type response struct {
 	id     string
 	status int
 	body   string
@@ -215,12 +215,12 @@
 	took   time.Duration
 }
 
-// call sends a request as a caller on the machine.
-func (m *machine) call(method, path, key string) answer {
+// call sends a request to the machine's caller port.
+func (m *machine) call(method, path, key string) response {
 	m.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
-	id := "q" + strconv.FormatInt(requests.Add(1), 10)
+	id := "q" + strconv.FormatInt(nextRequest.Add(1), 10)
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+m.cfg.Listen.Caller+path, strings.NewReader("the body"))
 	if err != nil {
 		m.t.Fatal(err)
@@ -234,17 +234,17 @@
 	began := time.Now()
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return answer{id: id, took: time.Since(began)}
+		return response{id: id, took: time.Since(began)}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return answer{id: id, took: time.Since(began)}
+		return response{id: id, took: time.Since(began)}
 	}
-	return answer{id: id, status: resp.StatusCode, body: string(body), header: resp.Header, took: time.Since(began)}
+	return response{id: id, status: resp.StatusCode, body: string(body), header: resp.Header, took: time.Since(began)}
 }
 
-// runs returns where and how often a request ran.
+// runs returns all runs of a request, on all targets.
 func (f *fleet) runs(id string) []crtarget.Run {
 	var out []crtarget.Run
 	for _, m := range f.machines {
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -18,18 +18,19 @@
 )
 
 const (
-	// tickEvery is the time between ticks of the control loop.
-	tickEvery = 100 * time.Millisecond
-	// pausedAfter is the time without a tick after which the process counts as
+	// tickInterval is the time between ticks of the control loop.
+	tickInterval = 100 * time.Millisecond
+	// pauseThreshold is the time without a tick after which the process is reported as
 	// having been paused.
-	pausedAfter = time.Second
-	// eventsWaiting bounds the events that wait for the control loop.
-	eventsWaiting = 1024
-	// copyTimeout is how long fetching from a peer may take.
-	copyTimeout = 600 * time.Millisecond
+	pauseThreshold = time.Second
+	// eventQueueSize bounds the queue of the control loop.
+	eventQueueSize = 1024
+	// pullTimeout bounds a fetch from a peer.
+	pullTimeout = 600 * time.Millisecond
 )
 
-// loop owns the control state: the only goroutine that steps the reducer.
+// loop owns the control state. Its run method is the only goroutine that steps the
+// reducer.
 type loop struct {
 	state  *crmesh.State
 	events chan crevent.Event
@@ -42,17 +43,18 @@
 	lp := &loop{
 		state: crmesh.New(crmesh.Params{
 			Self: crid.Daemon(s.Address), Domain: s.Domain, Service: s.Service, Address: s.Target, Seeds: seeds(s),
-			LocalInterval: beatNear, RemoteInterval: beatFar, RecordGrace: s.Bounds.LapseTime(),
+			LocalInterval: localHeartbeatInterval, RemoteInterval: remoteHeartbeatInterval, RecordGrace: s.Bounds.LapseTime(),
 		}),
-		events: make(chan crevent.Event, eventsWaiting),
+		events: make(chan crevent.Event, eventQueueSize),
 		log:    l,
 	}
 	lp.view.Store(&crmesh.View{Size: 1, Confirmed: 1, Reachable: 1})
 	return lp
 }
 
-// emit hands an event to the control loop. Beats and what only leads to beats are
-// dropped when it lags, since the next one tells the same; all others wait.
+// emit queues an event for the control loop. While the queue is full, heartbeats and
+// events that only cause heartbeats are dropped, since the next one carries the same
+// state; all other events block.
 func (l *loop) emit(ev crevent.Event) {
 	switch ev.(type) {
 	case crmesh.HeartbeatReceived, crmesh.TargetChanged, crmesh.OfferReceived, crmesh.TokenRequestUnanswered:
@@ -65,9 +67,9 @@
 	}
 }
 
-// run steps the reducer until the context ends.
+// run steps the reducer until ctx is cancelled.
 func (l *loop) run(ctx context.Context, do func(crevent.Effect)) error {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	last := crclock.Now()
 	for {
@@ -78,7 +80,7 @@
 			l.step(ev, do)
 		case <-ticker.C:
 			now := crclock.Now()
-			if gap := now.Sub(last); gap > pausedAfter {
+			if gap := now.Sub(last); gap > pauseThreshold {
 				l.log.Event(crlog.MeshPaused, crlog.Fields{"gap": gap.Round(time.Millisecond).String()})
 			}
 			last = now
@@ -93,16 +95,16 @@
 	}
 }
 
-// perform carries an effect out.
-func (d *daemon) perform(ctx context.Context) func(crevent.Effect) {
+// effectHandler returns the function that performs effects.
+func (d *daemon) effectHandler(ctx context.Context) func(crevent.Effect) {
 	return func(eff crevent.Effect) {
 		switch eff := eff.(type) {
 		case crmesh.PublishView:
-			d.use(eff.View)
+			d.applyView(eff.View)
 		case crmesh.SendHeartbeats:
-			d.channel.Beat(eff.To, d.beat(eff))
+			d.channel.Beat(eff.To, d.heartbeat(eff))
 		case crmesh.UpdateTarget:
-			d.board.Report(eff.Target, eff.Status)
+			d.balancer.Report(eff.Target, eff.Status)
 		case crmesh.Pull:
 			go d.pull(ctx, eff.From)
 		case crmesh.RenewWatches:
@@ -111,16 +113,16 @@
 	}
 }
 
-func (d *daemon) beat(eff crmesh.SendHeartbeats) crmesh.Heartbeat {
-	told := d.exit.Told()
+func (d *daemon) heartbeat(eff crmesh.SendHeartbeats) crmesh.Heartbeat {
+	report := d.exit.Told()
 	return crmesh.Heartbeat{
 		Incarnation:      d.incarnation,
 		Target:           d.exit.Target(),
-		Load:             told.Load,
-		Slots:            told.Slots,
-		Sick:             uint8(told.UnhealthyProb * 255),
-		TypicalMillis:    told.Typical.Milliseconds(),
-		Closed:           told.Closed,
+		Load:             report.Load,
+		Slots:            report.Slots,
+		Sick:             uint8(report.UnhealthyProb * 255),
+		TypicalMillis:    report.Typical.Milliseconds(),
+		Closed:           report.Closed,
 		Stopping:         eff.Stopping,
 		StoreUnavailable: eff.StoreUnavailable,
 		PlanVersion:      eff.PlanVersion,
@@ -128,31 +130,31 @@
 	}
 }
 
-// pull fetches what a peer holds of the store.
+// pull fetches records and configuration from a peer.
 func (d *daemon) pull(ctx context.Context, from crid.Daemon) {
-	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
+	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	var c crwatch.Update
-	if err := d.peers.Fetch(ctx, from, d.follower.Revisions(), &c); err != nil {
+	var update crwatch.Update
+	if err := d.peers.Fetch(ctx, from, d.follower.Revisions(), &update); err != nil {
 		d.log.Event(crlog.PeerCopyFailed, crlog.Fields{"peer": string(from), "error": err.Error()})
 		return
 	}
 	d.log.Event(crlog.PeerCopied, crlog.Fields{
-		"peer": string(from), "rev": strconv.FormatUint(uint64(c.RecordsRevision), 10),
+		"peer": string(from), "rev": strconv.FormatUint(uint64(update.RecordsRevision), 10),
 	})
-	if err := d.follower.Apply(c); err != nil {
+	if err := d.follower.Apply(update); err != nil {
 		d.log.Event(crlog.PeerCopyFailed, crlog.Fields{"peer": string(from), "error": err.Error()})
 	}
 }
 
-// use gives a view to traffic.
-func (d *daemon) use(v *crmesh.View) {
+// applyView puts a view into force for request handling.
+func (d *daemon) applyView(v *crmesh.View) {
 	before := d.loop.view.Swap(v)
 	d.entry.Use(v)
 	if !sameRecord(before, v) {
 		d.exit.Use(v.OwnRecord)
 	}
-	d.forget(v)
+	d.prune(v)
 	d.logView(before, v)
 }
 
@@ -163,8 +165,8 @@
 	return *a.OwnRecord == *b.OwnRecord
 }
 
-// forget drops what is kept of targets and daemons that are gone.
-func (d *daemon) forget(v *crmesh.View) {
+// prune drops the state of targets and daemons that are no longer in the view.
+func (d *daemon) prune(v *crmesh.View) {
 	targets := make(map[crid.Target]bool)
 	daemons := make(map[crid.Daemon]bool)
 	for _, list := range v.Targets {
@@ -176,7 +178,7 @@
 	for _, id := range v.Live {
 		daemons[id] = true
 	}
-	d.board.Retain(targets)
+	d.balancer.Retain(targets)
 	d.peers.Keep(daemons)
 }
 
@@ -184,22 +186,22 @@
 	if v.Plan != before.Plan {
 		d.log.Event(crlog.PlanInForce, crlog.Fields{"plan": v.Plan.Label()})
 	}
-	came, went := compare(before.Targets, v.Targets)
-	if came+went != "" {
-		d.log.Event(crlog.TargetsChanged, crlog.Fields{"came": came, "went": went})
+	added, removed := diffTargets(before.Targets, v.Targets)
+	if added+removed != "" {
+		d.log.Event(crlog.TargetsChanged, crlog.Fields{"came": added, "went": removed})
 	}
 	if !slices.Equal(before.Readers, v.Readers) {
-		d.log.Event(crlog.ReadersChanged, crlog.Fields{"readers": joined(v.Readers)})
+		d.log.Event(crlog.ReadersChanged, crlog.Fields{"readers": joinDaemons(v.Readers)})
 	}
 	if len(v.Silent) > len(before.Silent) {
-		d.log.Event(crlog.PeerSilent, crlog.Fields{"peers": names(v.Silent)})
+		d.log.Event(crlog.PeerSilent, crlog.Fields{"peers": joinKeys(v.Silent)})
 	}
 	if len(v.Silent) < len(before.Silent) {
-		d.log.Event(crlog.PeerHeard, crlog.Fields{"silent": names(v.Silent)})
+		d.log.Event(crlog.PeerHeard, crlog.Fields{"silent": joinKeys(v.Silent)})
 	}
 }
 
-func joined(daemons []crid.Daemon) string {
+func joinDaemons(daemons []crid.Daemon) string {
 	list := make([]string, 0, len(daemons))
 	for _, d := range daemons {
 		list = append(list, string(d))
@@ -207,15 +209,15 @@
 	return strings.Join(list, " ")
 }
 
-func compare(before, after map[crid.Service][]crplace.Candidate) (came, went string) {
-	had := set(before)
-	has := set(after)
-	return names(minus(has, had)), names(minus(had, has))
+func diffTargets(before, after map[crid.Service][]crplace.Candidate) (added, removed string) {
+	old := targetSet(before)
+	current := targetSet(after)
+	return joinKeys(difference(current, old)), joinKeys(difference(old, current))
 }
 
-func set(by map[crid.Service][]crplace.Candidate) map[crid.Target]bool {
+func targetSet(targets map[crid.Service][]crplace.Candidate) map[crid.Target]bool {
 	out := make(map[crid.Target]bool)
-	for _, list := range by {
+	for _, list := range targets {
 		for _, c := range list {
 			out[c.Target] = true
 		}
--- a/io/crmesh/meters.go
+++ b/io/crmesh/meters.go
@@ -11,26 +11,26 @@
 	"camphorroad/io/crwatch"
 )
 
-// The samples behind the quantiles favour the last five minutes, as the library
-// proposes.
+// The histograms weight their samples towards the last five minutes. These are the
+// values that the library suggests.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
 
-// meters are the measurements that traffic adds to; all others are read when the
-// page is asked for.
+// meters are the metrics that request handling updates. All others are read when the
+// metrics page is requested.
 type meters struct {
 	registry metrics.Registry
-	seconds  map[crpolicy.Class]metrics.Histogram // nanoseconds; told in seconds
+	latency  map[crpolicy.Class]metrics.Histogram // in nanoseconds; exported in seconds
 	repeats  metrics.Counter
 }
 
 func newMeters(r metrics.Registry) *meters {
-	m := &meters{registry: r, seconds: make(map[crpolicy.Class]metrics.Histogram), repeats: metrics.NewRegisteredCounter("repeats.total", r)}
+	m := &meters{registry: r, latency: make(map[crpolicy.Class]metrics.Histogram), repeats: metrics.NewRegisteredCounter("repeats.total", r)}
 	for _, class := range []crpolicy.Class{crpolicy.ClassOnce, crpolicy.ClassRepeat} {
 		sample := metrics.NewExpDecaySample(sampleSize, sampleAlpha)
-		m.seconds[class] = metrics.NewRegisteredHistogram("request."+class.String()+".seconds", r, sample)
+		m.latency[class] = metrics.NewRegisteredHistogram("request."+class.String()+".seconds", r, sample)
 	}
 	return m
 }
@@ -44,7 +44,7 @@
 		name = "answers.own." + strconv.Itoa(status) + ".total"
 	}
 	metrics.GetOrRegisterCounter(name, m.registry).Inc(1)
-	if h := m.seconds[class]; h != nil && !own {
+	if h := m.latency[class]; h != nil && !own {
 		h.Update(int64(took))
 	}
 }
@@ -52,8 +52,9 @@
 // Repeated implements cringress.Meter.
 func (m *meters) Repeated() { m.repeats.Inc(1) }
 
-// gauges registers what is read when the page is asked for.
-func (d *daemon) gauges() {
+// registerGauges registers the metrics that are read when the metrics page is
+// requested.
+func (d *daemon) registerGauges() {
 	for name, read := range map[string]func() int64{
 		"target.load":                            func() int64 { return int64(d.exit.Told().Load) },
 		"target.slots":                           func() int64 { return int64(d.exit.Told().Slots) },
@@ -68,7 +69,8 @@
 		"store.records.quiet.milliseconds":       func() int64 { return d.follower.SinceLastRead(crwatch.Records).Milliseconds() },
 		"store.configuration.quiet.milliseconds": func() int64 { return d.follower.SinceLastRead(crwatch.Configuration).Milliseconds() },
 	} {
-		// The library refuses only a name that is taken, which none of these is.
+		// Register fails only for a name that is already registered; these are
+		// distinct.
 		_ = d.metrics.Register(name, metrics.NewFunctionalGauge(read))
 	}
 }
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -18,42 +18,43 @@
 	"camphorroad/io/crlog"
 )
 
-// throughMost bounds the daemons that are asked through, one after the other. Where some
-// paths are cut one in three of them is cut off, too, from one side or the other.
-const throughMost = 2
-
-// ownerRest is how long an owner that did not answer is not asked again.
-const ownerRest = time.Second
-
-// ownerMeter keeps the buckets of the accounts that this daemon owns.
-type ownerMeter struct {
-	self  crid.Daemon
-	loop  *loop
-	meter *crquota.OwnerLimiter
+// maxRelays bounds the daemons that a token request is sent through, one after the
+// other. Under a partial network partition, about one in three of them is cut off from
+// one side or the other.
+const maxRelays = 2
+
+// ownerBackoff is how long a daemon that did not answer is not asked again.
+const ownerBackoff = time.Second
+
+// ownerLimiter keeps the token buckets of the accounts that this daemon owns.
+type ownerLimiter struct {
+	self    crid.Daemon
+	loop    *loop
+	limiter *crquota.OwnerLimiter
 }
 
-func newOwnerMeter(opts Options, loop *loop) *ownerMeter {
-	return &ownerMeter{self: crid.Daemon(opts.Settings.Address), loop: loop, meter: crquota.NewOwnerLimiter()}
+func newOwnerLimiter(opts Options, loop *loop) *ownerLimiter {
+	return &ownerLimiter{self: crid.Daemon(opts.Settings.Address), loop: loop, limiter: crquota.NewOwnerLimiter()}
 }
 
-// decide returns what this daemon does about a token of an account.
-func (m *ownerMeter) decide(name crid.Account, by crquota.Origin) crquota.Action {
+// decide returns how a token request for an account is handled: granted here, or sent
+// on.
+func (m *ownerLimiter) decide(name crid.Account, by crquota.Origin) crquota.Action {
 	return m.loop.view.Load().TokenStep(name, m.self, by)
 }
 
-// answer gives a token of an account to a peer, unless another daemon has to be
-// asked.
-func (m *ownerMeter) answer(name crid.Account, by crquota.Origin) (ok bool, wait time.Duration, mine bool) {
+// answer takes a token for a peer. handled is false if another daemon has to be asked.
+func (m *ownerLimiter) answer(name crid.Account, by crquota.Origin) (ok bool, wait time.Duration, handled bool) {
 	if step := m.decide(name, by); step.To != "" || !step.Grant {
 		return false, 0, false
 	}
-	ok, wait = m.grant(name)
+	ok, wait = m.take(name)
 	return ok, wait, true
 }
 
-// grant gives a token of an account. One that this daemon's plan does not know
-// is granted: the daemon that asks has a newer plan.
-func (m *ownerMeter) grant(name crid.Account) (ok bool, wait time.Duration) {
+// take takes a token from an account's bucket. An account that is not in this daemon's
+// plan is allowed: the daemon that asks has a newer plan.
+func (m *ownerLimiter) take(name crid.Account) (ok bool, wait time.Duration) {
 	v := m.loop.view.Load()
 	if v.Plan == nil {
 		return true, 0
@@ -63,112 +64,115 @@
 		return true, 0
 	}
 	share := v.RateShare()
-	return m.meter.Take(crclock.Now(), a.Name, a.Rate*share, a.Burst*share)
+	return m.limiter.Take(crclock.Now(), a.Name, a.Rate*share, a.Burst*share)
 }
 
-// quota asks an account's owner for tokens, and falls back on this daemon's part
-// of the rate while the owner is silent.
+// quota requests tokens from the owner of an account. While the owner does not answer,
+// it falls back on this daemon's share of the rate.
 type quota struct {
-	self    crid.Daemon
-	loop    *loop
-	owner   *ownerMeter
-	parts   *crquota.FallbackLimiter
-	channel *crbeat.Channel
-	log     *crlog.Logger
-	mu      sync.Mutex
-	silent  map[way]crid.Instant
+	self         crid.Daemon
+	loop         *loop
+	owner        *ownerLimiter
+	fallback     *crquota.FallbackLimiter
+	channel      *crbeat.Channel
+	log          *crlog.Logger
+	mu           sync.Mutex
+	backoffUntil map[route]crid.Instant
 }
 
 var _ cringress.Quota = (*quota)(nil)
 
-func newQuota(opts Options, loop *loop, m *ownerMeter, ch *crbeat.Channel, l *crlog.Logger) *quota {
+func newQuota(opts Options, loop *loop, m *ownerLimiter, ch *crbeat.Channel, l *crlog.Logger) *quota {
 	q := &quota{
-		self: crid.Daemon(opts.Settings.Address), loop: loop, owner: m, parts: crquota.NewFallbackLimiter(rand.Float64), channel: ch, log: l,
-		silent: make(map[way]crid.Instant),
+		self: crid.Daemon(opts.Settings.Address), loop: loop, owner: m, fallback: crquota.NewFallbackLimiter(rand.Float64), channel: ch, log: l,
+		backoffUntil: make(map[route]crid.Instant),
 	}
-	ch.PassOn(q.passOn)
+	ch.PassOn(q.relay)
 	return q
 }
 
-// way is a way to an account's tokens. A daemon that is silent as the one may
-// answer as the other.
-type way struct {
-	to crid.Daemon
-	as crquota.Origin
+// route is a daemon and the role in which it is asked. One that does not answer as the
+// owner may still answer as a relay.
+type route struct {
+	to     crid.Daemon
+	origin crquota.Origin
 }
 
 // Take implements cringress.Quota.
 func (q *quota) Take(ctx context.Context, a *crplan.Account) (ok bool, wait time.Duration) {
-	step := q.owner.decide(a.Name, crquota.FromCaller)
-	ok, wait, err := q.do(ctx, a.Name, step)
+	action := q.owner.decide(a.Name, crquota.FromCaller)
+	ok, wait, err := q.execute(ctx, a.Name, action)
 	if err == nil {
 		return ok, wait
 	}
-	// A cut between two machines leaves most others a path. Without one to ask
-	// through, an account would be held to a part of its rate in each cut.
+	// A network partition between two machines leaves most others reachable from both.
+	// Without a relay, an account would be limited to a share of its rate during each
+	// one.
 	v := q.loop.view.Load()
-	without := []crid.Daemon{step.To, q.self}
-	for range throughMost {
-		d := crquota.Relay(a.Name, v.Live, without...)
+	excluded := []crid.Daemon{action.To, q.self}
+	for range maxRelays {
+		d := crquota.Relay(a.Name, v.Live, excluded...)
 		if d == "" {
 			break
 		}
-		if ok, wait, err := q.ask(ctx, way{to: d, as: crquota.ToRelay}, a.Name); err == nil {
+		if ok, wait, err := q.request(ctx, route{to: d, origin: crquota.ToRelay}, a.Name); err == nil {
 			return ok, wait
 		}
-		without = append(without, d)
+		excluded = append(excluded, d)
 	}
-	return q.parts.Take(crclock.Now(), a.Name, a.Rate, a.Burst, v.Size)
+	return q.fallback.Take(crclock.Now(), a.Name, a.Rate, a.Burst, v.Size)
 }
 
-// passOn asks for a peer.
-func (q *quota) passOn(ctx context.Context, a crid.Account, by crquota.Origin) (ok bool, wait time.Duration, err error) {
-	return q.do(ctx, a, q.owner.decide(a, by))
+// relay requests a token on behalf of a peer.
+func (q *quota) relay(ctx context.Context, a crid.Account, by crquota.Origin) (ok bool, wait time.Duration, err error) {
+	return q.execute(ctx, a, q.owner.decide(a, by))
 }
 
-// errNobody tells that a question may not go on.
-var errNobody = errors.New("no daemon to ask")
+// errNoRoute reports that a request must not be sent on.
+var errNoRoute = errors.New("no daemon to request the token from")
 
-// do takes a step: it asks, or grants what nobody else answers for.
-func (q *quota) do(ctx context.Context, a crid.Account, step crquota.Action) (ok bool, wait time.Duration, err error) {
-	err = errNobody
+// execute sends a token request as decided, or takes a token here if no other daemon
+// answers.
+func (q *quota) execute(ctx context.Context, a crid.Account, step crquota.Action) (ok bool, wait time.Duration, err error) {
+	err = errNoRoute
 	if step.To != "" {
-		ok, wait, err = q.ask(ctx, way{to: step.To, as: step.Origin}, a)
+		ok, wait, err = q.request(ctx, route{to: step.To, origin: step.Origin}, a)
 	}
 	if err != nil && step.Grant {
-		ok, wait = q.owner.grant(a)
+		ok, wait = q.owner.take(a)
 		return ok, wait, nil
 	}
 	return ok, wait, err
 }
 
-// errResting tells that a daemon did not answer a moment ago.
-var errResting = errors.New("the daemon did not answer a moment ago")
+// errBackoff reports that a daemon is in backoff after an unanswered request.
+var errBackoff = errors.New("daemon in backoff after an unanswered request")
 
-// ask asks on a way unless it rests, and lets it rest if no answer comes.
-func (q *quota) ask(ctx context.Context, w way, a crid.Account) (ok bool, wait time.Duration, err error) {
-	if q.resting(w) {
-		return false, 0, errResting
+// request sends a token request over a route unless the route is in backoff, and
+// starts a backoff if no answer comes.
+func (q *quota) request(ctx context.Context, r route, a crid.Account) (ok bool, wait time.Duration, err error) {
+	if q.inBackoff(r) {
+		return false, 0, errBackoff
 	}
-	ok, wait, err = q.channel.Ask(ctx, w.to, a, w.as)
+	ok, wait, err = q.channel.Ask(ctx, r.to, a, r.origin)
 	if err != nil && ctx.Err() == nil {
-		q.rest(w, a)
+		q.startBackoff(r, a)
 	}
 	return ok, wait, err
 }
 
-func (q *quota) resting(w way) bool {
+func (q *quota) inBackoff(r route) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return crclock.Now().Before(q.silent[w])
+	return crclock.Now().Before(q.backoffUntil[r])
 }
 
-func (q *quota) rest(w way, a crid.Account) {
+func (q *quota) startBackoff(r route, a crid.Account) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.silent[w] = crclock.Now().Add(ownerRest)
-	if w.as != crquota.ToRelay {
-		q.loop.emit(crmesh.TokenRequestUnanswered{Now: crclock.Now(), Peer: w.to})
+	q.backoffUntil[r] = crclock.Now().Add(ownerBackoff)
+	if r.origin != crquota.ToRelay {
+		q.loop.emit(crmesh.TokenRequestUnanswered{Now: crclock.Now(), Peer: r.to})
 	}
-	q.log.Event(crlog.OwnerSilent, crlog.Fields{"peer": string(w.to), "account": string(a), "through": strconv.FormatBool(w.as == crquota.ToRelay)})
+	q.log.Event(crlog.OwnerSilent, crlog.Fields{"peer": string(r.to), "account": string(a), "through": strconv.FormatBool(r.origin == crquota.ToRelay)})
 }
