--- a/io/crbeat/crbeat.go
+++ b/io/crbeat/crbeat.go
@@ -1,13 +1,14 @@
-// Package crbeat carries the small messages between daemons, a datagram each:
-// beats, and questions for an account's tokens with their answers. A lost one is
-// made up for by the next beat, or by asking again.
+// Package crbeat sends heartbeats and token requests with their responses between
+// daemons, one per UDP datagram. A lost heartbeat is replaced by the next one; a lost
+// request is sent again. io/crmesh uses it. Its peers are identified by address;
+// io/crpeer has authenticated sessions over QUIC.
 //
 // # Usage
 //
-//	c, err := crbeat.Listen(crbeat.Options{Address: "10.0.0.1:7660", Heard: heard, Grant: grant})
+//	c, err := crbeat.Listen(crbeat.Options{Address: "10.0.0.1:7660", OnHeartbeat: onHeartbeat, Grant: grant})
 //	go c.Run(ctx)
-//	c.Beat(peers, beat)
-//	ok, wait, err := c.Ask(ctx, owner, account, crquota.FromPeer)
+//	c.SendHeartbeat(peers, heartbeat)
+//	ok, wait, err := c.RequestToken(ctx, owner, account, crquota.FromPeer)
 package crbeat
 
 import (
@@ -27,67 +28,68 @@
 )
 
 const (
-	// askTimeout is how long an answer to a question may take: a round trip
-	// between domains of 3 ms, and some time for a busy processor.
-	askTimeout = 40 * time.Millisecond
-	// askTries is the number of times a question is sent.
-	askTries = 2
-	// relayTimeout is how long an answer through another daemon may take: it asks
-	// the owner as often as this one would.
-	relayTimeout = askTimeout*askTries + 20*time.Millisecond
-	// relaysMost bounds the questions passed on at a time. One that is over it is
-	// as good as lost.
-	relaysMost = 64
-	// maxDatagram bounds a message.
+	// requestTimeout bounds the wait for a response: a round trip between domains
+	// takes 3 ms, the rest allows for a busy processor.
+	requestTimeout = 40 * time.Millisecond
+	// requestAttempts is the number of times a request is sent.
+	requestAttempts = 2
+	// relayTimeout bounds the wait for a response through a relay, which sends the
+	// request to the owner as often as this daemon would.
+	relayTimeout = requestTimeout*requestAttempts + 20*time.Millisecond
+	// maxRelays bounds the requests that are relayed concurrently. Requests over it
+	// are dropped.
+	maxRelays = 64
+	// maxDatagram is the largest datagram that is read, in bytes.
 	maxDatagram = 1400
 )
 
-// ErrSilent tells that a peer did not answer a question.
-var ErrSilent = errors.New("no answer")
+// ErrNoResponse reports that a peer did not respond to a request.
+var ErrNoResponse = errors.New("no response from peer")
 
-// message is what a datagram holds: one of its parts.
+// message is the content of a datagram; exactly one field is set.
 type message struct {
-	Beat   *crmesh.Heartbeat `cbor:"1,keyasint,omitempty"`
-	Ask    *ask              `cbor:"2,keyasint,omitempty"`
-	Answer *answer           `cbor:"3,keyasint,omitempty"`
+	Heartbeat *crmesh.Heartbeat `cbor:"1,keyasint,omitempty"`
+	Request   *tokenRequest     `cbor:"2,keyasint,omitempty"`
+	Response  *tokenResponse    `cbor:"3,keyasint,omitempty"`
 }
 
-type ask struct {
+type tokenRequest struct {
 	_       struct{} `cbor:",toarray"`
 	Number  uint64
 	Account crid.Account
-	As      crquota.Origin // how far it may go on
+	Origin  crquota.Origin // limits how far the request is relayed
 }
 
-type answer struct {
+type tokenResponse struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 	OK     bool
 	Wait   time.Duration
 }
 
-// Options are the settings of a channel.
+// Options configure a Channel.
 type Options struct {
-	Address string
-	Heard   func(from crid.Daemon, b crmesh.Heartbeat)
-	// Grant gives a token, unless another daemon has to be asked.
-	Grant func(a crid.Account, as crquota.Origin) (ok bool, wait time.Duration, mine bool)
+	Address     string
+	OnHeartbeat func(from crid.Daemon, b crmesh.Heartbeat)
+	// Grant takes a token for a peer. handled is false if another daemon has to be
+	// asked.
+	Grant func(a crid.Account, origin crquota.Origin) (ok bool, wait time.Duration, handled bool)
 }
 
-// Asker asks other daemons for a token that a peer wants.
-type Asker func(ctx context.Context, a crid.Account, as crquota.Origin) (ok bool, wait time.Duration, err error)
+// RelayFunc requests a token from other daemons on behalf of a peer.
+type RelayFunc func(ctx context.Context, a crid.Account, origin crquota.Origin) (ok bool, wait time.Duration, err error)
 
 // Channel sends and receives messages. It is safe for concurrent use.
 type Channel struct {
-	opts Options
-	conn *net.UDPConn
-	port uint16
-	mu   sync.Mutex
-	next uint64
-	open map[uint64]chan answer
+	opts       Options
+	conn       *net.UDPConn
+	port       uint16
+	mu         sync.Mutex
+	lastNumber uint64
+	pending    map[uint64]chan tokenResponse
 
-	owner  Asker         // for peers that do not reach an owner; nil: none
-	relays chan struct{} // holds a place for each question passed on
+	relay      RelayFunc     // nil: requests are not relayed
+	relaySlots chan struct{} // semaphore of the requests being relayed
 }
 
 // Listen opens a channel at an address; peers listen at the same port.
@@ -100,10 +102,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen for messages: %w", err)
 	}
-	return &Channel{opts: opts, conn: conn, port: addr.Port(), open: make(map[uint64]chan answer), relays: make(chan struct{}, relaysMost)}, nil
+	return &Channel{opts: opts, conn: conn, port: addr.Port(), pending: make(map[uint64]chan tokenResponse), relaySlots: make(chan struct{}, maxRelays)}, nil
 }
 
-// Run receives messages until the context ends.
+// Run receives messages until ctx is cancelled.
 func (c *Channel) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = c.conn.Close() })
 	defer stop()
@@ -114,35 +116,35 @@
 			return nil
 		}
 		if err != nil {
-			continue // a peer's closed port shows here; it does not concern others
+			continue // a closed port of one peer is reported here; other peers are not affected
 		}
 		var m message
 		if cbor.Unmarshal(buf[:n], &m) == nil {
-			c.received(ctx, from, m)
+			c.handle(ctx, from, m)
 		}
 	}
 }
 
-func (c *Channel) received(ctx context.Context, from netip.AddrPort, m message) {
+func (c *Channel) handle(ctx context.Context, from netip.AddrPort, m message) {
 	switch {
-	case m.Beat != nil:
-		c.opts.Heard(crid.Daemon(from.Addr().Unmap().String()), *m.Beat)
-	case m.Ask != nil:
-		c.asked(ctx, from, *m.Ask)
-	case m.Answer != nil:
+	case m.Heartbeat != nil:
+		c.opts.OnHeartbeat(crid.Daemon(from.Addr().Unmap().String()), *m.Heartbeat)
+	case m.Request != nil:
+		c.handleRequest(ctx, from, *m.Request)
+	case m.Response != nil:
 		c.mu.Lock()
-		waiting := c.open[m.Answer.Number]
-		delete(c.open, m.Answer.Number)
+		waiting := c.pending[m.Response.Number]
+		delete(c.pending, m.Response.Number)
 		c.mu.Unlock()
 		if waiting != nil {
-			waiting <- *m.Answer
+			waiting <- *m.Response
 		}
 	}
 }
 
-// Beat sends a beat to peers.
-func (c *Channel) Beat(to []crid.Daemon, b crmesh.Heartbeat) {
-	data, err := cbor.Marshal(message{Beat: &b})
+// SendHeartbeat sends a heartbeat to peers.
+func (c *Channel) SendHeartbeat(to []crid.Daemon, b crmesh.Heartbeat) {
+	data, err := cbor.Marshal(message{Heartbeat: &b})
 	if err != nil {
 		return
 	}
@@ -153,88 +155,89 @@
 	}
 }
 
-// asked answers a question, or passes it on to the owner. Two daemons may take
-// different ones for the owner while a path is cut; if both granted, the account
-// would get its rate twice.
-func (c *Channel) asked(ctx context.Context, from netip.AddrPort, q ask) {
-	ok, wait, mine := c.opts.Grant(q.Account, q.As)
-	if !mine && q.As != crquota.FromRelay {
-		c.passOn(ctx, from, q)
+// handleRequest responds to a token request or relays it to the owner. During a
+// network partition two daemons may see different owners; if both granted tokens, the
+// account would get twice its rate.
+func (c *Channel) handleRequest(ctx context.Context, from netip.AddrPort, req tokenRequest) {
+	ok, wait, handled := c.opts.Grant(req.Account, req.Origin)
+	if !handled && req.Origin != crquota.FromRelay {
+		c.relayRequest(ctx, from, req)
 		return
 	}
-	if mine {
-		c.send(from, message{Answer: &answer{Number: q.Number, OK: ok, Wait: wait}})
+	if handled {
+		c.send(from, message{Response: &tokenResponse{Number: req.Number, OK: ok, Wait: wait}})
 	}
 }
 
-// PassOn has questions about accounts that this daemon does not own passed on to
-// their owner. It is to be called before Run.
-func (c *Channel) PassOn(owner Asker) { c.owner = owner }
+// SetRelay sets the function that relays requests for accounts that this daemon does
+// not own. It must be called before Run.
+func (c *Channel) SetRelay(relay RelayFunc) { c.relay = relay }
 
-// passOn asks the owner for a peer, and answers it if the owner answered.
-func (c *Channel) passOn(ctx context.Context, from netip.AddrPort, q ask) {
-	if c.owner == nil {
+// relayRequest requests a token from the owner, and responds to the peer only if the
+// owner did.
+func (c *Channel) relayRequest(ctx context.Context, from netip.AddrPort, req tokenRequest) {
+	if c.relay == nil {
 		return
 	}
 	select {
-	case c.relays <- struct{}{}:
+	case c.relaySlots <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		defer func() { <-c.relays }()
+		defer func() { <-c.relaySlots }()
 		ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 		defer cancel()
-		if ok, wait, err := c.owner(ctx, q.Account, q.As); err == nil {
-			c.send(from, message{Answer: &answer{Number: q.Number, OK: ok, Wait: wait}})
+		if ok, wait, err := c.relay(ctx, req.Account, req.Origin); err == nil {
+			c.send(from, message{Response: &tokenResponse{Number: req.Number, OK: ok, Wait: wait}})
 		}
 	}()
 }
 
-// Ask asks a daemon for a token of an account. The answer to a relayed question takes
-// longer, as that daemon asks another one.
-func (c *Channel) Ask(ctx context.Context, to crid.Daemon, a crid.Account, as crquota.Origin) (ok bool, wait time.Duration, err error) {
-	if as == crquota.ToRelay {
-		return c.question(ctx, to, ask{Account: a, As: as}, 1, relayTimeout)
+// RequestToken requests a token of an account from a daemon. The response to a relayed
+// request takes longer, as that daemon asks another one.
+func (c *Channel) RequestToken(ctx context.Context, to crid.Daemon, a crid.Account, origin crquota.Origin) (ok bool, wait time.Duration, err error) {
+	if origin == crquota.ToRelay {
+		return c.roundTrip(ctx, to, tokenRequest{Account: a, Origin: origin}, 1, relayTimeout)
 	}
-	return c.question(ctx, to, ask{Account: a, As: as}, askTries, askTimeout)
+	return c.roundTrip(ctx, to, tokenRequest{Account: a, Origin: origin}, requestAttempts, requestTimeout)
 }
 
-// question sends a question so many times and waits for the answer after each.
-func (c *Channel) question(
-	ctx context.Context, to crid.Daemon, q ask, tries int, timeout time.Duration,
+// roundTrip sends a request up to attempts times, and waits for the response after each.
+func (c *Channel) roundTrip(
+	ctx context.Context, to crid.Daemon, req tokenRequest, attempts int, timeout time.Duration,
 ) (ok bool, wait time.Duration, err error) {
 	addr, err := netip.ParseAddr(string(to))
 	if err != nil {
 		return false, 0, err
 	}
-	waiting := make(chan answer, 1)
+	waiting := make(chan tokenResponse, 1)
 	c.mu.Lock()
-	c.next++
-	q.Number = c.next
-	c.open[q.Number] = waiting
+	c.lastNumber++
+	req.Number = c.lastNumber
+	c.pending[req.Number] = waiting
 	c.mu.Unlock()
-	defer c.forget(q.Number)
-	for range tries {
-		c.send(netip.AddrPortFrom(addr, c.port), message{Ask: &q})
+	defer c.removePending(req.Number)
+	for range attempts {
+		c.send(netip.AddrPortFrom(addr, c.port), message{Request: &req})
 		timer := time.NewTimer(timeout)
 		select {
-		case got := <-waiting:
+		case resp := <-waiting:
 			timer.Stop()
-			return got.OK, got.Wait, nil
+			return resp.OK, resp.Wait, nil
 		case <-ctx.Done():
 			timer.Stop()
 			return false, 0, ctx.Err()
 		case <-timer.C:
 		}
 	}
-	return false, 0, ErrSilent
+	return false, 0, ErrNoResponse
 }
 
-func (c *Channel) forget(number uint64) {
+func (c *Channel) removePending(number uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.open, number)
+	delete(c.pending, number)
 }
 
 func (c *Channel) send(to netip.AddrPort, m message) {
@@ -243,7 +246,7 @@
 	}
 }
 
-// write sends a datagram. An error means that it is lost, which any may be.
+// write sends a datagram. Errors are ignored, as datagrams may be lost anyway.
 func (c *Channel) write(to netip.AddrPort, data []byte) {
 	_, _ = c.conn.WriteToUDPAddrPort(data, to)
 }
--- a/io/crbeat/crbeat_test.go
+++ b/io/crbeat/crbeat_test.go
@@ -15,11 +15,11 @@
 	"camphorroad/io/crbeat"
 )
 
-// listen opens a channel on an address of its own; grant tells what it grants.
+// listen opens a channel on an address of its own; grant is its Options.Grant.
 func listen(t *testing.T, host string, port int, grant func(crid.Account, crquota.Origin) (bool, time.Duration, bool)) *crbeat.Channel {
 	t.Helper()
 	c, err := crbeat.Listen(crbeat.Options{
-		Address: fmt.Sprintf("%s:%d", host, port), Heard: func(crid.Daemon, crmesh.Heartbeat) {}, Grant: grant,
+		Address: fmt.Sprintf("%s:%d", host, port), OnHeartbeat: func(crid.Daemon, crmesh.Heartbeat) {}, Grant: grant,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -44,64 +44,64 @@
 	})
 }
 
-// others takes another daemon for the owner of all accounts.
-func others(crid.Account, crquota.Origin) (bool, time.Duration, bool) { return false, 0, false }
+// notOwner is an Options.Grant that leaves all accounts to other daemons.
+func notOwner(crid.Account, crquota.Origin) (bool, time.Duration, bool) { return false, 0, false }
 
-// The path between an entry and the owner of an account is cut, and both reach a
-// third daemon. Held to a part of the rate, callers inside it would be refused for
-// as long as the cut lasts; the third passes the question on.
-func TestAQuestionIsPassedOnToTheOwner(t *testing.T) {
+// An entry and the owner of an account cannot reach each other, and both reach a third
+// daemon, which must relay the request. Otherwise callers at the entry would be
+// limited to a share of the rate for the whole partition.
+func TestRequestIsRelayedToTheOwner(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const port = 28411
-	asked := make(chan crid.Account, 1)
-	entry := listen(t, "127.0.40.1", port, others)
-	third := listen(t, "127.0.40.2", port, others)
+	requested := make(chan crid.Account, 1)
+	entry := listen(t, "127.0.40.1", port, notOwner)
+	relay := listen(t, "127.0.40.2", port, notOwner)
 	owner := listen(t, "127.0.40.3", port, func(a crid.Account, _ crquota.Origin) (bool, time.Duration, bool) {
-		asked <- a
+		requested <- a
 		return true, 0, true
 	})
-	third.PassOn(func(ctx context.Context, a crid.Account, _ crquota.Origin) (bool, time.Duration, error) {
-		return third.Ask(ctx, "127.0.40.3", a, crquota.FromPeer)
+	relay.SetRelay(func(ctx context.Context, a crid.Account, _ crquota.Origin) (bool, time.Duration, error) {
+		return relay.RequestToken(ctx, "127.0.40.3", a, crquota.FromPeer)
 	})
-	run(t, entry, third, owner)
-	ok, _, err := entry.Ask(t.Context(), "127.0.40.2", "survey", crquota.ToRelay)
+	run(t, entry, relay, owner)
+	ok, _, err := entry.RequestToken(t.Context(), "127.0.40.2", "survey", crquota.ToRelay)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(ok).To(gomega.BeTrue())
-	g.Expect(asked).To(gomega.Receive(gomega.Equal(crid.Account("survey"))))
+	g.Expect(requested).To(gomega.Receive(gomega.Equal(crid.Account("survey"))))
 }
 
-// The owner is dead for all. The daemon in between has no answer to give, and the
-// entry must not take its silence for a token.
-func TestWithoutAnOwnerNobodyAnswers(t *testing.T) {
+// The owner is unreachable for all. The relay must not respond, and the entry must not
+// take a timeout for a token.
+func TestRelayWithoutAnOwnerDoesNotRespond(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const port = 28412
-	entry := listen(t, "127.0.40.1", port, others)
-	third := listen(t, "127.0.40.2", port, others)
-	third.PassOn(func(context.Context, crid.Account, crquota.Origin) (bool, time.Duration, error) {
-		return false, 0, errors.New("silent")
+	entry := listen(t, "127.0.40.1", port, notOwner)
+	relay := listen(t, "127.0.40.2", port, notOwner)
+	relay.SetRelay(func(context.Context, crid.Account, crquota.Origin) (bool, time.Duration, error) {
+		return false, 0, errors.New("no response")
 	})
-	run(t, entry, third)
-	ok, _, err := entry.Ask(t.Context(), "127.0.40.2", "survey", crquota.ToRelay)
-	g.Expect(err).To(gomega.MatchError(crbeat.ErrSilent))
+	run(t, entry, relay)
+	ok, _, err := entry.RequestToken(t.Context(), "127.0.40.2", "survey", crquota.ToRelay)
+	g.Expect(err).To(gomega.MatchError(crbeat.ErrNoResponse))
 	g.Expect(ok).To(gomega.BeFalse())
 }
 
-// Two daemons each take the other for an account's owner. A question must not go
-// round between them for ever.
-func TestAQuestionIsPassedOnOnce(t *testing.T) {
+// Two daemons see each other as the owner of an account. A request must not be relayed
+// between them forever.
+func TestRequestIsRelayedOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const port = 28413
-	entry := listen(t, "127.0.40.1", port, others)
-	one := listen(t, "127.0.40.2", port, others)
-	other := listen(t, "127.0.40.3", port, others)
-	one.PassOn(func(ctx context.Context, a crid.Account, _ crquota.Origin) (bool, time.Duration, error) {
-		return one.Ask(ctx, "127.0.40.3", a, crquota.FromRelay)
+	entry := listen(t, "127.0.40.1", port, notOwner)
+	one := listen(t, "127.0.40.2", port, notOwner)
+	other := listen(t, "127.0.40.3", port, notOwner)
+	one.SetRelay(func(ctx context.Context, a crid.Account, _ crquota.Origin) (bool, time.Duration, error) {
+		return one.RequestToken(ctx, "127.0.40.3", a, crquota.FromRelay)
 	})
-	other.PassOn(func(context.Context, crid.Account, crquota.Origin) (bool, time.Duration, error) {
-		t.Error("it was passed on again")
-		return false, 0, errors.New("again")
+	other.SetRelay(func(context.Context, crid.Account, crquota.Origin) (bool, time.Duration, error) {
+		t.Error("the request was relayed a second time")
+		return false, 0, errors.New("relayed again")
 	})
 	run(t, entry, one, other)
-	_, _, err := entry.Ask(t.Context(), "127.0.40.2", "survey", crquota.FromPeer)
-	g.Expect(err).To(gomega.MatchError(crbeat.ErrSilent))
+	_, _, err := entry.RequestToken(t.Context(), "127.0.40.2", "survey", crquota.FromPeer)
+	g.Expect(err).To(gomega.MatchError(crbeat.ErrNoResponse))
 }
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -294,7 +294,7 @@
 func newChannel(opts Options, loop *loop, limiter *ownerLimiter) (*crbeat.Channel, error) {
 	return crbeat.Listen(crbeat.Options{
 		Address: peerAddress(opts.Settings),
-		Heard: func(from crid.Daemon, b crmesh.Heartbeat) {
+		OnHeartbeat: func(from crid.Daemon, b crmesh.Heartbeat) {
 			loop.emit(crmesh.HeartbeatReceived{Now: crclock.Now(), From: from, Heartbeat: b})
 		},
 		Grant: limiter.answer,
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -102,7 +102,7 @@
 		case crmesh.PublishView:
 			d.applyView(eff.View)
 		case crmesh.SendHeartbeats:
-			d.channel.Beat(eff.To, d.heartbeat(eff))
+			d.channel.SendHeartbeat(eff.To, d.heartbeat(eff))
 		case crmesh.UpdateTarget:
 			d.balancer.Report(eff.Target, eff.Status)
 		case crmesh.Pull:
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -87,7 +87,7 @@
 		self: crid.Daemon(opts.Settings.Address), loop: loop, owner: m, fallback: crquota.NewFallbackLimiter(rand.Float64), channel: ch, log: l,
 		backoffUntil: make(map[route]crid.Instant),
 	}
-	ch.PassOn(q.relay)
+	ch.SetRelay(q.relay)
 	return q
 }
 
@@ -154,7 +154,7 @@
 	if q.inBackoff(r) {
 		return false, 0, errBackoff
 	}
-	ok, wait, err = q.channel.Ask(ctx, r.to, a, r.origin)
+	ok, wait, err = q.channel.RequestToken(ctx, r.to, a, r.origin)
 	if err != nil && ctx.Err() == nil {
 		q.startBackoff(r, a)
 	}
