--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -59,14 +59,14 @@
 
 var _ crpeer.Handler = (*shell)(nil)
 
-// Message implements crpeer.Handler.
-func (s *shell) Message(from crid.Daemon, msg crevent.Message) {
+// HandleMessage implements crpeer.Handler.
+func (s *shell) HandleMessage(from crid.Daemon, msg crevent.Message) {
 	// A full queue drops the message; its sender repeats what still matters.
 	_ = s.loop.Post(crevent.Received{Now: s.clock(), From: from, Msg: msg})
 }
 
-// Open implements crpeer.Handler.
-func (s *shell) Open(ctx context.Context, _ crid.Daemon) func(ctx context.Context, st *quic.Stream) {
+// AcceptSession implements crpeer.Handler.
+func (s *shell) AcceptSession(ctx context.Context, _ crid.Daemon) func(ctx context.Context, st *quic.Stream) {
 	return s.exit.OpenSession(ctx)
 }
 
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -54,9 +54,9 @@
 
 type handler struct{ exit *crexit.Exit }
 
-func (handler) Message(crid.Daemon, crevent.Message) {}
+func (handler) HandleMessage(crid.Daemon, crevent.Message) {}
 
-func (h handler) Open(ctx context.Context, _ crid.Daemon) func(context.Context, *quic.Stream) {
+func (h handler) AcceptSession(ctx context.Context, _ crid.Daemon) func(context.Context, *quic.Stream) {
 	return h.exit.OpenSession(ctx)
 }
 
--- a/io/crexit/hop_test.go
+++ b/io/crexit/hop_test.go
@@ -38,11 +38,11 @@
 
 // rawForward sends a forward as it is, with the session number it names.
 func rawForward(s *crpeer.Session, f *crhop.Forward) (crhop.Answer, error) {
-	stream, err := s.Open()
+	stream, err := s.OpenStream()
 	if err != nil {
 		return crhop.Answer{}, err
 	}
-	defer s.Done()
+	defer s.ReleaseStream()
 	w := crwire.NewWriter(stream)
 	var answer crhop.Answer
 	err = errors.Join(w.Kind(crhop.StreamForward), w.Value(f), w.End(), stream.Close())
@@ -51,9 +51,9 @@
 
 type handler struct{ exit *crexit.Exit }
 
-func (handler) Message(crid.Daemon, crevent.Message) {}
+func (handler) HandleMessage(crid.Daemon, crevent.Message) {}
 
-func (h handler) Open(ctx context.Context, _ crid.Daemon) func(context.Context, *quic.Stream) {
+func (h handler) AcceptSession(ctx context.Context, _ crid.Daemon) func(context.Context, *quic.Stream) {
 	return h.exit.OpenSession(ctx)
 }
 
--- a/io/crhop/client.go
+++ b/io/crhop/client.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	stream, err := session.Open()
+	stream, err := session.OpenStream()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
@@ -67,7 +67,7 @@
 	if err != nil {
 		stop()
 		cancel(stream)
-		session.Done()
+		session.ReleaseStream()
 		return nil, fmt.Errorf("%w: %w", ErrLost, err)
 	}
 	if ex.Answer.Renew {
@@ -76,7 +76,7 @@
 	ex.Body.(*answerBody).close = func() {
 		stop()
 		cancel(stream)
-		session.Done()
+		session.ReleaseStream()
 	}
 	return ex, nil
 }
@@ -207,11 +207,11 @@
 // Revoke asks the exit about a forward, over the session it was sent in. Where
 // that session has ended, or no answer comes in time, nothing is known.
 func (c *Client) Revoke(ctx context.Context, h *Handle) crforward.RevokeResult {
-	stream, err := h.session.Open()
+	stream, err := h.session.OpenStream()
 	if err != nil {
 		return crforward.RevokeResultUnknown
 	}
-	defer h.session.Done()
+	defer h.session.ReleaseStream()
 	stop := context.AfterFunc(ctx, func() { cancel(stream) })
 	defer stop()
 	if deadline, ok := ctx.Deadline(); ok {
--- a/io/crpeer/bench_test.go
+++ b/io/crpeer/bench_test.go
@@ -18,20 +18,21 @@
 	"camphorroad/io/crwire"
 )
 
-type nowhere struct{}
+type discardHandler struct{}
 
-func (nowhere) Message(crid.Daemon, crevent.Message) {}
+func (discardHandler) HandleMessage(crid.Daemon, crevent.Message) {}
 
-func (nowhere) Open(context.Context, crid.Daemon) func(context.Context, *quic.Stream) {
+func (discardHandler) AcceptSession(context.Context, crid.Daemon) func(context.Context, *quic.Stream) {
 	return func(context.Context, *quic.Stream) {}
 }
 
-// settled is how long a session takes to have found its path's packet size; its
-// probes are large.
-const settled = 5 * time.Second
+// mtuDiscoveryTime is how long path MTU discovery of a session takes; its probes are
+// large.
+const mtuDiscoveryTime = 5 * time.Second
 
-// star is one transport and n others that it knows, all in this process.
-func star(b *testing.B, n int) (*Transport, []crid.Daemon) {
+// newStar returns one transport and the names of n others that it knows, all in this
+// process.
+func newStar(b *testing.B, n int) (*Transport, []crid.Daemon) {
 	b.Helper()
 	names := []string{"hub"}
 	for i := range n {
@@ -79,7 +80,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	t, err := Listen(context.Background(), Options{Addr: "127.0.0.1:0", Identity: id, Registry: reg, Handler: nowhere{}})
+	t, err := Listen(context.Background(), Options{Addr: "127.0.0.1:0", Identity: id, Registry: reg, Handler: discardHandler{}})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -87,9 +88,8 @@
 	return t
 }
 
-// BenchmarkIdleSession measures a session that carries nothing: its memory, and
-// the processor time and bytes of opening it and of keeping it open, both ends
-// together.
+// BenchmarkIdleSession measures an idle session: its memory, and the processor time
+// and bytes for opening it and keeping it open, for both ends together.
 func BenchmarkIdleSession(b *testing.B) {
 	for _, n := range []int{10, 100} {
 		b.Run(fmt.Sprintf("sessions=%d", n), func(b *testing.B) { benchIdle(b, n) })
@@ -97,39 +97,39 @@
 }
 
 func benchIdle(b *testing.B, n int) {
-	const watched = 6 * time.Second
-	hub, peers := star(b, n)
-	without := inUse()
-	dialling := processorTime(b)
+	const interval = 6 * time.Second
+	hub, peers := newStar(b, n)
+	memBefore := memoryInUse()
+	cpuBefore := processorTime(b)
 	sessions := dialAll(b, hub, peers)
-	dialled := processorTime(b) - dialling
-	time.Sleep(settled)
-	with := inUse()
+	dialCPU := processorTime(b) - cpuBefore
+	time.Sleep(mtuDiscoveryTime)
+	memAfter := memoryInUse()
 	cpu, bytes := processorTime(b), wireBytes(sessions)
 	for b.Loop() {
-		time.Sleep(watched)
+		time.Sleep(interval)
 	}
-	seconds := watched.Seconds() * float64(b.N) * float64(n)
-	b.ReportMetric(float64(with-without)/float64(n), "B/session")
-	b.ReportMetric(float64(dialled.Microseconds())/float64(n), "cpu-us/dial")
+	seconds := interval.Seconds() * float64(b.N) * float64(n)
+	b.ReportMetric(float64(memAfter-memBefore)/float64(n), "B/session")
+	b.ReportMetric(float64(dialCPU.Microseconds())/float64(n), "cpu-us/dial")
 	b.ReportMetric(float64((processorTime(b)-cpu).Microseconds())/seconds, "cpu-us/s/session")
 	b.ReportMetric(float64(wireBytes(sessions)-bytes)/seconds, "wire-B/s/session")
 }
 
-// BenchmarkBeat measures a control message of a beat's size from the outbox to
-// the peer's handler, both ends together, and its packets as the network sees
-// them without the 28 bytes of UDP and IP.
-func BenchmarkBeat(b *testing.B) {
-	hub, peers := star(b, 20)
+// BenchmarkHeartbeat measures a control message of the size of a heartbeat from the
+// outbox to the peer's handler, for both ends together. Its packets are counted
+// without the 28 bytes of UDP and IP headers.
+func BenchmarkHeartbeat(b *testing.B) {
+	hub, peers := newStar(b, 20)
 	sessions := dialAll(b, hub, peers)
-	beat := crmember.Heartbeat{Seq: 1 << 24, Incarnation: 1 << 62, Newest: 1 << 24, LastActive: 1 << 24, ConfigRevision: 1 << 24, Echo: crmember.Echo{Incarnation: 1 << 62, Seq: 1 << 24}}
+	heartbeat := crmember.Heartbeat{Seq: 1 << 24, Incarnation: 1 << 62, Newest: 1 << 24, LastActive: 1 << 24, ConfigRevision: 1 << 24, Echo: crmember.Echo{Incarnation: 1 << 62, Seq: 1 << 24}}
 	round := func() {
 		for _, peer := range peers {
-			_ = hub.Send(peer, beat)
+			_ = hub.Send(peer, heartbeat)
 		}
 		time.Sleep(crmember.DefaultParams().Interval)
 	}
-	for start := time.Now(); time.Since(start) < settled; {
+	for start := time.Now(); time.Since(start) < mtuDiscoveryTime; {
 		round()
 	}
 	cpu, bytes, packets := processorTime(b), wireBytes(sessions), wirePackets(sessions)
@@ -137,12 +137,12 @@
 	for b.Loop() {
 		round()
 	}
-	beats := b.N * len(peers)
-	b.ReportMetric(float64((processorTime(b)-cpu).Microseconds())/float64(beats), "cpu-us/beat")
-	b.ReportMetric(float64(wireBytes(sessions)-bytes)/float64(beats), "wire-B/beat")
-	b.ReportMetric(float64(wirePackets(sessions)-packets)/float64(beats), "packets/beat")
+	heartbeats := b.N * len(peers)
+	b.ReportMetric(float64((processorTime(b)-cpu).Microseconds())/float64(heartbeats), "cpu-us/beat")
+	b.ReportMetric(float64(wireBytes(sessions)-bytes)/float64(heartbeats), "wire-B/beat")
+	b.ReportMetric(float64(wirePackets(sessions)-packets)/float64(heartbeats), "packets/beat")
 	sent, _ := hub.Traffic()
-	b.ReportMetric(float64(sent-payload)/float64(beats), "payload-B/beat")
+	b.ReportMetric(float64(sent-payload)/float64(heartbeats), "payload-B/beat")
 }
 
 func wireBytes(sessions []*Session) (total uint64) {
@@ -170,7 +170,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func inUse() int64 {
+func memoryInUse() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/io/crpeer/crpeer.go
+++ b/io/crpeer/crpeer.go
@@ -1,10 +1,11 @@
-// Package crpeer carries what daemons say to one another: QUIC sessions with
-// mutual TLS, control messages as datagrams or short streams, and one
-// bidirectional stream per forward or revoke.
+// Package crpeer is the transport between daemons: QUIC sessions with mutual TLS,
+// control messages as datagrams or short streams, and one bidirectional stream per
+// forward or revoke. io/crdaemon runs it, and io/crhop forwards requests over it.
+// The encoding is io/crwire's. io/crbeat is the datagram channel of io/crmesh.
 //
-// A daemon dials the peers it sends to; what a peer sends arrives in a session
-// that the peer dialled. The name of a peer is the DNS name in its certificate;
-// a connection without a certificate of the fleet's authority gets nothing.
+// A daemon dials the peers it sends to, and receives from a peer over the session
+// that the peer dialled. The name of a peer is the DNS name in its certificate.
+// Connections without a certificate of the fleet's authority are rejected.
 //
 // # Usage
 //
@@ -12,7 +13,8 @@
 //	t.SetAddrs(addrs)
 //	t.Send("booking-2", msg)
 //	s, err := t.Session(ctx, "booking-2")
-//	stream, err := s.Open(ctx)
+//	stream, err := s.OpenStream()
+//	defer s.ReleaseStream()
 package crpeer
 
 import (
@@ -35,44 +37,44 @@
 
 // Errors of this layer.
 var (
-	// ErrUnknownPeer tells that no address of the peer is known.
+	// ErrUnknownPeer reports that no address of the peer is known.
 	ErrUnknownPeer = errors.New("no address of this peer is known")
-	// ErrUnreachable tells that no session could be made or kept; nothing of
-	// the stream that was asked for has been sent.
+	// ErrUnreachable reports that no session or stream could be opened; nothing was
+	// sent on the requested stream.
 	ErrUnreachable = errors.New("peer unreachable")
 )
 
 const (
-	protocol         = "camphor/1"
-	handshakeTimeout = time.Second
-	idleTimeout      = 5 * time.Second
-	keepAlive        = 2 * time.Second
-	redialAfter      = 250 * time.Millisecond
-	maxStreams       = 4096
-	maxDatagram      = 1100
-	messageTimeout   = 2 * time.Second
-	outboxLength     = 64
-	outboxIdle       = time.Minute // after which a silent peer's goroutine ends
-	maxCallers       = 10_000
+	protocol          = "camphor/1"
+	handshakeTimeout  = time.Second
+	connIdleTimeout   = 5 * time.Second
+	keepAliveInterval = 2 * time.Second
+	redialBackoff     = 250 * time.Millisecond
+	maxStreams        = 4096
+	maxDatagram       = 1100
+	messageTimeout    = 2 * time.Second
+	outboxSize        = 64
+	outboxIdleTimeout = time.Minute // after which the goroutine of an unused outbox ends
+	maxInboundAddrs   = 10_000
 )
 
-// Handler receives what peers send. Its methods are called on transport
-// goroutines and end with their context.
+// Handler receives messages and streams from peers. Its methods are called on the
+// goroutines of the transport and must return when their context is cancelled.
 type Handler interface {
-	// Message is called for each control message, in no promised order.
-	Message(from crid.Daemon, msg crevent.Message)
-	// Open is called once for each session that a peer dials; the returned
+	// HandleMessage is called for each control message, in no particular order.
+	HandleMessage(from crid.Daemon, msg crevent.Message)
+	// AcceptSession is called once for each session that a peer dials. The returned
 	// function serves its streams, each on its own goroutine.
-	Open(ctx context.Context, from crid.Daemon) func(ctx context.Context, s *quic.Stream)
+	AcceptSession(ctx context.Context, from crid.Daemon) func(ctx context.Context, s *quic.Stream)
 }
 
 // Options configure a Transport.
 type Options struct {
-	Addr     string // host:port to listen on
-	Identity *Identity
-	Registry *crwire.Registry
-	Handler  Handler
-	Idle     time.Duration // after which an unused session is closed; zero: DefaultIdle
+	Addr        string // host:port to listen on
+	Identity    *Identity
+	Registry    *crwire.Registry
+	Handler     Handler
+	IdleTimeout time.Duration // after which an unused session is closed; zero: DefaultIdleTimeout
 }
 
 // Transport owns the daemon's UDP socket and its sessions.
@@ -88,32 +90,32 @@
 	sent   atomic.Int64
 	recv   atomic.Int64
 
-	mu       sync.Mutex
-	sessions map[crid.Daemon]*Session
-	failed   map[crid.Daemon]time.Time
-	outboxes map[crid.Daemon]chan []byte
-	callers  map[crid.Daemon]string // where sessions that peers dialled came from
+	mu           sync.Mutex
+	sessions     map[crid.Daemon]*Session
+	dialFailedAt map[crid.Daemon]time.Time
+	outboxes     map[crid.Daemon]chan []byte
+	inboundAddrs map[crid.Daemon]string // remote addresses of the sessions that peers dialled
 }
 
-// Listen opens the socket and serves it until ctx ends or Close is called.
+// Listen opens the socket and serves it until ctx is cancelled or Close is called.
 func Listen(ctx context.Context, opts Options) (*Transport, error) {
 	udp, err := listenUDP(opts.Addr)
 	if err != nil {
 		return nil, err
 	}
-	if opts.Idle == 0 {
-		opts.Idle = DefaultIdle
+	if opts.IdleTimeout == 0 {
+		opts.IdleTimeout = DefaultIdleTimeout
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	t := &Transport{
-		ctx:      ctx,
-		cancel:   cancel,
-		opts:     opts,
-		quic:     &quic.Transport{Conn: udp},
-		sessions: make(map[crid.Daemon]*Session),
-		failed:   make(map[crid.Daemon]time.Time),
-		outboxes: make(map[crid.Daemon]chan []byte),
-		callers:  make(map[crid.Daemon]string),
+		ctx:          ctx,
+		cancel:       cancel,
+		opts:         opts,
+		quic:         &quic.Transport{Conn: udp},
+		sessions:     make(map[crid.Daemon]*Session),
+		dialFailedAt: make(map[crid.Daemon]time.Time),
+		outboxes:     make(map[crid.Daemon]chan []byte),
+		inboundAddrs: make(map[crid.Daemon]string),
 	}
 	t.addrs.Store(&map[crid.Daemon]string{})
 	t.ln, err = t.quic.Listen(opts.Identity.serverConfig(), quicConfig())
@@ -143,23 +145,23 @@
 func quicConfig() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout: handshakeTimeout,
-		MaxIdleTimeout:       idleTimeout,
-		KeepAlivePeriod:      keepAlive,
+		MaxIdleTimeout:       connIdleTimeout,
+		KeepAlivePeriod:      keepAliveInterval,
 		MaxIncomingStreams:   maxStreams,
 		EnableDatagrams:      true,
 	}
 }
 
-// SetAddrs replaces the address book.
+// SetAddrs replaces the addresses of the peers.
 func (t *Transport) SetAddrs(addrs map[crid.Daemon]string) { t.addrs.Store(&addrs) }
 
-// Addr is the address listened on.
+// Addr returns the listen address.
 func (t *Transport) Addr() string { return t.quic.Conn.LocalAddr().String() }
 
 // Traffic returns the control bytes sent and received so far.
 func (t *Transport) Traffic() (sent, received int64) { return t.sent.Load(), t.recv.Load() }
 
-// Close ends all sessions and waits for every goroutine.
+// Close closes all sessions and waits for all goroutines.
 func (t *Transport) Close() error {
 	t.cancel()
 	err := t.ln.Close()
@@ -182,22 +184,22 @@
 			return
 		}
 		t.wg.Add(1)
-		go t.serve(conn)
+		go t.serveConn(conn)
 	}
 }
 
-func (t *Transport) serve(conn *quic.Conn) {
+func (t *Transport) serveConn(conn *quic.Conn) {
 	defer t.wg.Done()
 	from, err := peerName(conn.ConnectionState().TLS)
 	if err != nil {
 		_ = conn.CloseWithError(1, "no name in certificate")
 		return
 	}
-	t.met(from, conn.RemoteAddr().String())
+	t.recordInboundAddr(from, conn.RemoteAddr().String())
 	t.wg.Add(2)
-	go t.datagrams(conn, from)
-	go t.messages(conn, from)
-	handle := t.opts.Handler.Open(conn.Context(), from)
+	go t.receiveDatagrams(conn, from)
+	go t.acceptMessages(conn, from)
+	handle := t.opts.Handler.AcceptSession(conn.Context(), from)
 	for {
 		stream, err := conn.AcceptStream(t.ctx)
 		if err != nil {
@@ -211,14 +213,15 @@
 	}
 }
 
-// met remembers where a peer dials from. Peers dial from the socket they listen
-// on, so this is where they can be reached. A fresh daemon whose platform is away
-// has no list of instances, and learns everything from the peers that dial it.
-func (t *Transport) met(peer crid.Daemon, addr string) {
+// recordInboundAddr records the address that a peer dials from. Peers dial from the
+// socket they listen on, so they can be reached there. A daemon that starts while its
+// platform is unavailable has no list of instances, and can only reach the peers that
+// dial it.
+func (t *Transport) recordInboundAddr(peer crid.Daemon, addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.callers) < maxCallers || t.callers[peer] != "" {
-		t.callers[peer] = addr
+	if len(t.inboundAddrs) < maxInboundAddrs || t.inboundAddrs[peer] != "" {
+		t.inboundAddrs[peer] = addr
 	}
 }
 
@@ -228,11 +231,11 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	addr, ok := t.callers[peer]
+	addr, ok := t.inboundAddrs[peer]
 	return addr, ok
 }
 
-func (t *Transport) datagrams(conn *quic.Conn, from crid.Daemon) {
+func (t *Transport) receiveDatagrams(conn *quic.Conn, from crid.Daemon) {
 	defer t.wg.Done()
 	for {
 		b, err := conn.ReceiveDatagram(t.ctx)
@@ -243,7 +246,7 @@
 	}
 }
 
-func (t *Transport) messages(conn *quic.Conn, from crid.Daemon) {
+func (t *Transport) acceptMessages(conn *quic.Conn, from crid.Daemon) {
 	defer t.wg.Done()
 	for {
 		stream, err := conn.AcceptUniStream(t.ctx)
@@ -272,7 +275,7 @@
 	if err != nil {
 		return
 	}
-	t.opts.Handler.Message(from, msg)
+	t.opts.Handler.HandleMessage(from, msg)
 }
 
 func peerName(state tls.ConnectionState) (crid.Daemon, error) {
--- a/io/crpeer/identity.go
+++ b/io/crpeer/identity.go
@@ -10,17 +10,17 @@
 )
 
 // Identity is this daemon's certificate and the authority it trusts. It can be
-// reloaded while sessions go on; new handshakes take the newer one.
+// reloaded while sessions are open; new handshakes use the new files.
 type Identity struct {
 	certPath string
 	keyPath  string
 	caPath   string
-	current  atomic.Pointer[material]
+	current  atomic.Pointer[credentials]
 }
 
-type material struct {
-	cert tls.Certificate
-	pool *x509.CertPool
+type credentials struct {
+	cert  tls.Certificate
+	roots *x509.CertPool
 }
 
 // LoadIdentity reads PEM files.
@@ -29,8 +29,7 @@
 	return id, id.Reload()
 }
 
-// Reload reads the files again; after an error the former material stays in
-// use.
+// Reload reads the files again. After an error, the previous credentials stay in use.
 func (id *Identity) Reload() error {
 	cert, err := tls.LoadX509KeyPair(id.certPath, id.keyPath)
 	if err != nil {
@@ -44,7 +43,7 @@
 	if !pool.AppendCertsFromPEM(pem) {
 		return errors.New("peer authority: no certificate in " + id.caPath)
 	}
-	id.current.Store(&material{cert: cert, pool: pool})
+	id.current.Store(&credentials{cert: cert, roots: pool})
 	return nil
 }
 
@@ -59,7 +58,7 @@
 				NextProtos:   []string{protocol},
 				Certificates: []tls.Certificate{m.cert},
 				ClientAuth:   tls.RequireAndVerifyClientCert,
-				ClientCAs:    m.pool,
+				ClientCAs:    m.roots,
 			}, nil
 		},
 	}
@@ -71,7 +70,7 @@
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{protocol},
 		Certificates: []tls.Certificate{m.cert},
-		RootCAs:      m.pool,
+		RootCAs:      m.roots,
 		ServerName:   peer,
 	}
 }
--- a/io/crpeer/idle.go
+++ b/io/crpeer/idle.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// DefaultIdle is how long an unused session is kept. An exit remembers the
-// forwards of a session for 75 s, and an entry believes what it says of them for
-// 60 s after their sending. Closed earlier, the session would take that memory
-// with it, and a request that could be told "not run" would be told "unknown".
-const DefaultIdle = 90 * time.Second
+// DefaultIdleTimeout is how long an unused session is kept. An exit keeps the forwards
+// of a session for 75 s, and an entry relies on the exit's reports of a forward for 60
+// s after sending it. If the session closed earlier, these records would be lost, and
+// a request that could be reported as "not run" would be reported as "unknown".
+const DefaultIdleTimeout = 90 * time.Second
 
-// sweeps is how often idle sessions are looked for in that time.
-const sweeps = 6
+// sweepsPerTimeout is the number of sweeps for idle sessions per idle timeout.
+const sweepsPerTimeout = 6
 
-// Sessions is the number of live sessions that this daemon dialled.
+// Sessions returns the number of live sessions that this daemon dialled.
 func (t *Transport) Sessions() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -24,12 +24,12 @@
 	return n
 }
 
-// sweep closes sessions that are not used. In a large fleet a daemon beats with
-// other peers every minute; kept for ever, their sessions would add up until
-// each daemon held one with every other, a gigabyte of them.
+// sweep closes idle sessions. In a large fleet a daemon exchanges heartbeats with
+// other peers every minute. Without a sweep, each daemon would end up with a session
+// to every other one, which takes a gigabyte of memory.
 func (t *Transport) sweep() {
 	defer t.wg.Done()
-	ticker := time.NewTicker(t.opts.Idle / sweeps)
+	ticker := time.NewTicker(t.opts.IdleTimeout / sweepsPerTimeout)
 	defer ticker.Stop()
 	for {
 		select {
@@ -45,37 +45,37 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for peer, s := range t.sessions {
-		if !s.alive() || s.retireIdle(now.Add(-t.opts.Idle)) {
+		if !s.alive() || s.closeIfIdle(now.Add(-t.opts.IdleTimeout)) {
 			delete(t.sessions, peer)
 		}
 	}
-	t.forgetFailures(now)
+	t.expireDialFailures(now)
 }
 
-// forgetFailures drops what no dial asks for any more; each replaced daemon would
+// expireDialFailures removes expired failures; otherwise each replaced daemon would
 // leave an entry.
-func (t *Transport) forgetFailures(now time.Time) {
-	for peer, at := range t.failed {
-		if now.Sub(at) >= redialAfter {
-			delete(t.failed, peer)
+func (t *Transport) expireDialFailures(now time.Time) {
+	for peer, at := range t.dialFailedAt {
+		if now.Sub(at) >= redialBackoff {
+			delete(t.dialFailedAt, peer)
 		}
 	}
 }
 
-// touch notes that the session is about to be used.
+// touch records that the session is about to be used.
 func (s *Session) touch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.used = time.Now()
+	s.lastUsed = time.Now()
 }
 
-// retireIdle closes a session that has no stream and was last used before an
-// instant, and reports whether it did. Who was given the session before and opens
-// a stream only now gets an error, and has sent nothing.
-func (s *Session) retireIdle(before time.Time) bool {
+// closeIfIdle closes a session that has no streams and was last used before the given
+// time, and reports whether it did. A caller that obtained the session earlier and
+// opens a stream only now gets an error, and has sent nothing.
+func (s *Session) closeIfIdle(before time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open > 0 || s.used.After(before) {
+	if s.streams > 0 || s.lastUsed.After(before) {
 		return false
 	}
 	s.retired = true
--- a/io/crpeer/idle_test.go
+++ b/io/crpeer/idle_test.go
@@ -12,18 +12,18 @@
 	"camphorroad/io/crpeer"
 )
 
-// A daemon of a large fleet says a word to another peer every now and then, for
-// weeks. If no session ended, it would hold one with every other daemon, a
-// gigabyte of them. One that carries a request, however slow, must stay.
+// A daemon of a large fleet sends a message to other peers from time to time. Unless
+// idle sessions are closed, it holds one with every daemon, a gigabyte of them. A
+// session with an open stream must stay.
 func TestUnusedSessionsAreClosed(t *testing.T) {
 	const peers = 20
 	g := gomega.NewWithT(t)
-	g.Expect(crpeer.DefaultIdle).To(gomega.BeNumerically(">", crforward.DefaultLedgerParams().Retention))
+	g.Expect(crpeer.DefaultIdleTimeout).To(gomega.BeNumerically(">", crforward.DefaultLedgerParams().Retention))
 	names := []string{"near"}
 	for i := range peers {
 		names = append(names, fmt.Sprintf("peer-%d", i))
 	}
-	dir := authority(t, names...)
+	dir := issueCerts(t, names...)
 	near, _ := listenIdle(t, 500*time.Millisecond, identity(t, dir, "near"))
 	addrs := make(map[crid.Daemon]string)
 	for _, name := range names[1:] {
@@ -31,9 +31,9 @@
 		addrs[crid.Daemon(name)] = far.Addr()
 	}
 	near.SetAddrs(addrs)
-	busy, err := near.Session(t.Context(), "peer-0")
+	inUse, err := near.Session(t.Context(), "peer-0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	stream, err := busy.Open()
+	stream, err := inUse.OpenStream()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	for peer := range addrs {
 		_, err := near.Session(t.Context(), peer)
@@ -42,8 +42,8 @@
 	g.Eventually(near.Sessions, 10*time.Second).Should(gomega.Equal(1))
 	_, err = stream.Write([]byte("still here"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(busy.Context().Err()).NotTo(gomega.HaveOccurred())
-	busy.Done()
+	g.Expect(inUse.Context().Err()).NotTo(gomega.HaveOccurred())
+	inUse.ReleaseStream()
 	g.Eventually(near.Sessions, 10*time.Second).Should(gomega.BeZero())
 	_, err = near.Session(t.Context(), "peer-0")
 	g.Expect(err).NotTo(gomega.HaveOccurred(), "the next use dials again")
--- a/io/crpeer/peer_test.go
+++ b/io/crpeer/peer_test.go
@@ -31,38 +31,39 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type note struct {
+type knownMessage struct {
 	Text string `cbor:"t"`
 }
 
 // MessageKind implements crevent.Message.
-func (note) MessageKind() string { return "note" }
+func (knownMessage) MessageKind() string { return "note" }
 
-type stranger struct {
+type unknownMessage struct {
 	Text string `cbor:"t"`
 }
 
 // MessageKind implements crevent.Message.
-func (stranger) MessageKind() string { return "stranger" }
+func (unknownMessage) MessageKind() string { return "stranger" }
 
-// inbox keeps what a transport's peers send; streams are held until the end.
-type inbox struct {
-	mu      sync.Mutex
-	notes   []string
-	from    []crid.Daemon
-	streams int
+// recorder is a Handler that records messages and streams; streams stay open until the
+// session ends.
+type recorder struct {
+	mu       sync.Mutex
+	messages []string
+	from     []crid.Daemon
+	streams  int
 }
 
-func (b *inbox) Message(from crid.Daemon, msg crevent.Message) {
+func (b *recorder) HandleMessage(from crid.Daemon, msg crevent.Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.from = append(b.from, from)
-	if n, ok := msg.(note); ok {
-		b.notes = append(b.notes, n.Text[:min(len(n.Text), 8)])
+	if n, ok := msg.(knownMessage); ok {
+		b.messages = append(b.messages, n.Text[:min(len(n.Text), 8)])
 	}
 }
 
-func (b *inbox) Open(context.Context, crid.Daemon) func(context.Context, *quic.Stream) {
+func (b *recorder) AcceptSession(context.Context, crid.Daemon) func(context.Context, *quic.Stream) {
 	return func(ctx context.Context, s *quic.Stream) {
 		b.mu.Lock()
 		b.streams++
@@ -72,19 +73,19 @@
 	}
 }
 
-func (b *inbox) got() []string {
+func (b *recorder) received() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]string(nil), b.notes...)
+	return append([]string(nil), b.messages...)
 }
 
-func (b *inbox) held() int {
+func (b *recorder) streamCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.streams
 }
 
-func authority(t *testing.T, names ...string) string {
+func issueCerts(t *testing.T, names ...string) string {
 	t.Helper()
 	dir := t.TempDir()
 	gomega.NewWithT(t).Expect(crcert.Issue(dir, names...)).To(gomega.Succeed())
@@ -98,80 +99,80 @@
 	return id
 }
 
-func listen(t *testing.T, id *crpeer.Identity, msgs ...crevent.Message) (*crpeer.Transport, *inbox) {
+func listen(t *testing.T, id *crpeer.Identity, msgs ...crevent.Message) (*crpeer.Transport, *recorder) {
 	t.Helper()
 	return listenIdle(t, 0, id, msgs...)
 }
 
-// listenIdle listens with a bound of its own on unused sessions.
-func listenIdle(t *testing.T, idle time.Duration, id *crpeer.Identity, msgs ...crevent.Message) (*crpeer.Transport, *inbox) {
+// listenIdle listens with the given idle timeout; 0 selects the default.
+func listenIdle(t *testing.T, idle time.Duration, id *crpeer.Identity, msgs ...crevent.Message) (*crpeer.Transport, *recorder) {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	reg, err := crwire.NewRegistry(msgs)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	box := &inbox{}
-	tr, err := crpeer.Listen(context.Background(), crpeer.Options{Addr: "127.0.0.1:0", Identity: id, Registry: reg, Handler: box, Idle: idle})
+	rec := &recorder{}
+	tr, err := crpeer.Listen(context.Background(), crpeer.Options{Addr: "127.0.0.1:0", Identity: id, Registry: reg, Handler: rec, IdleTimeout: idle})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	t.Cleanup(func() { _ = tr.Close() })
-	return tr, box
+	return tr, rec
 }
 
-func pair(t *testing.T) (near, far *crpeer.Transport, box *inbox) {
-	dir := authority(t, "near", "far")
-	near, _ = listen(t, identity(t, dir, "near"), note{}, stranger{})
-	far, box = listen(t, identity(t, dir, "far"), note{})
+func pair(t *testing.T) (near, far *crpeer.Transport, rec *recorder) {
+	dir := issueCerts(t, "near", "far")
+	near, _ = listen(t, identity(t, dir, "near"), knownMessage{}, unknownMessage{})
+	far, rec = listen(t, identity(t, dir, "far"), knownMessage{})
 	near.SetAddrs(map[crid.Daemon]string{"far": far.Addr()})
-	return near, far, box
+	return near, far, rec
 }
 
-// Messages that are too long, or of a kind that this version does not know, come
-// from a newer or broken daemon. They are dropped, and the ones after them arrive.
-func TestBadMessagesAreDropped(t *testing.T) {
+// A newer or faulty daemon sends messages that are too long or of an unknown kind.
+// They must be dropped, and later ones must arrive.
+func TestInvalidMessagesAreDropped(t *testing.T) {
 	g := gomega.NewWithT(t)
-	near, _, box := pair(t)
-	g.Expect(near.Send("far", stranger{Text: "x"})).To(gomega.Succeed())
-	g.Expect(near.Send("far", note{Text: strings.Repeat("y", 8<<20)})).To(gomega.Succeed())
-	g.Expect(near.Send("far", note{Text: strings.Repeat("long", 10_000)})).To(gomega.Succeed())
-	g.Expect(near.Send("far", note{Text: "short"})).To(gomega.Succeed())
-	g.Eventually(box.got, 5*time.Second).Should(gomega.ConsistOf("longlong", "short"))
+	near, _, rec := pair(t)
+	g.Expect(near.Send("far", unknownMessage{Text: "x"})).To(gomega.Succeed())
+	g.Expect(near.Send("far", knownMessage{Text: strings.Repeat("y", 8<<20)})).To(gomega.Succeed())
+	g.Expect(near.Send("far", knownMessage{Text: strings.Repeat("long", 10_000)})).To(gomega.Succeed())
+	g.Expect(near.Send("far", knownMessage{Text: "short"})).To(gomega.Succeed())
+	g.Eventually(rec.received, 5*time.Second).Should(gomega.ConsistOf("longlong", "short"))
 }
 
-// A peer does not answer. Sending to it must neither wait nor pile up, and a dead
+// A peer does not respond. Send must neither block nor queue without bound, and the
 // peer must not be dialled for each request.
-func TestADeadPeerHoldsNobodyUp(t *testing.T) {
+func TestUnresponsivePeerDoesNotBlockSenders(t *testing.T) {
 	g := gomega.NewWithT(t)
 	near, _, _ := pair(t)
-	silent, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	unresponsive, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	defer func() { _ = silent.Close() }()
-	near.SetAddrs(map[crid.Daemon]string{"dead": silent.LocalAddr().String()})
+	defer func() { _ = unresponsive.Close() }()
+	near.SetAddrs(map[crid.Daemon]string{"dead": unresponsive.LocalAddr().String()})
 	start := time.Now()
-	full := 0
+	rejected := 0
 	for range 200 {
-		if near.Send("dead", note{Text: "x"}) != nil {
-			full++
+		if near.Send("dead", knownMessage{Text: "x"}) != nil {
+			rejected++
 		}
 	}
 	g.Expect(time.Since(start)).To(gomega.BeNumerically("<", 200*time.Millisecond))
-	g.Expect(full).To(gomega.BeNumerically(">=", 200-64-2))
+	g.Expect(rejected).To(gomega.BeNumerically(">=", 200-64-2))
 	_, err = near.Session(t.Context(), "dead")
 	g.Expect(err).To(gomega.MatchError(crpeer.ErrUnreachable))
 	start = time.Now()
 	_, err = near.Session(t.Context(), "dead")
 	g.Expect(err).To(gomega.MatchError(crpeer.ErrUnreachable))
-	g.Expect(time.Since(start)).To(gomega.BeNumerically("<", 50*time.Millisecond), "no second dial at once")
+	g.Expect(time.Since(start)).To(gomega.BeNumerically("<", 50*time.Millisecond), "no second dial within the backoff")
 	_, err = near.Session(t.Context(), "nobody")
 	g.Expect(err).To(gomega.MatchError(crpeer.ErrUnknownPeer))
 }
 
-// A peer moves to another address, as when its instance is replaced. The next use
-// dials it there.
-func TestASessionFollowsItsPeer(t *testing.T) {
+// A peer gets another address, as when its instance is replaced. The next use must
+// dial the new address.
+func TestSessionIsRedialledAtANewAddress(t *testing.T) {
 	g := gomega.NewWithT(t)
-	dir := authority(t, "near", "far")
-	near, _ := listen(t, identity(t, dir, "near"), note{})
-	first, _ := listen(t, identity(t, dir, "far"), note{})
-	second, box := listen(t, identity(t, dir, "far"), note{})
+	dir := issueCerts(t, "near", "far")
+	near, _ := listen(t, identity(t, dir, "near"), knownMessage{})
+	first, _ := listen(t, identity(t, dir, "far"), knownMessage{})
+	second, rec := listen(t, identity(t, dir, "far"), knownMessage{})
 	near.SetAddrs(map[crid.Daemon]string{"far": first.Addr()})
 	old, err := near.Session(t.Context(), "far")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -179,22 +180,22 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(same).To(gomega.BeIdenticalTo(old))
 	near.SetAddrs(map[crid.Daemon]string{"far": second.Addr()})
-	g.Expect(near.Send("far", note{Text: "hello"})).To(gomega.Succeed())
-	g.Eventually(box.got).Should(gomega.ConsistOf("hello"))
+	g.Expect(near.Send("far", knownMessage{Text: "hello"})).To(gomega.Succeed())
+	g.Eventually(rec.received).Should(gomega.ConsistOf("hello"))
 	g.Eventually(old.Context().Done()).Should(gomega.BeClosed())
 }
 
-// So many requests run over one session that the peer takes no more streams. The
-// next is refused as not sent, at once, and goes elsewhere.
-func TestTheBoundOfStreamsRefuses(t *testing.T) {
+// A session has reached the peer's stream limit. The next stream must fail at once
+// with ErrUnreachable, so that the request can be sent to another target.
+func TestOpenStreamFailsAtTheStreamLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
-	near, _, box := pair(t)
+	near, _, rec := pair(t)
 	s, err := near.Session(t.Context(), "far")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	start := time.Now()
 	opened := 0
 	for ; opened <= 5000; opened++ {
-		stream, openErr := s.Open()
+		stream, openErr := s.OpenStream()
 		if openErr != nil {
 			err = openErr
 			break
@@ -204,29 +205,29 @@
 	g.Expect(err).To(gomega.MatchError(crpeer.ErrUnreachable))
 	g.Expect(opened).To(gomega.Equal(4096))
 	g.Expect(time.Since(start)).To(gomega.BeNumerically("<", 5*time.Second))
-	g.Eventually(box.held, 5*time.Second).Should(gomega.Equal(4096))
+	g.Eventually(rec.streamCount, 5*time.Second).Should(gomega.Equal(4096))
 }
 
-// Somebody without a certificate of the fleet, or with one of another name, talks
-// to a daemon. It must get no stream and no message through.
-func TestAPeerWithoutAValidCertificateGetsNothing(t *testing.T) {
-	dir := authority(t, "far", "other")
-	other := authority(t, "near")
+// A client has no valid certificate, or a server has another name. Neither may
+// exchange streams or messages with a daemon.
+func TestPeerWithoutAValidCertificateIsRejected(t *testing.T) {
+	dir := issueCerts(t, "far", "other")
+	other := issueCerts(t, "near")
 	cases := []struct {
 		name string
 		cert *tls.Certificate
-		want int // streams that get through
+		want int // accepted streams
 	}{
 		{"no certificate", nil, 0},
 		{"another authority", certificate(t, other, time.Now().Add(time.Hour)), 0},
 		{"expired", certificate(t, dir, time.Now().Add(-time.Minute)), 0},
-		{"a valid one, to show that the others could", certificate(t, dir, time.Now().Add(time.Hour)), 1},
+		{"valid certificate", certificate(t, dir, time.Now().Add(time.Hour)), 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			far, box := listen(t, identity(t, dir, "far"), note{})
-			conf := &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"camphor/1"}} //nolint:gosec // plays an intruder
+			far, rec := listen(t, identity(t, dir, "far"), knownMessage{})
+			conf := &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"camphor/1"}} //nolint:gosec // the test is a rogue client
 			if c.cert != nil {
 				conf.Certificates = []tls.Certificate{*c.cert}
 			}
@@ -239,27 +240,27 @@
 				}
 				_ = conn.SendDatagram([]byte("x"))
 				if c.want > 0 {
-					g.Eventually(box.held).Should(gomega.Equal(c.want))
+					g.Eventually(rec.streamCount).Should(gomega.Equal(c.want))
 					_ = conn.CloseWithError(0, "")
 				}
 				g.Eventually(conn.Context().Done(), 2*time.Second).Should(gomega.BeClosed())
 			}
-			g.Expect(box.held()).To(gomega.Equal(c.want))
-			g.Expect(box.got()).To(gomega.BeEmpty())
+			g.Expect(rec.streamCount()).To(gomega.Equal(c.want))
+			g.Expect(rec.received()).To(gomega.BeEmpty())
 		})
 	}
-	t.Run("the right authority, another name", func(t *testing.T) {
+	t.Run("server with another name", func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		near, _ := listen(t, identity(t, dir, "other"), note{})
-		posing, box := listen(t, identity(t, dir, "far"), note{})
-		near.SetAddrs(map[crid.Daemon]string{"booking": posing.Addr()})
+		near, _ := listen(t, identity(t, dir, "other"), knownMessage{})
+		impostor, rec := listen(t, identity(t, dir, "far"), knownMessage{})
+		near.SetAddrs(map[crid.Daemon]string{"booking": impostor.Addr()})
 		_, err := near.Session(t.Context(), "booking")
 		g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring("valid for far")))
-		g.Expect(box.held()).To(gomega.BeZero())
+		g.Expect(rec.streamCount()).To(gomega.BeZero())
 	})
 }
 
-// certificate signs one for "near" by the authority in dir.
+// certificate issues a certificate for "near", signed by the authority in dir.
 func certificate(t *testing.T, dir string, until time.Time) *tls.Certificate {
 	t.Helper()
 	g := gomega.NewWithT(t)
@@ -284,14 +285,14 @@
 	return &tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}
 }
 
-// The authority and the certificates are replaced while sessions go on. Old
-// sessions live, new ones use the new material, and nothing restarts.
-func TestRotationWithoutRestart(t *testing.T) {
+// The authority and the certificates are replaced while sessions are open. Open
+// sessions must stay, and new ones must use the new files, without a restart.
+func TestCertificatesRotateWithoutRestart(t *testing.T) {
 	g := gomega.NewWithT(t)
-	before, after := authority(t, "near", "far"), authority(t, "near", "far")
+	before, after := issueCerts(t, "near", "far"), issueCerts(t, "near", "far")
 	nearID, farID := identity(t, before, "near"), identity(t, before, "far")
-	near, _ := listen(t, nearID, note{})
-	far, box := listen(t, farID, note{})
+	near, _ := listen(t, nearID, knownMessage{})
+	far, rec := listen(t, farID, knownMessage{})
 	near.SetAddrs(map[crid.Daemon]string{"far": far.Addr()})
 	old, err := near.Session(t.Context(), "far")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -305,19 +306,19 @@
 	}
 	g.Expect(farID.Reload()).To(gomega.Succeed())
 
-	g.Expect(old.Context().Err()).NotTo(gomega.HaveOccurred(), "the old session goes on")
+	g.Expect(old.Context().Err()).NotTo(gomega.HaveOccurred(), "the old session stays open")
 	near.Retire(old)
 	renewed, err := near.Session(t.Context(), "far")
 	g.Expect(err).NotTo(gomega.HaveOccurred(), "the new certificate is trusted")
 	g.Expect(renewed).NotTo(gomega.BeIdenticalTo(old))
-	g.Expect(near.Send("far", note{Text: "hello"})).To(gomega.Succeed())
-	g.Eventually(box.got).Should(gomega.ConsistOf("hello"))
+	g.Expect(near.Send("far", knownMessage{Text: "hello"})).To(gomega.Succeed())
+	g.Eventually(rec.received).Should(gomega.ConsistOf("hello"))
 
 	g.Expect(os.WriteFile(filepath.Join(before, "far.key"), []byte("broken"), 0o600)).To(gomega.Succeed())
 	g.Expect(farID.Reload()).NotTo(gomega.Succeed())
 	near.Retire(renewed)
 	_, err = near.Session(t.Context(), "far")
-	g.Expect(err).NotTo(gomega.HaveOccurred(), "a reload that fails changes nothing")
+	g.Expect(err).NotTo(gomega.HaveOccurred(), "a failed reload keeps the previous credentials")
 }
 
 func read(t *testing.T, dir, name string) []byte {
--- a/io/crpeer/session.go
+++ b/io/crpeer/session.go
@@ -21,43 +21,42 @@
 	addr string
 	conn *quic.Conn
 
-	mu      sync.Mutex
-	open    int // streams that their users have not done with
-	used    time.Time
-	retired bool
+	mu       sync.Mutex
+	streams  int // number of streams not yet released
+	lastUsed time.Time
+	retired  bool
 }
 
-// Peer is the daemon at the other end.
+// Peer returns the name of the remote daemon.
 func (s *Session) Peer() crid.Daemon { return s.peer }
 
 // Stats returns what the connection sent, received and lost so far.
 func (s *Session) Stats() quic.ConnectionStats { return s.conn.ConnectionStats() }
 
-// Context ends with the session.
+// Context returns a context that is cancelled when the session ends.
 func (s *Session) Context() context.Context { return s.conn.Context() }
 
-// Open opens a stream; Done must be called once it is no longer used. After an
-// error nothing was sent. At the bound of streams it is refused rather than kept
-// waiting: the caller has a deadline, and another target may have room.
-func (s *Session) Open() (*quic.Stream, error) {
+// OpenStream opens a stream; ReleaseStream must be called once it is no longer used.
+// After an error nothing was sent. At the stream limit it fails rather than blocks:
+// the caller has a deadline, and another target may have a free slot.
+func (s *Session) OpenStream() (*quic.Stream, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	stream, err := s.conn.OpenStream()
 	if err != nil {
 		return nil, fmt.Errorf("%w: open stream to %s: %w", ErrUnreachable, s.peer, err)
 	}
-	s.open++
-	s.used = time.Now()
+	s.streams++
+	s.lastUsed = time.Now()
 	return stream, nil
 }
 
-// Done tells that a stream is no longer used. The last one closes a retired
-// session.
-func (s *Session) Done() {
+// ReleaseStream releases a stream. The last one closes a retired session.
+func (s *Session) ReleaseStream() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open--
-	s.used = time.Now()
+	s.streams--
+	s.lastUsed = time.Now()
 	s.closeRetired()
 }
 
@@ -69,22 +68,22 @@
 }
 
 func (s *Session) closeRetired() {
-	if s.retired && s.open <= 0 {
+	if s.retired && s.streams <= 0 {
 		_ = s.conn.CloseWithError(0, "retired")
 	}
 }
 
 func (s *Session) alive() bool { return s.conn.Context().Err() == nil }
 
-// Session returns the live session with a peer, dialling it where there is
-// none. A peer whose dial has just failed is refused at once for a short while,
-// so that requests are not held up one by one by a dead peer.
+// Session returns the live session with a peer, and dials one if there is none. For a
+// short time after a failed dial it fails at once, so that requests do not each wait
+// for the timeout of an unreachable peer.
 func (t *Transport) Session(ctx context.Context, peer crid.Daemon) (*Session, error) {
 	addr, ok := t.addrOf(peer)
 	if !ok {
 		return nil, fmt.Errorf("%w: %s", ErrUnknownPeer, peer)
 	}
-	if s, err := t.current(peer, addr); s != nil || err != nil {
+	if s, err := t.liveSession(peer, addr); s != nil || err != nil {
 		return s, err
 	}
 	ch := t.dials.DoChan(string(peer)+"\x00"+addr, func() (any, error) { return t.dial(peer, addr) })
@@ -99,8 +98,8 @@
 	}
 }
 
-// Retire lets a session end with its last stream; the next use of the peer dials
-// a new one.
+// Retire closes a session once its last stream is released; the next use of the peer
+// dials a new one.
 func (t *Transport) Retire(s *Session) {
 	t.mu.Lock()
 	if t.sessions[s.peer] == s {
@@ -110,35 +109,35 @@
 	s.retire()
 }
 
-func (t *Transport) current(peer crid.Daemon, addr string) (*Session, error) {
+func (t *Transport) liveSession(peer crid.Daemon, addr string) (*Session, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.sessions[peer]; s != nil && s.alive() && s.addr == addr {
 		s.touch()
 		return s, nil
 	}
-	if at, ok := t.failed[peer]; ok && time.Since(at) < redialAfter {
+	if at, ok := t.dialFailedAt[peer]; ok && time.Since(at) < redialBackoff {
 		return nil, fmt.Errorf("%w: %s failed moments ago", ErrUnreachable, peer)
 	}
 	return nil, nil
 }
 
 func (t *Transport) dial(peer crid.Daemon, addr string) (*Session, error) {
-	if s, err := t.current(peer, addr); s != nil || err != nil {
+	if s, err := t.liveSession(peer, addr); s != nil || err != nil {
 		return s, err
 	}
 	conn, err := t.dialQUIC(peer, addr)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
-		t.failed[peer] = time.Now()
+		t.dialFailedAt[peer] = time.Now()
 		return nil, fmt.Errorf("%w: dial %s: %w", ErrUnreachable, peer, err)
 	}
-	delete(t.failed, peer)
+	delete(t.dialFailedAt, peer)
 	if old := t.sessions[peer]; old != nil {
 		_ = old.conn.CloseWithError(0, "replaced")
 	}
-	s := &Session{peer: peer, addr: addr, conn: conn, used: time.Now()}
+	s := &Session{peer: peer, addr: addr, conn: conn, lastUsed: time.Now()}
 	t.sessions[peer] = s
 	return s, nil
 }
@@ -153,9 +152,9 @@
 	return t.quic.Dial(ctx, a, t.opts.Identity.clientConfig(string(peer)), quicConfig())
 }
 
-// Send sends a control message, at most once and without a promise. It never
-// waits: while a peer is being dialled, messages beyond a small bound are
-// dropped, as their senders repeat what still matters.
+// Send sends a control message at most once, without a delivery guarantee. It never
+// blocks: while a peer is being dialled, messages that exceed the outbox are dropped.
+// Senders repeat messages that still matter.
 func (t *Transport) Send(peer crid.Daemon, msg crevent.Message) error {
 	b, err := t.opts.Registry.Encode(msg)
 	if err != nil {
@@ -165,10 +164,10 @@
 	defer t.mu.Unlock()
 	ch, ok := t.outboxes[peer]
 	if !ok {
-		ch = make(chan []byte, outboxLength)
+		ch = make(chan []byte, outboxSize)
 		t.outboxes[peer] = ch
 		t.wg.Add(1)
-		go t.deliverOutbox(peer, ch)
+		go t.runOutbox(peer, ch)
 	}
 	select {
 	case ch <- b:
@@ -178,30 +177,32 @@
 	}
 }
 
-// deliverOutbox ends once the peer has been sent nothing for a while, or the
-// goroutines of all daemons ever replaced would add up.
-func (t *Transport) deliverOutbox(peer crid.Daemon, ch chan []byte) {
+// runOutbox sends the messages of an outbox. It returns after the outbox was idle for
+// outboxIdleTimeout; otherwise each daemon that was ever replaced would leave a
+// goroutine.
+func (t *Transport) runOutbox(peer crid.Daemon, ch chan []byte) {
 	defer t.wg.Done()
-	idle := time.NewTimer(outboxIdle)
+	idle := time.NewTimer(outboxIdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
 		case b := <-ch:
-			t.sendNow(peer, b)
-			idle.Reset(outboxIdle)
+			t.transmit(peer, b)
+			idle.Reset(outboxIdleTimeout)
 		case <-idle.C:
-			if t.dropOutbox(peer, ch) {
+			if t.removeIdleOutbox(peer, ch) {
 				return
 			}
-			idle.Reset(outboxIdle)
+			idle.Reset(outboxIdleTimeout)
 		case <-t.ctx.Done():
 			return
 		}
 	}
 }
 
-// dropOutbox forgets an outbox that is empty; Send fills it under the same lock.
-func (t *Transport) dropOutbox(peer crid.Daemon, ch chan []byte) bool {
+// removeIdleOutbox removes an outbox if it is empty. Send adds to it under the same
+// lock.
+func (t *Transport) removeIdleOutbox(peer crid.Daemon, ch chan []byte) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(ch) > 0 {
@@ -211,7 +212,7 @@
 	return true
 }
 
-func (t *Transport) sendNow(peer crid.Daemon, b []byte) {
+func (t *Transport) transmit(peer crid.Daemon, b []byte) {
 	s, err := t.Session(t.ctx, peer)
 	if err != nil {
 		return
@@ -232,7 +233,8 @@
 	_ = stream.Close()
 }
 
-// maxMessage bounds a control message; the longest carries published values.
+// maxMessage bounds a control message, in bytes; the longest messages carry published
+// configuration values.
 const maxMessage = 4 * crwire.MaxFrame
 
 func readAll(r io.Reader) ([]byte, error) {
