--- a/io/crexit/hop_test.go
+++ b/io/crexit/hop_test.go
@@ -38,11 +38,11 @@
 
 // rawForward sends a forward unchanged, with the session number that it carries.
 func rawForward(s *crpeer.Session, f *crhop.Forward) (crhop.Response, error) {
-	stream, err := s.Open()
+	stream, err := s.OpenStream()
 	if err != nil {
 		return crhop.Response{}, err
 	}
-	defer s.Done()
+	defer s.ReleaseStream()
 	w := crwire.NewWriter(stream)
 	var answer crhop.Response
 	err = errors.Join(w.Kind(crhop.StreamForward), w.Value(f), w.End(), stream.Close())
@@ -51,9 +51,9 @@
 
 type handler struct{ exit *crexit.Exit }
 
-func (handler) Message(crid.Daemon, crevent.Message) {}
+func (handler) HandleMessage(crid.Daemon, crevent.Message) {}
 
-func (h handler) Open(ctx context.Context, _ crid.Daemon) func(context.Context, *quic.Stream) {
+func (h handler) AcceptSession(ctx context.Context, _ crid.Daemon) func(context.Context, *quic.Stream) {
 	return h.exit.OpenSession(ctx)
 }
 
