--- a/command/policy/check.go
+++ b/command/policy/check.go
@@ -9,8 +9,8 @@
 	"camphorroad/io/crpolicyfile"
 )
 
-// ErrRefused tells that policy files have faults; they are written out already.
-var ErrRefused = errors.New("the policy files are refused; correct the places above and check again")
+// ErrInvalid tells that policy files have faults; they are written out already.
+var ErrInvalid = errors.New("the policy files are refused; correct the places above and check again")
 
 // CheckOptions checks policy files.
 type CheckOptions struct {
@@ -69,5 +69,5 @@
 	if !quiet {
 		fmt.Fprintln(f.ErrOut, problems.Error())
 	}
-	return ErrRefused
+	return ErrInvalid
 }
--- a/command/policy/policy_test.go
+++ b/command/policy/policy_test.go
@@ -20,7 +20,7 @@
 		err                    error
 	}{
 		"good": {"booking.toml", "services\t1\naccounts\t0\n", "", nil},
-		"bad":  {"bad.toml", "", "unknown key", policy.ErrRefused},
+		"bad":  {"bad.toml", "", "unknown key", policy.ErrInvalid},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out, diagnostics bytes.Buffer
