--- a/command/log/log.go
+++ b/command/log/log.go
@@ -1,4 +1,5 @@
-// Package log holds the commands on daemons' logs.
+// Package log holds the commands that read the logs that daemons wrote. The log
+// itself and its catalogue of events are in io/crlog.
 package log
 
 import (
@@ -15,22 +16,22 @@
 	"camphorroad/io/crlog"
 )
 
-// Commands are the verbs on logs.
+// Commands are the subcommands of `log`.
 type Commands struct {
-	Explain ExplainOptions `cmd:"" help:"Put the lines about one request in order, over all daemons."`
+	Explain ExplainOptions `cmd:"" help:"Print the events of one request from all daemons' logs, in order of time."`
 }
 
-// around is how far from a request's own lines those are shown that tell of its
-// targets, its entry and its account: a judgement lasts some eight seconds.
-const around = 8 * time.Second
+// contextWindow is how long before and after a request's own lines those about its targets,
+// its entry and its account are selected. A target's verdict lasts about eight seconds.
+const contextWindow = 8 * time.Second
 
-// maxLine bounds a line of a log.
-const maxLine = 1 << 20
+// A longer line fails the read of its log.
+const maxLineBytes = 1 << 20
 
-// ExplainOptions explains a request.
+// ExplainOptions are the options of `log explain`.
 type ExplainOptions struct {
-	Request string   `arg:"" placeholder:"ID" help:"The request's id."`
-	Files   []string `arg:"" optional:"" placeholder:"FILE" help:"Logs of all daemons; - or none: standard input."`
+	Request string   `arg:"" placeholder:"ID" help:"ID of the request."`
+	Files   []string `arg:"" optional:"" placeholder:"FILE" help:"Logs of all daemons; standard input if none is given or for -."`
 	JSON    bool     `name:"json" help:"Print the lines as JSON."`
 }
 
@@ -39,13 +40,13 @@
 	return &ExplainOptions{Request: request, Files: files}
 }
 
-// Help is shown with the command's flags.
+// Help is selected with the command's flags.
 func (*ExplainOptions) Help() string {
-	return `Prints what the daemons logged about one request, in the order of its way, and
-beside it what they believed: verdicts on its targets, peers that its entry did
-not hear, its account's owner, the store. Lines that cannot be read are counted.
-Exits with 1 if no line is about the request; one in 32 of those that went well
-is logged.
+	return `Prints the log lines of one request in order of time, and those of the same time
+that bear on it: verdicts on its targets, peers that were silent for its entry,
+its account's owner, and the store. Lines that are no events are counted on
+standard error. Exits with 1 if the request is in no log; of the requests that
+succeeded, one in 32 is logged.
 
 EXAMPLES
   $ camphorroad log explain c421071f40c7c5d7 *.log
@@ -62,46 +63,46 @@
 	raw    string
 }
 
-// Run prints the lines.
+// Run prints the lines of the request and those that bear on it.
 func (o *ExplainOptions) Run(f *factory.Factory) error {
-	all, unread, err := o.read(f.In)
+	all, skipped, err := o.read(f.In)
 	if err != nil {
 		return err
 	}
-	if unread > 0 {
-		if _, err := fmt.Fprintf(f.ErrOut, "%d lines are no events\n", unread); err != nil {
+	if skipped > 0 {
+		if _, err := fmt.Fprintf(f.ErrOut, "%d lines are not log events\n", skipped); err != nil {
 			return err
 		}
 	}
-	shown := explain(all, o.Request)
-	if len(shown) == 0 {
-		return fmt.Errorf("no line is about the request %s", o.Request)
+	selected := explain(all, o.Request)
+	if len(selected) == 0 {
+		return fmt.Errorf("no log line is about request %s", o.Request)
 	}
-	return o.print(f, shown)
+	return o.print(f, selected)
 }
 
-func (o *ExplainOptions) print(f *factory.Factory, shown []line) error {
+func (o *ExplainOptions) print(f *factory.Factory, selected []line) error {
 	if o.JSON {
-		for _, l := range shown {
+		for _, l := range selected {
 			if _, err := fmt.Fprintln(f.Out, l.raw); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	rows := make([][]string, 0, len(shown))
-	for _, l := range shown {
+	rows := make([][]string, 0, len(selected))
+	for _, l := range selected {
 		mark := ""
 		if l.fields["request"] == o.Request {
 			mark = "*"
 		}
-		rows = append(rows, []string{l.at.Format("15:04:05.000"), mark, l.daemon, fmt.Sprint(l.event), l.name, l.detail()})
+		rows = append(rows, []string{l.at.Format("15:04:05.000"), mark, l.daemon, fmt.Sprint(l.event), l.name, l.details()})
 	}
 	return f.Table([]string{"TIME", "OWN", "DAEMON", "EVENT", "NAME", "DETAILS"}, rows)
 }
 
-// detail lists the fields that say something, by name.
-func (l line) detail() string {
+// details returns the fields that are not empty, sorted by name.
+func (l line) details() string {
 	var parts []string
 	for name, value := range l.fields {
 		if value != "" && name != "request" {
@@ -112,7 +113,7 @@
 	return strings.Join(parts, " ")
 }
 
-func (o *ExplainOptions) read(in io.Reader) (all []line, unread int, err error) {
+func (o *ExplainOptions) read(in io.Reader) (all []line, skipped int, err error) {
 	if len(o.Files) == 0 {
 		return readLines(in)
 	}
@@ -121,9 +122,9 @@
 		if err != nil {
 			return nil, 0, fmt.Errorf("%s: %w", name, err)
 		}
-		all, unread = append(all, lines...), unread+n
+		all, skipped = append(all, lines...), skipped+n
 	}
-	return all, unread, nil
+	return all, skipped, nil
 }
 
 func (o *ExplainOptions) readFile(name string, in io.Reader) ([]line, int, error) {
@@ -138,23 +139,23 @@
 	return readLines(file)
 }
 
-func readLines(r io.Reader) (all []line, unread int, err error) {
+func readLines(r io.Reader) (all []line, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		l, ok := parse(scanner.Text())
+		l, ok := parseLine(scanner.Text())
 		if !ok {
-			unread++
+			skipped++
 			continue
 		}
 		all = append(all, l)
 	}
-	return all, unread, scanner.Err()
+	return all, skipped, scanner.Err()
 }
 
-// parse reads a line. What stands before the first brace is left away: whoever
-// gathers logs often adds a time or a machine's name.
-func parse(text string) (line, bool) {
+// parseLine decodes a line. Text before the first brace is ignored: log collectors often
+// add a time or the name of a machine.
+func parseLine(text string) (line, bool) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
 		return line{}, false
@@ -164,54 +165,54 @@
 		return line{}, false
 	}
 	event, isNumber := data["event"].(float64)
-	at, err := time.Parse(time.RFC3339, textOf(data["time"]))
+	at, err := time.Parse(time.RFC3339, stringOf(data["time"]))
 	if !isNumber || err != nil {
 		return line{}, false
 	}
-	l := line{at: at, daemon: textOf(data["daemon"]), event: int(event), name: textOf(data["msg"]), fields: make(map[string]string), raw: text[start:]}
+	l := line{at: at, daemon: stringOf(data["daemon"]), event: int(event), name: stringOf(data["msg"]), fields: make(map[string]string), raw: text[start:]}
 	for name, value := range data {
 		if !slices.Contains([]string{"event", "time", "daemon", "msg", "level"}, name) {
-			l.fields[name] = textOf(value)
+			l.fields[name] = stringOf(value)
 		}
 	}
 	return l, true
 }
 
-// textOf returns a value's text, or none if it is no text.
-func textOf(value any) string {
+// stringOf returns the value if it is a string, otherwise "".
+func stringOf(value any) string {
 	s, _ := value.(string)
 	return s
 }
 
-// explain picks the request's lines and those that tell what was believed then.
+// explain returns the request's lines and those that bear on it, in order of time.
 func explain(all []line, request string) []line {
 	own := slices.DeleteFunc(slices.Clone(all), func(l line) bool { return l.fields["request"] != request })
 	if len(own) == 0 {
 		return nil
 	}
 	slices.SortStableFunc(own, byTime)
-	c := context{first: own[0].at.Add(-around), last: own[len(own)-1].at.Add(around)}
+	c := requestContext{first: own[0].at.Add(-contextWindow), last: own[len(own)-1].at.Add(contextWindow)}
 	for _, l := range own {
 		c.add(l)
 	}
-	shown := slices.DeleteFunc(slices.Clone(all), func(l line) bool {
-		return l.fields["request"] != request && !c.tells(l)
+	selected := slices.DeleteFunc(slices.Clone(all), func(l line) bool {
+		return l.fields["request"] != request && !c.isRelevant(l)
 	})
-	slices.SortStableFunc(shown, byTime)
-	return shown
+	slices.SortStableFunc(selected, byTime)
+	return selected
 }
 
 func byTime(a, b line) int { return a.at.Compare(b.at) }
 
-// context is what a request had to do with.
-type context struct {
+// requestContext holds the time span, targets, entries and accounts of a request.
+type requestContext struct {
 	first, last time.Time
 	targets     []string
 	entries     []string
 	accounts    []string
 }
 
-func (c *context) add(l line) {
+func (c *requestContext) add(l line) {
 	if t := l.fields["target"]; t != "" {
 		c.targets = append(c.targets, t)
 	}
@@ -221,8 +222,8 @@
 	}
 }
 
-// tells reports whether a line of another matter bears on the request.
-func (c *context) tells(l line) bool {
+// isRelevant reports whether a line that is not the request's own bears on it.
+func (c *requestContext) isRelevant(l line) bool {
 	if l.at.Before(c.first) || l.at.After(c.last) {
 		return false
 	}
--- a/command/log/log_test.go
+++ b/command/log/log_test.go
@@ -16,7 +16,7 @@
 {"account":"north","daemon":"entry-1","event":640,"level":"info","msg":"request not served","request":"q7","status":"500","target":"t2","time":"2026-12-03T05:00:02.040Z"}
 {"daemon":"entry-1","event":642,"level":"info","msg":"request sent again","request":"q7","target":"t2","time":"2026-12-03T05:00:02.020Z"}
 {"daemon":"entry-1","event":640,"level":"info","msg":"request not served","request":"q8","status":"503","time":"2026-12-03T05:00:02.050Z"}
-not a line of ours
+not a log event
 `
 
 const exitLog = `10.0.0.2 {"daemon":"exit-1","event":631,"level":"info","msg":"run ended","request":"q7","target":"t1","status":"500","time":"2026-12-03T05:00:02.010Z"}
@@ -25,10 +25,9 @@
 10.0.0.2 {"daemon":"exit-1","event":630,"level":"info","msg":"target judged","target":"t1","sick":"86%","time":"2026-12-03T04:00:01.900Z"}
 `
 
-// A request entered at one daemon and failed at the target of another. Its way is
-// told in the order of time, with what was believed of its targets; what concerns
-// other requests, other targets and other times stays out.
-func TestExplainPutsARequestsWayInOrder(t *testing.T) {
+// A request enters at one daemon and fails at a target of another. Its events and the verdicts
+// on its targets are printed in order of time. Other requests, targets and times are left out.
+func TestExplainSortsEventsByTime(t *testing.T) {
 	dir := t.TempDir()
 	var files []string
 	for name, text := range map[string]string{"a.log": entryLog, "b.log": exitLog} {
@@ -50,12 +49,12 @@
 	if got := strings.Join(events, " "); got != "620 630 631 642 640" {
 		t.Errorf("events %s in\n%s", got, out.String())
 	}
-	if errOut.String() != "1 lines are no events\n" {
-		t.Errorf("said %q", errOut.String())
+	if errOut.String() != "1 lines are not log events\n" {
+		t.Errorf("got diagnostics %q", errOut.String())
 	}
 }
 
-func TestExplainOfAnUnknownRequestFails(t *testing.T) {
+func TestExplainFailsForUnknownRequest(t *testing.T) {
 	f := &factory.Factory{In: strings.NewReader(entryLog), Out: &bytes.Buffer{}, ErrOut: &bytes.Buffer{}}
 	err := log.NewExplain("q99").Run(f)
 	if err == nil || errors.Is(err, factory.ErrUsage) || !strings.Contains(err.Error(), "q99") {
