--- a/command/trace/trace.go
+++ b/command/trace/trace.go
@@ -1,4 +1,5 @@
-// Package trace holds the commands on recorded control events.
+// Package trace holds the commands that replay and print the control events that
+// a daemon recorded. The format is that of io/crtrace.
 package trace
 
 import (
@@ -9,15 +10,15 @@
 	"camphorroad/io/crtrace"
 )
 
-// Commands are the verbs on traces.
+// Commands are the subcommands of `trace`.
 type Commands struct {
-	Replay ReplayOptions `cmd:"" help:"Run the reducers over a trace again and check the outcomes."`
-	Show   ShowOptions   `cmd:"" help:"Print a trace's events, one a line."`
+	Replay ReplayOptions `cmd:"" help:"Run a trace's events through the reducers again and check effects and invariants."`
+	Show   ShowOptions   `cmd:"" help:"Print a trace's records, one per line."`
 }
 
-// ReplayOptions replays a trace.
+// ReplayOptions are the options of `trace replay`.
 type ReplayOptions struct {
-	File string `arg:"" help:"The trace."`
+	File string `arg:"" help:"The trace file."`
 	JSON bool   `name:"json" help:"Print JSON."`
 }
 
@@ -26,15 +27,15 @@
 
 // Help is shown with the command's flags.
 func (*ReplayOptions) Help() string {
-	return `Prints what the replay came to, also when it fails: with 1 if the file can not be
-read to its end, if an effect differs from what the daemon did, or if an outcome
-broke a promise. The message names the event, which trace show tells.
+	return `Prints a report of the replay, also if the replay fails. Exits with 1 if the file
+can not be read to its end, if an effect differs from the recorded one, or if an
+invariant is violated. The error gives the number of the event in trace show.
 
 EXAMPLES
   $ camphorroad trace replay daemon.trace`
 }
 
-// Run replays the file.
+// Run replays the file and prints the report.
 func (o *ReplayOptions) Run(f *factory.Factory) error {
 	file, err := os.Open(o.File)
 	if err != nil {
@@ -55,9 +56,9 @@
 	return nil
 }
 
-// ShowOptions prints a trace.
+// ShowOptions are the options of `trace show`.
 type ShowOptions struct {
-	File string `arg:"" help:"The trace."`
+	File string `arg:"" help:"The trace file."`
 }
 
 // NewShow returns the options for a file.
@@ -72,7 +73,7 @@
   $ camphorroad trace show daemon.trace | grep received`
 }
 
-// Run prints the file.
+// Run prints the records.
 func (o *ShowOptions) Run(f *factory.Factory) error {
 	file, err := os.Open(o.File)
 	if err != nil {
