--- a/command/key/hash.go
+++ b/command/key/hash.go
@@ -12,17 +12,17 @@
 
 const maxKeyBytes = 4096
 
-// HashOptions hashes a key.
+// HashOptions are the options of `key hash`.
 type HashOptions struct {
 	JSON bool `help:"Write the result as JSON."`
 }
 
-// NewHash returns the options of a hash.
+// NewHash returns the default options.
 func NewHash() *HashOptions { return &HashOptions{} }
 
 // Help is shown with the command's flags.
 func (*HashOptions) Help() string {
-	return `Reads one key from standard input, since arguments show in process lists.
+	return `Reads one key from standard input, since process lists show arguments.
 
 EXAMPLES
   $ camphorroad key hash < key.txt`
@@ -36,7 +36,7 @@
 	}
 	key := strings.TrimRight(string(data), "\r\n")
 	if key == "" || len(key) > maxKeyBytes || strings.ContainsAny(key, " \t\r\n") {
-		return fmt.Errorf("%w: give one key, without spaces, on standard input", factory.ErrUsage)
+		return fmt.Errorf("%w: standard input must hold one key without spaces", factory.ErrUsage)
 	}
 	if o.JSON {
 		return f.JSON(result{Hash: hashOf(key)})
--- a/command/key/key.go
+++ b/command/key/key.go
@@ -1,9 +1,9 @@
-// Package key holds the commands that issue client keys.
+// Package key holds the commands that generate and hash the keys of client accounts.
 package key
 
-// Options is the noun `key` of the command tree.
+// Options are the subcommands of `key`.
 type Options struct {
-	New  NewOptions  `cmd:"" help:"Make a key and its hash."`
+	New  NewOptions  `cmd:"" help:"Generate a key and its hash."`
 	Hash HashOptions `cmd:"" help:"Hash a key read from standard input."`
 }
 
--- a/command/key/key_test.go
+++ b/command/key/key_test.go
@@ -17,7 +17,7 @@
 	return strings.TrimSpace(out.String()), err
 }
 
-func TestHashOfNewKeyIsItsHash(t *testing.T) {
+func TestHashMatchesNewKey(t *testing.T) {
 	out, err := run(t, "", key.NewNew())
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestHashWithoutAKeyIsUsage(t *testing.T) {
+func TestHashWithoutKeyIsUsageError(t *testing.T) {
 	if _, err := run(t, "\n", key.NewHash()); !errors.Is(err, factory.ErrUsage) {
 		t.Errorf("got %v", err)
 	}
--- a/command/key/new.go
+++ b/command/key/new.go
@@ -9,34 +9,34 @@
 	"camphorroad/core/crpolicy"
 )
 
-// Prefix begins every key, so that scanners for leaked secrets can find one.
+// Prefix starts every key, so that secret scanners can find leaked keys.
 const Prefix = "crk_"
 
-// keyBytes of randomness make a plain hash safe to publish.
+// keyBytes is enough randomness to publish the unsalted hash of a key safely.
 const keyBytes = 32
 
-// NewOptions makes a key.
+// NewOptions are the options of `key new`.
 type NewOptions struct {
 	JSON bool `help:"Write the result as JSON."`
 }
 
-// NewNew returns the options of a new key.
+// NewNew returns the default options.
 func NewNew() *NewOptions { return &NewOptions{} }
 
 // Help is shown with the command's flags.
 func (*NewOptions) Help() string {
-	return `Writes a fresh key, for the client, and its hash, for the accounts file.
-The key is stored nowhere.
+	return `Prints a new random key for the client, and its hash for the accounts file.
+The key is not stored.
 
 EXAMPLES
   $ camphorroad key new
   $ camphorroad key new --json`
 }
 
-// Run writes the key and its hash.
+// Run generates a key and prints it with its hash.
 func (o *NewOptions) Run(f *factory.Factory) error {
 	secret := make([]byte, keyBytes)
-	_, _ = rand.Read(secret) // never fails: crypto/rand ends the program instead
+	_, _ = rand.Read(secret) // never returns an error: crypto/rand aborts the program instead
 	key := Prefix + base64.RawURLEncoding.EncodeToString(secret)
 	res := result{Key: key, Hash: hashOf(key)}
 	if o.JSON {
