--- a/command/serve/serve.go
+++ b/command/serve/serve.go
@@ -1,4 +1,5 @@
-// Package serve holds the command that runs the daemon.
+// Package serve holds the command that runs a daemon whose settings name its
+// platform's address. Package join runs one that finds its fleet in the store.
 package serve
 
 import (
@@ -16,10 +17,10 @@
 	"camphorroad/io/crsettings"
 )
 
-// Options runs a daemon.
+// Options are the options of `serve`.
 type Options struct {
 	Config string `required:"" short:"c" placeholder:"FILE" help:"Settings of this daemon (TOML)."`
-	Check  bool   `help:"Only check the settings."`
+	Check  bool   `help:"Check the settings and the certificates, then exit."`
 }
 
 // New returns the options for a settings file.
@@ -28,14 +29,14 @@
 // Help is shown with the command's flags.
 func (*Options) Help() string {
 	return `Runs the daemon beside an instance until SIGTERM or SIGINT; it then drains and
-exits with 0. SIGHUP reads the certificates again.
+exits with 0. SIGHUP reloads the certificates.
 
 EXAMPLES
   $ camphorroad serve --config daemon.toml
   $ camphorroad serve --config daemon.toml --check`
 }
 
-// Run serves until the context ends.
+// Run runs the daemon until the context ends.
 func (o *Options) Run(ctx context.Context, f *factory.Factory) error {
 	cfg, err := crsettings.Load(o.Config)
 	if err != nil {
@@ -54,15 +55,15 @@
 	return crdaemon.Run(ctx, cfg, f.ErrOut, reload)
 }
 
-// checkCertificates reads what the daemon would read at its start: settings that
-// name a missing file, or a key of another certificate, else pass the check and
-// the restarted daemon does not come back.
+// checkCertificates loads the files that the daemon loads at its start. Otherwise
+// settings that name a missing file, or the key of another certificate, would pass
+// the check, and the daemon would fail to restart.
 func checkCertificates(file string, cfg crsettings.Settings) error {
 	t := cfg.TLS
 	if _, err := crpeer.LoadIdentity(t.Cert, t.Key, t.CA); err != nil {
 		return fmt.Errorf("%s: tls.cert, tls.key and tls.ca: %w; name readable PEM files that belong together", file, err)
 	}
-	if err := checkName(file, cfg); err != nil {
+	if err := checkCertificateName(file, cfg); err != nil {
 		return err
 	}
 	if t.CallerCert == "" {
@@ -74,9 +75,9 @@
 	return nil
 }
 
-// checkName refuses another daemon's certificate: with it the daemon starts, but
-// peers that call it refuse the session, since they expect its own name.
-func checkName(file string, cfg crsettings.Settings) error {
+// checkCertificateName rejects another daemon's certificate. With it the daemon would
+// start, but peers would refuse sessions to it, since they expect its name.
+func checkCertificateName(file string, cfg crsettings.Settings) error {
 	pair, err := tls.LoadX509KeyPair(cfg.TLS.Cert, cfg.TLS.Key)
 	if err != nil {
 		return fmt.Errorf("%s: tls.cert: %w", file, err)
--- a/command/serve/serve_test.go
+++ b/command/serve/serve_test.go
@@ -19,10 +19,9 @@
 tls = {cert = "DIR/CERT.pem", key = "DIR/KEY.key", ca = "DIR/ca.pem"}
 `
 
-// An operator checks settings that name another daemon's certificate, or a file
-// that is not there. Told that all is right, they restart the daemon, and it
-// does not come back, or no peer talks to it.
-func TestCheckReadsTheCertificates(t *testing.T) {
+// If the check accepts a missing file or another daemon's certificate, the daemon does not
+// restart, or peers refuse sessions to it.
+func TestCheckRejectsMissingAndMismatchedCertificates(t *testing.T) {
 	for name, want := range map[string]string{
 		"a a": "", "b a": "tls.cert", "missing a": "tls.cert", "b b": `tls.cert is not for "a"`,
 	} {
