--- a/command/policy/build.go
+++ b/command/policy/build.go
@@ -16,21 +16,21 @@
 // ManifestFile is the manifest's file name in a bundle's directory.
 const ManifestFile = "manifest"
 
-// BuildOptions builds a bundle directory.
+// BuildOptions are the options of `policy build`.
 type BuildOptions struct {
 	Files []string `arg:"" name:"file" help:"Policy files of all services and accounts."`
 	Out   string   `required:"" placeholder:"DIR" help:"Directory to write the manifest and the values to."`
 	JSON  bool     `help:"Write the result as JSON."`
 }
 
-// NewBuild returns the options of a build.
+// NewBuild returns the options for an output directory and policy files.
 func NewBuild(out string, files ...string) *BuildOptions {
 	return &BuildOptions{Out: out, Files: files}
 }
 
 // Help is shown with the command's flags.
 func (*BuildOptions) Help() string {
-	return `Writes DIR/manifest and DIR/values/DIGEST. Equal policies give equal bytes.
+	return `Writes DIR/manifest and DIR/values/DIGEST. The same policies give the same bytes.
 
 EXAMPLES
   $ camphorroad policy build --out bundle */policy.toml accounts.toml`
@@ -51,22 +51,22 @@
 	b, err := crpolicyfile.Build(files)
 	var problems crpolicyfile.Problems
 	if errors.As(err, &problems) {
-		return refuse(f, problems, false)
+		return reportProblems(f, problems, false)
 	}
 	if err != nil {
 		return err
 	}
-	if err := write(o.Out, b); err != nil {
+	if err := writeBundle(o.Out, b); err != nil {
 		return err
 	}
 	return o.print(f, b)
 }
 
-// write puts the manifest last: a publisher that finds it finds all values.
-func write(dir string, b crpolicyfile.Bundle) error {
+// writeBundle writes the manifest last, so that all values exist once the manifest does.
+func writeBundle(dir string, b crpolicyfile.Bundle) error {
 	values := filepath.Join(dir, "values")
 	if err := os.MkdirAll(values, 0o755); err != nil {
-		return oops.Wrapf(err, "make the output directory")
+		return oops.Wrapf(err, "create the output directory")
 	}
 	for _, v := range b.Values() {
 		name := filepath.Join(values, crconfig.DigestOf(v.Data).String())
--- a/command/policy/check.go
+++ b/command/policy/check.go
@@ -9,21 +9,21 @@
 	"camphorroad/io/crpolicyfile"
 )
 
-// ErrInvalid tells that policy files have faults; they are written out already.
-var ErrInvalid = errors.New("the policy files are refused; correct the places above and check again")
+// ErrInvalid is returned after the faults of policy files were printed.
+var ErrInvalid = errors.New("the policy files are invalid; correct the faults listed and check again")
 
-// CheckOptions checks policy files.
+// CheckOptions are the options of `policy check`.
 type CheckOptions struct {
 	Files []string `arg:"" name:"file" help:"Policy files of all services and accounts."`
 	JSON  bool     `help:"Write the result as JSON."`
 }
 
-// NewCheck returns the options of a check.
+// NewCheck returns the options for policy files.
 func NewCheck(files ...string) *CheckOptions { return &CheckOptions{Files: files} }
 
 // Help is shown with the command's flags.
 func (*CheckOptions) Help() string {
-	return `Checks the files as the publishing step and every daemon will, and names all faults at once.
+	return `Checks the files as policy build and every daemon do, and prints all faults at once.
 
 EXAMPLES
   $ camphorroad policy check booking/policy.toml accounts.toml
@@ -36,7 +36,7 @@
 	Problems crpolicyfile.Problems `json:"problems"`
 }
 
-// Run checks the files; faults go to the diagnostics.
+// Run checks the files. Faults go to the diagnostics, or into the JSON result.
 func (o *CheckOptions) Run(f *factory.Factory) error {
 	files, err := readFiles(o.Files)
 	if err != nil {
@@ -54,7 +54,7 @@
 		}
 	}
 	if len(problems) > 0 {
-		return refuse(f, problems, o.JSON)
+		return reportProblems(f, problems, o.JSON)
 	}
 	if o.JSON {
 		return nil
@@ -65,7 +65,7 @@
 	})
 }
 
-func refuse(f *factory.Factory, problems crpolicyfile.Problems, quiet bool) error {
+func reportProblems(f *factory.Factory, problems crpolicyfile.Problems, quiet bool) error {
 	if !quiet {
 		fmt.Fprintln(f.ErrOut, problems.Error())
 	}
--- a/command/policy/policy.go
+++ b/command/policy/policy.go
@@ -1,5 +1,5 @@
 // Package policy holds the commands that check operators' policy files and build
-// what the platform publishes.
+// the bundle that the platform publishes. Package io/crpolicyfile reads the files.
 package policy
 
 import (
@@ -10,10 +10,10 @@
 	"camphorroad/io/crpolicyfile"
 )
 
-// Options is the noun `policy` of the command tree.
+// Options are the subcommands of `policy`.
 type Options struct {
-	Check CheckOptions `cmd:"" help:"Check policy files, all together."`
-	Build BuildOptions `cmd:"" help:"Build the values to publish."`
+	Check CheckOptions `cmd:"" help:"Check policy files together."`
+	Build BuildOptions `cmd:"" help:"Build the bundle to publish."`
 }
 
 func readFiles(paths []string) ([]crpolicyfile.File, error) {
--- a/command/policy/policy_test.go
+++ b/command/policy/policy_test.go
@@ -19,8 +19,8 @@
 		file, out, diagnostics string
 		err                    error
 	}{
-		"good": {"booking.toml", "services\t1\naccounts\t0\n", "", nil},
-		"bad":  {"bad.toml", "", "unknown key", policy.ErrInvalid},
+		"valid":   {"booking.toml", "services\t1\naccounts\t0\n", "", nil},
+		"invalid": {"bad.toml", "", "unknown key", policy.ErrInvalid},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out, diagnostics bytes.Buffer
