--- a/command/events/events.go
+++ b/command/events/events.go
@@ -1,4 +1,5 @@
-// Package events holds the command that lists the numbered log events.
+// Package events holds the command that lists the catalogue of log events in
+// io/crlog. Package log reads the logs themselves.
 package events
 
 import (
@@ -8,27 +9,27 @@
 	"camphorroad/io/crlog"
 )
 
-// Commands are the verbs on events.
+// Commands are the subcommands of `events`.
 type Commands struct {
 	List ListOptions `cmd:"" help:"List the numbered events of the log."`
 }
 
-// ListOptions lists the catalogue.
+// ListOptions are the options of `events list`.
 type ListOptions struct {
 	JSON     bool `name:"json" xor:"form" help:"Print JSON."`
 	Markdown bool `name:"markdown" xor:"form" help:"Print the page docs/events.md."`
 }
 
-// NewList returns the options.
+// NewList returns the options for a format; a table if both are false.
 func NewList(asJSON, asMarkdown bool) *ListOptions {
 	return &ListOptions{JSON: asJSON, Markdown: asMarkdown}
 }
 
 // Help is shown with the command's flags.
 func (*ListOptions) Help() string {
-	return `Prints number, level, name and cause of each event, what is noticed, and what to
-do. The level is a weight for whoever is on call: info is ordinary, warning
-means that something is lost, error that somebody has to act.
+	return `Prints number, level, name, cause and symptom of each event, and the action to
+take. The level tells an operator on call how urgent the event is: info is normal
+operation, warning means that something is lost, error that somebody has to act.
 
 EXAMPLES
   $ camphorroad events list
