--- a/command/cert/cert.go
+++ b/command/cert/cert.go
@@ -1,5 +1,5 @@
-// Package cert holds the command that makes certificates for trying the fleet
-// out on one machine.
+// Package cert holds the command that issues certificates for a development
+// fleet on one machine.
 package cert
 
 import (
@@ -10,14 +10,14 @@
 	"camphorroad/io/crcert"
 )
 
-// Commands are the verbs on certificates.
+// Commands are the subcommands of `cert`.
 type Commands struct {
-	Dev DevOptions `cmd:"" help:"Make an authority and daemons' certificates for development."`
+	Dev DevOptions `cmd:"" help:"Create a certificate authority and daemons' certificates for development."`
 }
 
-// DevOptions makes development certificates.
+// DevOptions are the options of `cert dev`.
 type DevOptions struct {
-	Out   string   `required:"" placeholder:"DIR" help:"Directory to write to; an authority that is there is used again."`
+	Out   string   `required:"" placeholder:"DIR" help:"Directory to write to; an authority in it is reused."`
 	Names []string `arg:"" name:"daemon" help:"Names of daemons."`
 }
 
@@ -26,14 +26,14 @@
 
 // Help is shown with the command's flags.
 func (*DevOptions) Help() string {
-	return `Writes ca.pem, and NAME.pem with NAME.key for each daemon. The authority's key
-stays in the directory, so these are for development only.
+	return `Writes ca.pem, and NAME.pem and NAME.key for each daemon. The authority's private
+key stays in the directory, so use the certificates for development only.
 
 EXAMPLES
   $ camphorroad cert dev --out certs booking-1 booking-2`
 }
 
-// Run writes the files.
+// Run writes the files and prints the path of each daemon's certificate.
 func (o *DevOptions) Run(f *factory.Factory) error {
 	if err := crcert.Issue(o.Out, o.Names...); err != nil {
 		if errors.Is(err, crcert.ErrInvalidName) {
--- a/command/cert/cert_test.go
+++ b/command/cert/cert_test.go
@@ -9,10 +9,9 @@
 	"camphorroad/command/factory"
 )
 
-// An operator names a daemon "ca", or with a path in it. The daemon's
-// certificate would take the authority's place, and no daemon trusts another;
-// or a private key would be written outside of the directory.
-func TestDevRefusesNamesThatAreNoDaemons(t *testing.T) {
+// The certificate of a daemon named "ca" would overwrite the authority's, and no daemon would
+// trust another. With a path in a name, a private key would be written outside the directory.
+func TestDevRejectsInvalidDaemonNames(t *testing.T) {
 	for _, name := range []string{"ca", "../x", "Booking", ""} {
 		var out bytes.Buffer
 		err := cert.NewDev(t.TempDir(), "booking-1", name).Run(&factory.Factory{Out: &out})
