--- a/command/factory/factory.go
+++ b/command/factory/factory.go
@@ -1,5 +1,6 @@
-// Package factory holds what every command needs from its surroundings, so that
-// a command can be run in a test with streams in memory.
+// Package factory parses the command lines of camphorroad and camphorlab, and gives
+// commands their streams, output formats and exit codes. In tests the streams are
+// buffers in memory.
 //
 // # Usage
 //
@@ -23,10 +24,10 @@
 	ExitUsage   = 2
 )
 
-// ErrUsage marks an error of how a command was called.
+// ErrUsage marks errors in the arguments or the input of a command.
 var ErrUsage = errors.New("usage")
 
-// Factory gives a command its streams.
+// Factory holds the streams of a command.
 type Factory struct {
 	In         io.Reader
 	Out        io.Writer // results
@@ -34,7 +35,7 @@
 	IsTerminal func() bool
 }
 
-// System returns the factory of the process's own streams.
+// System returns a factory with the standard streams of the process.
 func System() *Factory {
 	return &Factory{In: os.Stdin, Out: os.Stdout, ErrOut: os.Stderr, IsTerminal: func() bool {
 		info, err := os.Stdout.Stat()
@@ -42,11 +43,11 @@
 	}}
 }
 
-// Table writes rows for people with padded columns and a header, for other
-// programs tab-separated without one.
+// Table writes rows in padded columns below the header on a terminal, and
+// tab-separated without the header otherwise.
 func (f *Factory) Table(header []string, rows [][]string) error {
 	if f.IsTerminal == nil || !f.IsTerminal() {
-		return f.lines(rows, func(_ int, cell string) string { return cell }, "\t")
+		return f.writeRows(rows, func(_ int, cell string) string { return cell }, "\t")
 	}
 	all := append([][]string{header}, rows...)
 	widths := make([]int, len(header))
@@ -55,10 +56,10 @@
 			widths[i] = max(widths[i], len(cell))
 		}
 	}
-	return f.lines(all, func(i int, cell string) string { return fmt.Sprintf("%-*s", widths[i], cell) }, "  ")
+	return f.writeRows(all, func(i int, cell string) string { return fmt.Sprintf("%-*s", widths[i], cell) }, "  ")
 }
 
-func (f *Factory) lines(rows [][]string, cell func(int, string) string, separator string) error {
+func (f *Factory) writeRows(rows [][]string, cell func(int, string) string, separator string) error {
 	for _, row := range rows {
 		cells := make([]string, 0, len(row))
 		for i, c := range row {
@@ -78,7 +79,7 @@
 	return enc.Encode(v)
 }
 
-// Exit writes an error to the diagnostics and returns the exit code for it.
+// Exit prints the error to ErrOut, if there is one, and returns the exit code.
 func Exit(f *Factory, err error) int {
 	if err == nil {
 		return ExitOK
--- a/command/factory/parse_test.go
+++ b/command/factory/parse_test.go
@@ -8,9 +8,9 @@
 	"camphorroad/command/factory"
 )
 
-// An operator leaves a flag out and is told to look at the help of the whole
-// program, which does not list the command's flags.
-func TestUsageNamesTheHelpOfTheCommand(t *testing.T) {
+// A usage error must refer to the help of the command: that of the program does not list the
+// command's flags.
+func TestUsageErrorNamesCommandHelp(t *testing.T) {
 	var tree struct {
 		Policy struct {
 			Check struct {
