--- a/command/join/join.go
+++ b/command/join/join.go
@@ -1,4 +1,5 @@
-// Package join holds the command that runs a daemon on the users' platform.
+// Package join holds the command that runs a daemon which finds its targets, peers
+// and configuration in the platform's store. Package serve runs one from its settings.
 package join
 
 import (
@@ -14,24 +15,24 @@
 	"camphorroad/platform"
 )
 
-// Options runs a daemon that joins the fleet of a platform.
+// Options are the options of `join`.
 type Options struct {
 	Config string `required:"" short:"c" env:"CAMPHORROAD_CONFIG" placeholder:"FILE" help:"Settings of this daemon (TOML)."`
-	Check  bool   `help:"Only check the settings."`
+	Check  bool   `help:"Check the settings, then exit."`
 }
 
 // Help is shown with the command's flags.
 func (*Options) Help() string {
 	return `Runs the daemon beside a target of the platform until SIGTERM or SIGINT; it then
 drains and exits with 0. It finds targets, peers and its configuration in the
-platform's store. SIGHUP reads the settings again.
+platform's store. SIGHUP reloads the settings.
 
 EXAMPLES
   $ camphorroad join --config /etc/camphorroad/boot.toml
   $ camphorroad join --config boot.toml --check`
 }
 
-// Run serves until the context ends.
+// Run runs the daemon until the context ends.
 func (o *Options) Run(ctx context.Context, f *factory.Factory) error {
 	cfg, err := crsite.Load(o.Config)
 	if err != nil {
