--- a/command/command.go
+++ b/command/command.go
@@ -1,4 +1,5 @@
-// Package command is the command tree of camphorroad.
+// Package command is the command tree of camphorroad, which cmd/camphorroad runs. The
+// commands are in the packages below; package factory parses the command line.
 //
 // # Usage
 //
@@ -22,31 +23,31 @@
 )
 
 type tree struct {
-	Serve   serve.Options   `cmd:"" help:"Run the daemon."`
-	Join    join.Options    `cmd:"" help:"Run the daemon on the users' platform."`
-	Policy  policy.Options  `cmd:"" help:"Check and build what is published."`
-	Key     key.Options     `cmd:"" help:"Make and hash client keys."`
-	Cert    cert.Commands   `cmd:"" help:"Make certificates for development."`
-	State   state.Commands  `cmd:"" help:"Look into a running daemon."`
-	Trace   trace.Commands  `cmd:"" help:"Replay what a daemon recorded."`
-	Log     log.Commands    `cmd:"" help:"Look into daemons' logs."`
-	Events  events.Commands `cmd:"" help:"Look up the log's events."`
+	Serve   serve.Options   `cmd:"" help:"Run a daemon."`
+	Join    join.Options    `cmd:"" help:"Run a daemon that joins its fleet through the platform's store."`
+	Policy  policy.Options  `cmd:"" help:"Check policy files and build the bundle to publish."`
+	Key     key.Options     `cmd:"" help:"Generate and hash client keys."`
+	Cert    cert.Commands   `cmd:"" help:"Issue certificates for development."`
+	State   state.Commands  `cmd:"" help:"Inspect a running daemon."`
+	Trace   trace.Commands  `cmd:"" help:"Replay and print the control events that a daemon recorded."`
+	Log     log.Commands    `cmd:"" help:"Search daemons' logs."`
+	Events  events.Commands `cmd:"" help:"List the catalogue of log events."`
 	Version versionOptions  `cmd:"" help:"Print the version."`
 }
 
-// RunProcess runs the command with the process's own streams and signals; it
-// returns the exit code.
+// RunProcess runs the command that args name with the streams and signals of the
+// process, and returns the exit code.
 func RunProcess(args []string) int {
 	return factory.Program{
 		Name:        "camphorroad",
-		Description: "A proxy fleet for upstreams that fail gray.",
+		Description: "A proxy fleet for upstreams with gray failures.",
 		Tree:        &tree{},
 	}.RunProcess(args)
 }
 
 type versionOptions struct{}
 
-// Run prints the module's version, or "devel".
+// Run prints the version of the module, or "devel" if it has none.
 func (versionOptions) Run(f *factory.Factory) error {
 	version := "devel"
 	if info, ok := debug.ReadBuildInfo(); ok && info.Main.Version != "" {
