--- a/command/lab/experiment.go
+++ b/command/lab/experiment.go
@@ -8,27 +8,27 @@
 	"camphorroad/lab/crexperiment"
 )
 
-// ExperimentOptions are the commands that play a fleet in virtual time.
+// ExperimentOptions are the subcommands of `experiment`.
 type ExperimentOptions struct {
-	Run ExperimentRunOptions `cmd:"" help:"Play an experiment's file."`
+	Run ExperimentRunOptions `cmd:"" help:"Run the experiments in files."`
 }
 
-// ExperimentRunOptions plays experiments.
+// ExperimentRunOptions are the options of `experiment run`.
 type ExperimentRunOptions struct {
-	File   []string  `arg:"" placeholder:"FILE" help:"Experiments, in TOML."`
-	Load   []float64 `placeholder:"X" help:"Loads, in times the rates of the file; default the file's."`
-	Policy []string  `placeholder:"NAME" help:"Policies; default the file's."`
-	Seeds  int       `help:"Seeds from 1 on; default the file's."`
-	Plot   string    `placeholder:"FILE" help:"Draw what was served over the load into a PNG file."`
-	JSON   bool      `name:"json" help:"Print each play as JSON."`
+	File   []string  `arg:"" placeholder:"FILE" help:"Experiment files (TOML)."`
+	Load   []float64 `placeholder:"X" help:"Loads, as multiples of the rates in the file; default the file's load."`
+	Policy []string  `placeholder:"NAME" help:"Policies; default those of the file."`
+	Seeds  int       `help:"Number of seeds to run, starting at 1; default the seeds of the file."`
+	Plot   string    `placeholder:"FILE" help:"Plot the served requests against the load into a PNG file."`
+	JSON   bool      `name:"json" help:"Print each run as JSON."`
 }
 
 // Help is shown with the command's flags.
 func (*ExperimentRunOptions) Help() string {
-	return `Plays the product's own decisions against modelled targets in virtual time, beside
-baselines and beside a fleet that knows all targets' states at once, and prints
-what callers got and how soon sick targets were found. A seed always gives the
-same result.
+	return `Runs the decision code of the product against simulated targets in virtual time,
+and for comparison the baselines and a fleet that knows the state of all targets
+at once. Prints the outcomes for callers and the time until unhealthy targets
+were detected. The same seed always gives the same result.
 
 EXAMPLES
   $ camphorlab experiment run lab/crexperiment/testdata/orders.toml
@@ -36,7 +36,7 @@
   $ camphorlab experiment run orders.toml --load 0.5,1,1.5,2 --plot served.png --json`
 }
 
-// Run plays all files in their order.
+// Run runs the experiments of all files in their order.
 func (o *ExperimentRunOptions) Run(_ context.Context, f *factory.Factory) error {
 	var rows []crexperiment.Row
 	var results []crexperiment.Result
@@ -45,7 +45,7 @@
 		if err != nil {
 			return err
 		}
-		if err := o.change(x); err != nil {
+		if err := o.override(x); err != nil {
 			return err
 		}
 		loads := o.Load
@@ -54,10 +54,10 @@
 		}
 		for _, load := range loads {
 			x.Load = load
-			played := x.Run()
-			results = append(results, played...)
-			rows = append(rows, x.Rows(played)...)
-			_, _ = fmt.Fprintf(f.ErrOut, "%s: load %.2f: %d plays\n", x.Name, load, len(played))
+			runs := x.Run()
+			results = append(results, runs...)
+			rows = append(rows, x.Rows(runs)...)
+			_, _ = fmt.Fprintf(f.ErrOut, "%s: load %.2f: %d runs\n", x.Name, load, len(runs))
 		}
 	}
 	if o.Plot != "" {
@@ -75,8 +75,8 @@
 	return f.Table(crexperiment.Header(), cells)
 }
 
-// change puts what the command line says in place of what the file says.
-func (o *ExperimentRunOptions) change(x *crexperiment.Experiment) error {
+// override replaces settings of the file by those of the flags and checks the result.
+func (o *ExperimentRunOptions) override(x *crexperiment.Experiment) error {
 	if len(o.Policy) > 0 {
 		x.Policies = o.Policy
 	}
--- a/command/lab/lab_test.go
+++ b/command/lab/lab_test.go
@@ -17,7 +17,7 @@
 	"camphorroad/command/policy"
 )
 
-func TestPublishOnTheStandIn(t *testing.T) {
+func TestPublishToStandIn(t *testing.T) {
 	dir := t.TempDir()
 	discard := &factory.Factory{Out: io.Discard, ErrOut: io.Discard}
 	file := "../../io/crpolicyfile/testdata/booking.toml"
--- a/command/lab/load.go
+++ b/command/lab/load.go
@@ -7,23 +7,23 @@
 	"camphorroad/lab/crload"
 )
 
-// LoadOptions sends load by a plan.
+// LoadOptions are the options of `load`.
 type LoadOptions struct {
-	Plan string `arg:"" placeholder:"FILE" help:"Plan of the load (TOML)."`
+	Plan string `arg:"" placeholder:"FILE" help:"Load plan (TOML)."`
 	JSON bool   `name:"json" help:"Print JSON."`
 }
 
 // Help is shown with the command's flags.
 func (*LoadOptions) Help() string {
-	return `Sends an open-loop load and prints, for each account, the outcomes that its
-callers were told and the latency from the planned time.
+	return `Sends an open-loop load and prints for each account the outcomes that its callers
+saw, and the latency from the planned send time.
 
 EXAMPLES
   $ camphorlab load mix.toml
   $ camphorlab load --json mix.toml`
 }
 
-// Run sends the load.
+// Run sends the load and prints the report.
 func (o *LoadOptions) Run(ctx context.Context, f *factory.Factory) error {
 	plan, err := crload.ReadPlan(o.Plan)
 	if err != nil {
--- a/command/lab/measure.go
+++ b/command/lab/measure.go
@@ -12,23 +12,23 @@
 	"camphorroad/lab/crmeasure"
 )
 
-// MeasureOptions takes the users' four measures.
+// MeasureOptions are the options of `measure`, which takes the users' four measures.
 type MeasureOptions struct {
-	Shape  []string      `placeholder:"NAME" help:"Shapes: beacon, groupement; default both."`
+	Shape  []string      `placeholder:"NAME" help:"Deployment shapes: beacon, groupement; default both."`
 	Case   []string      `placeholder:"NAME" help:"Cases, for example slow; default all."`
 	Policy []string      `placeholder:"NAME" help:"Policies: chosen, roundrobin, fixed, split; default those that differ in a case."`
-	Seeds  int           `default:"2" help:"Runs of each, with the seeds from 1."`
-	Length time.Duration `default:"10s" help:"Length of each run's load."`
-	Plots  string        `placeholder:"DIR" help:"Draw the timelines of each first seed into DIR."`
-	Binary string        `placeholder:"FILE" help:"The daemon's program; default camphorroad beside this one."`
+	Seeds  int           `default:"2" help:"Runs of each case and policy, with seeds from 1."`
+	Length time.Duration `default:"10s" help:"Duration of the load of each run."`
+	Plots  string        `placeholder:"DIR" help:"Plot the timelines of each first seed into DIR."`
+	Binary string        `placeholder:"FILE" help:"Daemon executable; default camphorroad in the directory of this program."`
 	JSON   bool          `name:"json" help:"Print each run as JSON."`
 }
 
 // Help is shown with the command's flags.
 func (*MeasureOptions) Help() string {
-	return `Starts fleets of both deployments' shapes as real processes, causes one fault
-in each, and prints detection time, false ejections, the worst-served account,
-and refusals inside the rate, beside the baselines.
+	return `Runs fleets of both deployment shapes as real processes, injects one fault into
+each, and prints detection time, false ejections, the worst-served account, and
+refusals within the rate, for the product and the baselines.
 
 EXAMPLES
   $ camphorlab measure
@@ -36,7 +36,7 @@
   $ camphorlab measure --policy chosen --plots plots --json`
 }
 
-// Run takes the measures; what was measured before a failure is printed too.
+// Run takes the measures. After an error it prints the runs that finished before.
 func (o *MeasureOptions) Run(ctx context.Context, f *factory.Factory) error {
 	binary, err := daemonBinary(o.Binary)
 	if err != nil {
@@ -65,8 +65,8 @@
 	return err
 }
 
-// writeTSV writes a measure's table with its heading, tab-separated on a terminal
-// too: it is for keeping and comparing.
+// writeTSV writes a table with its header, tab-separated also on a terminal, so that
+// saved results can be compared.
 func writeTSV(f *factory.Factory, header []string, rows [][]string) error {
 	for _, row := range append([][]string{header}, rows...) {
 		if _, err := fmt.Fprintln(f.Out, strings.Join(row, "\t")); err != nil {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// shapes takes "both" for all of them.
+// shapes returns the selected shapes; nil, meaning all, for "both".
 func (o *MeasureOptions) shapes() []string {
 	if len(o.Shape) == 1 && o.Shape[0] == "both" {
 		return nil
@@ -84,14 +84,14 @@
 	return o.Shape
 }
 
-// daemonBinary is the daemon's program: the one given, or that beside this one.
-func daemonBinary(given string) (string, error) {
-	if given != "" {
-		return given, nil
+// daemonBinary returns path, or that of camphorroad in the directory of this program.
+func daemonBinary(path string) (string, error) {
+	if path != "" {
+		return path, nil
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return "", fmt.Errorf("find the daemon's program; give --binary: %w", err)
+		return "", fmt.Errorf("find the daemon executable (set --binary): %w", err)
 	}
 	return filepath.Join(filepath.Dir(self), "camphorroad"), nil
 }
--- a/command/lab/memory.go
+++ b/command/lab/memory.go
@@ -8,31 +8,31 @@
 	"camphorroad/lab/crmemory"
 )
 
-// MemoryOptions measures the memory of a daemon.
+// MemoryOptions are the options of `memory`.
 type MemoryOptions struct {
-	Accounts  []int         `default:"0,20000,100000,410000" help:"Accounts in the configuration, each in a run of its own."`
-	Instances int           `default:"5500" help:"Instances in the list of the last stage; 0 leaves it out."`
-	Targets   int           `default:"47000" help:"Targets in that list."`
-	Services  int           `default:"1800" help:"Services of those targets."`
-	Settle    time.Duration `default:"5s" help:"From a configuration in force to its row."`
-	Env       []string      `placeholder:"NAME=VALUE" help:"Variables of the daemon, such as GOGC=50."`
-	Settings  string        `help:"TOML added to the daemon's settings."`
-	Binary    string        `placeholder:"FILE" help:"The daemon's program; default camphorroad beside this one."`
+	Accounts  []int         `default:"0,20000,100000,410000" help:"Numbers of accounts in the configuration, one run for each."`
+	Instances int           `default:"5500" help:"Instances in the list of the last stage; 0 skips the stage."`
+	Targets   int           `default:"47000" help:"Targets in the list of instances."`
+	Services  int           `default:"1800" help:"Services in the list of instances."`
+	Settle    time.Duration `default:"5s" help:"Wait after a configuration is in force before memory is measured."`
+	Env       []string      `placeholder:"NAME=VALUE" help:"Environment variables of the daemon, such as GOGC=50."`
+	Settings  string        `help:"TOML to append to the daemon's settings."`
+	Binary    string        `placeholder:"FILE" help:"Daemon executable; default camphorroad in the directory of this program."`
 	JSON      bool          `name:"json" help:"Print each stage as JSON."`
 }
 
 // Help is shown with the command's flags.
 func (*MemoryOptions) Help() string {
-	return `Starts a daemon under a configuration of many accounts, changes it once and ten
-times more, puts a long list of instances in place, and prints after each stage
-where the process's memory stands, in millions of bytes.
+	return `Runs a daemon with a configuration of many accounts, changes the configuration
+once and then ten more times, and publishes a long list of instances. Prints the
+memory of the process after each stage, in millions of bytes.
 
 EXAMPLES
   $ camphorlab memory
   $ camphorlab memory --accounts 410000 --instances 0 --env GOGC=50`
 }
 
-// Run takes the measure.
+// Run measures the daemon with each number of accounts.
 func (o *MemoryOptions) Run(ctx context.Context, f *factory.Factory) error {
 	binary, err := daemonBinary(o.Binary)
 	if err != nil {
--- a/command/lab/path.go
+++ b/command/lab/path.go
@@ -9,21 +9,21 @@
 	"camphorroad/lab/crpath"
 )
 
-// PathOptions measures what the path of a request adds.
+// PathOptions are the options of `path`, which measures the overhead of the daemons.
 type PathOptions struct {
-	Rounds int           `default:"5" help:"Runs of each way, in turn."`
-	Length time.Duration `default:"3s" help:"Length of each run's load."`
-	Part   float64       `default:"0.5" help:"Part of the path's capacity to send."`
-	Rate   float64       `help:"Requests a second to send, in place of --part."`
-	Binary string        `placeholder:"FILE" help:"The daemon's program; default camphorroad beside this one."`
+	Rounds int           `default:"5" help:"Runs of each path, in turn."`
+	Length time.Duration `default:"3s" help:"Duration of the load of each run."`
+	Part   float64       `default:"0.5" help:"Load, as a fraction of the capacity of the path."`
+	Rate   float64       `help:"Load in requests per second, instead of --part."`
+	Binary string        `placeholder:"FILE" help:"Daemon executable; default camphorroad in the directory of this program."`
 	JSON   bool          `name:"json" help:"Print each run as JSON."`
 }
 
 // Help is shown with the command's flags.
 func (*PathOptions) Help() string {
-	return `Sends the same open load straight to an upstream, through the daemon beside it,
-and through an entry and an exit daemon, and prints what each way adds: time,
-processor time and allocations for each request.
+	return `Sends the same open-loop load directly to an upstream, through the daemon beside
+it, and through an entry and an exit daemon. Prints the overhead of each path per
+request: latency, CPU time and allocations.
 
 EXAMPLES
   $ camphorlab path
@@ -31,7 +31,7 @@
   $ camphorlab path --part 0.25 --json`
 }
 
-// Run takes the measure.
+// Run measures all paths and prints their overhead.
 func (o *PathOptions) Run(ctx context.Context, f *factory.Factory) error {
 	binary, err := daemonBinary(o.Binary)
 	if err != nil {
@@ -46,7 +46,7 @@
 	if o.JSON {
 		return f.JSON(result)
 	}
-	_, _ = fmt.Fprintf(f.ErrOut, "capacity of two hops in a closed loop: %.0f requests a second\n", result.Capacity)
+	_, _ = fmt.Fprintf(f.ErrOut, "closed-loop capacity of two hops: %.0f requests per second\n", result.Capacity)
 	for _, run := range result.Runs {
 		if run.Failed > 0 {
 			_, _ = fmt.Fprintf(f.ErrOut, "%s: %d of %d failed: %v\n", run.Way, run.Failed, run.Sent, run.Told)
--- a/command/lab/platform.go
+++ b/command/lab/platform.go
@@ -1,5 +1,6 @@
-// Package lab holds the commands of camphorlab: the stand-ins for what the
-// fleet's users provide.
+// Package lab holds the commands of camphorlab, which cmd/camphorlab runs: they serve
+// stand-ins of the users' platform, store and upstreams, and run load, measurements,
+// simulations and fault tests against them. The packages below lab/ do the work.
 package lab
 
 import (
@@ -19,22 +20,22 @@
 
 const headerTimeout = 5 * time.Second
 
-// PlatformOptions serves the platform's stand-in.
+// PlatformOptions are the options of `platform`.
 type PlatformOptions struct {
 	Listen string `default:"127.0.0.1:7400" placeholder:"ADDR" help:"Address to listen on."`
 	Dir    string `placeholder:"DIR" help:"Directory to publish at start: a bundle, instances.toml, or both."`
-	From   uint64 `placeholder:"REV" help:"Begin above this revision."`
+	From   uint64 `placeholder:"REV" help:"Revision after which the first publication is numbered."`
 }
 
-// NewPlatform returns the options of a stand-in.
+// NewPlatform returns the options for an address and a directory.
 func NewPlatform(listen, dir string) *PlatformOptions {
 	return &PlatformOptions{Listen: listen, Dir: dir}
 }
 
 // Help is shown with the command's flags.
 func (*PlatformOptions) Help() string {
-	return `Serves published values and the list of instances, counts calls at /lab/counts,
-and fails as /lab/fault is told.
+	return `Serves the published values and the list of instances. /lab/counts returns the
+number of calls, and a PUT to /lab/fault sets the fault to simulate.
 
 EXAMPLES
   $ camphorlab platform --listen 127.0.0.1:7400 --dir bundle
@@ -44,7 +45,7 @@
 // Run serves until the context ends.
 func (o *PlatformOptions) Run(ctx context.Context, f *factory.Factory) error {
 	p := crplatform.New(crid.Revision(o.From))
-	if err := o.load(p); err != nil {
+	if err := o.publishDir(p); err != nil {
 		return err
 	}
 	listen := net.ListenConfig{}
@@ -62,7 +63,7 @@
 	return nil
 }
 
-func (o *PlatformOptions) load(p *crplatform.Platform) error {
+func (o *PlatformOptions) publishDir(p *crplatform.Platform) error {
 	if o.Dir == "" {
 		return nil
 	}
@@ -73,13 +74,13 @@
 	if ok {
 		p.SetInstances(instances)
 	}
-	up, ok, err := crplatform.ReadUpload(o.Dir)
+	upload, ok, err := crplatform.ReadUpload(o.Dir)
 	if err != nil {
 		return oops.Wrapf(err, "read the bundle")
 	}
 	if !ok {
 		return nil
 	}
-	_, err = p.Publish(up.Manifest, up.Values)
+	_, err = p.Publish(upload.Manifest, upload.Values)
 	return oops.Wrapf(err, "publish the bundle")
 }
--- a/command/lab/publish.go
+++ b/command/lab/publish.go
@@ -15,32 +15,32 @@
 	"camphorroad/lab/crplatform"
 )
 
-const maxReply = 64 << 10 // bytes of the stand-in's answer
+const maxResponseBytes = 64 << 10 // of the stand-in's response
 
-// PublishOptions publishes a directory on the platform's stand-in.
+// PublishOptions are the options of `publish`.
 type PublishOptions struct {
 	Addr string `default:"127.0.0.1:7400" placeholder:"ADDR" help:"Address of the stand-in."`
 	Dir  string `required:"" placeholder:"DIR" help:"Directory with a bundle, instances.toml, or both."`
 }
 
-// NewPublish returns the options of a publication.
+// NewPublish returns the options for an address and a directory.
 func NewPublish(addr, dir string) *PublishOptions { return &PublishOptions{Addr: addr, Dir: dir} }
 
 // Help is shown with the command's flags.
 func (*PublishOptions) Help() string {
-	return `Publishes the bundle that policy build wrote, in one step, and the list of instances.
+	return `Publishes the bundle that policy build wrote, atomically, and the list of instances.
 
 EXAMPLES
   $ camphorlab publish --addr 127.0.0.1:7400 --dir bundle`
 }
 
-// Run publishes what the directory holds and writes the revisions.
+// Run publishes the content of the directory and prints the revisions.
 func (o *PublishOptions) Run(ctx context.Context, f *factory.Factory) error {
 	instances, hasList, err := crplatform.ReadInstances(o.Dir)
 	if err != nil {
 		return oops.Wrapf(err, "read the instances")
 	}
-	up, hasBundle, err := crplatform.ReadUpload(o.Dir)
+	upload, hasBundle, err := crplatform.ReadUpload(o.Dir)
 	if err != nil {
 		return oops.Wrapf(err, "read the bundle")
 	}
@@ -49,42 +49,42 @@
 	}
 	var rows [][]string
 	if hasList {
-		if rows, err = o.put(ctx, rows, http.MethodPut, "instances", instances); err != nil {
+		if rows, err = o.send(ctx, rows, http.MethodPut, "instances", instances); err != nil {
 			return err
 		}
 	}
 	if hasBundle {
-		if rows, err = o.put(ctx, rows, http.MethodPost, "publish", up); err != nil {
+		if rows, err = o.send(ctx, rows, http.MethodPost, "publish", upload); err != nil {
 			return err
 		}
 	}
 	return f.Table([]string{"WHAT", "REVISION"}, rows)
 }
 
-func (o *PublishOptions) put(ctx context.Context, rows [][]string, method, what string, v any) ([][]string, error) {
+func (o *PublishOptions) send(ctx context.Context, rows [][]string, method, kind string, v any) ([][]string, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return nil, oops.Wrapf(err, "encode")
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+o.Addr+"/lab/"+what, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+o.Addr+"/lab/"+kind, bytes.NewReader(body))
 	if err != nil {
-		return nil, oops.Wrapf(err, "make the request")
+		return nil, oops.Wrapf(err, "create the request")
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return nil, oops.Wrapf(err, "publish; is the stand-in at %s running", o.Addr)
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	reply, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return nil, oops.Wrapf(err, "read the answer")
+		return nil, oops.Wrapf(err, "read the response")
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, oops.Errorf("the stand-in refused: %s", bytes.TrimSpace(answer))
+		return nil, oops.Errorf("the stand-in rejected the request: %s", bytes.TrimSpace(reply))
 	}
-	var done crplatform.Published
-	if err := json.Unmarshal(answer, &done); err != nil {
-		return nil, oops.Wrapf(err, "read the answer")
+	var published crplatform.Published
+	if err := json.Unmarshal(reply, &published); err != nil {
+		return nil, oops.Wrapf(err, "read the response")
 	}
-	return append(rows, []string{what, strconv.FormatUint(uint64(done.Rev), 10)}), nil
+	return append(rows, []string{kind, strconv.FormatUint(uint64(published.Rev), 10)}), nil
 }
--- a/command/lab/soak.go
+++ b/command/lab/soak.go
@@ -15,37 +15,37 @@
 	"camphorroad/lab/crsoak"
 )
 
-// SoakOptions runs fault soaks.
+// SoakOptions are the options of `soak`.
 type SoakOptions struct {
 	First    uint64        `default:"1" help:"First seed."`
 	Seeds    uint64        `default:"1" help:"Number of seeds."`
-	Length   time.Duration `default:"15s" help:"Length of each run's faults."`
-	Machines int           `default:"6" help:"Daemons of each run."`
-	Jobs     int           `default:"1" help:"Runs at a time."`
+	Length   time.Duration `default:"15s" help:"Duration of the faults of each run."`
+	Machines int           `default:"6" help:"Daemons in each run."`
+	Jobs     int           `default:"1" help:"Concurrent runs."`
 	Net      int           `default:"60" help:"Second byte of the loopback addresses of the first job."`
-	Keep     string        `placeholder:"DIR" help:"Keep the logs of runs with broken promises in DIR."`
-	Binary   string        `placeholder:"FILE" help:"The daemon's program; default camphorroad beside this one."`
+	Keep     string        `placeholder:"DIR" help:"Keep the logs of runs that violated an invariant in DIR."`
+	Binary   string        `placeholder:"FILE" help:"Daemon executable; default camphorroad in the directory of this program."`
 }
 
 // Help is shown with the command's flags.
 func (*SoakOptions) Help() string {
-	return `Runs fleets of real processes beside stand-ins of store and targets, with faults
-drawn from each seed, and prints the promises that were broken. Exits with 1 if
-there were any.
+	return `Runs fleets of real processes against stand-ins of the store and of targets, with
+random faults from each seed, and prints the invariants that were violated. Exits
+with 1 if there were any.
 
 EXAMPLES
   $ camphorlab soak --first 7
   $ camphorlab soak --seeds 50 --jobs 3 --keep soaks`
 }
 
-// Run plays the seeds.
+// Run runs all seeds.
 func (o *SoakOptions) Run(ctx context.Context, f *factory.Factory) error {
 	binary, err := daemonBinary(o.Binary)
 	if err != nil {
 		return err
 	}
 	seeds := make(chan uint64)
-	broken := make(chan int, o.Seeds)
+	violations := make(chan int, o.Seeds)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
 		defer close(seeds)
@@ -61,11 +61,11 @@
 	for job := range max(o.Jobs, 1) {
 		g.Go(func() error {
 			for seed := range seeds {
-				n, err := o.one(ctx, f, binary, seed, o.Net+job)
+				n, err := o.runSeed(ctx, f, binary, seed, o.Net+job)
 				if err != nil {
 					return fmt.Errorf("seed %d: %w", seed, err)
 				}
-				broken <- n
+				violations <- n
 			}
 			return nil
 		})
@@ -73,25 +73,25 @@
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	close(broken)
+	close(violations)
 	total := 0
-	for n := range broken {
+	for n := range violations {
 		total += n
 	}
 	if total > 0 {
-		return fmt.Errorf("%d promises were broken", total)
+		return fmt.Errorf("%d invariants were violated", total)
 	}
 	return nil
 }
 
-// one plays a seed and prints what it found.
-func (o *SoakOptions) one(ctx context.Context, f *factory.Factory, binary string, seed uint64, number int) (int, error) {
-	dir, err := o.directory(seed)
+// runSeed runs one seed, prints the report and returns the number of violations.
+func (o *SoakOptions) runSeed(ctx context.Context, f *factory.Factory, binary string, seed uint64, network int) (int, error) {
+	dir, err := o.runDir(seed)
 	if err != nil {
 		return 0, err
 	}
 	report, err := crsoak.Run(ctx, crsoak.Options{
-		Binary: binary, Dir: dir, Seed: seed, Machines: o.Machines, Length: o.Length, Net: number,
+		Binary: binary, Dir: dir, Seed: seed, Machines: o.Machines, Length: o.Length, Net: network,
 	})
 	if err != nil {
 		return 0, err
@@ -101,7 +101,7 @@
 		text += "  " + line + "\n"
 	}
 	if len(report.Broken()) > 0 {
-		text += "  played: " + strings.Join(report.Faults(), "; ") + "\n"
+		text += "  faults: " + strings.Join(report.Faults(), "; ") + "\n"
 	}
 	if _, err := fmt.Fprint(f.Out, text); err != nil {
 		return 0, err
@@ -112,7 +112,7 @@
 	return len(report.Broken()), os.RemoveAll(dir)
 }
 
-func (o *SoakOptions) directory(seed uint64) (string, error) {
+func (o *SoakOptions) runDir(seed uint64) (string, error) {
 	if o.Keep == "" {
 		return os.MkdirTemp("", "camphorroad-soak-")
 	}
--- a/command/lab/stage.go
+++ b/command/lab/stage.go
@@ -8,19 +8,20 @@
 	"camphorroad/lab/crstage"
 )
 
-// StageOptions sets a stage for daemons that join through a store.
+// StageOptions are the options of `stage`, which prepares machines for daemons that join
+// through a store.
 type StageOptions struct {
 	Dir      string `required:"" placeholder:"DIR" help:"Directory for the daemons' settings."`
-	Machines int    `default:"3" help:"Machines, each with a target."`
+	Machines int    `default:"3" help:"Number of machines, each with a target."`
 	Net      int    `default:"70" help:"Second byte of the loopback addresses."`
-	Key      string `required:"" help:"Key of the one account."`
+	Key      string `required:"" help:"Key of the only account."`
 }
 
 // Help is shown with the command's flags.
 func (*StageOptions) Help() string {
-	return `Runs stand-ins of the store and of the targets, writes a settings file for each
-daemon, and prints a line for each machine: name, settings, address of the
-callers, address of the pages. Serves until SIGTERM or SIGINT.
+	return `Serves stand-ins of the store and of the targets until SIGTERM or SIGINT, writes a
+settings file for each daemon, and prints a line for each machine: name, settings
+file, address for callers, address of the daemon's pages.
 
 EXAMPLES
   $ camphorlab stage --dir stage --key crk_demo
--- a/command/lab/upstream.go
+++ b/command/lab/upstream.go
@@ -14,20 +14,21 @@
 	"camphorroad/lab/crupstream"
 )
 
-// UpstreamOptions serves a stand-in of one upstream.
+// UpstreamOptions are the options of `upstream`.
 type UpstreamOptions struct {
 	Name    string        `required:"" placeholder:"NAME" help:"Name of the target."`
 	Listen  string        `default:"127.0.0.1:0" placeholder:"ADDR" help:"Address to listen on."`
-	Slots   int           `default:"5" help:"Requests that run at once."`
-	Queue   int           `default:"10" help:"Requests that wait before it sheds load."`
+	Slots   int           `default:"5" help:"Requests that run concurrently."`
+	Queue   int           `default:"10" help:"Requests that wait before more are shed."`
 	Service time.Duration `default:"5ms" help:"Service time of a request."`
-	Cold    time.Duration `default:"0s" help:"Time over which a cold start wears off."`
+	Cold    time.Duration `default:"0s" help:"Warm-up time after the start."`
 }
 
 // Help is shown with the command's flags.
 func (*UpstreamOptions) Help() string {
-	return `Serves any path with a JSON answer, /health, /load and /probe; fails as /lab/fault
-is told and counts what ran at /lab/runs.
+	return `Serves /health, /load and /probe, and any other path with a JSON response.
+/lab/runs reports the requests that ran, and /lab/fault sets the fault
+to simulate.
 
 EXAMPLES
   $ camphorlab upstream --name booking-1 --listen 127.0.0.1:9101
@@ -42,8 +43,8 @@
 		return oops.Wrapf(err, "listen")
 	}
 	fmt.Fprintf(f.ErrOut, "upstream %s listens on %s\n", o.Name, ln.Addr())
-	up := crupstream.New(crupstream.Options{Name: o.Name, Slots: o.Slots, Queue: o.Queue, Service: o.Service, Cold: o.Cold})
-	server := &http.Server{Handler: up, ReadHeaderTimeout: headerTimeout}
+	upstream := crupstream.New(crupstream.Options{Name: o.Name, Slots: o.Slots, Queue: o.Queue, Service: o.Service, Cold: o.Cold})
+	server := &http.Server{Handler: upstream, ReadHeaderTimeout: headerTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
