--- a/command/state/state_test.go
+++ b/command/state/state_test.go
@@ -17,13 +17,13 @@
 		if part == "health" {
 			return nil, cradmin.ErrUnknownPart
 		}
-		return map[string]string{"asked": part}, nil
+		return map[string]string{"part": part}, nil
 	}}))
 	defer srv.Close()
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	for _, tt := range []struct{ part, want, fault string }{
-		{part: "", want: `"asked": ""`},
-		{part: "member", want: `"asked": "member"`},
+		{part: "", want: `"part": ""`},
+		{part: "member", want: `"part": "member"`},
 		{part: "health", fault: "no such part of the state"},
 	} {
 		var out bytes.Buffer
