--- a/cmd/camphorlab/main.go
+++ b/cmd/camphorlab/main.go
@@ -1,5 +1,5 @@
-// Command camphorlab runs the stand-ins that take the place of the users'
-// platform and upstreams in tests and the demo.
+// Command camphorlab serves stand-ins of the users' platform, store and upstreams for
+// tests and the demo, and runs load, measurements and fault tests.
 package main
 
 import (
@@ -11,14 +11,14 @@
 
 type tree struct {
 	Platform   lab.PlatformOptions   `cmd:"" help:"Serve a stand-in of the platform."`
-	Path       lab.PathOptions       `cmd:"" help:"Measure what the path of a request adds."`
-	Publish    lab.PublishOptions    `cmd:"" help:"Publish a directory on the stand-in."`
-	Load       lab.LoadOptions       `cmd:"" help:"Send load by a plan."`
-	Measure    lab.MeasureOptions    `cmd:"" help:"Take the four measures beside the baselines."`
+	Path       lab.PathOptions       `cmd:"" help:"Measure the overhead of the daemons per request."`
+	Publish    lab.PublishOptions    `cmd:"" help:"Publish a directory on the platform's stand-in."`
+	Load       lab.LoadOptions       `cmd:"" help:"Send load according to a plan."`
+	Measure    lab.MeasureOptions    `cmd:"" help:"Compare the four measures with those of the baselines."`
 	Memory     lab.MemoryOptions     `cmd:"" help:"Measure the memory of a daemon."`
-	Experiment lab.ExperimentOptions `cmd:"" help:"Play a fleet's decisions in virtual time."`
-	Soak       lab.SoakOptions       `cmd:"" help:"Harm fleets of real processes and check the promises."`
-	Stage      lab.StageOptions      `cmd:"" help:"Serve stand-ins of the store and of targets."`
+	Experiment lab.ExperimentOptions `cmd:"" help:"Simulate a fleet in virtual time."`
+	Soak       lab.SoakOptions       `cmd:"" help:"Inject faults into fleets of real processes and check the invariants."`
+	Stage      lab.StageOptions      `cmd:"" help:"Serve stand-ins of the store and of targets for daemons that join."`
 	Upstream   lab.UpstreamOptions   `cmd:"" help:"Serve a stand-in of one upstream."`
 }
 
--- a/cmd/camphorroad/main.go
+++ b/cmd/camphorroad/main.go
@@ -1,5 +1,5 @@
-// Command camphorroad is the daemon that runs beside each upstream instance, and
-// the tool that its operators use.
+// Command camphorroad runs the daemon beside each upstream instance, and holds the
+// commands for its operators.
 package main
 
 import (
