--- a/command/log/log.go
+++ b/command/log/log.go
@@ -21,11 +21,11 @@
 	Explain ExplainOptions `cmd:"" help:"Print the events of one request from all daemons' logs, in order of time."`
 }
 
-// contextWindow is how long before and after a request's own lines those about its targets,
+// contextWindow is the time before and after a request's own lines in which those about its targets,
 // its entry and its account are selected. A target's verdict lasts about eight seconds.
 const contextWindow = 8 * time.Second
 
-// A longer line fails the read of its log.
+// Reading a log fails at a line longer than maxLineBytes.
 const maxLineBytes = 1 << 20
 
 // ExplainOptions are the options of `log explain`.
@@ -40,11 +40,11 @@
 	return &ExplainOptions{Request: request, Files: files}
 }
 
-// Help is selected with the command's flags.
+// Help is shown with the command's flags.
 func (*ExplainOptions) Help() string {
 	return `Prints the log lines of one request in order of time, and those of the same time
 that bear on it: verdicts on its targets, peers that were silent for its entry,
-its account's owner, and the store. Lines that are no events are counted on
+its account's owner, and the store. Lines that are not log events are counted on
 standard error. Exits with 1 if the request is in no log; of the requests that
 succeeded, one in 32 is logged.
 
