--- a/command/join/join.go
+++ b/command/join/join.go
@@ -1,5 +1,6 @@
-// Package join holds the command that runs a daemon which finds its targets, peers
-// and configuration in the platform's store. Package serve runs one from its settings.
+// Package join holds the command that runs the daemon of io/crmesh, which finds targets,
+// peers and its configuration in the platform's store. Package serve runs that of
+// io/crdaemon.
 package join
 
 import (
--- a/command/serve/serve.go
+++ b/command/serve/serve.go
@@ -1,5 +1,5 @@
-// Package serve holds the command that runs a daemon whose settings name its
-// platform's address. Package join runs one that finds its fleet in the store.
+// Package serve holds the command that runs the daemon of io/crdaemon. Package join
+// runs that of io/crmesh, which finds its fleet through records in the store.
 package serve
 
 import (
