--- a/e2e/account_test.go
+++ b/e2e/account_test.go
@@ -11,15 +11,15 @@
 	labplatform "camphorroad/lab/crplatform"
 )
 
-// spread bounds the time between a request's admission and its start at the
-// upstream, in the specs whose upstreams are far from full.
-const spread = 50 * time.Millisecond
+// admissionDelay bounds the time between a request's admission and its start at
+// the upstream, in specs whose upstreams are far from full.
+const admissionDelay = 50 * time.Millisecond
 
 var _ = Describe("An account's rate over the whole fleet", func() {
-	// One tenant sends ten times its rate through every daemon at once, while
-	// one daemon is frozen and wakes up, one is killed and replaced, and one
-	// link works in one direction only. Were a token minted twice, the other
-	// tenants would find the upstreams full.
+	// One account sends ten times its rate through every daemon while one daemon is
+	// frozen and resumed, one is killed and replaced, and one link works in one
+	// direction only. A token minted twice would exceed the account's rate and fill
+	// the upstreams for other accounts.
 	It("is never exceeded in any window, through freezes, kills and cuts", func() {
 		a := account("surge", 60, 60)
 		f := newFleet(5, 2*time.Millisecond, a)
@@ -40,16 +40,16 @@
 		at := f.Admitted(a.Name)
 		AddReportEntry("admitted", len(at))
 		Expect(len(at)).To(BeNumerically(">", 200))
-		Expect(crfleet.Excess(at, a, spread)).To(BeNumerically("<=", 0))
+		Expect(crfleet.Excess(at, a, admissionDelay)).To(BeNumerically("<=", 0))
 	})
 
-	// A tenant within its rate enters at one daemon only, as when all its
-	// callers have the same address configured. A split of the rate over the
-	// daemons would refuse four of five of its requests.
+	// An account within its rate enters at one daemon only, as when all its callers
+	// have the same address configured. A fixed split of the rate over the daemons
+	// would refuse four of five of its requests.
 	It("is all there for callers who enter at one daemon", func() {
 		a := account("steady", 100, 50)
 		f := newFleet(5, 2*time.Millisecond, a)
-		time.Sleep(2 * time.Second) // a fresh fleet's shares start empty and fill at the rate
+		time.Sleep(2 * time.Second) // a new fleet's buckets start empty and refill at the rate
 		report := run(crload.Plan{
 			Seconds: 5, Seed: 12, Entries: f.URLs(),
 			Accounts: []crload.Account{{Name: a.Name, Key: a.Key(), Rate: 80, Entry: 1, Calls: reads}},
@@ -68,11 +68,11 @@
 	})
 }
 
-// expectWithinRate looks at every window of what ran.
+// expectWithinRate checks every window of the executed requests against the rate.
 func expectWithinRate(f *crfleet.Fleet, a crfleet.Account, atLeast int) {
 	GinkgoHelper()
 	at := f.Admitted(a.Name)
-	excess := crfleet.Excess(at, a, spread)
+	excess := crfleet.Excess(at, a, admissionDelay)
 	AddReportEntry("admitted", len(at))
 	AddReportEntry("worst window over burst + rate*w", excess)
 	Expect(len(at)).To(BeNumerically(">", atLeast))
@@ -80,10 +80,9 @@
 }
 
 var _ = Describe("An account's rate through long faults", func() {
-	// The daemons that mint an account's tokens are suspended with their virtual
-	// machines for longer than any other waits for them, first two and then
-	// most of the fleet, and wake up believing that they still mint. The
-	// platform is away all the time.
+	// The daemons that mint an account's tokens are frozen for longer than the others
+	// wait for them, first two and then most of the fleet. They resume with a stale
+	// belief that they still mint. The platform is unavailable throughout.
 	It("holds while the daemons that mint are frozen beyond the horizon", func() {
 		a := account("surge", 60, 60)
 		f := newFleet(5, 2*time.Millisecond, a)
@@ -103,9 +102,9 @@
 		expectWithinRate(f, a, 200)
 	})
 
-	// Instances are replaced under a surge: the list names others, the old ones
-	// are still running, and one of them is frozen when the list changes and
-	// wakes up after others have taken its share.
+	// Instances are replaced during a surge. The list names new instances while the
+	// old ones still run, and one of the old ones is frozen when the list changes and
+	// resumes after its share has a new owner.
 	It("holds while instances are replaced", func() {
 		a := account("surge", 60, 60)
 		f := startFleet(
@@ -128,8 +127,8 @@
 		expectWithinRate(f, a, 200)
 	})
 
-	// A tenant keeps within its rate, spread over all daemons, while another one
-	// sends eight times its own. The first must hardly notice.
+	// An account within its rate is spread over all daemons while another account
+	// sends eight times its own rate. The first account must be hardly affected.
 	It("is all there for others, and for callers spread over all daemons", func() {
 		steady, loud := account("steady", 100, 50), account("loud", 60, 60)
 		f := newFleet(5, 2*time.Millisecond, steady, loud)
@@ -144,6 +143,6 @@
 		AddReportEntry("steady", line.Results)
 		AddReportEntry("loud", report.Lines()[1].Results)
 		Expect(float64(line.Results[crload.NotRun])).To(BeNumerically("<=", 0.02*float64(line.Sent)))
-		Expect(crfleet.Excess(f.Admitted(loud.Name), loud, spread)).To(BeNumerically("<=", 0))
+		Expect(crfleet.Excess(f.Admitted(loud.Name), loud, admissionDelay)).To(BeNumerically("<=", 0))
 	})
 })
--- a/e2e/config_test.go
+++ b/e2e/config_test.go
@@ -12,12 +12,12 @@
 	labplatform "camphorroad/lab/crplatform"
 )
 
-// inForce is the letter's limit for a change to be in force everywhere.
-const inForce = 9 * time.Second
+// configDeadline is the limit for a change to be in force at every daemon.
+const configDeadline = 9 * time.Second
 
 var _ = Describe("Configuration in force", func() {
-	// An operator withdraws a key while its callers are connected. For as long
-	// as any daemon takes it, whoever stole it can still act as the account.
+	// An operator withdraws a key while its callers are connected. Until every daemon
+	// refuses the key, a thief can still act as the account.
 	It("stops a withdrawn key at every daemon within nine seconds", func() {
 		kept := account("kept", 1000, 1000)
 		gone := account("gone", 1000, 1000)
@@ -26,7 +26,7 @@
 		must(err)
 		start := time.Now()
 		for _, d := range f.Daemons() {
-			Eventually(func() int { return d.Get(gone, "/kits/1").Status }, inForce, "50ms").Should(Equal(http.StatusUnauthorized), d.Name())
+			Eventually(func() int { return d.Get(gone, "/kits/1").Status }, configDeadline, "50ms").Should(Equal(http.StatusUnauthorized), d.Name())
 		}
 		AddReportEntry("everywhere after", time.Since(start).String())
 		for _, d := range f.Daemons() {
@@ -34,9 +34,9 @@
 		}
 	})
 
-	// The platform is away for long, and a daemon is replaced meanwhile. It has
-	// nothing on disk; its configuration can come only from its peers.
-	It("outlives a platform that is away, also through a daemon's restart", func() {
+	// The platform is unavailable for long while a daemon is replaced. The new daemon
+	// has nothing on disk and can get its configuration only from its peers.
+	It("survives an unavailable platform, also through a daemon's restart", func() {
 		a := account("survey", 1000, 1000)
 		f := newFleet(5, time.Millisecond, a)
 		f.Platform().SetFault(labplatform.Fault{Mode: labplatform.ModeAway})
@@ -46,25 +46,25 @@
 		}
 		must(f.Daemon(0).Kill())
 		must(f.Daemon(0).Start())
-		must(f.Daemon(0).WaitReady(within(15 * time.Second)))
+		must(f.Daemon(0).WaitReady(withTimeout(15 * time.Second)))
 		Eventually(func() int { return f.Daemon(0).Get(a, "/kits/1").Status }, "5s", "100ms").Should(Equal(http.StatusOK))
 	})
 
-	// The platform comes back from a backup with the state of yesterday. Had a
-	// daemon believed it, a key withdrawn today would work again.
-	It("never goes back when the platform serves an older revision", func() {
+	// The platform is restored from an old backup. A daemon that applied the older
+	// revision would accept a key that has been withdrawn since.
+	It("is never rolled back when the platform serves an older revision", func() {
 		kept := account("kept", 1000, 1000)
 		gone := account("gone", 1000, 1000)
 		f := newFleet(4, time.Millisecond, kept, gone)
 		_, err := f.SetAccounts(kept)
 		must(err)
 		for _, d := range f.Daemons() {
-			Eventually(func() int { return d.Get(gone, "/kits/1").Status }, inForce, "50ms").Should(Equal(http.StatusUnauthorized))
+			Eventually(func() int { return d.Get(gone, "/kits/1").Status }, configDeadline, "50ms").Should(Equal(http.StatusUnauthorized))
 		}
 		f.Platform().SetFault(labplatform.Fault{Mode: labplatform.ModeStale, Back: 1})
 		must(f.Daemon(1).Kill())
 		must(f.Daemon(1).Start())
-		must(f.Daemon(1).WaitReady(within(15 * time.Second)))
+		must(f.Daemon(1).WaitReady(withTimeout(15 * time.Second)))
 		Consistently(func() bool {
 			for _, d := range f.Daemons() {
 				if d.Get(gone, "/kits/1").Status == http.StatusOK {
@@ -75,10 +75,10 @@
 		}, "4s", "100ms").Should(BeTrue())
 	})
 
-	// One daemon loses both directions to all others, and can not know whether
-	// keys were withdrawn since. It must stop acting on what it knows, and say
-	// so at once, while the others go on.
-	It("is not acted on by a daemon that is cut off alone", func() {
+	// One daemon loses both directions to all others and cannot learn whether keys
+	// were withdrawn. It must stop using its configuration and refuse at once, while
+	// the other daemons continue.
+	It("is not used by an isolated daemon", func() {
 		a := account("survey", 1000, 1000)
 		f := newFleet(5, time.Millisecond, a)
 		alone := f.Daemon(4)
@@ -96,12 +96,12 @@
 		Eventually(func() int { return alone.Get(a, "/kits/1").Status }, "10s", "100ms").Should(Equal(http.StatusOK))
 	})
 
-	// Whatever goes wrong, keys must not stand in what operators collect.
+	// State dumps and logs must contain no key, whatever fails.
 	It("shows no key in a state dump or log", func() {
 		a := account("survey", 1000, 1000)
 		f := newFleet(3, time.Millisecond, a)
 		d := f.Daemon(0)
-		state, err := d.State(within(5 * time.Second))
+		state, err := d.State(withTimeout(5 * time.Second))
 		must(err)
 		Expect(string(state.Raw)).To(ContainSubstring(d.Name()))
 		Expect(string(state.Raw) + d.Log()).NotTo(ContainSubstring(a.Key()))
--- a/e2e/fair_test.go
+++ b/e2e/fair_test.go
@@ -14,7 +14,7 @@
 // fairSmall is the number of small accounts beside the large one.
 const fairSmall = 4
 
-// fairPlan sends little for each small account and much for the large one.
+// fairPlan sends few requests for each small account and many for the large one.
 func fairPlan(f *crfleet.Fleet, seed uint64, accounts []crfleet.Account, large crload.Account) crload.Plan {
 	plan := crload.Plan{Seconds: 6, Seed: seed, Entries: f.URLs(), Accounts: []crload.Account{large}}
 	for _, a := range accounts[1:] {
@@ -38,9 +38,9 @@
 }
 
 var _ = Describe("Shares of short capacity", func() {
-	// The upstreams can do 300 requests a second in all, every account is within
-	// its rate, and one sends far more than that. In the order of arrival the
-	// others would wait behind it and be refused as often.
+	// The upstreams serve 300 requests a second in total. Every account is within its
+	// rate, and one sends far more than that capacity. Served in order of arrival, the
+	// other accounts would be refused as often as the large one.
 	It("leave the others near what they ask when one account sends too much", func() {
 		accounts := fairAccounts()
 		f := startFleet(crfleet.WithDaemons(3), crfleet.WithServices(booking(50*time.Millisecond)), crfleet.WithAccounts(accounts...))
@@ -48,8 +48,8 @@
 		expectFair(run(fairPlan(f, 61, accounts, crload.Account{Name: large.Name, Key: large.Key(), Rate: 500, Calls: reads})))
 	})
 
-	// One account sends no more requests than others, but each holds a slot for
-	// half a second; all slots would be its own before long.
+	// One account sends no more requests than others, but each holds a slot for half
+	// a second. Without fair shares it would soon occupy all slots.
 	It("leave the others near what they ask when one account's requests are long", func() {
 		accounts := fairAccounts()
 		f := startFleet(crfleet.WithDaemons(3), crfleet.WithServices(booking(20*time.Millisecond)), crfleet.WithAccounts(accounts...))
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -1,6 +1,6 @@
-// Package e2e proves the users' promises over real processes: daemons are
-// started from this test binary, killed, frozen, restarted and cut off from one
-// another, while the stand-ins count what really ran.
+// Package e2e tests the users' requirements over real processes. Daemons are
+// started from this test binary, killed, frozen, restarted and partitioned, while
+// simulated upstreams count the requests that ran.
 package e2e_test
 
 import (
@@ -74,7 +74,7 @@
 	return out.String()
 }
 
-// refusals counts the answers of a status by what they said.
+// refusals counts the responses with a status by their message.
 func refusals(told []crload.Told, status int) string {
 	counts := make(map[string]int)
 	for _, t := range told {
@@ -85,11 +85,11 @@
 	return fmt.Sprint(counts)
 }
 
-// must is for steps that a spec takes for granted.
+// must fails the spec if a setup step returned an error.
 func must(err error) { ExpectWithOffset(1, err).NotTo(HaveOccurred()) }
 
-// timeline does steps beside the load, each a while after the one before; the
-// returned function waits for the last.
+// timeline runs steps in the background, each a given delay after the one before;
+// the returned function waits for the last.
 func timeline(steps ...any) (wait func()) {
 	done := make(chan struct{})
 	go func() {
@@ -111,15 +111,15 @@
 	return func() { <-done }
 }
 
-// run sends a plan's load and returns what callers were told.
+// run sends a plan's load and returns the report of the callers' results.
 func run(plan crload.Plan) *crload.Report {
 	report, err := crload.Run(context.Background(), plan)
 	must(err)
 	return report
 }
 
-// within is the context of a wait.
-func within(d time.Duration) context.Context {
+// withTimeout returns a context for a wait of at most d.
+func withTimeout(d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	DeferCleanup(cancel)
 	return ctx
@@ -131,8 +131,8 @@
 	holds = []crload.Call{{Method: "POST", Path: "/holds", Bytes: 200}}
 )
 
-// expectTrue compares what every caller was told with what ran at the upstreams.
-func expectTrue(f *crfleet.Fleet, report *crload.Report) map[crload.Result]int {
+// expectTruthful compares the result of every caller with what ran at the upstreams.
+func expectTruthful(f *crfleet.Fleet, report *crload.Report) map[crload.Result]int {
 	GinkgoHelper()
 	runs := f.Runs()
 	told := make(map[crload.Result]int)
--- a/e2e/health_test.go
+++ b/e2e/health_test.go
@@ -19,13 +19,13 @@
 const (
 	sickDaemons = 6
 	sickFloor   = 4
-	// foundWithin is far above the seconds that detection takes, for machines
-	// that are busy with other things.
-	foundWithin = 15 * time.Second
+	// detectionTimeout is far above the seconds that detection takes, to allow for
+	// busy machines.
+	detectionTimeout = 15 * time.Second
 )
 
-// sickPolicy keeps four of the targets in service, whatever is found.
-var sickPolicy = `
+// outlierPolicy keeps at least four of the targets in service.
+var outlierPolicy = `
 [service]
 name = "booking"
 floor = 4
@@ -41,9 +41,9 @@
 timeout = "2s"
 `
 
-// ejectedWatch asks every daemon all the time which targets it has taken out of
-// service, and keeps the most that were out at one time over the whole fleet.
-type ejectedWatch struct {
+// ejectionWatch polls every daemon for its ejected targets and keeps the largest
+// set that was ejected at one time over the whole fleet.
+type ejectionWatch struct {
 	mu    sync.Mutex
 	by    map[string][]string // daemon to targets
 	most  []string
@@ -51,8 +51,8 @@
 	ended chan struct{}
 }
 
-func watchEjected(ctx context.Context, f *crfleet.Fleet) *ejectedWatch {
-	w := &ejectedWatch{by: make(map[string][]string), ended: make(chan struct{})}
+func watchEjections(ctx context.Context, f *crfleet.Fleet) *ejectionWatch {
+	w := &ejectionWatch{by: make(map[string][]string), ended: make(chan struct{})}
 	go func() {
 		defer close(w.ended)
 		for ctx.Err() == nil {
@@ -71,15 +71,15 @@
 	return w
 }
 
-func (w *ejectedWatch) failed(err error) {
+func (w *ejectionWatch) failed(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.err = err
 }
 
-// error is the last that a dump could not be had for: what was not seen must
-// not count as not ejected.
-func (w *ejectedWatch) error() error {
+// error returns the last failure to read a dump: a target that was not observed
+// must not count as not ejected.
+func (w *ejectionWatch) error() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.err == nil && len(w.by) < sickDaemons {
@@ -88,7 +88,7 @@
 	return w.err
 }
 
-func (w *ejectedWatch) saw(daemon string, targets []string) {
+func (w *ejectionWatch) saw(daemon string, targets []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.by[daemon] = targets
@@ -107,8 +107,8 @@
 	}
 }
 
-// everywhere reports whether every daemon has taken the target out.
-func (w *ejectedWatch) everywhere(target string) bool {
+// ejectedByAll reports whether every daemon has ejected the target.
+func (w *ejectionWatch) ejectedByAll(target string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, names := range w.by {
@@ -119,8 +119,8 @@
 	return len(w.by) == sickDaemons
 }
 
-// nowhere reports whether no daemon has taken any target out.
-func (w *ejectedWatch) nowhere() bool {
+// noneEjected reports whether no daemon has ejected any target.
+func (w *ejectionWatch) noneEjected() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, names := range w.by {
@@ -131,17 +131,17 @@
 	return true
 }
 
-func (w *ejectedWatch) mostOut() []string {
+func (w *ejectionWatch) maxEjected() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.most)
 }
 
-// sickFleet starts a fleet under load, with a watch, until the spec's end.
-func sickFleet(accounts ...crfleet.Account) (*crfleet.Fleet, *ejectedWatch) {
+// startUnhealthyFleet starts a fleet under load, with a watch, until the spec's end.
+func startUnhealthyFleet(accounts ...crfleet.Account) (*crfleet.Fleet, *ejectionWatch) {
 	f := startFleet(
 		crfleet.WithDaemons(sickDaemons),
-		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: sickPolicy, Time: 10 * time.Millisecond}),
+		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: outlierPolicy, Time: 10 * time.Millisecond}),
 		crfleet.WithAccounts(accounts...),
 	)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -151,7 +151,7 @@
 	}
 	var load sync.WaitGroup
 	load.Go(func() { _, _ = crload.Run(ctx, plan) })
-	w := watchEjected(ctx, f)
+	w := watchEjections(ctx, f)
 	DeferCleanup(func() {
 		cancel()
 		load.Wait()
@@ -160,7 +160,7 @@
 	return f, w
 }
 
-func sickAccounts() []crfleet.Account {
+func outlierAccounts() []crfleet.Account {
 	var accounts []crfleet.Account
 	for i := range 5 {
 		accounts = append(accounts, account(fmt.Sprintf("firm-%d", i+1), 5000, 5000))
@@ -170,23 +170,23 @@
 
 var well = crupstream.Fault{Kind: crupstream.FaultNone}
 
-var _ = Describe("Sick upstreams", Ordered, ContinueOnFailure, func() {
+var _ = Describe("Unhealthy upstreams", Ordered, ContinueOnFailure, func() {
 	var f *crfleet.Fleet
-	var w *ejectedWatch
+	var w *ejectionWatch
 
 	BeforeAll(func() {
-		f, w = sickFleet(sickAccounts()...)
+		f, w = startUnhealthyFleet(outlierAccounts()...)
 		time.Sleep(2 * time.Second)
 	})
 
-	// One upstream grows sick while its health and load pages say what they
-	// like. Until the last daemon has noticed, some callers still wait for it
-	// or get its errors, and a late hold loses a kit to another crew.
+	// One upstream becomes unhealthy while its health and load pages may be wrong.
+	// Until the last daemon has detected it, some callers wait for it or get its
+	// errors, and a late hold loses a kit to another crew.
 	DescribeTable("stop receiving work at every daemon", func(i int, fault crupstream.Fault) {
 		t := f.Target(i)
 		t.SetFault(fault)
 		start := time.Now()
-		Eventually(func() bool { return w.everywhere(t.Name()) }, foundWithin, "20ms").Should(BeTrue())
+		Eventually(func() bool { return w.ejectedByAll(t.Name()) }, detectionTimeout, "20ms").Should(BeTrue())
 		AddReportEntry("found everywhere after", time.Since(start).Round(10*time.Millisecond).String())
 		sent := 0
 		for _, r := range t.Log() {
@@ -196,26 +196,26 @@
 		}
 		AddReportEntry("sent to it meanwhile", sent)
 		t.SetFault(well)
-		Expect(len(w.mostOut())).To(BeNumerically("<=", sickDaemons-sickFloor), "below the floor: %v", w.mostOut())
+		Expect(len(w.maxEjected())).To(BeNumerically("<=", sickDaemons-sickFloor), "below the floor: %v", w.maxEjected())
 		must(w.error())
-		Eventually(w.nowhere, "25s", "50ms").Should(BeTrue(), "a mended target comes back")
+		Eventually(w.noneEjected, "25s", "50ms").Should(BeTrue(), "a mended target comes back")
 	},
 		Entry("when slow", 0, crupstream.Fault{Kind: crupstream.FaultSlow, Factor: 8}),
-		Entry("when they answer with another's answer", 1, crupstream.Fault{Kind: crupstream.FaultWrong}),
-		Entry("when they err, and their health page is well", 2, crupstream.Fault{Kind: crupstream.FaultError, Health: "ok"}),
+		Entry("when they send another request's response", 1, crupstream.Fault{Kind: crupstream.FaultWrong}),
+		Entry("when they fail, and their health page is ok", 2, crupstream.Fault{Kind: crupstream.FaultError, Health: "ok"}),
 		Entry("when they flap", 3, crupstream.Fault{Kind: crupstream.FaultFlap, Factor: 10, Period: 3 * time.Second}),
 		Entry("when they stall", 4, crupstream.Fault{Kind: crupstream.FaultStall}),
-		Entry("when slow, and their load page lies", 5, crupstream.Fault{Kind: crupstream.FaultLie, Factor: 8}),
+		Entry("when slow, and their load page is wrong", 5, crupstream.Fault{Kind: crupstream.FaultLie, Factor: 8}),
 	)
 
-	// Three upstreams sicken within a moment, of which only two can be spared.
-	// With the third one out as well the rest would drown in its work.
+	// Three upstreams become unhealthy at nearly the same time, and only two may be
+	// ejected. Without the third the remaining upstreams would be overloaded.
 	It("are never taken out below the floor", func() {
 		for i := range 3 {
 			f.Target(i).SetFault(crupstream.Fault{Kind: crupstream.FaultSlow, Factor: 8 + float64(i)})
 		}
-		Eventually(func() int { return len(w.mostOut()) }, foundWithin, "20ms").Should(Equal(sickDaemons - sickFloor))
-		Consistently(func() int { return len(w.mostOut()) }, "4s", "50ms").Should(BeNumerically("<=", sickDaemons-sickFloor))
+		Eventually(func() int { return len(w.maxEjected()) }, detectionTimeout, "20ms").Should(Equal(sickDaemons - sickFloor))
+		Consistently(func() int { return len(w.maxEjected()) }, "4s", "50ms").Should(BeNumerically("<=", sickDaemons-sickFloor))
 		for i := range 3 {
 			f.Target(i).SetFault(well)
 		}
@@ -223,30 +223,29 @@
 	})
 })
 
-var _ = Describe("Upstreams that are not to blame", func() {
-	// Tax day: everything is five times slower for everybody. Nothing is sicker
-	// than the rest, and whatever is taken out makes the rest slower still.
+var _ = Describe("Upstreams that are no outliers", func() {
+	// All upstreams are five times slower at once. None is an outlier, and each
+	// ejection would make the remaining ones slower still.
 	It("are not taken out when all are slow at once", func() {
-		f, w := sickFleet(sickAccounts()...)
+		f, w := startUnhealthyFleet(outlierAccounts()...)
 		time.Sleep(2 * time.Second)
 		for _, t := range f.Targets() {
 			t.SetFault(crupstream.Fault{Kind: crupstream.FaultSlow, Factor: 5})
 		}
-		Consistently(func() []string { return w.mostOut() }, "8s", "100ms").Should(BeEmpty())
+		Consistently(func() []string { return w.maxEjected() }, "8s", "100ms").Should(BeEmpty())
 		must(w.error())
 	})
 
-	// One account sends what no upstream can digest, and every one errs for that
-	// account alone. Whichever target its requests happen to meet looks as if
-	// it failed.
+	// One account sends requests on which every upstream fails, for that account
+	// alone. A target that gets these requests must not be ejected for them.
 	It("are not taken out for one account's poison", func() {
-		accounts := sickAccounts()
-		f, w := sickFleet(accounts...)
+		accounts := outlierAccounts()
+		f, w := startUnhealthyFleet(accounts...)
 		time.Sleep(2 * time.Second)
 		for _, t := range f.Targets()[:3] {
 			t.SetFault(crupstream.Fault{Kind: crupstream.FaultPoison, Account: accounts[0].Name})
 		}
-		Consistently(func() []string { return w.mostOut() }, "8s", "100ms").Should(BeEmpty())
+		Consistently(func() []string { return w.maxEjected() }, "8s", "100ms").Should(BeEmpty())
 		must(w.error())
 	})
 })
--- a/e2e/idle_test.go
+++ b/e2e/idle_test.go
@@ -14,15 +14,14 @@
 const (
 	// idleSizes names the fleets to measure, such as "5 10 20 30"; empty: 5.
 	idleSizes  = "CAMPHORROAD_IDLE_SIZES"
-	idleSettle = 8 * time.Second // sessions have found their packet size
+	idleSettle = 8 * time.Second // path MTU discovery of the sessions has ended
 	idleFor    = 10 * time.Second
-	// controlBytes a second is what a daemon may spend on control.
+	// controlBytes is the control traffic allowed to a daemon, in bytes a second.
 	controlBytes = 21_000
 )
 
-// What daemons say to one another when nothing happens grows with the fleet. A
-// beat too many for each pair goes unnoticed in a fleet of three and fills the
-// links of a fleet of thirty.
+// Control traffic of an idle fleet grows with its size. One needless heartbeat for
+// each pair is negligible among three daemons and fills the links among thirty.
 var _ = Describe("an idle fleet", func() {
 	sizes := os.Getenv(idleSizes)
 	if sizes == "" {
@@ -34,7 +33,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			f := newFleet(n, time.Millisecond, account("surveyor", 50, 100))
 			time.Sleep(idleSettle)
-			c, err := f.CostOver(within(time.Minute), idleFor)
+			c, err := f.CostOver(withTimeout(time.Minute), idleFor)
 			must(err)
 			AddReportEntry(fmt.Sprintf(
 				"idle daemons=%d cpu=%.2f%% sent=%.0fB/s received=%.0fB/s rss=%.1fMB",
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -16,14 +16,14 @@
 )
 
 var _ = Describe("A planned stop", func() {
-	// A daemon is replaced under load. A request that was in flight at it, as
-	// entry or as exit, must not be cut; whatever comes later goes elsewhere.
+	// A daemon is replaced under load. A request in flight at it, as entry or as exit,
+	// must not be cut; later requests go to other daemons.
 	It("cuts no request in flight and exits with 0", func() {
 		a := account("survey", 2000, 2000)
 		f := newFleet(5, 20*time.Millisecond, a)
 		stopping := f.Daemon(2)
 		stopped := timeline(2*time.Second, stopping.Stop)
-		// Callers enter at the others: an address that stops is theirs to leave.
+		// Callers enter at the others: callers must leave an address that stops.
 		entries := append(append([]string{}, f.URLs()[:2]...), f.URLs()[3:]...)
 		report := run(crload.Plan{
 			Seconds: 5, Seed: 3, Entries: entries,
@@ -32,7 +32,7 @@
 			}},
 		})
 		stopped()
-		Expect(stopping.Wait(within(10*time.Second))).To(Succeed(), stopping.Log)
+		Expect(stopping.Wait(withTimeout(10*time.Second))).To(Succeed(), stopping.Log)
 		results := report.Lines()[0].Results
 		AddReportEntry("results", results)
 		Expect(results[crload.Answered]).To(Equal(report.Lines()[0].Sent))
@@ -40,9 +40,9 @@
 		Expect(last[len(last)-1].At.Sub(last[0].At)).To(BeNumerically("<", 5*time.Second))
 	})
 
-	// Callers that enter at the stopping daemon itself get whole answers, or an
-	// honest refusal, or a connection that takes no more; none is cut.
-	It("leaves its own callers with whole answers or honest refusals", func() {
+	// Callers that enter at the stopping daemon get a complete response, a truthful
+	// refusal, or a refused connection; none is cut.
+	It("leaves its own callers with complete responses or truthful refusals", func() {
 		a := account("survey", 2000, 2000)
 		f := newFleet(4, 20*time.Millisecond, a)
 		stopping := f.Daemon(0)
@@ -52,7 +52,7 @@
 			Accounts: []crload.Account{{Name: a.Name, Key: a.Key(), Rate: 100, Calls: holds}},
 		})
 		stopped()
-		Expect(stopping.Wait(within(10 * time.Second))).To(Succeed())
+		Expect(stopping.Wait(withTimeout(10 * time.Second))).To(Succeed())
 		runs := f.Runs()
 		results := report.Lines()[0].Results
 		AddReportEntry("results", results)
@@ -66,8 +66,8 @@
 	})
 })
 
-// mixedCalls are quick reads and holds, and some that last: a slow run, and an
-// answer that comes in parts.
+// mixedCalls are quick reads and holds, and some long calls: a slow run, and a
+// response that comes in parts.
 var mixedCalls = []crload.Call{
 	{Method: "GET", Path: "/kits/1", Weight: 3},
 	{Method: "POST", Path: "/holds", Bytes: 200, Weight: 3},
@@ -75,7 +75,7 @@
 	{Method: "GET", Path: "/kits/1?drip=300&bytes=5000"},
 }
 
-// timed reports how long a step took.
+// timed reports the duration of a step.
 func timed(name string, step func()) func() {
 	return func() {
 		start := time.Now()
@@ -91,7 +91,7 @@
 	}
 }
 
-// lastNewWork is when a target last began a request.
+// lastNewWork returns when a target last began a request.
 func lastNewWork(t *crfleet.Target) time.Time {
 	var last time.Time
 	for _, r := range t.Log() {
@@ -102,12 +102,12 @@
 	return last
 }
 
-// newWorkEnds is within which a leaving upstream receives no new work.
-const newWorkEnds = 3 * time.Second
+// newWorkTimeout is the time after which a leaving upstream gets no new work.
+const newWorkTimeout = 3 * time.Second
 
 var _ = Describe("A leaving upstream", func() {
-	// The platform lists an instance as leaving. What is sent to it after that
-	// may be lost when the instance goes, and what it still runs must finish.
+	// The platform lists an instance as leaving. Requests sent to it after that may be
+	// lost when the instance goes, and requests that it still runs must finish.
 	It("gets no new work after a few seconds, and finishes what it has", func() {
 		a := account("survey", 2000, 2000)
 		f := newFleet(5, 10*time.Millisecond, a)
@@ -117,16 +117,16 @@
 		wait := timeline(1500*time.Millisecond, func() { listed = time.Now() }, func() { f.List(list) })
 		report := run(leavePlan(a, 6, f.URLs()))
 		wait()
-		told := expectTrue(f, report)
+		told := expectTruthful(f, report)
 		AddReportEntry("told", told)
 		AddReportEntry("last new work after", lastNewWork(f.Target(2)).Sub(listed).String())
-		Expect(lastNewWork(f.Target(2)).Sub(listed)).To(BeNumerically("<", newWorkEnds))
+		Expect(lastNewWork(f.Target(2)).Sub(listed)).To(BeNumerically("<", newWorkTimeout))
 		Expect(told[crload.Answered]).To(Equal(len(report.Told())))
 	})
 
-	// An upstream drains by itself, long before the list says so, and sheds
-	// whatever still comes. It answers faster than any other: to a choice by
-	// load alone it would look like the idlest, and draw all holds to itself.
+	// An upstream drains by itself, long before the list says so, and sheds new
+	// requests. It responds faster than any other, so a choice by load alone would
+	// send it all holds.
 	It("that sheds by itself does not draw work to itself", func() {
 		a := account("survey", 2000, 2000)
 		f := newFleet(5, 10*time.Millisecond, a)
@@ -134,7 +134,7 @@
 		wait := timeline(at, f.Target(2).Drain)
 		report := run(leavePlan(a, 7, f.URLs()))
 		wait()
-		late := slices.DeleteFunc(report.Told(), func(t crload.Told) bool { return t.At <= at+newWorkEnds })
+		late := slices.DeleteFunc(report.Told(), func(t crload.Told) bool { return t.At <= at+newWorkTimeout })
 		shed := 0
 		for _, t := range late {
 			if t.Status == http.StatusServiceUnavailable {
@@ -148,9 +148,9 @@
 })
 
 var _ = Describe("A planned stop under faults", func() {
-	// A daemon is stopped in the ordinary way while one of its links works in
-	// one direction only, and its upstream drains in the same moment. Nothing
-	// that was in flight may be cut, and nothing may run twice.
+	// A daemon is stopped as planned while one of its links works in one direction
+	// only and its upstream drains. No request in flight may be cut, and none may run
+	// twice.
 	It("cuts nothing while a link is cut one way and the upstream drains", func() {
 		a := account("survey", 2000, 2000)
 		f := newFleet(5, 10*time.Millisecond, a)
@@ -163,7 +163,7 @@
 		)
 		report := run(leavePlan(a, 6, f.URLs()[:3]))
 		wait()
-		Expect(stopping.Wait(within(15*time.Second))).To(Succeed(), stopping.Log)
+		Expect(stopping.Wait(withTimeout(15*time.Second))).To(Succeed(), stopping.Log)
 		told := make(map[crload.Result]int)
 		runs := f.Runs()
 		for _, t := range report.Told() {
@@ -182,7 +182,7 @@
 				AddReportEntry("unknown", fmt.Sprintf("%s %s at %s, took %s, ran %d", t.ID, t.Method, t.At, t.Took, runs[t.ID]))
 			}
 		}
-		// Only the link's cut makes unknowns, and only until it is noticed.
+		// Only the cut link causes unknown results, and only until it is detected.
 		for _, t := range report.Told() {
 			if t.At > 3500*time.Millisecond {
 				Expect(t.Result).NotTo(Or(Equal(crload.Cut), Equal(crload.Unknown)), "%s at %s", t.ID, t.At)
@@ -190,10 +190,10 @@
 		}
 	})
 
-	// A new version is rolled out: every daemon is stopped and started again, one
-	// after the other, while callers go on. None may notice more than an address
-	// that takes no connection, or a refusal that is true; and a daemon that can
-	// not serve yet takes no connection, so that they try another at once.
+	// In a rolling upgrade every daemon is stopped and started again, one after the
+	// other, under load. Callers may see only a refused connection or a truthful
+	// refusal. A daemon that cannot serve yet accepts no connection, so that callers
+	// try another at once.
 	It("of all daemons, one after the other, cuts nothing", func() {
 		a := account("survey", 2000, 2000)
 		f := newFleet(4, 10*time.Millisecond, a)
@@ -201,9 +201,9 @@
 		steps = append(steps, time.Second)
 		for _, d := range f.Daemons() {
 			steps = append(steps, d.Stop,
-				timed("stopped", func() { Expect(d.Wait(within(10*time.Second))).To(Succeed(), d.Log) }),
+				timed("stopped", func() { Expect(d.Wait(withTimeout(10*time.Second))).To(Succeed(), d.Log) }),
 				d.Start,
-				timed("ready", func() { must(d.WaitReady(within(15 * time.Second))) }),
+				timed("ready", func() { must(d.WaitReady(withTimeout(15 * time.Second))) }),
 				500*time.Millisecond,
 			)
 		}
@@ -238,12 +238,11 @@
 	})
 })
 
-var _ = Describe("The last answers of a daemon that stops", func() {
-	// The upstream answers the last requests in flight, the daemon passes the
-	// answers on, and just then the network loses packets for a moment. A daemon
-	// that exits once it has written can not send them again; its callers are
-	// told that nobody knows, of a deposit that was charged.
-	It("reach the callers through a moment's loss", func() {
+var _ = Describe("The last responses of a daemon that stops", func() {
+	// The network loses packets just after a stopping daemon has written the last
+	// responses. A daemon that exits after the write cannot retransmit them, and the
+	// callers get an unknown result for a deposit that was charged.
+	It("reach the callers despite a short packet loss", func() {
 		a := account("survey", 5000, 5000)
 		f := startFleet(
 			crfleet.WithDaemons(3),
@@ -262,7 +261,7 @@
 		time.Sleep(380 * time.Millisecond)
 		f.Links().Heal(exit.Name(), entry.Name())
 		calls.wg.Wait()
-		Expect(exit.Wait(within(10*time.Second))).To(Succeed(), exit.Log)
+		Expect(exit.Wait(withTimeout(10*time.Second))).To(Succeed(), exit.Log)
 		for id, reply := range calls.told {
 			Expect(reply.Outcome).To(Equal("answered"), "%s: %s", id, reply.Body)
 			Expect(reply.Err).NotTo(HaveOccurred(), id)
--- a/e2e/list_test.go
+++ b/e2e/list_test.go
@@ -10,10 +10,10 @@
 )
 
 var _ = Describe("A change of the list of instances", func() {
-	// An instance is lost for good and the platform lists the fleet without it.
-	// Until the other daemons have handed over to the new list nobody mints
-	// under it; were that time also without trust in keys, every caller of every
-	// service would be refused for seconds, dozens of times a day.
+	// An instance is lost for good and the platform lists the fleet without it. No
+	// daemon mints under the new list until the others have handed over to it. If keys
+	// were not trusted for that time either, every caller of every service would be
+	// refused for seconds, dozens of times a day.
 	It("refuses hardly any caller while the fleet hands over", func() {
 		a := account("survey", 400, 400)
 		f := newFleet(5, 2*time.Millisecond, a)
--- a/e2e/member_test.go
+++ b/e2e/member_test.go
@@ -12,19 +12,19 @@
 	"camphorroad/lab/crload"
 )
 
-// reaches asks a daemon whether it has two-way contact with a peer.
+// reaches reports whether a daemon has two-way contact with a peer.
 func reaches(d, peer *crfleet.Daemon) func() bool {
 	return func() bool {
-		state, err := d.State(within(2 * time.Second))
+		state, err := d.State(withTimeout(2 * time.Second))
 		must(err)
 		return state.Reaches(peer.Name())
 	}
 }
 
 var _ = Describe("Membership", func() {
-	// A switch passes frames from one daemon to another but not back. The daemon
-	// that still hears would count on a peer that can never answer it, and send
-	// its callers' requests there to time out.
+	// A switch passes frames from one daemon to another but not back. The daemon that
+	// still receives must not count the peer as reachable: requests forwarded to it
+	// would time out.
 	It("shows a one-way cut on both sides, and its end", func() {
 		a := account("survey", 1000, 1000)
 		f := newFleet(5, time.Millisecond, a)
@@ -43,13 +43,13 @@
 		Eventually(reaches(mute, deaf), "6s", "50ms").Should(BeTrue())
 	})
 
-	// A daemon is stopped as planned, and the platform's list names it as live
-	// for minutes more. Were the list the only word, callers would be sent to
-	// it, refused, and sent on for all that time.
-	It("tells of a daemon's leaving at once, not by the list", func() {
+	// A daemon is stopped as planned, and the platform lists it as live for minutes
+	// more. If only the list counted, requests would be forwarded to it and refused
+	// for all that time.
+	It("announces a leaving daemon at once, before the list does", func() {
 		a := account("survey", 2000, 2000)
 		f := newFleet(5, 2*time.Millisecond, a)
-		time.Sleep(2 * time.Second) // a fresh fleet's shares start empty and fill at the rate
+		time.Sleep(2 * time.Second) // a new fleet's buckets start empty and refill at the rate
 		leaving := f.Daemon(3)
 		var asked time.Time
 		stopped := timeline(1500*time.Millisecond, func() { asked = time.Now() }, leaving.Stop)
@@ -58,14 +58,14 @@
 			Accounts: []crload.Account{{Name: a.Name, Key: a.Key(), Rate: 300, Calls: holds}},
 		})
 		stopped()
-		Expect(leaving.Wait(within(10 * time.Second))).To(Succeed())
+		Expect(leaving.Wait(withTimeout(10 * time.Second))).To(Succeed())
 		var last time.Time
 		for _, r := range f.Target(3).Log() {
 			if r.At.After(last) {
 				last = r.At
 			}
 		}
-		told := expectTrue(f, report)
+		told := expectTruthful(f, report)
 		AddReportEntry("told", told)
 		for _, t := range report.Told() {
 			if t.Result == crload.NoWord || t.Result == crload.NotRun {
@@ -74,8 +74,8 @@
 		}
 		AddReportEntry("last new work after", last.Sub(asked).String())
 		Expect(last.Sub(asked)).To(BeNumerically("<", 2*time.Second))
-		// A refusal for the account's rate has nothing to do with the leaving; it
-		// has the bound of the specs on rates.
+		// A refusal for the account's rate is unrelated to the leaving daemon and has the
+		// bound of the specs on rates.
 		rate := report.Lines()[0].Statuses[http.StatusTooManyRequests]
 		Expect(rate).To(BeNumerically("<=", len(report.Told())/100))
 		Expect(told[crload.Answered]).To(Equal(len(report.Told()) - rate))
--- a/e2e/observe_test.go
+++ b/e2e/observe_test.go
@@ -15,9 +15,9 @@
 )
 
 var _ = Describe("What operators see", func() {
-	// Whoever is on call asks a daemon for its metrics and its state while it
-	// serves; both must tell what has just happened.
-	It("counts requests and tells the state by part", func() {
+	// An operator reads a daemon's metrics and state while it serves; both must
+	// reflect the latest requests.
+	It("counts requests and dumps the state by part", func() {
 		a := account("survey", 1000, 1000)
 		f := newFleet(3, time.Millisecond, a)
 		d := f.Daemon(0)
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -10,9 +10,9 @@
 )
 
 var _ = Describe("A hold that must run at most once", func() {
-	// Daemons die, freeze and lose one direction of their links while callers
-	// place holds. A caller who is told "not run" places the hold again; had the
-	// first one run, the kit would be held, and charged, twice.
+	// Daemons die, freeze and lose one direction of their links while callers place
+	// holds. A caller that gets "not run" places the hold again; if the first one had
+	// run, the kit would be held and charged twice.
 	It("runs at most once, and never where its caller was told it did not", func() {
 		a := account("survey", 2000, 2000)
 		f := newFleet(5, 5*time.Millisecond, a)
@@ -31,7 +31,7 @@
 			Accounts: []crload.Account{{Name: a.Name, Key: a.Key(), Rate: 200, Calls: holds}},
 		})
 		wait()
-		told := expectTrue(f, report)
+		told := expectTruthful(f, report)
 		AddReportEntry("told", told)
 		Expect(told[crload.Answered]).To(BeNumerically(">", 600))
 	})
--- a/e2e/reload_test.go
+++ b/e2e/reload_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Certificates run out and are replaced by files of the same names. Operators send
-// SIGHUP; a daemon that stopped on it, or took half-written files, would cut its
+// Expired certificates are replaced by files of the same names, and operators send
+// SIGHUP. A daemon that stopped on it, or loaded incomplete files, would cut its
 // callers.
 var _ = Describe("certificates", func() {
 	It("are read again on SIGHUP, and stay as they were when the files are bad", func() {
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -14,14 +14,14 @@
 	"camphorroad/lab/crsoak"
 )
 
-// soakLength is short, so that the check stays short; longer runs and fresh seeds
-// are played by hand with `camphorlab soak`.
+// soakLength is short to keep the check short; `camphorlab soak` runs longer ones
+// and new seeds.
 const soakLength = 8 * time.Second
 
 // soakNet is the second byte of the soak's loopback addresses.
 const soakNet = 90
 
-// soakSeed is a seed to play, and why.
+// soakSeed is a seed to run, and the reason for it.
 type soakSeed struct {
 	number uint64
 	why    string
@@ -48,11 +48,10 @@
 	return out
 }
 
-// Faults of all kinds come in series and one upon the other, while callers keep
-// their connections open until the process at the other end is gone. Whatever
-// happens, nothing runs twice, no refusal is a lie, no answer is another's, and no
-// account gets more than its rate; and where nothing harmed a machine, it keeps
-// its times, too.
+// Faults of all kinds come in series and overlap, while callers keep their
+// connections open until the process at the other end has exited. Nothing runs
+// twice, every refusal is truthful, no response is another request's, and no
+// account exceeds its rate. A machine without a fault also meets its time limits.
 var _ = Describe("A fleet that joins through the store's records, under faults", Ordered, func() {
 	for _, seed := range soakSeeds() {
 		It(fmt.Sprintf("keeps its promises, seed %d: %s", seed.number, seed.why), func(ctx SpecContext) {
--- a/e2e/step_test.go
+++ b/e2e/step_test.go
@@ -18,27 +18,28 @@
 	"camphorroad/lab/crfleet"
 )
 
-// Where a forward is when the fault strikes; it leads the request's name.
+// The step of a forward at which the fault is injected; it is the first part of
+// the request's name.
 const (
-	stepLate    = "late"    // the exit does not have it yet
-	stepQueue   = "queue"   // it waits at the exit for a slot
-	stepRun     = "run"     // the upstream runs it
-	stepAnswer  = "answer"  // part of the answer has been passed on
-	stepRequest = "request" // the request's body is still being sent
+	stepLate     = "late"    // the exit has not received it
+	stepQueue    = "queue"   // queued at the exit for a slot
+	stepRun      = "run"     // running at the upstream
+	stepResponse = "answer"  // part of the response has been passed on
+	stepRequest  = "request" // the request's body is still being sent
 )
 
 const (
 	stepSlots   = 6
-	stepSettle  = 400 * time.Millisecond // until every request is at its step
-	stepTries   = 3                      // of bringing them there
+	stepSettle  = 400 * time.Millisecond // time for every request to reach its step
+	stepTries   = 3                      // attempts to reach the steps
 	stepService = 20 * time.Millisecond
 	dripBytes   = 20_000
 )
 
-// stepPolicy has one exit's slots filled by six requests.
+// stepPolicy lets six requests fill the slots of one exit.
 var stepPolicy = strings.Replace(strings.Replace(crfleet.BookingPolicy, "floor = 2", "floor = 1", 1), "slots = 5", "slots = 6", 1)
 
-// slowBody is a request's body that comes over a while.
+// slowBody is a request body that arrives slowly.
 type slowBody struct {
 	left  int
 	pause time.Duration
@@ -53,9 +54,9 @@
 	return copy(p, "body"), nil
 }
 
-// stepRequests are the requests that stand at one step, in every variant that
-// could make some layer send one again by itself: with a body or without, with
-// an Idempotency-Key or without.
+// stepRequests returns the requests for one step, in every variant that could make
+// some layer retry by itself: with or without a body, with or without an
+// Idempotency-Key.
 func stepRequests(a crfleet.Account, step string, n int) []crfleet.Request {
 	var out []crfleet.Request
 	for i := range n {
@@ -63,7 +64,7 @@
 		switch step {
 		case stepRun:
 			r.Path = "/holds?work=900"
-		case stepAnswer:
+		case stepResponse:
 			r.Path = fmt.Sprintf("/holds?drip=900&bytes=%d", dripBytes)
 		default:
 			r.Path = "/holds"
@@ -82,7 +83,7 @@
 	return out
 }
 
-// stepCalls collects what the callers of a spec were told.
+// stepCalls collects the replies to the callers of a spec.
 type stepCalls struct {
 	entry *crfleet.Daemon
 	wg    sync.WaitGroup
@@ -103,12 +104,12 @@
 	}
 }
 
-// stepFault is a fault of the table: strike, and what ends it.
+// stepFault is a fault of the table: its injection and its end.
 type stepFault struct {
-	strike func(f *crfleet.Fleet, entry, exit *crfleet.Daemon) error
+	inject func(f *crfleet.Fleet, entry, exit *crfleet.Daemon) error
 	mend   func(f *crfleet.Fleet, entry, exit *crfleet.Daemon) error
 	lasts  time.Duration
-	entry  bool // the entry dies: its callers get no word
+	entry  bool // the entry dies: its callers get no response
 }
 
 func none(*crfleet.Fleet, *crfleet.Daemon, *crfleet.Daemon) error { return nil }
@@ -117,12 +118,12 @@
 
 func resumeExit(_ *crfleet.Fleet, _, exit *crfleet.Daemon) error { return exit.Resume() }
 
-func cutForth(f *crfleet.Fleet, entry, exit *crfleet.Daemon) error {
+func cutForward(f *crfleet.Fleet, entry, exit *crfleet.Daemon) error {
 	f.Links().Cut(entry.Name(), exit.Name())
 	return nil
 }
 
-func cutBack(f *crfleet.Fleet, entry, exit *crfleet.Daemon) error {
+func cutReverse(f *crfleet.Fleet, entry, exit *crfleet.Daemon) error {
 	f.Links().Cut(exit.Name(), entry.Name())
 	return nil
 }
@@ -138,19 +139,19 @@
 
 func killEntry(_ *crfleet.Fleet, entry, _ *crfleet.Daemon) error { return entry.Kill() }
 
-// stepFaults are the faults that holds at every step meet.
+// stepFaults are the faults injected while holds are at every step.
 var stepFaults = map[string]stepFault{
-	"with no fault":                               {strike: none, mend: none},
-	"when the exit is killed":                     {strike: killExit, mend: startExit, lasts: 500 * time.Millisecond},
-	"when the exit is frozen within the deadline": {strike: freezeExit, mend: resumeExit, lasts: 700 * time.Millisecond},
-	"when the exit is frozen past the deadline":   {strike: freezeExit, mend: resumeExit, lasts: 3 * time.Second},
-	"when the entry is killed":                    {strike: killEntry, mend: none, entry: true},
-	"when the way to the exit is cut":             {strike: cutForth, mend: healAll, lasts: 3 * time.Second},
-	"when the way back is cut":                    {strike: cutBack, mend: healAll, lasts: 3 * time.Second},
-	"when the way back is cut for a moment":       {strike: cutBack, mend: healAll, lasts: 700 * time.Millisecond},
+	"with no fault":                               {inject: none, mend: none},
+	"when the exit is killed":                     {inject: killExit, mend: startExit, lasts: 500 * time.Millisecond},
+	"when the exit is frozen within the deadline": {inject: freezeExit, mend: resumeExit, lasts: 700 * time.Millisecond},
+	"when the exit is frozen past the deadline":   {inject: freezeExit, mend: resumeExit, lasts: 3 * time.Second},
+	"when the entry is killed":                    {inject: killEntry, mend: none, entry: true},
+	"when the way to the exit is cut":             {inject: cutForward, mend: healAll, lasts: 3 * time.Second},
+	"when the way back is cut":                    {inject: cutReverse, mend: healAll, lasts: 3 * time.Second},
+	"when the way back is cut for a moment":       {inject: cutReverse, mend: healAll, lasts: 700 * time.Millisecond},
 }
 
-// stepResult is what became of one fault's holds.
+// stepResult is the outcome of the holds under one fault.
 type stepResult struct {
 	err    error
 	before map[string]int // runs at the moment of the fault
@@ -159,10 +160,10 @@
 	logs   string
 }
 
-// strikeAtSteps tries until the holds were at their steps when the fault struck.
-// On a busy machine one may come late to its step; the fault would then strike
-// elsewhere than it should, so such a try ends before it.
-func strikeAtSteps(fault stepFault) (r stepResult) {
+// injectAtSteps retries until all holds are at their steps when the fault is
+// injected. On a busy machine a hold may reach its step late; such a try ends
+// before the fault.
+func injectAtSteps(fault stepFault) (r stepResult) {
 	for range stepTries {
 		r = tryAtSteps(fault)
 		if r.err != nil || len(misplaced(r.before)) == 0 {
@@ -172,8 +173,8 @@
 	return r
 }
 
-// tryAtSteps brings holds to every step of their forwards to one exit, lets
-// the fault strike, and waits until nothing can run late any more.
+// tryAtSteps brings holds to every step of their forwards to one exit, injects the
+// fault, and waits until nothing can run late any more.
 func tryAtSteps(fault stepFault) (r stepResult) {
 	a := account("survey", 5000, 5000)
 	f, err := crfleet.New(context.Background(),
@@ -185,11 +186,11 @@
 		return stepResult{err: err}
 	}
 	defer f.Close()
-	time.Sleep(time.Second) // a fleet just started has few tokens
+	time.Sleep(time.Second) // a new fleet has few tokens
 	exit, entry := f.Daemon(0), f.Daemon(1)
 	calls := &stepCalls{entry: entry, told: make(map[string]crfleet.Reply)}
 	calls.send(stepRequests(a, stepRun, 2))
-	calls.send(stepRequests(a, stepAnswer, 2))
+	calls.send(stepRequests(a, stepResponse, 2))
 	calls.send(stepRequests(a, stepRequest, 2))
 	time.Sleep(stepSettle / 2)
 	calls.send(stepRequests(a, stepQueue, 4))
@@ -197,14 +198,14 @@
 	if r.before = f.Runs(); len(misplaced(r.before)) > 0 {
 		return r
 	}
-	r.err = fault.strike(f, entry, exit)
+	r.err = fault.inject(f, entry, exit)
 	if !fault.entry {
 		calls.send(stepRequests(a, stepLate, 4))
 	}
 	time.Sleep(fault.lasts)
 	r.err = errors.Join(r.err, fault.mend(f, entry, exit))
 	calls.wg.Wait()
-	// What an exit might still start late has its chance before the count.
+	// Wait for late starts at the exit before the count.
 	time.Sleep(2 * time.Second)
 	r.after, r.told = f.Runs(), calls.told
 	for _, d := range f.Daemons() {
@@ -213,15 +214,14 @@
 	return r
 }
 
-// Holds stand at every step of a forward to one exit when something happens: a
-// part has been sent to the upstream, a part waits for a slot, a part is being
-// answered. Whoever is told "not run" places the hold again; had it run, the
-// kit would be held and the deposit charged twice. Whoever gets the first half
-// of an answer must see that it broke off.
+// Holds are at every step of a forward to one exit when a fault occurs: sent to
+// the upstream, waiting for a slot, or partly answered. A caller that gets "not
+// run" places the hold again; if it had run, the kit would be held and the deposit
+// charged twice. A caller that gets part of a response must see that it was cut.
 var _ = Describe("A hold at every step of its forward", Ordered, ContinueOnFailure, func() {
 	results := make(map[string]stepResult)
 
-	// Each fault has a fleet of its own, and mostly waits: four at a time.
+	// Each fault has its own fleet and mostly waits, so four run at a time.
 	BeforeAll(func() {
 		var mu sync.Mutex
 		var wg sync.WaitGroup
@@ -230,7 +230,7 @@
 			wg.Go(func() {
 				slots <- struct{}{}
 				defer func() { <-slots }()
-				r := strikeAtSteps(fault)
+				r := injectAtSteps(fault)
 				mu.Lock()
 				defer mu.Unlock()
 				results[name] = r
@@ -240,23 +240,23 @@
 	})
 
 	for _, name := range slices.Sorted(maps.Keys(stepFaults)) {
-		It("is told the truth "+name, func() {
+		It("gets a truthful result "+name, func() {
 			r := results[name]
 			must(r.err)
 			Expect(misplaced(r.before)).To(BeEmpty())
-			expectToldTrue(r.after, r.told, stepFaults[name].entry)
+			expectTruthfulReplies(r.after, r.told, stepFaults[name].entry)
 			Expect(r.logs).NotTo(Or(ContainSubstring("DATA RACE"), ContainSubstring("panic:")))
 		})
 	}
 })
 
-// misplaced names the requests that are not where the spec wants them.
+// misplaced returns the requests that are not at their intended step.
 func misplaced(runs map[string]int) []string {
 	var names []string
 	for _, want := range []struct {
 		step        string
 		count, runs int
-	}{{stepRun, 2, 1}, {stepAnswer, 2, 1}, {stepRequest, 2, 0}, {stepQueue, 4, 0}} {
+	}{{stepRun, 2, 1}, {stepResponse, 2, 1}, {stepRequest, 2, 0}, {stepQueue, 4, 0}} {
 		for i := range want.count {
 			if id := fmt.Sprintf("%s-%d", want.step, i); runs[id] != want.runs {
 				names = append(names, id)
@@ -266,7 +266,7 @@
 	return names
 }
 
-func expectToldTrue(runs map[string]int, told map[string]crfleet.Reply, entryDies bool) {
+func expectTruthfulReplies(runs map[string]int, told map[string]crfleet.Reply, entryDies bool) {
 	GinkgoHelper()
 	count := make(map[string]int)
 	for id, reply := range told {
@@ -285,7 +285,7 @@
 			Expect(reply.Status).To(Equal(http.StatusOK), id)
 			Expect(runs[id]).To(Equal(1), "%s was answered and did not run", id)
 			Expect(string(reply.Body)).To(ContainSubstring(fmt.Sprintf("%q", id)))
-			Expect(step != stepAnswer || len(reply.Body) > dripBytes).To(BeTrue(), "%s: half an answer looks whole", id)
+			Expect(step != stepResponse || len(reply.Body) > dripBytes).To(BeTrue(), "%s: half an answer looks whole", id)
 		case "notrun":
 			Expect(runs[id]).To(BeZero(), "%s was told as not run", id)
 			Expect(reply.Header.Get("Retry-After")).NotTo(BeEmpty(), id)
--- a/e2e/trace_test.go
+++ b/e2e/trace_test.go
@@ -22,7 +22,7 @@
 	"camphorroad/lab/crupstream"
 )
 
-// tracesEnv names a directory to keep the traces in, to renew those that
+// tracesEnv names a directory in which to keep the traces, to renew those that
 // io/crtrace replays.
 const tracesEnv = "CAMPHORROAD_TRACES"
 
@@ -59,7 +59,7 @@
 	// replay stops the daemon and replays what it recorded.
 	replay := func(d *crfleet.Daemon, name string) crtrace.Report {
 		must(d.Stop())
-		must(d.Wait(within(10 * time.Second)))
+		must(d.Wait(withTimeout(10 * time.Second)))
 		path := filepath.Join(dir, d.Name()+".trace")
 		b, err := os.ReadFile(path)
 		must(err)
@@ -85,8 +85,8 @@
 		Expect(report.LogEvents).NotTo(HaveKey(crmember.EventLeaseLost))
 	})
 
-	// A process that was frozen wakes up with old facts, and finds what the
-	// others asked it for meanwhile. It must not grant a token on those facts.
+	// A frozen process resumes with stale state and finds requests that its peers sent
+	// meanwhile. It must not grant a token on that state.
 	It("replays exactly when the daemon was frozen", func() {
 		f := start()
 		d := f.Daemon(0)
@@ -97,14 +97,14 @@
 		time.Sleep(3 * time.Second)
 		must(d.Resume())
 		Eventually(d.Ready, "10s", "20ms").ShouldNot(Succeed())
-		must(d.WaitReady(within(10 * time.Second)))
+		must(d.WaitReady(withTimeout(10 * time.Second)))
 		report := replay(d, "frozen")
 		Expect(report.LogEvents).To(HaveKey(crmember.EventLeaseLost))
 		Expect(report.ActiveLists[len(report.ActiveLists)-1]).To(Equal(report.ActiveLists[len(report.ActiveLists)-3]))
 	})
 
-	// While a list of instances is handed over, two daemons might believe to
-	// own one account.
+	// While a list of instances is handed over, two daemons could both act as the
+	// owner of one account.
 	It("replays exactly when the list of instances changes", func() {
 		f := start()
 		stop := call(a, f.Daemon(0), f.Daemon(1))
@@ -118,24 +118,24 @@
 		Expect(lists[1]).To(BeNumerically(">", lists[0]))
 	})
 
-	// The platform is away for a while; nobody may notice.
-	It("replays exactly when the platform is away", func() {
+	// The platform is unavailable for a while; callers must not be affected.
+	It("replays exactly when the platform is unavailable", func() {
 		f := start()
 		f.Platform().SetFault(labplatform.Fault{Mode: labplatform.ModeAway})
 		time.Sleep(3 * time.Second)
 		_, err := f.SetAccounts(account(a.Name, 50, 60))
 		must(err)
 		f.Platform().SetFault(labplatform.Fault{})
-		Eventually(f.Daemon(0).Log, inForce, "50ms").Should(ContainSubstring(`"former":"1"`))
+		Eventually(f.Daemon(0).Log, configDeadline, "50ms").Should(ContainSubstring(`"former":"1"`))
 		report := replay(f.Daemon(0), "away")
 		Expect(report.Revisions).To(HaveLen(2))
 		Expect(report.LogEvents).To(HaveKey(crconfig.EventPlatformUnavailable))
 		Expect(report.LogEvents).NotTo(HaveKey(crmember.EventLeaseLost))
 	})
 
-	// A target answers wrongly, and then a second one. The floor of two leaves
-	// room to eject one of three only; callers meet the other.
-	It("replays exactly when targets are sick", func() {
+	// Two targets become unhealthy, one after the other. The floor of two allows one
+	// of three targets to be ejected; callers still reach the other.
+	It("replays exactly when targets are unhealthy", func() {
 		f := start()
 		stop := call(a, f.Daemons()...)
 		defer stop()
--- a/e2e/withdraw_test.go
+++ b/e2e/withdraw_test.go
@@ -23,19 +23,19 @@
 
 func withdrawn(i int) crfleet.Account { return account(fmt.Sprintf("gone-%d", i), 1000, 1000) }
 
-// expectRefusedEverywhere waits until no daemon takes the account's key.
+// expectRefusedEverywhere waits until every daemon refuses the account's key.
 func expectRefusedEverywhere(daemons []*crfleet.Daemon, a crfleet.Account) {
 	GinkgoHelper()
 	start := time.Now()
 	for _, d := range daemons {
-		Eventually(func() int { return d.Get(a, "/kits/1").Status }, inForce, "50ms").Should(Equal(http.StatusUnauthorized), d.Name())
+		Eventually(func() int { return d.Get(a, "/kits/1").Status }, configDeadline, "50ms").Should(Equal(http.StatusUnauthorized), d.Name())
 	}
 	AddReportEntry("everywhere after", time.Since(start).Round(time.Millisecond).String())
 }
 
-// neverServed asks every daemon for the account all the time, until the returned
-// function tells how often one of them served it.
-func neverServed(daemons []*crfleet.Daemon, a crfleet.Account) (served func() int64) {
+// countServed sends requests for the account to every daemon until the returned
+// function is called, which returns how many of them were served.
+func countServed(daemons []*crfleet.Daemon, a crfleet.Account) (served func() int64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var n atomic.Int64
 	var callers sync.WaitGroup
@@ -56,20 +56,20 @@
 	}
 }
 
-// openClient keeps one connection to a daemon and tells whether it was reused.
-type openClient struct {
+// persistentClient keeps one connection to a daemon and records whether it was reused.
+type persistentClient struct {
 	client *http.Client
 	reused bool
 }
 
-func newOpenClient(http2 bool) *openClient {
+func newPersistentClient(http2 bool) *persistentClient {
 	var protocols http.Protocols
 	protocols.SetHTTP1(!http2)
 	protocols.SetUnencryptedHTTP2(http2)
-	return &openClient{client: &http.Client{Transport: &http.Transport{Protocols: &protocols, MaxConnsPerHost: 1}}}
+	return &persistentClient{client: &http.Client{Transport: &http.Transport{Protocols: &protocols, MaxConnsPerHost: 1}}}
 }
 
-func (c *openClient) get(d *crfleet.Daemon, a crfleet.Account) int {
+func (c *persistentClient) get(d *crfleet.Daemon, a crfleet.Account) int {
 	ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) { c.reused = info.Reused },
 	})
@@ -101,18 +101,18 @@
 
 	AfterEach(func() {
 		for _, d := range f.Daemons() {
-			must(d.WaitReady(within(15 * time.Second)))
+			must(d.WaitReady(withTimeout(15 * time.Second)))
 			Eventually(func() int { return d.Get(kept, "/kits/1").Status }, "10s", "50ms").Should(Equal(http.StatusOK), d.Name())
 		}
 	})
 
-	// The thief of a key keeps his connection open. Were keys looked at only when
-	// a connection begins, he would go on for as long as he cares to.
+	// A thief of a key keeps a connection open. If keys were checked only when a
+	// connection begins, the key would work for as long as the connection.
 	It("stops on connections that are open already", func() {
 		gone := withdrawn(0)
-		clients := make(map[*crfleet.Daemon][]*openClient)
+		clients := make(map[*crfleet.Daemon][]*persistentClient)
 		for _, d := range f.Daemons() {
-			clients[d] = []*openClient{newOpenClient(false), newOpenClient(true)}
+			clients[d] = []*persistentClient{newPersistentClient(false), newPersistentClient(true)}
 			for _, c := range clients[d] {
 				Expect(c.get(d, gone)).To(Equal(http.StatusOK))
 			}
@@ -120,19 +120,19 @@
 		withdraw(0)
 		for d, both := range clients {
 			for _, c := range both {
-				Eventually(func() int { return c.get(d, gone) }, inForce, "50ms").Should(Equal(http.StatusUnauthorized), d.Name())
+				Eventually(func() int { return c.get(d, gone) }, configDeadline, "50ms").Should(Equal(http.StatusUnauthorized), d.Name())
 				Expect(c.reused).To(BeTrue(), "the connection stayed open")
 			}
 		}
 	})
 
-	// The daemon that watches the platform for its domain loses both directions
-	// to all others at the moment of the withdrawal. The others hear nothing of
-	// it until one of them takes over the watch.
-	It("stops everywhere also when a reader is cut off", func() {
+	// The daemon that polls the platform for its domain loses both directions to all
+	// others at the moment of the withdrawal. The others learn of it only when one of
+	// them takes over the polling.
+	It("stops everywhere also when a reader is isolated", func() {
 		var reader *crfleet.Daemon
 		for _, d := range f.Daemons() {
-			state, err := d.State(within(5 * time.Second))
+			state, err := d.State(withTimeout(5 * time.Second))
 			must(err)
 			if state.Config.Reader {
 				reader = d
@@ -148,15 +148,15 @@
 		}
 		withdraw(1)
 		expectRefusedEverywhere(others, withdrawn(1))
-		// The reader itself is cut off alone: it may refuse for want of standing
-		// or because it has read of the withdrawal, but it may not serve.
-		Eventually(func() int { return reader.Get(withdrawn(1), "/kits/1").Status }, inForce, "50ms").ShouldNot(Equal(http.StatusOK))
+		// The reader is isolated: it may refuse because it lacks a quorum or because it has
+		// read the withdrawal, but it may not serve.
+		Eventually(func() int { return reader.Get(withdrawn(1), "/kits/1").Status }, configDeadline, "50ms").ShouldNot(Equal(http.StatusOK))
 		f.Links().HealAll()
 		expectRefusedEverywhere(f.Daemons(), withdrawn(1))
 	})
 
-	// Somebody publishes, past the check, a bundle that does not validate. Were
-	// it taken, or were the former dropped for it, every caller would be refused.
+	// A bundle that does not validate is published without the check. If it were
+	// applied, or the former one dropped for it, every caller would be refused.
 	It("stops with the next good bundle after a bad one, which changes nothing", func() {
 		bad, err := crpolicyfile.Pack(crpolicyfile.Policy{Accounts: []crpolicy.Account{{Name: "bad", Rate: -1, Burst: -1}}})
 		must(err)
@@ -168,13 +168,13 @@
 		must(err)
 		refused := func(d *crfleet.Daemon) func() []string {
 			return func() []string {
-				state, err := d.State(within(5 * time.Second))
+				state, err := d.State(withTimeout(5 * time.Second))
 				must(err)
 				return state.Config.Rejected
 			}
 		}
 		for _, d := range f.Daemons() {
-			Eventually(refused(d), inForce, "50ms").Should(ContainElement(fmt.Sprint(rev)), d.Name())
+			Eventually(refused(d), configDeadline, "50ms").Should(ContainElement(fmt.Sprint(rev)), d.Name())
 			Expect(d.Get(kept, "/kits/1").Status).To(Equal(http.StatusOK), d.Name())
 			Expect(d.Get(withdrawn(2), "/kits/1").Status).To(Equal(http.StatusOK), d.Name())
 		}
@@ -182,33 +182,33 @@
 		expectRefusedEverywhere(f.Daemons(), withdrawn(2))
 	})
 
-	// The platform's replicas disagree, and turn by turn it shows the state from
-	// before the withdrawal. A daemon is replaced meanwhile and knows nothing.
+	// The platform's replicas disagree, and it alternates between the states before
+	// and after the withdrawal. A daemon without state is started meanwhile.
 	It("stays withdrawn while the platform flaps between revisions", func() {
 		withdraw(3)
 		expectRefusedEverywhere(f.Daemons(), withdrawn(3))
 		f.Platform().SetFault(labplatform.Fault{Mode: labplatform.ModeFlap, Delay: 300 * time.Millisecond, Back: 1})
-		served := neverServed(f.Daemons(), withdrawn(3))
+		served := countServed(f.Daemons(), withdrawn(3))
 		must(f.Daemon(1).Kill())
 		must(f.Daemon(1).Start())
-		must(f.Daemon(1).WaitReady(within(15 * time.Second)))
+		must(f.Daemon(1).WaitReady(withTimeout(15 * time.Second)))
 		time.Sleep(2 * time.Second)
 		Expect(served()).To(BeZero())
 		f.Platform().SetFault(labplatform.Fault{})
 	})
 
-	// A daemon's machine is suspended while a key is withdrawn, and callers with
-	// that key wait on it. It wakes up and finds their requests before any word
-	// of the withdrawal.
-	It("is not served by a daemon that slept through the withdrawal", func() {
+	// A daemon's machine is suspended while a key is withdrawn, and callers with that
+	// key wait. On resume the daemon finds their requests before it learns of the
+	// withdrawal.
+	It("is not served by a daemon that was suspended during the withdrawal", func() {
 		asleep := f.Daemon(4)
 		must(asleep.Freeze())
 		withdraw(4)
 		expectRefusedEverywhere(f.Daemons()[:4], withdrawn(4))
 		time.Sleep(2500 * time.Millisecond)
 		var served func() int64
-		for range 4 { // several callers wait at the moment of waking
-			before, more := served, neverServed([]*crfleet.Daemon{asleep}, withdrawn(4))
+		for range 4 { // several callers wait at the moment of resuming
+			before, more := served, countServed([]*crfleet.Daemon{asleep}, withdrawn(4))
 			served = func() int64 {
 				n := more()
 				if before != nil {
@@ -226,10 +226,10 @@
 })
 
 var _ = Describe("The platform's budget of calls", func() {
-	// After a power cut every daemon starts at the same moment. The platform
-	// takes two thousand calls a second from all readers together, and whoever
-	// passes that is turned away, with the whole fleet not ready.
-	It("is kept when all daemons start at once, and in rest", func() {
+	// After a power cut every daemon starts at the same moment. The platform accepts
+	// two thousand calls a second from all readers together and refuses the excess,
+	// which would leave the whole fleet not ready.
+	It("is kept when all daemons start at once, and when idle", func() {
 		const daemons = 12
 		f := newFleet(daemons, time.Millisecond, account("survey", 1000, 1000))
 		start := f.Counts()
