--- a/e2e/account_test.go
+++ b/e2e/account_test.go
@@ -16,10 +16,9 @@
 const admissionDelay = 50 * time.Millisecond
 
 var _ = Describe("An account's rate over the whole fleet", func() {
-	// One account sends ten times its rate through every daemon while one daemon is
-	// frozen and resumed, one is killed and replaced, and one link works in one
-	// direction only. A token minted twice would exceed the account's rate and fill
-	// the upstreams for other accounts.
+	// One account sends ten times its rate through every daemon while daemons are
+	// frozen or killed and one link works in one direction only. A token minted
+	// twice would exceed the rate and fill the upstreams for other accounts.
 	It("is never exceeded in any window, through freezes, kills and cuts", func() {
 		a := account("surge", 60, 60)
 		f := newFleet(5, 2*time.Millisecond, a)
@@ -46,7 +45,7 @@
 	// An account within its rate enters at one daemon only, as when all its callers
 	// have the same address configured. A fixed split of the rate over the daemons
 	// would refuse four of five of its requests.
-	It("is all there for callers who enter at one daemon", func() {
+	It("is fully available to callers who enter at one daemon", func() {
 		a := account("steady", 100, 50)
 		f := newFleet(5, 2*time.Millisecond, a)
 		time.Sleep(2 * time.Second) // a new fleet's buckets start empty and refill at the rate
@@ -129,7 +128,7 @@
 
 	// An account within its rate is spread over all daemons while another account
 	// sends eight times its own rate. The first account must be hardly affected.
-	It("is all there for others, and for callers spread over all daemons", func() {
+	It("is fully available to others, and to callers spread over all daemons", func() {
 		steady, loud := account("steady", 100, 50), account("loud", 60, 60)
 		f := newFleet(5, 2*time.Millisecond, steady, loud)
 		report := run(crload.Plan{
--- a/e2e/fair_test.go
+++ b/e2e/fair_test.go
@@ -34,14 +34,14 @@
 		Expect(float64(l.Results[crload.Answered])).To(BeNumerically(">=", 0.95*float64(l.Sent)), l.Account)
 		Expect(l.P99).To(BeNumerically("<", 1200*time.Millisecond), l.Account)
 	}
-	Expect(lines[0].Results[crload.NotRun]).To(BeNumerically(">", large.Sent/10), "capacity was not short")
+	Expect(lines[0].Results[crload.NotRun]).To(BeNumerically(">", large.Sent/10), "the load did not exceed the capacity")
 }
 
-var _ = Describe("Shares of short capacity", func() {
+var _ = Describe("Shares of scarce capacity", func() {
 	// The upstreams serve 300 requests a second in total. Every account is within its
 	// rate, and one sends far more than that capacity. Served in order of arrival, the
 	// other accounts would be refused as often as the large one.
-	It("leave the others near what they ask when one account sends too much", func() {
+	It("leave the others near their demand when one account sends too much", func() {
 		accounts := fairAccounts()
 		f := startFleet(crfleet.WithDaemons(3), crfleet.WithServices(booking(50*time.Millisecond)), crfleet.WithAccounts(accounts...))
 		large := accounts[0]
@@ -50,7 +50,7 @@
 
 	// One account sends no more requests than others, but each holds a slot for half
 	// a second. Without fair shares it would soon occupy all slots.
-	It("leave the others near what they ask when one account's requests are long", func() {
+	It("leave the others near their demand when one account's requests are long", func() {
 		accounts := fairAccounts()
 		f := startFleet(crfleet.WithDaemons(3), crfleet.WithServices(booking(20*time.Millisecond)), crfleet.WithAccounts(accounts...))
 		large := accounts[0]
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -1,6 +1,8 @@
 // Package e2e tests the users' requirements over real processes. Daemons are
 // started from this test binary, killed, frozen, restarted and partitioned, while
-// simulated upstreams count the requests that ran.
+// simulated upstreams count the requests that ran. Most specs check one requirement
+// under one scripted fault; the soak specs run package lab/crsoak, which draws its
+// faults from a seed.
 package e2e_test
 
 import (
@@ -104,7 +106,7 @@
 			case func():
 				step()
 			default:
-				Fail(fmt.Sprintf("%T is no step", step))
+				Fail(fmt.Sprintf("unsupported type of step: %T", step))
 			}
 		}
 	}()
@@ -139,14 +141,14 @@
 	for _, t := range report.Told() {
 		told[t.Result]++
 		if t.Method != "GET" {
-			Expect(runs[t.ID]).To(BeNumerically("<=", 1), "%s ran more than once, told %s", t.ID, t.Result)
+			Expect(runs[t.ID]).To(BeNumerically("<=", 1), "%s ran more than once, its caller got %s", t.ID, t.Result)
 		}
 		switch t.Result {
 		case crload.Answered:
-			Expect(runs[t.ID]).To(BeNumerically(">=", 1), "%s was answered and did not run", t.ID)
+			Expect(runs[t.ID]).To(BeNumerically(">=", 1), "%s got a response and did not run", t.ID)
 		case crload.NotRun:
-			Expect(runs[t.ID]).To(BeZero(), "%s was told as not run", t.ID)
-			Expect(t.Retry).To(BeTrue(), "%s was refused without a time to come back", t.ID)
+			Expect(runs[t.ID]).To(BeZero(), "%s ran, but its caller got a result of not run", t.ID)
+			Expect(t.Retry).To(BeTrue(), "%s was refused without a time to retry", t.ID)
 		case crload.Unknown, crload.Cut, crload.NoWord, crload.Mixed:
 		}
 	}
--- a/e2e/health_test.go
+++ b/e2e/health_test.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	sickDaemons = 6
-	sickFloor   = 4
+	healthDaemons = 6
+	healthFloor   = 4
 	// detectionTimeout is far above the seconds that detection takes, to allow for
 	// busy machines.
 	detectionTimeout = 15 * time.Second
 )
 
-// outlierPolicy keeps at least four of the targets in service.
-var outlierPolicy = `
+// healthPolicy keeps at least four of the targets in service.
+var healthPolicy = `
 [service]
 name = "booking"
 floor = 4
@@ -60,9 +60,9 @@
 				state, err := d.State(ctx)
 				switch {
 				case err == nil:
-					w.saw(d.Name(), state.Ejected())
+					w.record(d.Name(), state.Ejected())
 				case ctx.Err() == nil:
-					w.failed(err)
+					w.recordError(err)
 				}
 			}
 			time.Sleep(20 * time.Millisecond)
@@ -71,7 +71,7 @@
 	return w
 }
 
-func (w *ejectionWatch) failed(err error) {
+func (w *ejectionWatch) recordError(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.err = err
@@ -82,13 +82,13 @@
 func (w *ejectionWatch) error() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.err == nil && len(w.by) < sickDaemons {
-		return errors.New("not every daemon's dump was seen")
+	if w.err == nil && len(w.by) < healthDaemons {
+		return errors.New("the state dump of a daemon is missing")
 	}
 	return w.err
 }
 
-func (w *ejectionWatch) saw(daemon string, targets []string) {
+func (w *ejectionWatch) record(daemon string, targets []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.by[daemon] = targets
@@ -116,7 +116,7 @@
 			return false
 		}
 	}
-	return len(w.by) == sickDaemons
+	return len(w.by) == healthDaemons
 }
 
 // noneEjected reports whether no daemon has ejected any target.
@@ -137,11 +137,11 @@
 	return slices.Clone(w.most)
 }
 
-// startUnhealthyFleet starts a fleet under load, with a watch, until the spec's end.
-func startUnhealthyFleet(accounts ...crfleet.Account) (*crfleet.Fleet, *ejectionWatch) {
+// startHealthFleet starts a fleet under load, with a watch, until the spec's end.
+func startHealthFleet(accounts ...crfleet.Account) (*crfleet.Fleet, *ejectionWatch) {
 	f := startFleet(
-		crfleet.WithDaemons(sickDaemons),
-		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: outlierPolicy, Time: 10 * time.Millisecond}),
+		crfleet.WithDaemons(healthDaemons),
+		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: healthPolicy, Time: 10 * time.Millisecond}),
 		crfleet.WithAccounts(accounts...),
 	)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -160,7 +160,7 @@
 	return f, w
 }
 
-func outlierAccounts() []crfleet.Account {
+func firmAccounts() []crfleet.Account {
 	var accounts []crfleet.Account
 	for i := range 5 {
 		accounts = append(accounts, account(fmt.Sprintf("firm-%d", i+1), 5000, 5000))
@@ -168,14 +168,14 @@
 	return accounts
 }
 
-var well = crupstream.Fault{Kind: crupstream.FaultNone}
+var healthy = crupstream.Fault{Kind: crupstream.FaultNone}
 
 var _ = Describe("Unhealthy upstreams", Ordered, ContinueOnFailure, func() {
 	var f *crfleet.Fleet
 	var w *ejectionWatch
 
 	BeforeAll(func() {
-		f, w = startUnhealthyFleet(outlierAccounts()...)
+		f, w = startHealthFleet(firmAccounts()...)
 		time.Sleep(2 * time.Second)
 	})
 
@@ -195,10 +195,10 @@
 			}
 		}
 		AddReportEntry("sent to it meanwhile", sent)
-		t.SetFault(well)
-		Expect(len(w.maxEjected())).To(BeNumerically("<=", sickDaemons-sickFloor), "below the floor: %v", w.maxEjected())
+		t.SetFault(healthy)
+		Expect(len(w.maxEjected())).To(BeNumerically("<=", healthDaemons-healthFloor), "below the floor: %v", w.maxEjected())
 		must(w.error())
-		Eventually(w.noneEjected, "25s", "50ms").Should(BeTrue(), "a mended target comes back")
+		Eventually(w.noneEjected, "25s", "50ms").Should(BeTrue(), "a recovered target returns to service")
 	},
 		Entry("when slow", 0, crupstream.Fault{Kind: crupstream.FaultSlow, Factor: 8}),
 		Entry("when they send another request's response", 1, crupstream.Fault{Kind: crupstream.FaultWrong}),
@@ -210,14 +210,14 @@
 
 	// Three upstreams become unhealthy at nearly the same time, and only two may be
 	// ejected. Without the third the remaining upstreams would be overloaded.
-	It("are never taken out below the floor", func() {
+	It("are never ejected below the floor", func() {
 		for i := range 3 {
 			f.Target(i).SetFault(crupstream.Fault{Kind: crupstream.FaultSlow, Factor: 8 + float64(i)})
 		}
-		Eventually(func() int { return len(w.maxEjected()) }, detectionTimeout, "20ms").Should(Equal(sickDaemons - sickFloor))
-		Consistently(func() int { return len(w.maxEjected()) }, "4s", "50ms").Should(BeNumerically("<=", sickDaemons-sickFloor))
+		Eventually(func() int { return len(w.maxEjected()) }, detectionTimeout, "20ms").Should(Equal(healthDaemons - healthFloor))
+		Consistently(func() int { return len(w.maxEjected()) }, "4s", "50ms").Should(BeNumerically("<=", healthDaemons-healthFloor))
 		for i := range 3 {
-			f.Target(i).SetFault(well)
+			f.Target(i).SetFault(healthy)
 		}
 		must(w.error())
 	})
@@ -226,8 +226,8 @@
 var _ = Describe("Upstreams that are no outliers", func() {
 	// All upstreams are five times slower at once. None is an outlier, and each
 	// ejection would make the remaining ones slower still.
-	It("are not taken out when all are slow at once", func() {
-		f, w := startUnhealthyFleet(outlierAccounts()...)
+	It("are not ejected when all are slow at once", func() {
+		f, w := startHealthFleet(firmAccounts()...)
 		time.Sleep(2 * time.Second)
 		for _, t := range f.Targets() {
 			t.SetFault(crupstream.Fault{Kind: crupstream.FaultSlow, Factor: 5})
@@ -239,8 +239,8 @@
 	// One account sends requests on which every upstream fails, for that account
 	// alone. A target that gets these requests must not be ejected for them.
 	It("are not taken out for one account's poison", func() {
-		accounts := outlierAccounts()
-		f, w := startUnhealthyFleet(accounts...)
+		accounts := firmAccounts()
+		f, w := startHealthFleet(accounts...)
 		time.Sleep(2 * time.Second)
 		for _, t := range f.Targets()[:3] {
 			t.SetFault(crupstream.Fault{Kind: crupstream.FaultPoison, Account: accounts[0].Name})
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -60,7 +60,7 @@
 		Expect(results[crload.Unknown]).To(BeZero())
 		for _, t := range report.Told() {
 			if t.Result == crload.NoWord || t.Result == crload.NotRun {
-				Expect(runs[t.ID]).To(BeZero(), "%s ran, and its caller was told %s", t.ID, t.Result)
+				Expect(runs[t.ID]).To(BeZero(), "%s ran, but its caller got %s", t.ID, t.Result)
 			}
 		}
 	})
@@ -190,10 +190,9 @@
 		}
 	})
 
-	// In a rolling upgrade every daemon is stopped and started again, one after the
-	// other, under load. Callers may see only a refused connection or a truthful
-	// refusal. A daemon that cannot serve yet accepts no connection, so that callers
-	// try another at once.
+	// In a rolling upgrade under load, callers may see only a refused connection or a
+	// truthful refusal. A daemon that cannot serve yet accepts no connection, so that
+	// callers try another at once.
 	It("of all daemons, one after the other, cuts nothing", func() {
 		a := account("survey", 2000, 2000)
 		f := newFleet(4, 10*time.Millisecond, a)
--- a/e2e/member_test.go
+++ b/e2e/member_test.go
@@ -36,7 +36,7 @@
 		Eventually(reaches(mute, deaf), "6s", "50ms").Should(BeFalse())
 		AddReportEntry("seen on both sides after", time.Since(start).String())
 		for _, d := range f.Daemons() {
-			Expect(d.Ready()).To(Succeed(), "%s: one link is no reason to stop", d.Name())
+			Expect(d.Ready()).To(Succeed(), "%s: one cut link must not make a daemon unready", d.Name())
 		}
 		f.Links().HealAll()
 		Eventually(reaches(deaf, mute), "6s", "50ms").Should(BeTrue())
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -41,17 +41,16 @@
 		}
 		seed, err := strconv.ParseUint(number, 10, 64)
 		if err != nil {
-			panic(fmt.Sprintf("testdata/soak.txt: %q is no seed", number))
+			panic(fmt.Sprintf("testdata/soak.txt: invalid seed %q", number))
 		}
 		out = append(out, soakSeed{number: seed, why: why})
 	}
 	return out
 }
 
-// Faults of all kinds come in series and overlap, while callers keep their
-// connections open until the process at the other end has exited. Nothing runs
-// twice, every refusal is truthful, no response is another request's, and no
-// account exceeds its rate. A machine without a fault also meets its time limits.
+// Faults come in series and overlap, while callers keep their connections open until
+// the other process has exited. Nothing runs twice, refusals are truthful, responses
+// match requests, rates hold, and a machine without a fault meets its time limits.
 var _ = Describe("A fleet that joins through the store's records, under faults", Ordered, func() {
 	for _, seed := range soakSeeds() {
 		It(fmt.Sprintf("keeps its promises, seed %d: %s", seed.number, seed.why), func(ctx SpecContext) {
--- a/e2e/step_test.go
+++ b/e2e/step_test.go
@@ -106,13 +106,13 @@
 
 // stepFault is a fault of the table: its injection and its end.
 type stepFault struct {
-	inject func(f *crfleet.Fleet, entry, exit *crfleet.Daemon) error
-	mend   func(f *crfleet.Fleet, entry, exit *crfleet.Daemon) error
-	lasts  time.Duration
-	entry  bool // the entry dies: its callers get no response
+	inject   func(f *crfleet.Fleet, entry, exit *crfleet.Daemon) error
+	end      func(f *crfleet.Fleet, entry, exit *crfleet.Daemon) error
+	duration time.Duration
+	entry    bool // the entry dies: its callers get no response
 }
 
-func none(*crfleet.Fleet, *crfleet.Daemon, *crfleet.Daemon) error { return nil }
+func noAction(*crfleet.Fleet, *crfleet.Daemon, *crfleet.Daemon) error { return nil }
 
 func freezeExit(_ *crfleet.Fleet, _, exit *crfleet.Daemon) error { return exit.Freeze() }
 
@@ -141,14 +141,14 @@
 
 // stepFaults are the faults injected while holds are at every step.
 var stepFaults = map[string]stepFault{
-	"with no fault":                               {inject: none, mend: none},
-	"when the exit is killed":                     {inject: killExit, mend: startExit, lasts: 500 * time.Millisecond},
-	"when the exit is frozen within the deadline": {inject: freezeExit, mend: resumeExit, lasts: 700 * time.Millisecond},
-	"when the exit is frozen past the deadline":   {inject: freezeExit, mend: resumeExit, lasts: 3 * time.Second},
-	"when the entry is killed":                    {inject: killEntry, mend: none, entry: true},
-	"when the way to the exit is cut":             {inject: cutForward, mend: healAll, lasts: 3 * time.Second},
-	"when the way back is cut":                    {inject: cutReverse, mend: healAll, lasts: 3 * time.Second},
-	"when the way back is cut for a moment":       {inject: cutReverse, mend: healAll, lasts: 700 * time.Millisecond},
+	"with no fault":                                       {inject: noAction, end: noAction},
+	"when the exit is killed":                             {inject: killExit, end: startExit, duration: 500 * time.Millisecond},
+	"when the exit is frozen within the deadline":         {inject: freezeExit, end: resumeExit, duration: 700 * time.Millisecond},
+	"when the exit is frozen past the deadline":           {inject: freezeExit, end: resumeExit, duration: 3 * time.Second},
+	"when the entry is killed":                            {inject: killEntry, end: noAction, entry: true},
+	"when the link to the exit is cut":                    {inject: cutForward, end: healAll, duration: 3 * time.Second},
+	"when the link back to the entry is cut":              {inject: cutReverse, end: healAll, duration: 3 * time.Second},
+	"when the link back to the entry is cut for a moment": {inject: cutReverse, end: healAll, duration: 700 * time.Millisecond},
 }
 
 // stepResult is the outcome of the holds under one fault.
@@ -202,8 +202,8 @@
 	if !fault.entry {
 		calls.send(stepRequests(a, stepLate, 4))
 	}
-	time.Sleep(fault.lasts)
-	r.err = errors.Join(r.err, fault.mend(f, entry, exit))
+	time.Sleep(fault.duration)
+	r.err = errors.Join(r.err, fault.end(f, entry, exit))
 	calls.wg.Wait()
 	// Wait for late starts at the exit before the count.
 	time.Sleep(2 * time.Second)
@@ -214,9 +214,8 @@
 	return r
 }
 
-// Holds are at every step of a forward to one exit when a fault occurs: sent to
-// the upstream, waiting for a slot, or partly answered. A caller that gets "not
-// run" places the hold again; if it had run, the kit would be held and the deposit
+// A fault occurs with holds at every step of a forward to one exit. A caller that gets
+// "not run" places the hold again; if it had run, the kit would be held and the deposit
 // charged twice. A caller that gets part of a response must see that it was cut.
 var _ = Describe("A hold at every step of its forward", Ordered, ContinueOnFailure, func() {
 	results := make(map[string]stepResult)
@@ -271,29 +270,29 @@
 	count := make(map[string]int)
 	for id, reply := range told {
 		step, _, _ := strings.Cut(id, "-")
-		word := reply.Outcome
+		outcome := reply.Outcome
 		switch {
 		case reply.Err != nil && reply.Outcome == "":
-			word = "noword"
+			outcome = "noword"
 		case reply.Err != nil:
-			word = "cut"
+			outcome = "cut"
 		}
-		count[step+" "+word]++
-		Expect(runs[id]).To(BeNumerically("<=", 1), "%s ran more than once, told %s", id, word)
-		switch word {
+		count[step+" "+outcome]++
+		Expect(runs[id]).To(BeNumerically("<=", 1), "%s ran more than once, its caller got %s", id, outcome)
+		switch outcome {
 		case "answered":
 			Expect(reply.Status).To(Equal(http.StatusOK), id)
-			Expect(runs[id]).To(Equal(1), "%s was answered and did not run", id)
+			Expect(runs[id]).To(Equal(1), "%s got a response and did not run", id)
 			Expect(string(reply.Body)).To(ContainSubstring(fmt.Sprintf("%q", id)))
-			Expect(step != stepResponse || len(reply.Body) > dripBytes).To(BeTrue(), "%s: half an answer looks whole", id)
+			Expect(step != stepResponse || len(reply.Body) > dripBytes).To(BeTrue(), "%s: a truncated response looks complete", id)
 		case "notrun":
-			Expect(runs[id]).To(BeZero(), "%s was told as not run", id)
+			Expect(runs[id]).To(BeZero(), "%s ran, but its caller got a result of not run", id)
 			Expect(reply.Header.Get("Retry-After")).NotTo(BeEmpty(), id)
 		case "unknown", "cut":
 		case "noword":
-			Expect(entryDies).To(BeTrue(), "%s got no word: %v", id, reply.Err)
+			Expect(entryDies).To(BeTrue(), "%s got no response: %v", id, reply.Err)
 		default:
-			Fail(fmt.Sprintf("%s was told %q", id, word))
+			Fail(fmt.Sprintf("%s got the unexpected outcome %q", id, outcome))
 		}
 	}
 	AddReportEntry("told", count)
--- a/e2e/withdraw_test.go
+++ b/e2e/withdraw_test.go
@@ -121,7 +121,7 @@
 		for d, both := range clients {
 			for _, c := range both {
 				Eventually(func() int { return c.get(d, gone) }, configDeadline, "50ms").Should(Equal(http.StatusUnauthorized), d.Name())
-				Expect(c.reused).To(BeTrue(), "the connection stayed open")
+				Expect(c.reused).To(BeTrue(), "the connection was not reused")
 			}
 		}
 	})
@@ -155,7 +155,7 @@
 		expectRefusedEverywhere(f.Daemons(), withdrawn(1))
 	})
 
-	// A bundle that does not validate is published without the check. If it were
+	// A bundle that does not validate is published past the check. If it were
 	// applied, or the former one dropped for it, every caller would be refused.
 	It("stops with the next good bundle after a bad one, which changes nothing", func() {
 		bad, err := crpolicyfile.Pack(crpolicyfile.Policy{Accounts: []crpolicy.Account{{Name: "bad", Rate: -1, Burst: -1}}})
