--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -1,6 +1,8 @@
-// Package e2e proves the users' promises over real processes: daemons are
-// started from this test binary, killed, frozen, restarted and cut off from one
-// another, while the stand-ins count what really ran.
+// Package e2e tests the users' requirements over real processes. Daemons are
+// started from this test binary, killed, frozen, restarted and partitioned, while
+// simulated upstreams count the requests that ran. Most specs check one requirement
+// under one scripted fault; the soak specs run package lab/crsoak, which draws its
+// faults from a seed.
 package e2e_test
 
 import (
@@ -74,7 +76,7 @@
 	return out.String()
 }
 
-// refusals counts the answers of a status by what they said.
+// refusals counts the responses with a status by their message.
 func refusals(told []crload.Told, status int) string {
 	counts := make(map[string]int)
 	for _, t := range told {
@@ -85,11 +87,11 @@
 	return fmt.Sprint(counts)
 }
 
-// must is for steps that a spec takes for granted.
+// must fails the spec if a setup step returned an error.
 func must(err error) { ExpectWithOffset(1, err).NotTo(HaveOccurred()) }
 
-// timeline does steps beside the load, each a while after the one before; the
-// returned function waits for the last.
+// timeline runs steps in the background, each a given delay after the one before;
+// the returned function waits for the last.
 func timeline(steps ...any) (wait func()) {
 	done := make(chan struct{})
 	go func() {
@@ -104,22 +106,22 @@
 			case func():
 				step()
 			default:
-				Fail(fmt.Sprintf("%T is no step", step))
+				Fail(fmt.Sprintf("unsupported type of step: %T", step))
 			}
 		}
 	}()
 	return func() { <-done }
 }
 
-// run sends a plan's load and returns what callers were told.
+// run sends a plan's load and returns the report of the callers' results.
 func run(plan crload.Plan) *crload.Report {
 	report, err := crload.Run(context.Background(), plan)
 	must(err)
 	return report
 }
 
-// within is the context of a wait.
-func within(d time.Duration) context.Context {
+// withTimeout returns a context for a wait of at most d.
+func withTimeout(d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	DeferCleanup(cancel)
 	return ctx
@@ -131,22 +133,22 @@
 	holds = []crload.Call{{Method: "POST", Path: "/holds", Bytes: 200}}
 )
 
-// expectTrue compares what every caller was told with what ran at the upstreams.
-func expectTrue(f *crfleet.Fleet, report *crload.Report) map[crload.Result]int {
+// expectTruthful compares the result of every caller with what ran at the upstreams.
+func expectTruthful(f *crfleet.Fleet, report *crload.Report) map[crload.Result]int {
 	GinkgoHelper()
 	runs := f.Runs()
 	told := make(map[crload.Result]int)
 	for _, t := range report.Told() {
 		told[t.Result]++
 		if t.Method != "GET" {
-			Expect(runs[t.ID]).To(BeNumerically("<=", 1), "%s ran more than once, told %s", t.ID, t.Result)
+			Expect(runs[t.ID]).To(BeNumerically("<=", 1), "%s ran more than once, its caller got %s", t.ID, t.Result)
 		}
 		switch t.Result {
 		case crload.Answered:
-			Expect(runs[t.ID]).To(BeNumerically(">=", 1), "%s was answered and did not run", t.ID)
+			Expect(runs[t.ID]).To(BeNumerically(">=", 1), "%s got a response and did not run", t.ID)
 		case crload.NotRun:
-			Expect(runs[t.ID]).To(BeZero(), "%s was told as not run", t.ID)
-			Expect(t.Retry).To(BeTrue(), "%s was refused without a time to come back", t.ID)
+			Expect(runs[t.ID]).To(BeZero(), "%s ran, but its caller got a result of not run", t.ID)
+			Expect(t.Retry).To(BeTrue(), "%s was refused without a time to retry", t.ID)
 		case crload.Unknown, crload.Cut, crload.NoWord, crload.Mixed:
 		}
 	}
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -14,14 +14,14 @@
 	"camphorroad/lab/crsoak"
 )
 
-// soakLength is short, so that the check stays short; longer runs and fresh seeds
-// are played by hand with `camphorlab soak`.
+// soakLength is short to keep the check short; `camphorlab soak` runs longer ones
+// and new seeds.
 const soakLength = 8 * time.Second
 
 // soakNet is the second byte of the soak's loopback addresses.
 const soakNet = 90
 
-// soakSeed is a seed to play, and why.
+// soakSeed is a seed to run, and the reason for it.
 type soakSeed struct {
 	number uint64
 	why    string
@@ -41,18 +41,16 @@
 		}
 		seed, err := strconv.ParseUint(number, 10, 64)
 		if err != nil {
-			panic(fmt.Sprintf("testdata/soak.txt: %q is no seed", number))
+			panic(fmt.Sprintf("testdata/soak.txt: invalid seed %q", number))
 		}
 		out = append(out, soakSeed{number: seed, why: why})
 	}
 	return out
 }
 
-// Faults of all kinds come in series and one upon the other, while callers keep
-// their connections open until the process at the other end is gone. Whatever
-// happens, nothing runs twice, no refusal is a lie, no answer is another's, and no
-// account gets more than its rate; and where nothing harmed a machine, it keeps
-// its times, too.
+// Faults come in series and overlap, while callers keep their connections open until
+// the other process has exited. Nothing runs twice, refusals are truthful, responses
+// match requests, rates hold, and a machine without a fault meets its time limits.
 var _ = Describe("A fleet that joins through the store's records, under faults", Ordered, func() {
 	for _, seed := range soakSeeds() {
 		It(fmt.Sprintf("keeps its promises, seed %d: %s", seed.number, seed.why), func(ctx SpecContext) {
