--- a/lab/crexperiment/crexperiment.go
+++ b/lab/crexperiment/crexperiment.go
@@ -1,12 +1,13 @@
-// Package crexperiment plays a fleet's decisions in virtual time, under a load and with
-// targets that turn sick, beside baselines.
+// Package crexperiment simulates request routing in virtual time, with targets that
+// become unhealthy, and compares the product's policy with baseline policies.
+// Package crload, in contrast, sends real requests to running daemons.
 //
-// What decides is the product's own code: the board that chooses targets, the gate and
-// the judgement at each exit, the budget of repeats. What is modelled is the world: the
-// targets with their slots, work and gray phases, the calls between services, links
-// and callers. A run of one seed always gives the same result. Of accounts, the store,
-// cuts, pauses and the ways to lose machines it knows nothing yet, and the loop over
-// targets is written again here, as the entry's own waits on sockets.
+// The simulation runs the product's own code for load balancing, admission control and
+// health estimation at each exit, and for the retry budget. It models the targets (slots,
+// work, phases in which they fail requests), nested requests, network delay and callers.
+// A run with the same seed always gives the same result. Accounts, the store, network
+// partitions, process pauses and loss of machines are not modelled. The loop over targets
+// is implemented again here, because that of the product waits on sockets.
 //
 // # Usage
 //
@@ -28,27 +29,27 @@
 	"camphorroad/core/crpolicy"
 )
 
-// ErrExperiment tells what is wrong with an experiment's file.
+// ErrExperiment is the error of an invalid experiment file.
 var ErrExperiment = errors.New("bad experiment")
 
-// Duration is a time as a file writes it, for example "1.5s".
+// Duration is a duration in an experiment file, for example "1.5s".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no time such as 1.5s", text)
+		return fmt.Errorf("%q is not a duration such as 1.5s", text)
 	}
 	*d = Duration(v)
 	return nil
 }
 
-// Service is a set of targets that do the same.
+// Service is a set of equivalent targets.
 type Service struct {
 	Name    crid.Service `toml:"name"`
 	Targets int          `toml:"targets"`
-	Slots   int          `toml:"slots"` // of each
+	Slots   int          `toml:"slots"` // of each target
 }
 
 // Kind is a kind of request.
@@ -57,13 +58,13 @@
 	Service   crid.Service `toml:"service"`
 	Once      bool         `toml:"once"`     // may run only once
 	Priority  int          `toml:"priority"` // 0 is the most urgent
-	Rate      float64      `toml:"rate"`     // a second; zero: it comes only as a call
-	Work      Duration     `toml:"work"`     // mean
-	Spread    float64      `toml:"spread"`   // of the logarithm
+	Rate      float64      `toml:"rate"`     // requests per second; zero: only nested requests
+	Work      Duration     `toml:"work"`     // mean work time
+	Spread    float64      `toml:"spread"`   // standard deviation of the logarithm of the work time
 	Objective Duration     `toml:"objective"`
 	Timeout   Duration     `toml:"timeout"`
-	Call      string       `toml:"call"`  // the kind that it calls; empty: none
-	Share     float64      `toml:"share"` // of requests that make the call
+	Call      string       `toml:"call"`  // kind of its nested request; empty: none
+	Share     float64      `toml:"share"` // of requests that make a nested request
 }
 
 func (k *Kind) class() crpolicy.Class {
@@ -73,38 +74,39 @@
 	return crpolicy.ClassRepeat
 }
 
-// Sick says how targets turn sick.
+// Sick describes when targets are unhealthy and how often requests fail.
 type Sick struct {
-	Share float64  `toml:"share"` // of the time that a target is sick
-	Every Duration `toml:"every"` // after which it is drawn anew whether a target is sick
-	Fails float64  `toml:"fails"` // share of requests that a sick target breaks off
-	Error float64  `toml:"error"` // share that a well target fails
+	Share float64  `toml:"share"` // of the time that a target is unhealthy
+	Every Duration `toml:"every"` // length of a phase; the health of a target is drawn again after it
+	Fails float64  `toml:"fails"` // share of requests that an unhealthy target fails
+	Error float64  `toml:"error"` // share of the other requests that fail
 }
 
-// Experiment is what is played.
+// Experiment is the configuration of a simulation.
 type Experiment struct {
 	Name     string    `toml:"name"`
 	Seeds    []uint64  `toml:"seeds"`
 	Length   Duration  `toml:"length"`
-	Load     float64   `toml:"load"` // times the kinds' rates
+	Load     float64   `toml:"load"` // factor on the rates of the kinds
 	Domains  int       `toml:"domains"`
-	Delay    Duration  `toml:"delay"` // one way between domains
+	Delay    Duration  `toml:"delay"` // one-way delay between domains
 	Policies []string  `toml:"policies"`
 	Services []Service `toml:"service"`
 	Kinds    []Kind    `toml:"kind"`
 	Sick     Sick      `toml:"sick"`
 }
 
-// Load reads and checks an experiment's file. The error names file, line and key.
+// Load reads and checks an experiment file. The error names the file, and the line and
+// key of a syntax error.
 func Load(file string) (*Experiment, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrExperiment, err)
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // opened for reading only
 	x := &Experiment{Load: 1, Domains: 1, Seeds: []uint64{1}, Policies: PolicyNames()}
 	if err := toml.NewDecoder(f).DisallowUnknownFields().Decode(x); err != nil {
-		return nil, fmt.Errorf("%w: %s: %s", ErrExperiment, file, place(err))
+		return nil, fmt.Errorf("%w: %s: %s", ErrExperiment, file, describeError(err))
 	}
 	if err := x.Check(); err != nil {
 		return nil, fmt.Errorf("%w: %s: %w", ErrExperiment, file, err)
@@ -112,8 +114,8 @@
 	return x, nil
 }
 
-// place says in one line where in a file an error is.
-func place(err error) string {
+// describeError formats a decoding error with its line and key.
+func describeError(err error) string {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		row, _ := strict.Errors[0].Position()
@@ -127,7 +129,7 @@
 	return err.Error()
 }
 
-// Check says what is wrong with an experiment.
+// Check returns the first fault of an experiment.
 func (x *Experiment) Check() error {
 	services := make(map[crid.Service]bool)
 	for _, s := range x.Services {
@@ -152,28 +154,28 @@
 	}
 	for _, p := range x.Policies {
 		if _, ok := policies[p]; !ok {
-			return fmt.Errorf("policies: %q is none of %v", p, PolicyNames())
+			return fmt.Errorf("policies: %q is not one of %v", p, PolicyNames())
 		}
 	}
 	switch {
 	case len(x.Services) == 0 || len(x.Kinds) == 0:
-		return errors.New("a service and a kind are needed")
+		return errors.New("at least one service and one kind are required")
 	case x.Length <= 0:
 		return errors.New("length: must be above zero")
 	case x.Domains < 1 || x.Load <= 0:
 		return errors.New("domains and load must be above zero")
 	case x.Sick.Share < 0 || x.Sick.Share >= 1 || (x.Sick.Share > 0 && x.Sick.Every <= 0):
-		return errors.New("sick: share must be from 0 to under 1, and every above zero with it")
+		return errors.New("sick: share must be from 0 to under 1, and every must be above zero with it")
 	}
 	return nil
 }
 
-// Run plays all policies with all seeds, in their order.
+// Run simulates every policy with every seed, in the order of the file.
 func (x *Experiment) Run() []Result {
 	var out []Result
 	for _, name := range x.Policies {
 		for _, seed := range x.Seeds {
-			out = append(out, x.play(name, seed))
+			out = append(out, x.simulate(name, seed))
 		}
 	}
 	return out
--- a/lab/crexperiment/crexperiment_test.go
+++ b/lab/crexperiment/crexperiment_test.go
@@ -21,19 +21,18 @@
 	return x
 }
 
-// A change is judged by two plays of one seed. If a play depended on the machine or on
-// the order of a map, the difference would say nothing.
-func TestASeedAlwaysGivesTheSame(t *testing.T) {
+// Two runs with one seed must not differ by the machine or by map iteration order.
+func TestSameSeedGivesSameResult(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := load(t)
 	x.Seeds, x.Length = []uint64{7}, crexperiment.Duration(10*time.Second)
 	g.Expect(x.Run()).To(gomega.Equal(x.Run()))
 }
 
-// Three in ten targets are sick at any moment and their health pages are good. The
-// more a fleet knows of its targets, the more callers it serves: nobody judging,
-// each entry by its own answers, exits that see all answers, all states known.
-func TestWhoKnowsMoreServesMore(t *testing.T) {
+// Three in ten targets are unhealthy at any moment while their health checks pass. The
+// served share must rise from no detection, to detection per entry, detection at the
+// exits, and full knowledge.
+func TestServedShareRisesWithHealthInformation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := load(t)
 	served := make(map[string]crexperiment.Row)
@@ -43,14 +42,14 @@
 	g.Expect(served["none"].Served).To(gomega.BeNumerically("<", served["own"].Served))
 	g.Expect(served["own"].Served).To(gomega.BeNumerically("<", served["product"].Served))
 	g.Expect(served["product"].Served).To(gomega.BeNumerically("<", served["oracle"].Served))
-	g.Expect(served["oracle"].Lost).To(gomega.BeZero())
+	g.Expect(served["oracle"].OnceFailed).To(gomega.BeZero())
 	g.Expect(served["product"].P50).To(gomega.BeNumerically("<", served["own"].P50))
 	g.Expect(served["oracle"].Served-served["product"].Served).To(gomega.BeNumerically("<", 0.03), "gap to the limit")
 }
 
-// Twice the load that the targets can do comes in. Whatever is not served must be
-// refused at once and truly; what is served must come in time.
-func TestOverloadIsRefusedAndNotLate(t *testing.T) {
+// At twice the capacity of the targets, excess requests must be refused at once, without being
+// run, and served requests must meet their objective.
+func TestOverloadIsRefusedNotLate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := load(t)
 	x.Load, x.Policies, x.Seeds, x.Sick.Share = 5, []string{"product"}, []uint64{1}, 0
@@ -61,18 +60,18 @@
 	g.Expect(order.Refused).To(gomega.BeNumerically(">", 4*order.Failed), "%+v", order)
 }
 
-func TestMistakesInAFileAreNamed(t *testing.T) {
+func TestLoadReportsInvalidFile(t *testing.T) {
 	good, err := os.ReadFile("testdata/orders.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, change := range map[string][3]string{
-		"unknown key":    {"domains = 3", "zones = 3", "line 6: unknown key [zones]"},
-		"no time":        {`every = "9s"`, `every = "often"`, "often"},
-		"no service":     {`service = "menus"`, `service = "menu"`, `no service is named "menu"`},
-		"no called kind": {`call = "routeread"`, `call = "route"`, `no kind is named "route"`},
-		"no slots":       {"slots = 5", "slots = 0", "slots must be 1 or more"},
-		"all sick":       {"share = 0.3", "share = 1.0", "share must be from 0 to under 1"},
+		"unknown key":         {"domains = 3", "zones = 3", "line 6: unknown key [zones]"},
+		"invalid duration":    {`every = "9s"`, `every = "often"`, "often"},
+		"unknown service":     {`service = "menus"`, `service = "menu"`, `no service is named "menu"`},
+		"unknown nested kind": {`call = "routeread"`, `call = "route"`, `no kind is named "route"`},
+		"no slots":            {"slots = 5", "slots = 0", "slots must be 1 or more"},
+		"share of one":        {"share = 0.3", "share = 1.0", "share must be from 0 to under 1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -86,9 +85,9 @@
 	}
 }
 
-// A day of 24 daemons has to play in less than two seconds on one core: 0.07 s for the
-// 40 s of the file.
-func BenchmarkADay(b *testing.B) {
+// A day of 24 daemons must be simulated in less than two seconds on one core: 0.07 s for
+// the 40 s of the file.
+func BenchmarkDay(b *testing.B) {
 	x, err := crexperiment.Load("testdata/orders.toml")
 	if err != nil {
 		b.Fatal(err)
--- a/lab/crexperiment/plot.go
+++ b/lab/crexperiment/plot.go
@@ -14,7 +14,7 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// Plot draws the share that was served over the load, a line a policy.
+// Plot draws the share of served requests over the load, with one line per policy.
 func Plot(rows []Row, file string) error {
 	p := plot.New()
 	p.Title.Text = "Requests served"
@@ -34,10 +34,10 @@
 		lines = append(lines, policy, points[policy])
 	}
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
-		return fmt.Errorf("draw: %w", err)
+		return fmt.Errorf("plot: %w", err)
 	}
 	if err := p.Save(plotWidth, plotHeight, file); err != nil {
-		return fmt.Errorf("draw: %w", err)
+		return fmt.Errorf("plot: %w", err)
 	}
 	return nil
 }
--- a/lab/crexperiment/policy.go
+++ b/lab/crexperiment/policy.go
@@ -10,105 +10,106 @@
 	"camphorroad/core/crplace"
 )
 
-// policy is how a fleet learns which targets are sick.
+// policy determines how the entries detect unhealthy targets.
 type policy struct {
-	// believe returns what an entry holds of a target, of which its exit told.
-	believe func(e *entry, x *exit, told crplace.LoadReport) crplace.LoadReport
-	// learn takes an answer that an entry got as evidence.
-	learn func(e *entry, x *exit, ok bool)
-	// judged has the exit refuse what its target would probably fail.
-	judged bool
-	// fresh has entries know all targets as they are at each choice.
-	fresh bool
+	// view returns the load report that an entry uses, given the last one from the exit.
+	view func(e *entry, x *exit, report crplace.LoadReport) crplace.LoadReport
+	// observe records a response that an entry received.
+	observe func(e *entry, x *exit, ok bool)
+	// rejectUnhealthy makes an exit refuse requests while its target is probably unhealthy.
+	rejectUnhealthy bool
+	// currentState gives entries the current state of all targets at each choice.
+	currentState bool
 }
 
 const (
-	// strikes and held are those of a fixed threshold: failures in a row, and how
-	// long a target is left out after them.
-	strikes = 3
-	held    = 5 * time.Second
+	// A target is ejected for ejectionTime after maxFailures consecutive failures.
+	maxFailures  = 3
+	ejectionTime = 5 * time.Second
 )
 
 var policies = map[string]policy{
-	// The product: the exit judges by all answers and tells peers.
-	"product": {believe: asTold, learn: nothing, judged: true},
-	// Each entry judges by the answers that it got itself.
-	"own": {believe: byOwn, learn: func(e *entry, x *exit, ok bool) { e.judge(x).Observe(e.world.now, sign(ok)) }},
-	// Each entry leaves a target out after failures in a row.
-	"threshold": {believe: byStrikes, learn: func(e *entry, x *exit, ok bool) { e.strike(x, ok) }},
-	// Nobody judges.
-	"none": {believe: func(_ *entry, _ *exit, told crplace.LoadReport) crplace.LoadReport { return withSick(told, 0) }, learn: nothing},
-	// All entries know the state and load of all targets at once, and no message is needed.
-	"oracle": {believe: byTruth, learn: nothing, fresh: true},
+	// The product: the exit estimates health from all responses and reports it to all entries.
+	"product": {view: reported, observe: ignoreResponse, rejectUnhealthy: true},
+	// Each entry estimates health from the responses that it received itself.
+	"own": {view: ownEstimate, observe: func(e *entry, x *exit, ok bool) { e.estimator(x).Observe(e.world.now, observation(ok)) }},
+	// Each entry ejects a target after consecutive failures.
+	"threshold": {view: ejectionState, observe: func(e *entry, x *exit, ok bool) { e.countFailure(x, ok) }},
+	// All targets count as healthy.
+	"none": {view: func(_ *entry, _ *exit, report crplace.LoadReport) crplace.LoadReport {
+		return withUnhealthyProb(report, 0)
+	}, observe: ignoreResponse},
+	// All entries know the state and load of all targets without delay.
+	"oracle": {view: actualHealth, observe: ignoreResponse, currentState: true},
 }
 
 // PolicyNames returns the names of the policies.
 func PolicyNames() []string { return slices.Sorted(maps.Keys(policies)) }
 
-func nothing(*entry, *exit, bool) {}
+func ignoreResponse(*entry, *exit, bool) {}
 
-func sign(ok bool) crjudge.Observation {
+func observation(ok bool) crjudge.Observation {
 	if ok {
 		return crjudge.Success
 	}
 	return crjudge.Failure
 }
 
-func withSick(t crplace.LoadReport, sick float64) crplace.LoadReport {
-	t.UnhealthyProb = sick
+func withUnhealthyProb(t crplace.LoadReport, unhealthy float64) crplace.LoadReport {
+	t.UnhealthyProb = unhealthy
 	return t
 }
 
-func asTold(_ *entry, _ *exit, told crplace.LoadReport) crplace.LoadReport { return told }
+func reported(_ *entry, _ *exit, report crplace.LoadReport) crplace.LoadReport { return report }
 
-func byOwn(e *entry, x *exit, told crplace.LoadReport) crplace.LoadReport {
-	return withSick(told, e.judge(x).UnhealthyProb(e.world.now))
+func ownEstimate(e *entry, x *exit, report crplace.LoadReport) crplace.LoadReport {
+	return withUnhealthyProb(report, e.estimator(x).UnhealthyProb(e.world.now))
 }
 
-func byStrikes(e *entry, x *exit, told crplace.LoadReport) crplace.LoadReport {
-	if e.world.now < e.out[x.target] {
-		return withSick(told, 1)
+func ejectionState(e *entry, x *exit, report crplace.LoadReport) crplace.LoadReport {
+	if e.world.now < e.ejectedUntil[x.target] {
+		return withUnhealthyProb(report, 1)
 	}
-	return withSick(told, 0)
+	return withUnhealthyProb(report, 0)
 }
 
-func byTruth(_ *entry, x *exit, told crplace.LoadReport) crplace.LoadReport {
-	if x.sick {
-		return withSick(told, 1)
+func actualHealth(_ *entry, x *exit, report crplace.LoadReport) crplace.LoadReport {
+	if x.unhealthy {
+		return withUnhealthyProb(report, 1)
 	}
-	return withSick(told, 0)
+	return withUnhealthyProb(report, 0)
 }
 
-func (e *entry) judge(x *exit) *crjudge.Estimator {
-	j := e.judges[x.target]
+func (e *entry) estimator(x *exit) *crjudge.Estimator {
+	j := e.estimators[x.target]
 	if j == nil {
 		j = crjudge.New(e.world.now)
-		e.judges[x.target] = j
+		e.estimators[x.target] = j
 	}
 	return j
 }
 
-func (e *entry) strike(x *exit, ok bool) {
+func (e *entry) countFailure(x *exit, ok bool) {
 	if ok {
-		e.strikes[x.target] = 0
+		e.failures[x.target] = 0
 		return
 	}
-	e.strikes[x.target]++
-	if e.strikes[x.target] >= strikes {
-		e.strikes[x.target] = 0
-		e.out[x.target] = e.world.now.Add(held)
+	e.failures[x.target]++
+	if e.failures[x.target] >= maxFailures {
+		e.failures[x.target] = 0
+		e.ejectedUntil[x.target] = e.world.now.Add(ejectionTime)
 	}
 }
 
-// refresh brings what an entry holds of a service's targets up to date where its policy
-// does not wait for messages.
+// refresh recomputes the load reports of a service's targets before a choice. A policy
+// with currentState reads them from the exits without a message.
 func (e *entry) refresh(s crid.Service) {
 	p := e.world.policy
 	for _, x := range e.world.services[s] {
-		told := e.told[x.target]
-		if p.fresh {
-			told = x.told()
+		report := e.reports[x.target]
+		if p.currentState {
+			report = x.loadReport()
 		}
-		e.board.Report(x.target, p.believe(e, x, told))
+		e.balancer.Report(x.target, p.view(e, x, report))
 	}
 }
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -12,112 +12,112 @@
 )
 
 const (
-	offersMost = 8                      // of one request
-	trialEvery = 400 * time.Millisecond // between trials of a sick target
+	maxOffers     = 8                      // exits that one request is offered to
+	probeInterval = 400 * time.Millisecond // between probes of an unhealthy target
 )
 
-// request is one request on its way over targets.
+// request is a request from its arrival at an entry to its result.
 type request struct {
 	entry    *entry
 	kind     *Kind
-	call     bool
+	nested   bool
 	started  crid.Instant
 	deadline crid.Instant
 	tried    []crid.Target
-	sent     int
-	ran      bool
+	attempts int
+	executed bool
 	done     func(ok bool)
 }
 
-// send is one request at one exit.
-type send struct {
+// attempt is one attempt of a request, at one exit.
+type attempt struct {
 	*request
-	exit   *exit
-	last   bool
-	ticket *crgate.Ticket
-	ended  bool
+	exit       *exit
+	lastResort bool
+	ticket     *crgate.Ticket
+	ended      bool
 }
 
-func (k *Kind) pace() crpace.Kind {
+func (k *Kind) pacing() crpace.Kind {
 	return crpace.Kind{Class: k.class(), Objective: time.Duration(k.Objective)}
 }
 
-func (e *entry) start(k *Kind, deadline crid.Instant, call bool, done func(bool)) {
-	r := &request{entry: e, kind: k, call: call, started: e.world.now, deadline: deadline, done: done}
+func (e *entry) start(k *Kind, deadline crid.Instant, nested bool, done func(bool)) {
+	r := &request{entry: e, kind: k, nested: nested, started: e.world.now, deadline: deadline, done: done}
 	e.world.result.Kinds[k.Name].Asked++
 	e.budget.RecordRequest(e.world.now, k.Service)
 	r.next()
 }
 
-// again reports whether the request could be sent to one more target after the next.
-func (r *request) again() bool {
+// canRetry reports whether the request may be retried after the next attempt.
+func (r *request) canRetry() bool {
 	e := r.entry
-	return !r.kind.Once && r.sent+1 < targetsOf && e.budget.Affords(e.world.now, r.kind.Service, len(e.world.entries), 1)
+	return !r.kind.Once && r.attempts+1 < maxAttempts && e.budget.Affords(e.world.now, r.kind.Service, len(e.world.entries), 1)
 }
 
 func (r *request) next() {
 	e, w := r.entry, r.entry.world
-	if w.now >= r.deadline || len(r.tried) >= offersMost {
+	if w.now >= r.deadline || len(r.tried) >= maxOffers {
 		r.finish(false)
 		return
 	}
 	e.refresh(r.kind.Service)
-	choice, ok := e.board.Choose(w.now, w.list[r.kind.Service], crplace.Request{
-		Class: r.kind.class(), Domain: e.domain, Tried: r.tried, Rand: w.rng.Float64, NoRetry: !r.again(), Nested: r.call,
+	choice, ok := e.balancer.Choose(w.now, w.candidates[r.kind.Service], crplace.Request{
+		Class: r.kind.class(), Domain: e.domain, Tried: r.tried, Rand: w.rng.Float64, NoRetry: !r.canRetry(), Nested: r.nested,
 	})
-	if !ok || (r.sent > 0 && !e.budget.Spend(w.now, r.kind.Service, len(w.entries), 1)) {
+	if !ok || (r.attempts > 0 && !e.budget.Spend(w.now, r.kind.Service, len(w.entries), 1)) {
 		r.finish(false)
 		return
 	}
 	x := w.services[r.kind.Service][slices.IndexFunc(w.services[r.kind.Service], func(x *exit) bool { return x.target == choice.Target })]
 	r.tried = append(r.tried, choice.Target)
-	s := &send{request: r, exit: x, last: choice.LastResort}
-	w.after(w.hop(e, x), s.offer)
+	s := &attempt{request: r, exit: x, lastResort: choice.LastResort}
+	w.after(w.delay(e, x), s.offer)
 }
 
-// fit reports whether the exit takes requests for its target now.
-func (s *send) fit() bool {
+// accepts reports whether the exit accepts the request, given the health of its target.
+func (s *attempt) accepts() bool {
 	x, now := s.exit, s.exit.world.now
-	if !x.world.policy.judged || x.judge.UnhealthyProb(now) < crjudge.Threshold || s.last {
+	if !x.world.policy.rejectUnhealthy || x.estimator.UnhealthyProb(now) < crjudge.Threshold || s.lastResort {
 		return true
 	}
-	if s.kind.Once || now.Sub(x.trial) < trialEvery {
+	if s.kind.Once || now.Sub(x.lastProbe) < probeInterval {
 		return false
 	}
-	x.trial = now
+	x.lastProbe = now
 	return true
 }
 
-func (s *send) offer() {
+func (s *attempt) offer() {
 	x, w := s.exit, s.exit.world
-	terms := crgate.Timing{
-		Kind: s.kind.pace(), Nested: s.call, Objective: time.Duration(s.kind.Objective) - w.now.Sub(s.started), TimeLeft: s.deadline.Sub(w.now),
+	timing := crgate.Timing{
+		Kind: s.kind.pacing(), Nested: s.nested, Objective: time.Duration(s.kind.Objective) - w.now.Sub(s.started), TimeLeft: s.deadline.Sub(w.now),
 	}
-	if s.fit() {
+	if s.accepts() {
 		ticket, refusal := x.gate.Admit(w.now, crgate.Request{
-			Kind: terms.Kind, Nested: s.call, Priority: s.kind.Priority, LatestStart: x.gate.LatestStart(w.now, terms),
+			Kind: timing.Kind, Nested: s.nested, Priority: s.kind.Priority, LatestStart: x.gate.LatestStart(w.now, timing),
 		})
 		if refusal == nil {
 			s.ticket = ticket
 			x.waiting = append(x.waiting, s)
-			x.grant()
+			x.runAdmitted()
 			return
 		}
 	}
-	s.back(s.next)
+	s.respond(s.next)
 }
 
-// back brings an answer to the entry, with what the exit tells of its target.
-func (s *send) back(then func()) {
-	told := s.exit.told()
-	s.exit.world.after(s.exit.world.hop(s.entry, s.exit), func() {
-		s.entry.hear(s.exit, told)
+// respond sends a response to the entry, with the load report of the target.
+func (s *attempt) respond(then func()) {
+	report := s.exit.loadReport()
+	s.exit.world.after(s.exit.world.delay(s.entry, s.exit), func() {
+		s.entry.receive(s.exit, report)
 		then()
 	})
 }
 
-// grant begins what has got its slot, and sends on what has lost its place.
-func (x *exit) grant() {
+// runAdmitted runs the requests that were admitted, and returns refused ones to their entries.
+func (x *exit) runAdmitted() {
 	waiting := x.waiting
 	x.waiting = nil
 	for _, s := range waiting {
@@ -127,81 +127,82 @@
 				s.run()
 				continue
 			}
-			s.back(s.next)
+			s.respond(s.next)
 		default:
 			x.waiting = append(x.waiting, s)
 		}
 	}
 }
 
-// run has the target work on the request, and make its call meanwhile.
-func (s *send) run() {
+// run executes the request at the target, with its nested request in parallel.
+func (s *attempt) run() {
 	x, w := s.exit, s.exit.world
-	s.sent++
-	began := w.now
-	if x.sick && w.rng.Float64() < w.x.Sick.Fails {
+	s.attempts++
+	runStart := w.now
+	if x.unhealthy && w.rng.Float64() < w.x.Sick.Fails {
 		if s.kind.Once {
 			w.result.OnceToSick++
 		}
-		w.after(breakTime, func() { s.end(began, false, true) })
+		w.after(failureDelay, func() { s.complete(runStart, false, true) })
 		return
 	}
 	ok := w.rng.Float64() >= w.x.Sick.Error
-	parts := 1
-	part := func(well bool) {
-		parts--
+	pending := 1
+	partDone := func(success bool) {
+		pending--
 		switch {
 		case s.ended:
-		case !well:
-			s.end(began, false, false)
-		case parts == 0:
-			s.end(began, ok, !ok)
+		case !success:
+			s.complete(runStart, false, false)
+		case pending == 0:
+			s.complete(runStart, ok, !ok)
 		}
 	}
 	if s.kind.Call != "" && w.rng.Float64() < s.kind.Share {
-		parts++
-		x.beside.start(w.kinds[s.kind.Call], s.deadline, true, part)
+		pending++
+		x.localEntry.start(w.kinds[s.kind.Call], s.deadline, true, partDone)
 	}
-	w.after(w.work(s.kind), func() { part(true) })
+	w.after(w.workTime(s.kind), func() { partDone(true) })
 	w.after(s.deadline.Sub(w.now), func() {
 		if !s.ended {
-			s.end(began, false, false)
+			s.complete(runStart, false, false)
 		}
 	})
 }
 
-// end frees the slot and tells the entry; fault says that a failure is the target's own.
-func (s *send) end(began crid.Instant, ok, fault bool) {
+// complete frees the slot and responds to the entry. fault marks a failure of the target
+// itself, as opposed to a failure of its nested request.
+func (s *attempt) complete(runStart crid.Instant, ok, fault bool) {
 	x, w := s.exit, s.exit.world
 	s.ended = true
 	took := time.Duration(0)
 	if ok {
-		took = w.now.Sub(began)
+		took = w.now.Sub(runStart)
 	}
 	x.gate.Release(w.now, s.ticket, took)
 	if ok || fault {
-		x.note(sign(ok))
+		x.observe(observation(ok))
 	}
-	s.back(func() {
+	s.respond(func() {
 		if ok || fault {
-			w.policy.learn(s.entry, x, ok)
+			w.policy.observe(s.entry, x, ok)
 		}
-		s.answered(ok)
+		s.handleResponse(ok)
 	})
-	x.grant()
+	x.runAdmitted()
 }
 
-func (x *exit) note(sign crjudge.Observation) {
-	x.judge.Observe(x.world.now, sign)
-	if sick := x.judge.UnhealthyProb(x.world.now) >= crjudge.Threshold; sick != x.held {
-		x.held = sick
-		x.tell()
+func (x *exit) observe(observation crjudge.Observation) {
+	x.estimator.Observe(x.world.now, observation)
+	if unhealthy := x.estimator.UnhealthyProb(x.world.now) >= crjudge.Threshold; unhealthy != x.reportedUnhealthy {
+		x.reportedUnhealthy = unhealthy
+		x.broadcast()
 	}
 }
 
-func (r *request) answered(ok bool) {
-	r.ran = true
-	if !ok && !r.kind.Once && r.sent < targetsOf {
+func (r *request) handleResponse(ok bool) {
+	r.executed = true
+	if !ok && !r.kind.Once && r.attempts < maxAttempts {
 		r.next()
 		return
 	}
@@ -216,7 +217,7 @@
 		c.InTime++
 	case ok:
 		c.Late++
-	case r.ran:
+	case r.executed:
 		c.Failed++
 	default:
 		c.Refused++
--- a/lab/crexperiment/result.go
+++ b/lab/crexperiment/result.go
@@ -7,53 +7,54 @@
 	"time"
 )
 
-// Count is what became of the requests of a kind.
+// Count holds the results of the requests of a kind.
 type Count struct {
 	Asked   int `json:"asked"`
 	InTime  int `json:"intime"`
 	Late    int `json:"late"`
 	Refused int `json:"refused"` // not run
-	Failed  int `json:"failed"`  // failed, or nobody knows
+	Failed  int `json:"failed"`  // failed, or result unknown
 }
 
-// Result is one play.
+// Result is the result of one simulation.
 type Result struct {
 	Policy     string            `json:"policy"`
 	Seed       uint64            `json:"seed"`
 	Load       float64           `json:"load"`
 	Kinds      map[string]*Count `json:"kinds"`
-	Detection  []time.Duration   `json:"detection"`  // of each sick phase; one never found counts with its length
-	Mistaken   int               `json:"mistaken"`   // looks at well targets that half of the entries held sick
-	Well       int               `json:"well"`       // looks at well targets
-	OnceToSick int               `json:"oncetosick"` // requests that may run once broken off by sick targets
+	Detection  []time.Duration   `json:"detection"`  // per unhealthy phase; an undetected phase counts with its length
+	Mistaken   int               `json:"mistaken"`   // samples of healthy targets that half of the entries took for unhealthy
+	Well       int               `json:"well"`       // samples of healthy targets
+	OnceToSick int               `json:"oncetosick"` // once-only requests failed by unhealthy targets
 }
 
-// Row is a line of a table: one policy at one load, over its seeds.
+// Row is a table row: one policy at one load, over all seeds.
 type Row struct {
-	Policy string
-	Load   float64
-	Served float64 // share of the callers' requests
-	InTime float64
-	Failed float64
-	P50    time.Duration // until a sick target is found
-	P95    time.Duration
-	Aside  float64 // share of well targets' time in which they were held sick
-	Lost   int     // once-only requests broken off by sick targets
+	Policy        string
+	Load          float64
+	Served        float64 // share of requests
+	InTime        float64
+	Failed        float64
+	P50           time.Duration // time to detect an unhealthy target
+	P95           time.Duration
+	FalsePositive float64 // share of samples of healthy targets that were taken for unhealthy
+	OnceFailed    int     // once-only requests failed by unhealthy targets
 }
 
-// Served is the share of requests of callers, not of calls, that were answered well.
+// Served is the share of the counted requests that succeeded. [Experiment.Rows] leaves
+// out nested requests.
 func (r Result) Served() float64 { return r.share(func(c *Count) int { return c.InTime + c.Late }) }
 
-func (r Result) share(of func(*Count) int) float64 {
+func (r Result) share(count func(*Count) int) float64 {
 	asked, n := 0, 0
 	for _, c := range r.Kinds {
 		asked += c.Asked
-		n += of(c)
+		n += count(c)
 	}
 	return float64(n) / float64(max(asked, 1))
 }
 
-// Rows sums results up, a row a policy and load, in the order of the results.
+// Rows summarizes results, with one row per policy and load, in the order of the results.
 func (x *Experiment) Rows(results []Result) []Row {
 	type key struct {
 		policy string
@@ -77,26 +78,27 @@
 
 func (x *Experiment) row(policy string, load float64, group []Result) Row {
 	out := Row{Policy: policy, Load: load}
-	var found []time.Duration
-	aside, well := 0, 0
+	var detection []time.Duration
+	falsePositives, success := 0, 0
 	n := float64(len(group))
 	for _, r := range group {
-		r.Kinds = x.outer(r.Kinds)
+		r.Kinds = x.withoutNested(r.Kinds)
 		out.Served += r.Served() / n
 		out.InTime += r.share(func(c *Count) int { return c.InTime }) / n
 		out.Failed += r.share(func(c *Count) int { return c.Failed }) / n
-		out.Lost += r.OnceToSick
-		found = append(found, r.Detection...)
-		aside, well = aside+r.Mistaken, well+r.Well
+		out.OnceFailed += r.OnceToSick
+		detection = append(detection, r.Detection...)
+		falsePositives, success = falsePositives+r.Mistaken, success+r.Well
 	}
-	slices.Sort(found)
-	out.P50, out.P95 = quantile(found, 0.5), quantile(found, 0.95)
-	out.Aside = float64(aside) / float64(max(well, 1))
+	slices.Sort(detection)
+	out.P50, out.P95 = quantile(detection, 0.5), quantile(detection, 0.95)
+	out.FalsePositive = float64(falsePositives) / float64(max(success, 1))
 	return out
 }
 
-// outer leaves kinds away that come only as calls: they fail their parents.
-func (x *Experiment) outer(kinds map[string]*Count) map[string]*Count {
+// withoutNested drops the kinds that occur only as nested requests: their failures already count
+// as failures of the requests that made them.
+func (x *Experiment) withoutNested(kinds map[string]*Count) map[string]*Count {
 	out := maps.Clone(kinds)
 	for _, k := range x.Kinds {
 		if k.Rate == 0 {
@@ -122,6 +124,6 @@
 func (r Row) Cells() []string {
 	return []string{
 		r.Policy, fmt.Sprintf("%.2f", r.Load), fmt.Sprintf("%.3f", r.Served), fmt.Sprintf("%.3f", r.InTime), fmt.Sprintf("%.3f", r.Failed),
-		r.P50.Round(10 * time.Millisecond).String(), r.P95.Round(10 * time.Millisecond).String(), fmt.Sprintf("%.3f", r.Aside), fmt.Sprint(r.Lost),
+		r.P50.Round(10 * time.Millisecond).String(), r.P95.Round(10 * time.Millisecond).String(), fmt.Sprintf("%.3f", r.FalsePositive), fmt.Sprint(r.OnceFailed),
 	}
 }
--- a/lab/crexperiment/world.go
+++ b/lab/crexperiment/world.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	begin     = crid.Instant(time.Hour) // of virtual time
-	beatEvery = time.Second             // between beats of an exit
-	sweepTime = 100 * time.Millisecond  // between sweeps of the gates, and looks at beliefs
-	localHop  = 100 * time.Microsecond  // one way within a domain
-	breakTime = 3 * time.Millisecond    // after which a sick target breaks a request off
-	ratio     = 0.2                     // of repeats to requests
-	slack     = 60                      // repeats besides, by the whole fleet
-	window    = 10 * time.Second        // of the budget
-	targetsOf = 2                       // that one request may be sent to
+	startTime         = crid.Instant(time.Hour) // virtual time at the start
+	heartbeatInterval = time.Second             // between load reports of an exit
+	sweepInterval     = 100 * time.Millisecond  // between sweeps of the gates and samples of detection
+	localDelay        = 100 * time.Microsecond  // one-way delay within a domain
+	failureDelay      = 3 * time.Millisecond    // after which an unhealthy target fails a request
+	retryRatio        = 0.2                     // of retries to requests
+	retrySlack        = 60                      // retries beyond the ratio, of the whole fleet
+	budgetWindow      = 10 * time.Second        // of the retry budget
+	maxAttempts       = 2                       // of one request, the first included
 )
 
-// event is what happens at an instant; events of one instant keep their order.
+// event is a scheduled function. Events of the same instant run in the order of scheduling.
 type event struct {
 	at    crid.Instant
 	order int
@@ -51,56 +51,56 @@
 	return v
 }
 
-// world is one play.
+// world is the state of one simulation.
 type world struct {
-	x        *Experiment
-	policy   policy
-	now      crid.Instant
-	order    int
-	queue    events
-	rng      *rand.Rand
-	services map[crid.Service][]*exit
-	list     map[crid.Service][]crplace.Candidate
-	entries  []*entry
-	exits    []*exit
-	kinds    map[string]*Kind
-	result   Result
+	x          *Experiment
+	policy     policy
+	now        crid.Instant
+	nextOrder  int
+	queue      events
+	rng        *rand.Rand
+	services   map[crid.Service][]*exit
+	candidates map[crid.Service][]crplace.Candidate
+	entries    []*entry
+	exits      []*exit
+	kinds      map[string]*Kind
+	result     Result
 }
 
-// entry is the part of a daemon where requests come in.
+// entry is the part of a daemon that receives requests and chooses targets.
 type entry struct {
-	world   *world
-	domain  crid.Domain
-	board   *crplace.Balancer
-	budget  *crbudget.Budget
-	told    map[crid.Target]crplace.LoadReport
-	judges  map[crid.Target]*crjudge.Estimator
-	strikes map[crid.Target]int
-	out     map[crid.Target]crid.Instant
+	world        *world
+	domain       crid.Domain
+	balancer     *crplace.Balancer
+	budget       *crbudget.Budget
+	reports      map[crid.Target]crplace.LoadReport
+	estimators   map[crid.Target]*crjudge.Estimator
+	failures     map[crid.Target]int
+	ejectedUntil map[crid.Target]crid.Instant
 }
 
-// exit is the part of a daemon beside its target, and the target.
+// exit is the part of a daemon that sends requests to its local target, and the target itself.
 type exit struct {
-	world   *world
-	service crid.Service
-	target  crid.Target
-	domain  crid.Domain
-	beside  *entry
-	slots   int
-	gate    *crgate.Gate
-	judge   *crjudge.Estimator
-	held    bool // as last told to all
-	trial   crid.Instant
-	waiting []*send
-	sick    bool
-	since   crid.Instant // of the present phase
-	known   bool         // to be sick, by most entries
+	world             *world
+	service           crid.Service
+	target            crid.Target
+	domain            crid.Domain
+	localEntry        *entry
+	slots             int
+	gate              *crgate.Gate
+	estimator         *crjudge.Estimator
+	reportedUnhealthy bool // as last broadcast
+	lastProbe         crid.Instant
+	waiting           []*attempt
+	unhealthy         bool
+	phaseStart        crid.Instant // last change of health
+	detected          bool         // unhealthy, and detected by most entries
 }
 
-func (x *Experiment) play(name string, seed uint64) Result {
+func (x *Experiment) simulate(name string, seed uint64) Result {
 	w := &world{
-		x: x, policy: policies[name], now: begin, rng: rand.New(rand.NewPCG(seed, 1)), //nolint:gosec // a play must repeat
-		services: make(map[crid.Service][]*exit), list: make(map[crid.Service][]crplace.Candidate), kinds: make(map[string]*Kind),
+		x: x, policy: policies[name], now: startTime, rng: rand.New(rand.NewPCG(seed, 1)), //nolint:gosec // a simulation must be reproducible
+		services: make(map[crid.Service][]*exit), candidates: make(map[crid.Service][]crplace.Candidate), kinds: make(map[string]*Kind),
 		result: Result{Policy: name, Seed: seed, Load: x.Load, Kinds: make(map[string]*Count)},
 	}
 	for i := range x.Kinds {
@@ -110,11 +110,11 @@
 	w.build()
 	for i := range x.Kinds {
 		if x.Kinds[i].Rate > 0 {
-			w.arrivals(&x.Kinds[i])
+			w.scheduleArrival(&x.Kinds[i])
 		}
 	}
-	w.look()
-	end := begin.Add(time.Duration(x.Length))
+	w.sweep()
+	end := startTime.Add(time.Duration(x.Length))
 	for len(w.queue) > 0 {
 		next := heap.Pop(&w.queue).(event) //nolint:forcetypeassert // only events are pushed
 		if next.at >= end {
@@ -126,141 +126,141 @@
 	return w.result
 }
 
-// build makes the daemons, one beside each target, the domains by turns.
+// build creates a daemon for each target and assigns the domains round robin.
 func (w *world) build() {
 	for _, s := range w.x.Services {
 		for i := range s.Targets {
 			domain := crid.Domain(fmt.Sprintf("d%d", i%w.x.Domains))
 			e := &entry{
-				world: w, domain: domain, board: crplace.NewBalancer(),
-				budget: crbudget.New(crbudget.Params{Ratio: ratio, Slack: slack, Window: window}),
-				told:   make(map[crid.Target]crplace.LoadReport), judges: make(map[crid.Target]*crjudge.Estimator),
-				strikes: make(map[crid.Target]int), out: make(map[crid.Target]crid.Instant),
+				world: w, domain: domain, balancer: crplace.NewBalancer(),
+				budget:  crbudget.New(crbudget.Params{Ratio: retryRatio, Slack: retrySlack, Window: budgetWindow}),
+				reports: make(map[crid.Target]crplace.LoadReport), estimators: make(map[crid.Target]*crjudge.Estimator),
+				failures: make(map[crid.Target]int), ejectedUntil: make(map[crid.Target]crid.Instant),
 			}
 			x := &exit{
-				world: w, service: s.Name, target: crid.Target(fmt.Sprintf("%s-%d", s.Name, i)), domain: domain, beside: e,
-				slots: s.Slots, gate: crgate.New(s.Slots), judge: crjudge.New(begin), since: begin,
+				world: w, service: s.Name, target: crid.Target(fmt.Sprintf("%s-%d", s.Name, i)), domain: domain, localEntry: e,
+				slots: s.Slots, gate: crgate.New(s.Slots), estimator: crjudge.New(startTime), phaseStart: startTime,
 			}
 			w.entries = append(w.entries, e)
 			w.exits = append(w.exits, x)
 			w.services[s.Name] = append(w.services[s.Name], x)
-			w.list[s.Name] = append(w.list[s.Name], crplace.Candidate{Target: x.target, Daemon: crid.Daemon(x.target), Domain: domain, Slots: s.Slots})
+			w.candidates[s.Name] = append(w.candidates[s.Name], crplace.Candidate{Target: x.target, Daemon: crid.Daemon(x.target), Domain: domain, Slots: s.Slots})
 		}
 	}
 	for _, x := range w.exits {
 		if w.x.Sick.Share > 0 {
-			x.phase(time.Duration(w.rng.Float64() * float64(w.x.Sick.Every)))
+			x.startPhase(time.Duration(w.rng.Float64() * float64(w.x.Sick.Every)))
 		}
-		w.after(time.Duration(w.rng.Float64()*float64(beatEvery)), x.beat)
+		w.after(time.Duration(w.rng.Float64()*float64(heartbeatInterval)), x.heartbeat)
 	}
 }
 
 func (w *world) after(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, event{at: w.now.Add(d), order: w.order, do: do})
+	w.nextOrder++
+	heap.Push(&w.queue, event{at: w.now.Add(d), order: w.nextOrder, do: do})
 }
 
-// exponential draws a time with a mean.
+// exponential draws an exponentially distributed time.
 func (w *world) exponential(mean time.Duration) time.Duration {
 	return time.Duration(w.rng.ExpFloat64() * float64(mean))
 }
 
-func (w *world) arrivals(k *Kind) {
+func (w *world) scheduleArrival(k *Kind) {
 	gap := time.Duration(float64(time.Second) / (k.Rate * w.x.Load))
 	w.after(w.exponential(gap), func() {
 		e := w.entries[w.rng.IntN(len(w.entries))]
 		e.start(k, w.now.Add(time.Duration(k.Timeout)), false, func(bool) {})
-		w.arrivals(k)
+		w.scheduleArrival(k)
 	})
 }
 
-// work draws a lognormal time.
-func (w *world) work(k *Kind) time.Duration {
+// workTime draws a lognormally distributed work time.
+func (w *world) workTime(k *Kind) time.Duration {
 	mu := math.Log(time.Duration(k.Work).Seconds()) - k.Spread*k.Spread/2
 	return time.Duration(math.Exp(mu+k.Spread*w.rng.NormFloat64()) * float64(time.Second))
 }
 
-// hop is the time of a message from an entry to an exit.
-func (w *world) hop(e *entry, x *exit) time.Duration {
-	if e == x.beside {
+// delay is the one-way delay between an entry and an exit.
+func (w *world) delay(e *entry, x *exit) time.Duration {
+	if e == x.localEntry {
 		return 0
 	}
 	if e.domain == x.domain {
-		return localHop
+		return localDelay
 	}
 	return time.Duration(w.x.Delay)
 }
 
-// phase draws whether the target is sick until its next phase begins.
-func (x *exit) phase(length time.Duration) {
+// startPhase draws the health of the target and schedules the next draw after length.
+func (x *exit) startPhase(length time.Duration) {
 	w := x.world
-	if sick := w.rng.Float64() < w.x.Sick.Share; sick != x.sick {
-		if x.sick && !x.known {
-			w.result.Detection = append(w.result.Detection, w.now.Sub(x.since))
+	if unhealthy := w.rng.Float64() < w.x.Sick.Share; unhealthy != x.unhealthy {
+		if x.unhealthy && !x.detected {
+			w.result.Detection = append(w.result.Detection, w.now.Sub(x.phaseStart))
 		}
-		x.sick, x.since, x.known = sick, w.now, false
+		x.unhealthy, x.phaseStart, x.detected = unhealthy, w.now, false
 	}
-	w.after(length, func() { x.phase(time.Duration(w.x.Sick.Every)) })
+	w.after(length, func() { x.startPhase(time.Duration(w.x.Sick.Every)) })
 }
 
-func (x *exit) told() crplace.LoadReport {
+func (x *exit) loadReport() crplace.LoadReport {
 	l := x.gate.Load()
-	return crplace.LoadReport{Load: l.Running + l.Waiting, Slots: l.Slots, UnhealthyProb: x.judge.UnhealthyProb(x.world.now), Typical: l.MeanTime}
+	return crplace.LoadReport{Load: l.Running + l.Waiting, Slots: l.Slots, UnhealthyProb: x.estimator.UnhealthyProb(x.world.now), Typical: l.MeanTime}
 }
 
-func (x *exit) beat() {
-	x.tell()
-	x.world.after(beatEvery, x.beat)
+func (x *exit) heartbeat() {
+	x.broadcast()
+	x.world.after(heartbeatInterval, x.heartbeat)
 }
 
-// tell sends all entries what the exit holds of its target.
-func (x *exit) tell() {
-	told := x.told()
+// broadcast sends the load report of the target to all entries.
+func (x *exit) broadcast() {
+	report := x.loadReport()
 	for _, e := range x.world.entries {
-		x.world.after(x.world.hop(e, x), func() { e.hear(x, told) })
+		x.world.after(x.world.delay(e, x), func() { e.receive(x, report) })
 	}
 }
 
-func (e *entry) hear(x *exit, told crplace.LoadReport) {
-	e.told[x.target] = told
-	e.board.Report(x.target, e.world.policy.believe(e, x, told))
+func (e *entry) receive(x *exit, report crplace.LoadReport) {
+	e.reports[x.target] = report
+	e.balancer.Report(x.target, e.world.policy.view(e, x, report))
 }
 
-// look sweeps the gates, and takes the measures of what entries believe.
-func (w *world) look() {
+// sweep sweeps the gates and samples detection, and schedules the next sweep.
+func (w *world) sweep() {
 	for _, x := range w.exits {
 		x.gate.Sweep(w.now)
-		x.grant()
-		x.measure()
+		x.runAdmitted()
+		x.measureDetection()
 	}
-	w.after(sweepTime, w.look)
+	w.after(sweepInterval, w.sweep)
 }
 
-// most is the share of entries that have to hold a target sick for it to count as
-// found, and mistaken that for a well one to count as set aside.
+// An unhealthy target counts as detected if the share detectedShare of the entries take it for
+// unhealthy. A healthy one counts as a false positive from the share falsePositiveShare on.
 const (
-	most     = 0.9
-	mistaken = 0.5
+	detectedShare      = 0.9
+	falsePositiveShare = 0.5
 )
 
-func (x *exit) measure() {
+func (x *exit) measureDetection() {
 	w := x.world
-	holds := 0
+	unhealthyCount := 0
 	for _, e := range w.entries {
-		if w.policy.believe(e, x, e.told[x.target]).UnhealthyProb >= crjudge.Threshold {
-			holds++
+		if w.policy.view(e, x, e.reports[x.target]).UnhealthyProb >= crjudge.Threshold {
+			unhealthyCount++
 		}
 	}
-	share := float64(holds) / float64(len(w.entries))
-	if !x.sick {
+	share := float64(unhealthyCount) / float64(len(w.entries))
+	if !x.unhealthy {
 		w.result.Well++
-		if share >= mistaken {
+		if share >= falsePositiveShare {
 			w.result.Mistaken++
 		}
 		return
 	}
-	if !x.known && share >= most {
-		x.known = true
-		w.result.Detection = append(w.result.Detection, w.now.Sub(x.since))
+	if !x.detected && share >= detectedShare {
+		x.detected = true
+		w.result.Detection = append(w.result.Detection, w.now.Sub(x.phaseStart))
 	}
 }
