--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -75,7 +75,7 @@
 }
 
 // refusals counts the answers of a status by what they said.
-func refusals(told []crload.Told, status int) string {
+func refusals(told []crload.Sample, status int) string {
 	counts := make(map[string]int)
 	for _, t := range told {
 		if t.Status == status {
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -134,7 +134,7 @@
 		wait := timeline(at, f.Target(2).Drain)
 		report := run(leavePlan(a, 7, f.URLs()))
 		wait()
-		late := slices.DeleteFunc(report.Told(), func(t crload.Told) bool { return t.At <= at+newWorkEnds })
+		late := slices.DeleteFunc(report.Told(), func(t crload.Sample) bool { return t.At <= at+newWorkEnds })
 		shed := 0
 		for _, t := range late {
 			if t.Status == http.StatusServiceUnavailable {
--- a/lab/crload/report.go
+++ b/lab/crload/report.go
@@ -19,7 +19,7 @@
 // the load runs.
 type Report struct {
 	mu     sync.Mutex
-	told   []Told
+	told   []Sample
 	plan   Plan
 	histos map[string]*hdrhistogram.Histogram
 }
@@ -32,7 +32,7 @@
 	return r
 }
 
-func (r *Report) add(t Told) {
+func (r *Report) add(t Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.told = append(r.told, t)
@@ -42,7 +42,7 @@
 }
 
 // Told returns every request and what was told of it.
-func (r *Report) Told() []Told {
+func (r *Report) Told() []Sample {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.told)
@@ -95,7 +95,7 @@
 	return &Line{Account: name, Results: make(map[Result]int), Statuses: make(map[int]int)}
 }
 
-func (l *Line) count(t Told) {
+func (l *Line) count(t Sample) {
 	l.Sent++
 	l.Results[t.Result]++
 	l.Statuses[t.Status]++
--- a/lab/crload/run.go
+++ b/lab/crload/run.go
@@ -33,8 +33,8 @@
 	idlePerHost   = 1024
 )
 
-// Told is one finished request.
-type Told struct {
+// Sample is one finished request.
+type Sample struct {
 	ID      string
 	Account string
 	Method  string
@@ -49,7 +49,7 @@
 type runner struct {
 	plan   Plan
 	client *http.Client
-	record func(Told)
+	record func(Sample)
 	slots  chan struct{}
 	wg     sync.WaitGroup
 	start  time.Time
@@ -149,14 +149,14 @@
 }
 
 func (r *runner) send(ctx context.Context, a Account, call Call, entry, id string, at time.Duration) {
-	told := Told{ID: id, Account: a.Name, Method: call.Method, At: at}
+	told := Sample{ID: id, Account: a.Name, Method: call.Method, At: at}
 	r.exchange(ctx, a, call, entry, &told)
 	told.Took = time.Since(r.start) - at
 	r.record(told)
 }
 
 // exchange fills in what the caller was told; at first it is no word.
-func (r *runner) exchange(ctx context.Context, a Account, call Call, entry string, told *Told) {
+func (r *runner) exchange(ctx context.Context, a Account, call Call, entry string, told *Sample) {
 	told.Result = NoWord
 	var body io.Reader
 	if call.Bytes > 0 {
--- a/lab/crmeasure/plot.go
+++ b/lab/crmeasure/plot.go
@@ -85,7 +85,7 @@
 		{"refused", func(x crload.Result) bool { return x == crload.NotRun }, colorRefused},
 		{"unknown, cut, no word", func(x crload.Result) bool { return x != crload.Answered && x != crload.NotRun }, colorUnknown},
 	} {
-		xys := r.binned(func(in []crload.Told) float64 {
+		xys := r.binned(func(in []crload.Sample) float64 {
 			n := 0.0
 			for _, t := range in {
 				if kind.is(t.Result) {
@@ -107,7 +107,7 @@
 	p.X.Label.Text = "seconds since the start of the load"
 	p.Y.Label.Text = "p99 of answers, ms"
 	p.Y.Min = 0
-	xys := r.binned(func(in []crload.Told) float64 {
+	xys := r.binned(func(in []crload.Sample) float64 {
 		var took []float64
 		for _, t := range in {
 			if t.Result == crload.Answered {
@@ -123,8 +123,8 @@
 }
 
 // binned applies f to the requests planned in each bin.
-func (r *record) binned(f func([]crload.Told) float64) plotter.XYs {
-	bins := make([][]crload.Told, int(time.Duration(r.plan.Seconds*float64(time.Second))/plotBin))
+func (r *record) binned(f func([]crload.Sample) float64) plotter.XYs {
+	bins := make([][]crload.Sample, int(time.Duration(r.plan.Seconds*float64(time.Second))/plotBin))
 	for _, t := range r.told {
 		if i := int(t.At / plotBin); i < len(bins) {
 			bins[i] = append(bins[i], t)
--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -51,7 +51,7 @@
 	fleet    *crfleet.Fleet
 	from, to time.Duration // of the fault, after start
 	start    time.Time
-	told     []crload.Told
+	told     []crload.Sample
 }
 
 const (
@@ -234,21 +234,21 @@
 }
 
 // of returns an account's requests in the order of their planned times.
-func (r *record) of(account string) []crload.Told {
-	var out []crload.Told
+func (r *record) of(account string) []crload.Sample {
+	var out []crload.Sample
 	for _, t := range r.told {
 		if t.Account == account {
 			out = append(out, t)
 		}
 	}
-	slices.SortFunc(out, func(a, b crload.Told) int { return int(a.At - b.At) })
+	slices.SortFunc(out, func(a, b crload.Sample) int { return int(a.At - b.At) })
 	return out
 }
 
 // ideal counts the requests that one token bucket for the whole fleet, full at
 // the start, would let pass. Counts and not single requests are compared: over
 // the rate, two right limiters pass different requests of a crowd.
-func ideal(told []crload.Told, a crfleet.Account) int {
+func ideal(told []crload.Sample, a crfleet.Account) int {
 	level, at, n := a.Burst, time.Duration(0), 0
 	for _, t := range told {
 		level = min(a.Burst, level+a.Rate*(t.At-at).Seconds())
