--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -136,7 +136,7 @@
 	GinkgoHelper()
 	runs := f.Runs()
 	told := make(map[crload.Result]int)
-	for _, t := range report.Told() {
+	for _, t := range report.Samples() {
 		told[t.Result]++
 		if t.Method != "GET" {
 			Expect(runs[t.ID]).To(BeNumerically("<=", 1), "%s ran more than once, told %s", t.ID, t.Result)
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -58,7 +58,7 @@
 		AddReportEntry("results", results)
 		Expect(results[crload.Cut]).To(BeZero())
 		Expect(results[crload.Unknown]).To(BeZero())
-		for _, t := range report.Told() {
+		for _, t := range report.Samples() {
 			if t.Result == crload.NoWord || t.Result == crload.NotRun {
 				Expect(runs[t.ID]).To(BeZero(), "%s ran, and its caller was told %s", t.ID, t.Result)
 			}
@@ -121,7 +121,7 @@
 		AddReportEntry("told", told)
 		AddReportEntry("last new work after", lastNewWork(f.Target(2)).Sub(listed).String())
 		Expect(lastNewWork(f.Target(2)).Sub(listed)).To(BeNumerically("<", newWorkEnds))
-		Expect(told[crload.Answered]).To(Equal(len(report.Told())))
+		Expect(told[crload.Answered]).To(Equal(len(report.Samples())))
 	})
 
 	// An upstream drains by itself, long before the list says so, and sheds
@@ -134,7 +134,7 @@
 		wait := timeline(at, f.Target(2).Drain)
 		report := run(leavePlan(a, 7, f.URLs()))
 		wait()
-		late := slices.DeleteFunc(report.Told(), func(t crload.Sample) bool { return t.At <= at+newWorkEnds })
+		late := slices.DeleteFunc(report.Samples(), func(t crload.Sample) bool { return t.At <= at+newWorkEnds })
 		shed := 0
 		for _, t := range late {
 			if t.Status == http.StatusServiceUnavailable {
@@ -166,7 +166,7 @@
 		Expect(stopping.Wait(within(15*time.Second))).To(Succeed(), stopping.Log)
 		told := make(map[crload.Result]int)
 		runs := f.Runs()
-		for _, t := range report.Told() {
+		for _, t := range report.Samples() {
 			told[t.Result]++
 			if t.Method == http.MethodPost {
 				Expect(runs[t.ID]).To(BeNumerically("<=", 1), t.ID)
@@ -177,13 +177,13 @@
 		}
 		AddReportEntry("told", told)
 		Expect(told[crload.Mixed]).To(BeZero())
-		for _, t := range report.Told() {
+		for _, t := range report.Samples() {
 			if t.Result == crload.Unknown {
 				AddReportEntry("unknown", fmt.Sprintf("%s %s at %s, took %s, ran %d", t.ID, t.Method, t.At, t.Took, runs[t.ID]))
 			}
 		}
 		// Only the link's cut makes unknowns, and only until it is noticed.
-		for _, t := range report.Told() {
+		for _, t := range report.Samples() {
 			if t.At > 3500*time.Millisecond {
 				Expect(t.Result).NotTo(Or(Equal(crload.Cut), Equal(crload.Unknown)), "%s at %s", t.ID, t.At)
 			}
@@ -219,7 +219,7 @@
 		runs := f.Runs()
 		told := make(map[crload.Result]int)
 		reasons := make(map[string]int)
-		for _, t := range report.Told() {
+		for _, t := range report.Samples() {
 			told[t.Result]++
 			if t.Method == http.MethodPost {
 				Expect(runs[t.ID]).To(BeNumerically("<=", 1), t.ID)
--- a/e2e/member_test.go
+++ b/e2e/member_test.go
@@ -67,7 +67,7 @@
 		}
 		told := expectTrue(f, report)
 		AddReportEntry("told", told)
-		for _, t := range report.Told() {
+		for _, t := range report.Samples() {
 			if t.Result == crload.NoWord || t.Result == crload.NotRun {
 				AddReportEntry(t.ID, fmt.Sprintf("%s, status %d, at %s, took %s", t.Result, t.Status, t.At, t.Took))
 			}
@@ -77,7 +77,7 @@
 		// A refusal for the account's rate has nothing to do with the leaving; it
 		// has the bound of the specs on rates.
 		rate := report.Lines()[0].Statuses[http.StatusTooManyRequests]
-		Expect(rate).To(BeNumerically("<=", len(report.Told())/100))
-		Expect(told[crload.Answered]).To(Equal(len(report.Told()) - rate))
+		Expect(rate).To(BeNumerically("<=", len(report.Samples())/100))
+		Expect(told[crload.Answered]).To(Equal(len(report.Samples()) - rate))
 	})
 })
--- a/lab/crload/report.go
+++ b/lab/crload/report.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Told returns every request and what was told of it.
-func (r *Report) Told() []Sample {
+// Samples returns every request and what was told of it.
+func (r *Report) Samples() []Sample {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.told)
--- a/lab/crload/run_test.go
+++ b/lab/crload/run_test.go
@@ -23,8 +23,8 @@
 		Accounts: []crload.Account{{Name: "a", Rate: 200, Calls: []crload.Call{{Method: "GET", Path: "/x"}}}},
 	})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(report.Told()).NotTo(gomega.BeEmpty())
-	for _, told := range report.Told() {
+	g.Expect(report.Samples()).NotTo(gomega.BeEmpty())
+	for _, told := range report.Samples() {
 		g.Expect(told.Result).To(gomega.Equal(crload.Answered))
 		g.Expect(told.Took).To(gomega.BeNumerically(">=", service))
 	}
--- a/lab/crmeasure/crmeasure.go
+++ b/lab/crmeasure/crmeasure.go
@@ -149,6 +149,6 @@
 	if err := errors.Join(err, <-done, ctx.Err()); err != nil {
 		return nil, err
 	}
-	rec.told = report.Told()
+	rec.told = report.Samples()
 	return rec, nil
 }
--- a/lab/crpath/crpath.go
+++ b/lab/crpath/crpath.go
@@ -173,7 +173,7 @@
 
 func failures(report *crload.Report) map[string]int {
 	told := make(map[string]int)
-	for _, t := range report.Told() {
+	for _, t := range report.Samples() {
 		if t.Result != crload.Answered {
 			told[strings.TrimSpace(fmt.Sprintf("%s %d %s", t.Result, t.Status, t.Reason))]++
 		}
