--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -179,7 +179,7 @@
 		Expect(told[crload.Mixed]).To(BeZero())
 		for _, t := range report.Samples() {
 			if t.Result == crload.Unknown {
-				AddReportEntry("unknown", fmt.Sprintf("%s %s at %s, took %s, ran %d", t.ID, t.Method, t.At, t.Took, runs[t.ID]))
+				AddReportEntry("unknown", fmt.Sprintf("%s %s at %s, took %s, ran %d", t.ID, t.Method, t.At, t.Latency, runs[t.ID]))
 			}
 		}
 		// Only the link's cut makes unknowns, and only until it is noticed.
--- a/lab/crload/report.go
+++ b/lab/crload/report.go
@@ -37,7 +37,7 @@
 	defer r.mu.Unlock()
 	r.told = append(r.told, t)
 	if t.Result == Answered {
-		_ = r.histos[t.Account].RecordValue(max(lowestMicros, min(t.Took.Microseconds(), highestMicros)))
+		_ = r.histos[t.Account].RecordValue(max(lowestMicros, min(t.Latency.Microseconds(), highestMicros)))
 	}
 }
 
--- a/lab/crload/run.go
+++ b/lab/crload/run.go
@@ -40,7 +40,7 @@
 	Method  string
 	Status  int
 	Result  Result
-	Took    time.Duration // from the planned time
+	Latency    time.Duration // from the planned time
 	At      time.Duration // planned, after the start
 	Retry   bool          // came with Retry-After
 	Reason  string        // the body of a refusal, or why there was no word
@@ -151,7 +151,7 @@
 func (r *runner) send(ctx context.Context, a Account, call Call, entry, id string, at time.Duration) {
 	told := Sample{ID: id, Account: a.Name, Method: call.Method, At: at}
 	r.exchange(ctx, a, call, entry, &told)
-	told.Took = time.Since(r.start) - at
+	told.Latency = time.Since(r.start) - at
 	r.record(told)
 }
 
--- a/lab/crload/run_test.go
+++ b/lab/crload/run_test.go
@@ -26,6 +26,6 @@
 	g.Expect(report.Samples()).NotTo(gomega.BeEmpty())
 	for _, told := range report.Samples() {
 		g.Expect(told.Result).To(gomega.Equal(crload.Answered))
-		g.Expect(told.Took).To(gomega.BeNumerically(">=", service))
+		g.Expect(told.Latency).To(gomega.BeNumerically(">=", service))
 	}
 }
--- a/lab/crmeasure/plot.go
+++ b/lab/crmeasure/plot.go
@@ -111,7 +111,7 @@
 		var took []float64
 		for _, t := range in {
 			if t.Result == crload.Answered {
-				took = append(took, t.Took.Seconds()*1e3)
+				took = append(took, t.Latency.Seconds()*1e3)
 			}
 		}
 		return quantile(took, 0.99)
--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -81,7 +81,7 @@
 func (r *record) detect(m *Measured) {
 	if r.fault.byCallers {
 		for _, t := range r.told {
-			bad := t.Result == crload.Unknown || t.Result == crload.Cut || t.Took > hurt
+			bad := t.Result == crload.Unknown || t.Result == crload.Cut || t.Latency > hurt
 			if bad && t.At >= r.from && t.At < r.to {
 				m.Detect = max(m.Detect, (t.At - r.from).Seconds())
 			}
@@ -213,7 +213,7 @@
 			switch t.Result {
 			case crload.Answered:
 				answered++
-				took = append(took, t.Took.Seconds()*1e3)
+				took = append(took, t.Latency.Seconds()*1e3)
 			case crload.NotRun:
 				refused++
 				m.Reasons[t.Reason]++
