--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -134,7 +134,7 @@
 		wait := timeline(at, f.Target(2).Drain)
 		report := run(leavePlan(a, 7, f.URLs()))
 		wait()
-		late := slices.DeleteFunc(report.Samples(), func(t crload.Sample) bool { return t.At <= at+newWorkEnds })
+		late := slices.DeleteFunc(report.Samples(), func(t crload.Sample) bool { return t.Planned <= at+newWorkEnds })
 		shed := 0
 		for _, t := range late {
 			if t.Status == http.StatusServiceUnavailable {
@@ -179,13 +179,13 @@
 		Expect(told[crload.Mixed]).To(BeZero())
 		for _, t := range report.Samples() {
 			if t.Result == crload.Unknown {
-				AddReportEntry("unknown", fmt.Sprintf("%s %s at %s, took %s, ran %d", t.ID, t.Method, t.At, t.Latency, runs[t.ID]))
+				AddReportEntry("unknown", fmt.Sprintf("%s %s at %s, took %s, ran %d", t.ID, t.Method, t.Planned, t.Latency, runs[t.ID]))
 			}
 		}
 		// Only the link's cut makes unknowns, and only until it is noticed.
 		for _, t := range report.Samples() {
-			if t.At > 3500*time.Millisecond {
-				Expect(t.Result).NotTo(Or(Equal(crload.Cut), Equal(crload.Unknown)), "%s at %s", t.ID, t.At)
+			if t.Planned > 3500*time.Millisecond {
+				Expect(t.Result).NotTo(Or(Equal(crload.Cut), Equal(crload.Unknown)), "%s at %s", t.ID, t.Planned)
 			}
 		}
 	})
--- a/e2e/member_test.go
+++ b/e2e/member_test.go
@@ -69,7 +69,7 @@
 		AddReportEntry("told", told)
 		for _, t := range report.Samples() {
 			if t.Result == crload.NoWord || t.Result == crload.NotRun {
-				AddReportEntry(t.ID, fmt.Sprintf("%s, status %d, at %s, took %s", t.Result, t.Status, t.At, t.Latency))
+				AddReportEntry(t.ID, fmt.Sprintf("%s, status %d, at %s, took %s", t.Result, t.Status, t.Planned, t.Latency))
 			}
 		}
 		AddReportEntry("last new work after", last.Sub(asked).String())
--- a/lab/crload/run.go
+++ b/lab/crload/run.go
@@ -41,7 +41,7 @@
 	Status  int
 	Result  Result
 	Latency    time.Duration // from the planned time
-	At      time.Duration // planned, after the start
+	Planned      time.Duration // planned, after the start
 	Retry   bool          // came with Retry-After
 	Reason  string        // the body of a refusal, or why there was no word
 }
@@ -149,7 +149,7 @@
 }
 
 func (r *runner) send(ctx context.Context, a Account, call Call, entry, id string, at time.Duration) {
-	told := Sample{ID: id, Account: a.Name, Method: call.Method, At: at}
+	told := Sample{ID: id, Account: a.Name, Method: call.Method, Planned: at}
 	r.exchange(ctx, a, call, entry, &told)
 	told.Latency = time.Since(r.start) - at
 	r.record(told)
--- a/lab/crmeasure/plot.go
+++ b/lab/crmeasure/plot.go
@@ -126,7 +126,7 @@
 func (r *record) binned(f func([]crload.Sample) float64) plotter.XYs {
 	bins := make([][]crload.Sample, int(time.Duration(r.plan.Seconds*float64(time.Second))/plotBin))
 	for _, t := range r.told {
-		if i := int(t.At / plotBin); i < len(bins) {
+		if i := int(t.Planned / plotBin); i < len(bins) {
 			bins[i] = append(bins[i], t)
 		}
 	}
--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -82,8 +82,8 @@
 	if r.fault.byCallers {
 		for _, t := range r.told {
 			bad := t.Result == crload.Unknown || t.Result == crload.Cut || t.Latency > hurt
-			if bad && t.At >= r.from && t.At < r.to {
-				m.Detect = max(m.Detect, (t.At - r.from).Seconds())
+			if bad && t.Planned >= r.from && t.Planned < r.to {
+				m.Detect = max(m.Detect, (t.Planned - r.from).Seconds())
 			}
 		}
 		return
@@ -241,7 +241,7 @@
 			out = append(out, t)
 		}
 	}
-	slices.SortFunc(out, func(a, b crload.Sample) int { return int(a.At - b.At) })
+	slices.SortFunc(out, func(a, b crload.Sample) int { return int(a.Planned - b.Planned) })
 	return out
 }
 
@@ -251,8 +251,8 @@
 func ideal(told []crload.Sample, a crfleet.Account) int {
 	level, at, n := a.Burst, time.Duration(0), 0
 	for _, t := range told {
-		level = min(a.Burst, level+a.Rate*(t.At-at).Seconds())
-		at = t.At
+		level = min(a.Burst, level+a.Rate*(t.Planned-at).Seconds())
+		at = t.Planned
 		if level >= 1 {
 			level--
 			n++
