--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -146,7 +146,7 @@
 			Expect(runs[t.ID]).To(BeNumerically(">=", 1), "%s was answered and did not run", t.ID)
 		case crload.NotRun:
 			Expect(runs[t.ID]).To(BeZero(), "%s was told as not run", t.ID)
-			Expect(t.Retry).To(BeTrue(), "%s was refused without a time to come back", t.ID)
+			Expect(t.RetryAfter).To(BeTrue(), "%s was refused without a time to come back", t.ID)
 		case crload.Unknown, crload.Cut, crload.NoWord, crload.Mixed:
 		}
 	}
--- a/lab/crload/run.go
+++ b/lab/crload/run.go
@@ -42,7 +42,7 @@
 	Result  Result
 	Latency    time.Duration // from the planned time
 	Planned      time.Duration // planned, after the start
-	Retry   bool          // came with Retry-After
+	RetryAfter   bool          // came with Retry-After
 	Reason  string        // the body of a refusal, or why there was no word
 }
 
@@ -178,7 +178,7 @@
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
-	told.Status, told.Retry = resp.StatusCode, resp.Header.Get("Retry-After") != ""
+	told.Status, told.RetryAfter = resp.StatusCode, resp.Header.Get("Retry-After") != ""
 	if err != nil {
 		told.Result = Cut
 		return
