--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -147,7 +147,7 @@
 		case crload.NotRun:
 			Expect(runs[t.ID]).To(BeZero(), "%s was told as not run", t.ID)
 			Expect(t.RetryAfter).To(BeTrue(), "%s was refused without a time to come back", t.ID)
-		case crload.Unknown, crload.Cut, crload.NoWord, crload.Mixed:
+		case crload.Unknown, crload.Cut, crload.NoResponse, crload.Mixed:
 		}
 	}
 	Expect(told[crload.Mixed]).To(BeZero())
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -59,7 +59,7 @@
 		Expect(results[crload.Cut]).To(BeZero())
 		Expect(results[crload.Unknown]).To(BeZero())
 		for _, t := range report.Samples() {
-			if t.Result == crload.NoWord || t.Result == crload.NotRun {
+			if t.Result == crload.NoResponse || t.Result == crload.NotRun {
 				Expect(runs[t.ID]).To(BeZero(), "%s ran, and its caller was told %s", t.ID, t.Result)
 			}
 		}
--- a/e2e/member_test.go
+++ b/e2e/member_test.go
@@ -68,7 +68,7 @@
 		told := expectTrue(f, report)
 		AddReportEntry("told", told)
 		for _, t := range report.Samples() {
-			if t.Result == crload.NoWord || t.Result == crload.NotRun {
+			if t.Result == crload.NoResponse || t.Result == crload.NotRun {
 				AddReportEntry(t.ID, fmt.Sprintf("%s, status %d, at %s, took %s", t.Result, t.Status, t.Planned, t.Latency))
 			}
 		}
--- a/lab/crload/run.go
+++ b/lab/crload/run.go
@@ -23,7 +23,7 @@
 	NotRun   Result = "notrun"
 	Unknown  Result = "unknown"
 	Cut      Result = "cut"
-	NoWord   Result = "noword" // the connection failed with no answer at all
+	NoResponse   Result = "noword" // the connection failed with no answer at all
 	Mixed    Result = "mixed"  // an answer that was not this request's; never right
 )
 
@@ -157,7 +157,7 @@
 
 // exchange fills in what the caller was told; at first it is no word.
 func (r *runner) exchange(ctx context.Context, a Account, call Call, entry string, told *Sample) {
-	told.Result = NoWord
+	told.Result = NoResponse
 	var body io.Reader
 	if call.Bytes > 0 {
 		body = strings.NewReader(strings.Repeat("b", call.Bytes))
--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -183,7 +183,7 @@
 			m.Cut++
 		case crload.Unknown:
 			m.Unknown++
-		case crload.NoWord:
+		case crload.NoResponse:
 			m.NoWord++
 		case crload.Mixed:
 			m.Mixed++
@@ -220,7 +220,7 @@
 				if t.Status == http.StatusTooManyRequests {
 					m.Limited++
 				}
-			case crload.Unknown, crload.Cut, crload.NoWord, crload.Mixed:
+			case crload.Unknown, crload.Cut, crload.NoResponse, crload.Mixed:
 			}
 		}
 		m.Refused += max(0, refused-(len(told)-inside))
