--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -147,10 +147,10 @@
 		case crload.NotRun:
 			Expect(runs[t.ID]).To(BeZero(), "%s was told as not run", t.ID)
 			Expect(t.RetryAfter).To(BeTrue(), "%s was refused without a time to come back", t.ID)
-		case crload.Unknown, crload.Cut, crload.NoResponse, crload.Mixed:
+		case crload.Unknown, crload.Cut, crload.NoResponse, crload.Mismatched:
 		}
 	}
-	Expect(told[crload.Mixed]).To(BeZero())
+	Expect(told[crload.Mismatched]).To(BeZero())
 	for _, u := range f.Targets() {
 		Expect(u.Runs().Leaks).To(BeZero())
 	}
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -176,7 +176,7 @@
 			}
 		}
 		AddReportEntry("told", told)
-		Expect(told[crload.Mixed]).To(BeZero())
+		Expect(told[crload.Mismatched]).To(BeZero())
 		for _, t := range report.Samples() {
 			if t.Result == crload.Unknown {
 				AddReportEntry("unknown", fmt.Sprintf("%s %s at %s, took %s, ran %d", t.ID, t.Method, t.Planned, t.Latency, runs[t.ID]))
@@ -234,7 +234,7 @@
 		for reason := range reasons {
 			Expect(reason).NotTo(Or(ContainSubstring("no configuration yet"), ContainSubstring("cut off")))
 		}
-		Expect(told[crload.Mixed] + told[crload.Unknown] + told[crload.Cut]).To(BeZero())
+		Expect(told[crload.Mismatched] + told[crload.Unknown] + told[crload.Cut]).To(BeZero())
 	})
 })
 
--- a/lab/crload/report.go
+++ b/lab/crload/report.go
@@ -117,7 +117,7 @@
 	var rows [][]string
 	for _, l := range r.Lines() {
 		row := []string{l.Account, strconv.Itoa(l.Sent)}
-		for _, result := range []Result{Answered, NotRun, Unknown, Cut, NoResponse, Mixed} {
+		for _, result := range []Result{Answered, NotRun, Unknown, Cut, NoResponse, Mismatched} {
 			row = append(row, strconv.Itoa(l.Results[result]))
 		}
 		for _, d := range []time.Duration{l.P50, l.P99, l.Max} {
--- a/lab/crload/run.go
+++ b/lab/crload/run.go
@@ -24,7 +24,7 @@
 	Unknown  Result = "unknown"
 	Cut      Result = "cut"
 	NoResponse   Result = "noword" // the connection failed with no answer at all
-	Mixed    Result = "mixed"  // an answer that was not this request's; never right
+	Mismatched    Result = "mixed"  // an answer that was not this request's; never right
 )
 
 const (
@@ -200,10 +200,10 @@
 	}
 	var answer crupstream.Answer
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return Mixed
+		return Mismatched
 	}
 	if answer.ID != id || (a.Key != "" && answer.Account != a.Name) {
-		return Mixed
+		return Mismatched
 	}
 	return Answered
 }
--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -185,7 +185,7 @@
 			m.Unknown++
 		case crload.NoResponse:
 			m.NoWord++
-		case crload.Mixed:
+		case crload.Mismatched:
 			m.Mixed++
 		case crload.NotRun:
 			if runs[t.ID] > 0 {
@@ -220,7 +220,7 @@
 				if t.Status == http.StatusTooManyRequests {
 					m.Limited++
 				}
-			case crload.Unknown, crload.Cut, crload.NoResponse, crload.Mixed:
+			case crload.Unknown, crload.Cut, crload.NoResponse, crload.Mismatched:
 			}
 		}
 		m.Refused += max(0, refused-(len(told)-inside))
