--- a/lab/crexperiment/crexperiment.go
+++ b/lab/crexperiment/crexperiment.go
@@ -1,6 +1,7 @@
 // Package crexperiment simulates request routing in virtual time, with targets that
 // become unhealthy, and compares the product's policy with baseline policies.
-// Package crload, in contrast, sends real requests to running daemons.
+// The command lab experiment uses it. Package crload, in contrast, sends real requests to
+// running daemons.
 //
 // The simulation runs the product's own code for load balancing, admission control and
 // health estimation at each exit, and for the retry budget. It models the targets (slots,
--- a/lab/crload/plan.go
+++ b/lab/crload/plan.go
@@ -1,7 +1,9 @@
-// Package crload is an open-loop load tool: requests leave at their planned
-// times whatever the answers do, and latency counts from the planned time, so
-// that a stalled fleet can not hide by slowing the load down. Every answer is
-// checked to be the whole answer of its own request.
+// Package crload is an open-loop load generator for running daemons: requests are sent at
+// their planned times, independent of the responses, and latency counts from the planned
+// time. A stalled fleet therefore cannot hide its latency by slowing the load down. Every
+// response is checked to be complete and to belong to its request. The command lab load,
+// the other lab packages and the end-to-end tests use it; package crexperiment simulates
+// daemons instead.
 //
 // # Usage
 //
@@ -19,26 +21,26 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Plan is what to send.
+// Plan is a load plan.
 type Plan struct {
 	Seconds  float64   `toml:"seconds"`
 	Seed     uint64    `toml:"seed"`
 	Entries  []string  `toml:"entries"` // base URLs of daemons
-	Timeout  string    `toml:"timeout"` // of one request; default 10s
+	Timeout  string    `toml:"timeout"` // per request; default 10s
 	Accounts []Account `toml:"account"`
 }
 
-// Account is one caller.
+// Account is the load of one client account.
 type Account struct {
 	Name  string  `toml:"name"`
-	Key   string  `toml:"key"`   // empty: none is sent
-	Rate  float64 `toml:"rate"`  // requests a second
-	Entry int     `toml:"entry"` // 1-based entry that all requests go to; 0: spread
+	Key   string  `toml:"key"`   // API key; empty: none is sent
+	Rate  float64 `toml:"rate"`  // requests per second
+	Entry int     `toml:"entry"` // 1-based entry that all requests go to; 0: round robin
 	Surge Surge   `toml:"surge"`
 	Calls []Call  `toml:"call"`
 }
 
-// Surge multiplies an account's rate for a while.
+// Surge multiplies an account's rate between two times.
 type Surge struct {
 	From   float64 `toml:"from"` // seconds from the start
 	To     float64 `toml:"to"`
@@ -50,12 +52,12 @@
 	Method string `toml:"method"`
 	Path   string `toml:"path"`
 	Weight int    `toml:"weight"` // default 1
-	Bytes  int    `toml:"bytes"`  // length of the request's body
+	Bytes  int    `toml:"bytes"`  // length of the request body
 }
 
 const defaultTimeout = 10 * time.Second
 
-// ReadPlan reads and checks a TOML file.
+// ReadPlan reads and checks a plan in TOML.
 func ReadPlan(path string) (Plan, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -77,7 +79,7 @@
 	return p, nil
 }
 
-// Check reports all faults of a plan.
+// Check returns all faults of a plan.
 func (p Plan) Check() error {
 	var errs []error
 	if p.Seconds <= 0 {
@@ -94,7 +96,7 @@
 			errs = append(errs, fmt.Errorf("account %q needs a rate and at least one call", a.Name))
 		}
 		if a.Entry < 0 || a.Entry > len(p.Entries) {
-			errs = append(errs, fmt.Errorf("account %q: entry %d is not among the entries", a.Name, a.Entry))
+			errs = append(errs, fmt.Errorf("account %q: entry %d is not in the list of entries", a.Name, a.Entry))
 		}
 	}
 	return errors.Join(errs...)
@@ -107,8 +109,8 @@
 	return time.ParseDuration(p.Timeout)
 }
 
-// rate is the account's rate at a time after the start.
-func (a Account) rate(at time.Duration) float64 {
+// rateAt returns the account's rate at a time after the start.
+func (a Account) rateAt(at time.Duration) float64 {
 	s := at.Seconds()
 	if a.Surge.Factor > 0 && s >= a.Surge.From && s < a.Surge.To {
 		return a.Rate * a.Surge.Factor
--- a/lab/crload/report.go
+++ b/lab/crload/report.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	lowestMicros  = 1
-	highestMicros = 60_000_000
-	digits        = 3
+	minLatencyMicros  = 1
+	maxLatencyMicros  = 60_000_000
+	significantDigits = 3
 )
 
-// Report collects what callers were told. It is safe for concurrent use while
+// Report collects the results of all requests. It is safe for concurrent use while
 // the load runs.
 type Report struct {
-	mu     sync.Mutex
-	told   []Sample
-	plan   Plan
-	histos map[string]*hdrhistogram.Histogram
+	mu         sync.Mutex
+	samples    []Sample
+	plan       Plan
+	histograms map[string]*hdrhistogram.Histogram
 }
 
 func newReport(plan Plan) *Report {
-	r := &Report{plan: plan, histos: make(map[string]*hdrhistogram.Histogram)}
+	r := &Report{plan: plan, histograms: make(map[string]*hdrhistogram.Histogram)}
 	for _, a := range plan.Accounts {
-		r.histos[a.Name] = hdrhistogram.New(lowestMicros, highestMicros, digits)
+		r.histograms[a.Name] = hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits)
 	}
 	return r
 }
@@ -35,20 +35,20 @@
 func (r *Report) add(t Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.told = append(r.told, t)
+	r.samples = append(r.samples, t)
 	if t.Result == Answered {
-		_ = r.histos[t.Account].RecordValue(max(lowestMicros, min(t.Latency.Microseconds(), highestMicros)))
+		_ = r.histograms[t.Account].RecordValue(max(minLatencyMicros, min(t.Latency.Microseconds(), maxLatencyMicros)))
 	}
 }
 
-// Samples returns every request and what was told of it.
+// Samples returns the finished requests.
 func (r *Report) Samples() []Sample {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.told)
+	return slices.Clone(r.samples)
 }
 
-// Line is one account's summary; latencies are of answered requests.
+// Line is the summary of one account. Latencies are those of answered requests.
 type Line struct {
 	Account  string         `json:"account"`
 	Sent     int            `json:"sent"`
@@ -62,11 +62,11 @@
 // Total is the name of the line over all accounts.
 const Total = "total"
 
-// Lines summarises each account, and all together last.
+// Lines returns a summary of each account, and a total as the last line.
 func (r *Report) Lines() []Line {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := hdrhistogram.New(lowestMicros, highestMicros, digits)
+	all := hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits)
 	total := newLine(Total)
 	byName := make(map[string]*Line)
 	var lines []*Line
@@ -75,15 +75,15 @@
 		byName[a.Name] = line
 		lines = append(lines, line)
 	}
-	for _, t := range r.told {
-		byName[t.Account].count(t)
-		total.count(t)
+	for _, t := range r.samples {
+		byName[t.Account].add(t)
+		total.add(t)
 	}
 	for _, line := range lines {
-		line.latency(r.histos[line.Account])
-		all.Merge(r.histos[line.Account])
+		line.setLatencies(r.histograms[line.Account])
+		all.Merge(r.histograms[line.Account])
 	}
-	total.latency(all)
+	total.setLatencies(all)
 	out := make([]Line, 0, len(lines)+1)
 	for _, line := range append(lines, total) {
 		out = append(out, *line)
@@ -95,24 +95,24 @@
 	return &Line{Account: name, Results: make(map[Result]int), Statuses: make(map[int]int)}
 }
 
-func (l *Line) count(t Sample) {
+func (l *Line) add(t Sample) {
 	l.Sent++
 	l.Results[t.Result]++
 	l.Statuses[t.Status]++
 }
 
-func (l *Line) latency(h *hdrhistogram.Histogram) {
+func (l *Line) setLatencies(h *hdrhistogram.Histogram) {
 	l.P50 = time.Duration(h.ValueAtQuantile(50)) * time.Microsecond
 	l.P99 = time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
 	l.Max = time.Duration(h.Max()) * time.Microsecond
 }
 
-// Header names the columns of Rows.
+// Header names the columns of [Report.Rows].
 func Header() []string {
 	return []string{"ACCOUNT", "SENT", "ANSWERED", "NOTRUN", "UNKNOWN", "CUT", "NOWORD", "MIXED", "P50MS", "P99MS", "MAXMS"}
 }
 
-// Rows are the lines as cells of a table.
+// Rows returns the lines as table cells.
 func (r *Report) Rows() [][]string {
 	var rows [][]string
 	for _, l := range r.Lines() {
--- a/lab/crload/run.go
+++ b/lab/crload/run.go
@@ -14,50 +14,50 @@
 	"camphorroad/lab/crupstream"
 )
 
-// Result is what a caller was told of one request.
+// Result is the result of one request, as its caller saw it.
 type Result string
 
-// The results. The first four are the fleet's outcomes.
+// The results. The first four are values of the outcome header.
 const (
-	Answered Result = "answered"
-	NotRun   Result = "notrun"
-	Unknown  Result = "unknown"
-	Cut      Result = "cut"
-	NoResponse   Result = "noword" // the connection failed with no answer at all
-	Mismatched    Result = "mixed"  // an answer that was not this request's; never right
+	Answered   Result = "answered"
+	NotRun     Result = "notrun"
+	Unknown    Result = "unknown"
+	Cut        Result = "cut"
+	NoResponse Result = "noword" // the connection failed or timed out without a response
+	Mismatched Result = "mixed"  // a response that does not belong to the request; always a fault
 )
 
 const (
-	headerOutcome = "Camphorroad-Outcome"
-	maxInFlight   = 20_000
-	idlePerHost   = 1024
+	headerOutcome  = "Camphorroad-Outcome"
+	maxInFlight    = 20_000
+	maxIdlePerHost = 1024
 )
 
 // Sample is one finished request.
 type Sample struct {
-	ID      string
-	Account string
-	Method  string
-	Status  int
-	Result  Result
+	ID         string
+	Account    string
+	Method     string
+	Status     int
+	Result     Result
 	Latency    time.Duration // from the planned time
-	Planned      time.Duration // planned, after the start
-	RetryAfter   bool          // came with Retry-After
-	Reason  string        // the body of a refusal, or why there was no word
+	Planned    time.Duration // send time, after the start
+	RetryAfter bool          // the response had a Retry-After header
+	Reason     string        // body of a refusal, or the error if there was no response
 }
 
 type runner struct {
-	plan   Plan
-	client *http.Client
-	record func(Sample)
-	slots  chan struct{}
-	wg     sync.WaitGroup
-	start  time.Time
+	plan      Plan
+	client    *http.Client
+	record    func(Sample)
+	inFlight  chan struct{}
+	wg        sync.WaitGroup
+	startTime time.Time
 }
 
-// Run sends the plan's load and returns what callers were told. The end of ctx
-// ends the load; what was sent by then still gets its word, within the plan's
-// timeout: a caller that the tool itself cut off would count against the fleet.
+// Run sends the load of a plan and returns the results. When ctx ends, no new requests
+// are sent. Requests in flight still wait for their response up to the plan's timeout,
+// because a request that the tool itself cancelled would count as a failure of the fleet.
 func Run(ctx context.Context, plan Plan) (*Report, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
@@ -66,53 +66,52 @@
 	if err != nil {
 		return nil, err
 	}
-	transport := &http.Transport{MaxIdleConnsPerHost: idlePerHost, DisableCompression: true}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdlePerHost, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	report := newReport(plan)
 	r := &runner{
-		plan:   plan,
-		client: &http.Client{Transport: transport, Timeout: timeout},
-		record: report.add,
-		slots:  make(chan struct{}, maxInFlight),
-		start:  time.Now(),
+		plan:      plan,
+		client:    &http.Client{Transport: transport, Timeout: timeout},
+		record:    report.add,
+		inFlight:  make(chan struct{}, maxInFlight),
+		startTime: time.Now(),
 	}
-	var callers sync.WaitGroup
+	var accounts sync.WaitGroup
 	for i := range plan.Accounts {
-		callers.Go(func() { r.account(ctx, i) })
+		accounts.Go(func() { r.sendAccount(ctx, i) })
 	}
-	callers.Wait()
+	accounts.Wait()
 	r.wg.Wait()
 	return report, nil
 }
 
-// account plans one account's requests by an exponential gap and sends each at
-// its time.
-func (r *runner) account(ctx context.Context, index int) {
+// sendAccount sends one account's requests, with exponentially distributed gaps.
+func (r *runner) sendAccount(ctx context.Context, index int) {
 	a := r.plan.Accounts[index]
 	rng := rand.New(rand.NewPCG(r.plan.Seed, uint64(index)))
 	end := time.Duration(r.plan.Seconds * float64(time.Second))
 	at := time.Duration(0)
 	for n := 0; ; n++ {
-		at += time.Duration(rng.ExpFloat64() / a.rate(at) * float64(time.Second))
+		at += time.Duration(rng.ExpFloat64() / a.rateAt(at) * float64(time.Second))
 		if at >= end {
 			return
 		}
-		if !sleepUntil(ctx, r.start.Add(at)) {
+		if !sleepUntil(ctx, r.startTime.Add(at)) {
 			return
 		}
-		call := pick(a.Calls, rng)
-		entry := r.entry(a, n)
+		call := pickCall(a.Calls, rng)
+		entry := r.entryURL(a, n)
 		planned := at
 		id := fmt.Sprintf("%s-%d-%d", a.Name, r.plan.Seed, n)
-		r.slots <- struct{}{}
+		r.inFlight <- struct{}{}
 		r.wg.Go(func() {
-			defer func() { <-r.slots }()
+			defer func() { <-r.inFlight }()
 			r.send(context.WithoutCancel(ctx), a, call, entry, id, planned)
 		})
 	}
 }
 
-func (r *runner) entry(a Account, n int) string {
+func (r *runner) entryURL(a Account, n int) string {
 	if a.Entry > 0 {
 		return r.plan.Entries[a.Entry-1]
 	}
@@ -134,7 +133,7 @@
 	}
 }
 
-func pick(calls []Call, rng *rand.Rand) Call {
+func pickCall(calls []Call, rng *rand.Rand) Call {
 	total := 0
 	for _, c := range calls {
 		total += max(c.Weight, 1)
@@ -149,15 +148,16 @@
 }
 
 func (r *runner) send(ctx context.Context, a Account, call Call, entry, id string, at time.Duration) {
-	told := Sample{ID: id, Account: a.Name, Method: call.Method, Planned: at}
-	r.exchange(ctx, a, call, entry, &told)
-	told.Latency = time.Since(r.start) - at
-	r.record(told)
+	sample := Sample{ID: id, Account: a.Name, Method: call.Method, Planned: at}
+	r.exchange(ctx, a, call, entry, &sample)
+	sample.Latency = time.Since(r.startTime) - at
+	r.record(sample)
 }
 
-// exchange fills in what the caller was told; at first it is no word.
-func (r *runner) exchange(ctx context.Context, a Account, call Call, entry string, told *Sample) {
-	told.Result = NoResponse
+// exchange sends a request and fills in the sample. The result is [NoResponse] until a
+// response arrives.
+func (r *runner) exchange(ctx context.Context, a Account, call Call, entry string, sample *Sample) {
+	sample.Result = NoResponse
 	var body io.Reader
 	if call.Bytes > 0 {
 		body = strings.NewReader(strings.Repeat("b", call.Bytes))
@@ -166,34 +166,34 @@
 	if err != nil {
 		return
 	}
-	req.GetBody = nil // a retry by the client would count as a run of ours
-	req.Header.Set(crupstream.HeaderLabID, told.ID)
+	req.GetBody = nil // a retry by http.Client would look like a second run by the fleet
+	req.Header.Set(crupstream.HeaderLabID, sample.ID)
 	if a.Key != "" {
 		req.Header.Set("Authorization", "Bearer "+a.Key)
 	}
 	resp, err := r.client.Do(req)
 	if err != nil {
-		told.Reason = err.Error()
+		sample.Reason = err.Error()
 		return
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
-	told.Status, told.RetryAfter = resp.StatusCode, resp.Header.Get("Retry-After") != ""
+	sample.Status, sample.RetryAfter = resp.StatusCode, resp.Header.Get("Retry-After") != ""
 	if err != nil {
-		told.Result = Cut
+		sample.Result = Cut
 		return
 	}
-	told.Result = judge(resp, b, a, told.ID)
-	if told.Result == NotRun {
-		told.Reason = strings.TrimSpace(string(b))
+	sample.Result = classify(resp, b, a, sample.ID)
+	if sample.Result == NotRun {
+		sample.Reason = strings.TrimSpace(string(b))
 	}
 }
 
-// judge checks an answer against its request.
-func judge(resp *http.Response, body []byte, a Account, id string) Result {
+// classify returns the result of a response and checks that it belongs to its request.
+func classify(resp *http.Response, body []byte, a Account, id string) Result {
 	outcome := Result(resp.Header.Get(headerOutcome))
 	if outcome == "" {
-		outcome = Answered // sent straight to an upstream
+		outcome = Answered // the request was sent directly to an upstream
 	}
 	if outcome != Answered || resp.StatusCode >= http.StatusBadRequest {
 		return outcome
--- a/lab/crload/run_test.go
+++ b/lab/crload/run_test.go
@@ -11,8 +11,8 @@
 	"camphorroad/lab/crupstream"
 )
 
-// The planned time of a request was once read after the next one had been
-// planned. Whoever reads the report then sees latencies below the service time.
+// If the planned time of a request is read after the next one was planned, latencies come
+// out below the service time.
 func TestLatencyIsNeverBelowTheServiceTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const service = 20 * time.Millisecond
@@ -24,8 +24,8 @@
 	})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(report.Samples()).NotTo(gomega.BeEmpty())
-	for _, told := range report.Samples() {
-		g.Expect(told.Result).To(gomega.Equal(crload.Answered))
-		g.Expect(told.Latency).To(gomega.BeNumerically(">=", service))
+	for _, sample := range report.Samples() {
+		g.Expect(sample.Result).To(gomega.Equal(crload.Answered))
+		g.Expect(sample.Latency).To(gomega.BeNumerically(">=", service))
 	}
 }
