--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -77,7 +77,7 @@
 }
 
 // refusals counts the responses with a status by their message.
-func refusals(told []crload.Told, status int) string {
+func refusals(told []crload.Sample, status int) string {
 	counts := make(map[string]int)
 	for _, t := range told {
 		if t.Status == status {
@@ -138,7 +138,7 @@
 	GinkgoHelper()
 	runs := f.Runs()
 	told := make(map[crload.Result]int)
-	for _, t := range report.Told() {
+	for _, t := range report.Samples() {
 		told[t.Result]++
 		if t.Method != "GET" {
 			Expect(runs[t.ID]).To(BeNumerically("<=", 1), "%s ran more than once, its caller got %s", t.ID, t.Result)
@@ -148,11 +148,11 @@
 			Expect(runs[t.ID]).To(BeNumerically(">=", 1), "%s got a response and did not run", t.ID)
 		case crload.NotRun:
 			Expect(runs[t.ID]).To(BeZero(), "%s ran, but its caller got a result of not run", t.ID)
-			Expect(t.Retry).To(BeTrue(), "%s was refused without a time to retry", t.ID)
-		case crload.Unknown, crload.Cut, crload.NoWord, crload.Mixed:
+			Expect(t.RetryAfter).To(BeTrue(), "%s was refused without a time to retry", t.ID)
+		case crload.Unknown, crload.Cut, crload.NoResponse, crload.Mismatched:
 		}
 	}
-	Expect(told[crload.Mixed]).To(BeZero())
+	Expect(told[crload.Mismatched]).To(BeZero())
 	for _, u := range f.Targets() {
 		Expect(u.Runs().Leaks).To(BeZero())
 	}
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -58,8 +58,8 @@
 		AddReportEntry("results", results)
 		Expect(results[crload.Cut]).To(BeZero())
 		Expect(results[crload.Unknown]).To(BeZero())
-		for _, t := range report.Told() {
-			if t.Result == crload.NoWord || t.Result == crload.NotRun {
+		for _, t := range report.Samples() {
+			if t.Result == crload.NoResponse || t.Result == crload.NotRun {
 				Expect(runs[t.ID]).To(BeZero(), "%s ran, but its caller got %s", t.ID, t.Result)
 			}
 		}
@@ -121,7 +121,7 @@
 		AddReportEntry("told", told)
 		AddReportEntry("last new work after", lastNewWork(f.Target(2)).Sub(listed).String())
 		Expect(lastNewWork(f.Target(2)).Sub(listed)).To(BeNumerically("<", newWorkTimeout))
-		Expect(told[crload.Answered]).To(Equal(len(report.Told())))
+		Expect(told[crload.Answered]).To(Equal(len(report.Samples())))
 	})
 
 	// An upstream drains by itself, long before the list says so, and sheds new
@@ -134,7 +134,7 @@
 		wait := timeline(at, f.Target(2).Drain)
 		report := run(leavePlan(a, 7, f.URLs()))
 		wait()
-		late := slices.DeleteFunc(report.Told(), func(t crload.Told) bool { return t.At <= at+newWorkTimeout })
+		late := slices.DeleteFunc(report.Samples(), func(t crload.Sample) bool { return t.Planned <= at+newWorkTimeout })
 		shed := 0
 		for _, t := range late {
 			if t.Status == http.StatusServiceUnavailable {
@@ -166,7 +166,7 @@
 		Expect(stopping.Wait(withTimeout(15*time.Second))).To(Succeed(), stopping.Log)
 		told := make(map[crload.Result]int)
 		runs := f.Runs()
-		for _, t := range report.Told() {
+		for _, t := range report.Samples() {
 			told[t.Result]++
 			if t.Method == http.MethodPost {
 				Expect(runs[t.ID]).To(BeNumerically("<=", 1), t.ID)
@@ -176,16 +176,16 @@
 			}
 		}
 		AddReportEntry("told", told)
-		Expect(told[crload.Mixed]).To(BeZero())
-		for _, t := range report.Told() {
+		Expect(told[crload.Mismatched]).To(BeZero())
+		for _, t := range report.Samples() {
 			if t.Result == crload.Unknown {
-				AddReportEntry("unknown", fmt.Sprintf("%s %s at %s, took %s, ran %d", t.ID, t.Method, t.At, t.Took, runs[t.ID]))
+				AddReportEntry("unknown", fmt.Sprintf("%s %s at %s, took %s, ran %d", t.ID, t.Method, t.Planned, t.Latency, runs[t.ID]))
 			}
 		}
 		// Only the cut link causes unknown results, and only until it is detected.
-		for _, t := range report.Told() {
-			if t.At > 3500*time.Millisecond {
-				Expect(t.Result).NotTo(Or(Equal(crload.Cut), Equal(crload.Unknown)), "%s at %s", t.ID, t.At)
+		for _, t := range report.Samples() {
+			if t.Planned > 3500*time.Millisecond {
+				Expect(t.Result).NotTo(Or(Equal(crload.Cut), Equal(crload.Unknown)), "%s at %s", t.ID, t.Planned)
 			}
 		}
 	})
@@ -218,7 +218,7 @@
 		runs := f.Runs()
 		told := make(map[crload.Result]int)
 		reasons := make(map[string]int)
-		for _, t := range report.Told() {
+		for _, t := range report.Samples() {
 			told[t.Result]++
 			if t.Method == http.MethodPost {
 				Expect(runs[t.ID]).To(BeNumerically("<=", 1), t.ID)
@@ -233,7 +233,7 @@
 		for reason := range reasons {
 			Expect(reason).NotTo(Or(ContainSubstring("no configuration yet"), ContainSubstring("cut off")))
 		}
-		Expect(told[crload.Mixed] + told[crload.Unknown] + told[crload.Cut]).To(BeZero())
+		Expect(told[crload.Mismatched] + told[crload.Unknown] + told[crload.Cut]).To(BeZero())
 	})
 })
 
--- a/e2e/member_test.go
+++ b/e2e/member_test.go
@@ -67,9 +67,9 @@
 		}
 		told := expectTruthful(f, report)
 		AddReportEntry("told", told)
-		for _, t := range report.Told() {
-			if t.Result == crload.NoWord || t.Result == crload.NotRun {
-				AddReportEntry(t.ID, fmt.Sprintf("%s, status %d, at %s, took %s", t.Result, t.Status, t.At, t.Took))
+		for _, t := range report.Samples() {
+			if t.Result == crload.NoResponse || t.Result == crload.NotRun {
+				AddReportEntry(t.ID, fmt.Sprintf("%s, status %d, at %s, took %s", t.Result, t.Status, t.Planned, t.Latency))
 			}
 		}
 		AddReportEntry("last new work after", last.Sub(asked).String())
@@ -77,7 +77,7 @@
 		// A refusal for the account's rate is unrelated to the leaving daemon and has the
 		// bound of the specs on rates.
 		rate := report.Lines()[0].Statuses[http.StatusTooManyRequests]
-		Expect(rate).To(BeNumerically("<=", len(report.Told())/100))
-		Expect(told[crload.Answered]).To(Equal(len(report.Told()) - rate))
+		Expect(rate).To(BeNumerically("<=", len(report.Samples())/100))
+		Expect(told[crload.Answered]).To(Equal(len(report.Samples()) - rate))
 	})
 })
--- a/lab/crload/run_test.go
+++ b/lab/crload/run_test.go
@@ -11,8 +11,8 @@
 	"camphorroad/lab/crupstream"
 )
 
-// The planned time of a request was once read after the next one had been
-// planned. Whoever reads the report then sees latencies below the service time.
+// If the planned time of a request is read after the next one was planned, latencies come
+// out below the service time.
 func TestLatencyIsNeverBelowTheServiceTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const service = 20 * time.Millisecond
@@ -23,9 +23,9 @@
 		Accounts: []crload.Account{{Name: "a", Rate: 200, Calls: []crload.Call{{Method: "GET", Path: "/x"}}}},
 	})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(report.Told()).NotTo(gomega.BeEmpty())
-	for _, told := range report.Told() {
-		g.Expect(told.Result).To(gomega.Equal(crload.Answered))
-		g.Expect(told.Took).To(gomega.BeNumerically(">=", service))
+	g.Expect(report.Samples()).NotTo(gomega.BeEmpty())
+	for _, sample := range report.Samples() {
+		g.Expect(sample.Result).To(gomega.Equal(crload.Answered))
+		g.Expect(sample.Latency).To(gomega.BeNumerically(">=", service))
 	}
 }
--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -51,7 +51,7 @@
 	fleet    *crfleet.Fleet
 	from, to time.Duration // of the fault, after start
 	start    time.Time
-	told     []crload.Told
+	told     []crload.Sample
 }
 
 const (
@@ -81,9 +81,9 @@
 func (r *record) detect(m *Measured) {
 	if r.fault.byCallers {
 		for _, t := range r.told {
-			bad := t.Result == crload.Unknown || t.Result == crload.Cut || t.Took > hurt
-			if bad && t.At >= r.from && t.At < r.to {
-				m.Detect = max(m.Detect, (t.At - r.from).Seconds())
+			bad := t.Result == crload.Unknown || t.Result == crload.Cut || t.Latency > hurt
+			if bad && t.Planned >= r.from && t.Planned < r.to {
+				m.Detect = max(m.Detect, (t.Planned - r.from).Seconds())
 			}
 		}
 		return
@@ -183,9 +183,9 @@
 			m.Cut++
 		case crload.Unknown:
 			m.Unknown++
-		case crload.NoWord:
+		case crload.NoResponse:
 			m.NoWord++
-		case crload.Mixed:
+		case crload.Mismatched:
 			m.Mixed++
 		case crload.NotRun:
 			if runs[t.ID] > 0 {
@@ -213,14 +213,14 @@
 			switch t.Result {
 			case crload.Answered:
 				answered++
-				took = append(took, t.Took.Seconds()*1e3)
+				took = append(took, t.Latency.Seconds()*1e3)
 			case crload.NotRun:
 				refused++
 				m.Reasons[t.Reason]++
 				if t.Status == http.StatusTooManyRequests {
 					m.Limited++
 				}
-			case crload.Unknown, crload.Cut, crload.NoWord, crload.Mixed:
+			case crload.Unknown, crload.Cut, crload.NoResponse, crload.Mismatched:
 			}
 		}
 		m.Refused += max(0, refused-(len(told)-inside))
@@ -234,25 +234,25 @@
 }
 
 // of returns an account's requests in the order of their planned times.
-func (r *record) of(account string) []crload.Told {
-	var out []crload.Told
+func (r *record) of(account string) []crload.Sample {
+	var out []crload.Sample
 	for _, t := range r.told {
 		if t.Account == account {
 			out = append(out, t)
 		}
 	}
-	slices.SortFunc(out, func(a, b crload.Told) int { return int(a.At - b.At) })
+	slices.SortFunc(out, func(a, b crload.Sample) int { return int(a.Planned - b.Planned) })
 	return out
 }
 
 // ideal counts the requests that one token bucket for the whole fleet, full at
 // the start, would let pass. Counts and not single requests are compared: over
 // the rate, two right limiters pass different requests of a crowd.
-func ideal(told []crload.Told, a crfleet.Account) int {
+func ideal(told []crload.Sample, a crfleet.Account) int {
 	level, at, n := a.Burst, time.Duration(0), 0
 	for _, t := range told {
-		level = min(a.Burst, level+a.Rate*(t.At-at).Seconds())
-		at = t.At
+		level = min(a.Burst, level+a.Rate*(t.Planned-at).Seconds())
+		at = t.Planned
 		if level >= 1 {
 			level--
 			n++
