--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -9,7 +9,7 @@
 // owner when the grant has expired. docs/design/03-account-rate.md proves that no window w sees
 // more than burst + rate*w admissions.
 //
-// Owners refill only under a membership lease ([crmember.Tenure]). The refill clock counts the time
+// Owners refill only under a membership lease ([crmember.Lease]). The refill clock counts the time
 // spent with one.
 //
 // [State] is the reducer of both roles, owner and entry daemon, and part of core/crdaemon.
@@ -57,7 +57,7 @@
 	Margin             time.Duration // added to Lifetime by owners; default 20 ms
 	PrefetchTime       time.Duration `cbor:"Ahead" json:"Ahead"`           // an entry daemon holds tokens for the demand of this time; default 300 ms
 	RequestTimeout     time.Duration `cbor:"AskTimeout" json:"AskTimeout"` // an unanswered TokenRequest is abandoned after this time; default 150 ms
-	ShortBackoff       time.Duration `cbor:"ShortFor" json:"ShortFor"`     // an owner that ran short is not asked again for this time; default 200 ms
+	ShortBackoff       time.Duration `cbor:"ShortFor" json:"ShortFor"`     // an owner that ran short gets no further requests for this time; default 200 ms
 	ReportInterval     time.Duration `cbor:"ReportGap" json:"ReportGap"`   // between reports of spent tokens, where the burst allows; default 200 ms
 	DemandTimeConstant time.Duration `cbor:"Smooth" json:"Smooth"`         // of the exponential average of the demand; default 1 s
 	IdleAfter          time.Duration // an account without requests is dropped after this time; default 30 s
--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -16,7 +16,7 @@
 	recallKeepTime          = 100 * time.Millisecond // on a recall, tokens for the demand of this time are kept
 	spareTokenTime          = 10 * time.Second       // one spare token is held for this time after a request
 	maxPrefetchFraction     = 0.25                   // of the burst, prefetched by all entry daemons together at most
-	tokensPerOwner          = 8                      // tokens requested from one owner before another is asked as well
+	tokensPerOwner          = 8                      // tokens requested from one owner before another gets a request as well
 	lowWatermark            = 0.6                    // fraction of the target below which tokens are requested
 	contendedPrefetch       = 50 * time.Millisecond  // replaces PrefetchTime while an account's owners are short
 	contendedTime           = 500 * time.Millisecond // how long contendedPrefetch applies after an owner ran short
@@ -358,7 +358,7 @@
 }
 
 // expireRequests abandons token requests without an answer. The message or the owner is lost,
-// and the other owners are asked instead.
+// and requests go to the other owners instead.
 func (s *State) expireRequests(a *account) {
 	for i := range a.sources {
 		src := &a.sources[i]
--- a/core/craccount/grant.go
+++ b/core/craccount/grant.go
@@ -6,7 +6,7 @@
 	"camphorroad/core/crid"
 )
 
-// minShortBackoff is the least time before an owner that ran short is asked again.
+// minShortBackoff is the least time before an owner that ran short gets a request again.
 const minShortBackoff = 20 * time.Millisecond
 
 // handleGrant adds granted tokens to the pool. A Grant is valid only as the answer to a
@@ -98,7 +98,7 @@
 	s.requestMissing(a)
 }
 
-// shortBackoff is how long an owner that ran short is not asked again. It is ShortBackoff
+// shortBackoff is how long an owner that ran short gets no further requests. It is ShortBackoff
 // when the owner sends the rest as it is refilled. Otherwise it ends with the refill of the
 // owner's next token, but not before minShortBackoff, so that the next request can have that token.
 func (s *State) shortBackoff(a *account, item GrantItem) time.Duration {
--- a/core/craccount/heldgrant.go
+++ b/core/craccount/heldgrant.go
@@ -20,7 +20,7 @@
 	returned  int
 	expiresAt crid.Instant
 	spends    []spend // since the last report
-	deferred  bool    // the owner has not been told of some spent tokens
+	deferred  bool    // some spent tokens have not been reported to the owner
 }
 
 func (s *State) handleGrantUsage(u UsageDelta) {
--- a/core/craccount/leave.go
+++ b/core/craccount/leave.go
@@ -7,7 +7,7 @@
 	"camphorroad/core/crmember"
 )
 
-// handlePeers records which peers can be asked, and prefetches from owners that begin to leave.
+// handlePeers records to which peers requests can be sent, and prefetches from owners that begin to leave.
 func (s *State) handlePeers(ev crmember.PeersChanged) {
 	var leaving []crid.Daemon
 	for _, p := range ev.Peers {
--- a/core/craccount/message.go
+++ b/core/craccount/message.go
@@ -57,7 +57,7 @@
 // MessageKind implements crevent.Message.
 func (Grant) MessageKind() string { return "grant" }
 
-// GrantItem transfers tokens of one share. Without tokens it says that the owner is short.
+// GrantItem transfers tokens of one share. Without tokens it reports that the owner is short.
 type GrantItem struct {
 	_ struct{} `cbor:",toarray"`
 
--- a/core/craccount/net_test.go
+++ b/core/craccount/net_test.go
@@ -64,7 +64,7 @@
 	leaving      bool
 	closed       bool // accepts no more requests
 	coldRequests []coldRequest
-	knownRev     crid.Revision // newest list it was told of in a handover
+	knownRev     crid.Revision // newest list it received in a handover
 	split        *LocalSplit   // the baseline policy of this daemon
 }
 
--- a/core/craccount/overflow_test.go
+++ b/core/craccount/overflow_test.go
@@ -9,7 +9,7 @@
 	"camphorroad/core/crid"
 )
 
-// An account near its full burst spends tokens, and the owner is told 100 ms later. Without
+// An account near its full burst spends tokens, and the owner receives the report 100 ms later. Without
 // credit for that time the account is refused within its burst at the next surge; credited for
 // each of two reports, for a repeated one or over a pause, it gets too much.
 func TestReportDelayIsCreditedOnce(t *testing.T) {
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -318,8 +318,8 @@
 	sh.prune(s.now)
 }
 
-// recall asks the daemons that hold tokens of the share, and request none, to return what
-// they do not need at once.
+// recall requests that the daemons that hold tokens of the share, and request none, return
+// what they do not need at once.
 func (s *State) recall(key shareKey, sh *share) {
 	if sh.recalledAt != 0 && s.now.Sub(sh.recalledAt) < recallInterval {
 		return
--- a/core/craccount/requests_test.go
+++ b/core/craccount/requests_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// Entry daemons draw more from one share than from another. If the full share is not asked
-// first, its refill overflows, and less of the burst is left when an owner is lost or callers
+// Entry daemons draw more from one share than from another. If the full share does not get
+// the first request, its refill overflows, and less of the burst is left when an owner is lost or callers
 // surge. An owner without a recent answer may be full again.
 func TestFullestOwnerIsAskedFirst(t *testing.T) {
 	g := NewWithT(t)
--- a/core/craccount/share.go
+++ b/core/craccount/share.go
@@ -28,7 +28,7 @@
 	want        int
 	until       crid.Instant
 	waitForRest bool // stays until the remaining tokens are refilled
-	notified    bool // has been told that this owner is short
+	notified    bool // has been sent a grant that reports this owner as short
 }
 
 // share is one share of an account at its owner: a token bucket whose level is the balance
--- a/core/craccount/tokenpool.go
+++ b/core/craccount/tokenpool.go
@@ -30,7 +30,7 @@
 	Admitted Outcome = iota + 1
 	// Refused means that the account is known to be exhausted.
 	Refused
-	// Cold means that no token is available and the owners have not been asked yet. The caller
+	// Cold means that no token is available and no request has been sent to the owners yet. The caller
 	// may wait once for their answer.
 	Cold
 )
@@ -200,7 +200,7 @@
 }
 
 // DrainNeeded receives a value when a request came out [Cold] or tokens were withdrawn. The
-// shell then drains without waiting for the next tick.
+// I/O layer then drains without waiting for the next tick.
 func (p *TokenPool) DrainNeeded() <-chan struct{} { return p.drainNeeded }
 
 // Wait waits after [Cold]. It returns nil once an owner of the account has answered, or the
--- a/core/crbudget/crbudget_test.go
+++ b/core/crbudget/crbudget_test.go
@@ -81,7 +81,7 @@
 	g.Expect(b.Affords(now, "s", 1, 1)).To(gomega.BeFalse())
 }
 
-// When a request is not sent again, the log says whether the budget was used up, and by how much.
+// When a request is not sent again, the log states whether the budget was used up, and by how much.
 func TestBalanceReturnsSpentAndAllowed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crbudget.New(params)
--- a/core/crconfig/effect.go
+++ b/core/crconfig/effect.go
@@ -25,7 +25,7 @@
 // ManifestName is the name under which the platform holds the manifest.
 const ManifestName = "manifest"
 
-// WatchPlatform asks the shell to wait for a head newer than After. A zero Wait
+// WatchPlatform makes the I/O layer wait for a head newer than After. A zero Wait
 // is a plain read. Timeout bounds the whole call.
 type WatchPlatform struct {
 	After   crid.Revision
@@ -46,7 +46,7 @@
 // At implements crevent.Event.
 func (e WatchResult) At() crid.Instant { return e.Now }
 
-// ReadPlatform asks the shell to read a value.
+// ReadPlatform makes the I/O layer read a value.
 type ReadPlatform struct {
 	Name   string
 	Digest Digest
@@ -66,7 +66,7 @@
 // At implements crevent.Event.
 func (e ReadResult) At() crid.Instant { return e.Now }
 
-// ReadList asks the shell to read the platform's list of instances.
+// ReadList makes the I/O layer read the platform's list of instances.
 type ReadList struct{}
 
 // EffectName implements crevent.Effect.
--- a/core/crconfig/message.go
+++ b/core/crconfig/message.go
@@ -20,7 +20,7 @@
 // MessageKind implements crevent.Message.
 func (Have) MessageKind() string { return "have" }
 
-// Pull asks a peer for values by digest.
+// Pull requests values from a peer by digest.
 type Pull struct {
 	Want []Want `cbor:"w"`
 }
@@ -51,7 +51,7 @@
 // MessageKind implements crevent.Message.
 func (Push) MessageKind() string { return "push" }
 
-// ListPull asks a peer for its list of instances from an offset, or for a diff
+// ListPull requests from a peer its list of instances from an offset, or a diff
 // against the list that the sender has.
 type ListPull struct {
 	Base   crid.Revision `cbor:"h"` // the sender's list; zero: it has none, or wants the whole list
--- a/core/crconfig/notice.go
+++ b/core/crconfig/notice.go
@@ -19,7 +19,7 @@
 //	effects := s.Step(crevent.Started{Now: now, Self: "booking-1", Domain: "north", Seed: seed})
 //	if s.Ready() && s.Trusted(now) { ... }
 //
-// The shell responds to every [WatchPlatform], [ReadPlatform] and [ReadList]
+// The I/O layer responds to every [WatchPlatform], [ReadPlatform] and [ReadList]
 // effect with one [WatchResult], [ReadResult] and [ListResult] event.
 package crconfig
 
@@ -28,7 +28,7 @@
 	"camphorroad/core/crpolicy"
 )
 
-// Applied notifies the other reducers and the shell of a newly applied configuration.
+// Applied notifies the other reducers and the I/O layer of a newly applied configuration.
 type Applied struct {
 	Now      crid.Instant
 	Snapshot *crpolicy.Snapshot
--- a/core/crconfig/pull.go
+++ b/core/crconfig/pull.go
@@ -9,7 +9,7 @@
 // maxWants bounds the number of values in one Pull.
 const maxWants = 64
 
-// sendPull asks the current peer for the missing values.
+// sendPull requests the missing values from the current peer.
 func (s *State) sendPull(now crid.Instant) {
 	f := s.nextConf
 	var wants []Want
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -131,7 +131,7 @@
 	case crmember.PeersChanged:
 		s.handlePeers(now, ev.Peers)
 	case crmember.Lease:
-		s.handleTenure(now, ev)
+		s.handleLease(now, ev)
 	case crinstance.ListUpdated:
 		if ev.List.Revision() > s.list.Revision() {
 			s.storeList(ev.List)
@@ -216,11 +216,11 @@
 	s.updateRole(now)
 }
 
-// handleTenure handles a change of this daemon's contact with the fleet. Trust
-// depends on contact and not on tenure: during a handover to a new list of
-// instances no daemon has tenure, while all of them still exchange
+// handleLease handles a change of this daemon's contact with the fleet. Trust
+// depends on contact and not on a lease: during a handover to a new list of
+// instances no daemon has a lease, while all of them still exchange
 // configurations.
-func (s *State) handleTenure(now crid.Instant, ev crmember.Lease) {
+func (s *State) handleLease(now crid.Instant, ev crmember.Lease) {
 	if s.contactUntil != 0 && (ev.ContactUntil == 0 || !now.Before(s.contactUntil)) {
 		s.contactLost = true
 	}
--- a/core/crevent/crevent.go
+++ b/core/crevent/crevent.go
@@ -82,7 +82,7 @@
 // At implements Event.
 func (e Received) At() crid.Instant { return e.Now }
 
-// Stopping reports that this daemon has been asked to stop gracefully.
+// Stopping reports that this daemon has received the request to stop gracefully.
 type Stopping struct {
 	Now crid.Instant
 }
--- a/core/crforward/doc.go
+++ b/core/crforward/doc.go
@@ -25,7 +25,7 @@
 //
 //	ledger := crforward.NewLedger(crforward.DefaultLedgerParams(), session, now, detector)
 //	if err := ledger.Register(id, class, arrived, deadline); err != nil {
-//		return refuse(err) // Refusal.NotRun says whether it proves "not run"
+//		return refuse(err) // Refusal.NotRun is whether it proves "not run"
 //	}
 //	defer ledger.Finish(id, clock.Now())
 //	// ... wait for a slot ...
--- a/core/crforward/tracker_test.go
+++ b/core/crforward/tracker_test.go
@@ -9,7 +9,7 @@
 	"camphorroad/core/crpolicy"
 )
 
-// An attempt breaks off at each step of a forward. A caller that is told "not
+// An attempt breaks off at each step of a forward. A caller that receives "not
 // run" will send the request again, so the entry needs proof for that outcome,
 // and the same proof to retry a request of class once.
 func TestTrackerAfterAttempt(t *testing.T) {
--- a/core/crgate/crgate_test.go
+++ b/core/crgate/crgate_test.go
@@ -99,7 +99,7 @@
 }
 
 // The process is paused while a request waits, and resumes with a free slot.
-// The caller may have been told that the request did not run.
+// The caller may have received the response that the request did not run.
 func TestNothingStartsAfterLatestStart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(1)
--- a/core/crgate/timing.go
+++ b/core/crgate/timing.go
@@ -31,7 +31,7 @@
 // be served in time by another target.
 //
 // A request that cannot meet its objective may wait as long as a response is of
-// any use. So may a nested request: its own objective says nothing of the time
+// any use. So may a nested request: its own objective does not bound the time
 // that its parent has left, and its refusal would fail the parent.
 func (g *Gate) LatestStart(now crid.Instant, t Timing) crid.Instant {
 	g.mu.Lock()
--- a/core/crhealth/lease.go
+++ b/core/crhealth/lease.go
@@ -12,7 +12,7 @@
 // leaseState is this daemon's lease on the arbiter role and the time since which it
 // holds it.
 type leaseState struct {
-	tenure        crmember.Lease
+	lastGranted   crmember.Lease
 	handoverUntil crid.Instant          // end of the permission to continue during a handover
 	handoverLists []crmember.Membership // the lists of the handover, until handoverUntil
 	since         crid.Instant          // when the first lease under its list was received
@@ -34,19 +34,19 @@
 	st := &s.lease
 	unbroken := s.holdsLease()
 	if t.Active != 0 {
-		if t.Active != st.tenure.Active {
+		if t.Active != st.lastGranted.Active {
 			s.carryOverServices(unbroken)
 			st.since = s.now
 			clear(st.arbiters)
 		}
-		st.tenure = t
-		st.tenure.JointLists = nil
+		st.lastGranted = t
+		st.lastGranted.JointLists = nil
 	}
 	if t.Active != 0 && s.now.Before(t.Until) {
 		s.setHandover(0, nil)
 		return
 	}
-	st.tenure.Until = 0
+	st.lastGranted.Until = 0
 	if unbroken && s.now.Before(t.JointUntil) {
 		s.setHandover(t.JointUntil, t.JointLists)
 		return
@@ -103,7 +103,7 @@
 	if best, ok := st.arbiters[service]; ok {
 		return best
 	}
-	best := topRanked(service, st.tenure.Members)
+	best := topRanked(service, st.lastGranted.Members)
 	for i, m := range st.handoverLists {
 		next := topRanked(service, m.Members)
 		if i > 0 && next != best {
@@ -143,7 +143,7 @@
 	if s.params.LocalOnly || !s.params.hasGuard(guardLease) {
 		return true
 	}
-	return s.now.Before(s.lease.tenure.Until) || s.now.Before(s.lease.handoverUntil)
+	return s.now.Before(s.lease.lastGranted.Until) || s.now.Before(s.lease.handoverUntil)
 }
 
 // deciding reports whether this daemon may send verdicts for the service. A new
--- a/core/crmember/bench_test.go
+++ b/core/crmember/bench_test.go
@@ -41,7 +41,7 @@
 }
 
 // BenchmarkSecond measures a second of a daemon that only sends heartbeats, each of
-// which is answered: ticks at the rate of the shell, and the notices about peers to
+// which is answered: ticks at the rate of the I/O layer, and the notices about peers to
 // the other reducers and the traffic side.
 func BenchmarkSecond(b *testing.B) {
 	for _, n := range []int{25, 1000, 5500} {
@@ -124,7 +124,7 @@
 	c, node := newVoter(n)
 	s := node.state
 	seqs := uint64(0)
-	beats, size := 0, 0
+	heartbeats, size := 0, 0
 	b.ReportAllocs()
 	for b.Loop() {
 		c.now += c.params.Interval + c.params.Interval/5
@@ -142,15 +142,15 @@
 			heartbeat.Reply = true
 			at := node.clock(c.now + 3*time.Millisecond)
 			s.Step(crevent.Received{Now: at, From: send.To, Msg: heartbeat})
-			beats++
+			heartbeats++
 			if size == 0 {
 				size = encodedSize(b, heartbeat)
 			}
 		}
 	}
 	b.ReportMetric(float64(size), "B/beat")
-	b.ReportMetric(float64(beats)/float64(b.N), "beats/round")
-	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(beats), "ns/beat")
+	b.ReportMetric(float64(heartbeats)/float64(b.N), "beats/round")
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(heartbeats), "ns/beat")
 	if s.lease.Until == 0 {
 		b.Fatal("the daemon has no lease")
 	}
--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -19,7 +19,7 @@
 //	s := crmember.New(crmember.DefaultParams())
 //	for ev := range events {
 //		for _, effect := range s.Step(ev) {
-//			// Send and Report go to the shell. Lease, PeersChanged and
+//			// Send and Report go to the I/O layer. Lease, PeersChanged and
 //			// crinstance.ListUpdated go to the sibling reducers.
 //		}
 //	}
--- a/core/crmember/list.go
+++ b/core/crmember/list.go
@@ -164,7 +164,7 @@
 	return slices.ContainsFunc(s.revs, func(rev crid.Revision) bool { return s.lists[rev].hasVoter(d) })
 }
 
-// applyListing sets what the newest list that names the peer says about it.
+// applyListing sets what the newest list that names the peer states about it.
 func (s *State) applyListing(d crid.Daemon, p *peer) {
 	for _, rev := range slices.Backward(s.revs) {
 		if in, ok := s.lists[rev].list.Find(d); ok {
@@ -181,7 +181,7 @@
 // A list that this daemon skips could have become active elsewhere. Suppose list 1
 // is {a b c d e}, list 2 is {a b x y z} and list 3 is {x y z v w}. A majority of
 // list 1 lets list 2 become active, and later x, y and z move on to list 3. A daemon
-// that asks only the voters of list 1, its last active one, finds a majority c, d, e
+// that queries only the voters of list 1, its last active one, finds a majority c, d, e
 // that never received list 2, and would let list 3 become active while a, b and z
 // still acknowledge list 2. An account would then get twice its rate. Therefore
 // every list that an answering peer holds is fetched first (see holdsAll) and has to
@@ -229,8 +229,8 @@
 }
 
 // handleListRequest answers with the lists that the peer lacks. Lists are by far the
-// largest messages, so that a peer that asks without pause would use up the allowance
-// of control traffic. Correct peers ask at most once an interval.
+// largest messages, so that a peer that sends requests without pause would use up the allowance
+// of control traffic. Correct peers send at most one an interval.
 func (s *State) handleListRequest(from crid.Daemon, p *peer, m ListRequest) {
 	if p.listsSent && s.now.Sub(p.listsSentAt) < s.params.Interval/2 {
 		return
--- a/core/crmember/message.go
+++ b/core/crmember/message.go
@@ -30,7 +30,7 @@
 // MessageKind implements crevent.Message.
 func (Heartbeat) MessageKind() string { return "beat" }
 
-// ListRequest asks for the lists from a revision on, except those already held.
+// ListRequest requests the lists from a revision on, except those already held.
 type ListRequest struct {
 	From crid.Revision   `cbor:"f"`
 	Have []crid.Revision `cbor:"h"`
--- a/core/crmember/notice.go
+++ b/core/crmember/notice.go
@@ -37,14 +37,14 @@
 	Domain      crid.Domain
 	Incarnation crid.Incarnation
 	Reachable   bool // two-way contact within the contact timeout
-	Sampled     bool // gets a heartbeat only occasionally, so that being unreachable says nothing
+	Sampled     bool // gets a heartbeat only occasionally, so that being unreachable is no sign of a failure
 	Leaving     bool
 }
 
 // Down reports whether the peer is unreachable though it gets a heartbeat each
 // round. In a fleet with more than MaxVoters daemons most peers are sampled and
 // reachable only for short times. If they counted as down, this daemon would send
-// requests to, and ask for tokens from, a handful of daemons only.
+// requests to, and request tokens from, a handful of daemons only.
 func (p Peer) Down() bool { return !p.Reachable && !p.Sampled }
 
 // PeersChanged tells the sibling reducers of a change among the peers.
--- a/core/crmember/peer.go
+++ b/core/crmember/peer.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// requestMissing asks the peer for lists that it has and this daemon lacks, at most
+// requestMissing requests the lists that the peer has and this daemon lacks, at most
 // once an interval.
 func (s *State) requestMissing(from crid.Daemon, p *peer) {
 	if s.holdsAll(p) {
--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -300,7 +300,7 @@
 		v.Members = append(v.Members, s.params.Self)
 	}
 	if len(v.Live) <= 1 {
-		v.Owners = slices.Clone(v.Live) // no owner can be asked
+		v.Owners = slices.Clone(v.Live) // no owner can be queried
 	}
 	slices.Sort(v.Live)
 	slices.Sort(v.Owners)
--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -176,7 +176,7 @@
 	g.Expect(count["10.0.0.2"]).To(gomega.Equal(10), "another domain")
 }
 
-// A target becomes sick between two heartbeats. If the peers learned that late, each of
+// A target becomes unhealthy between two heartbeats. If the peers learned that late, each of
 // them would lose a request there.
 func TestTargetChangeSendsUrgentHeartbeats(t *testing.T) {
 	g := gomega.NewWithT(t)
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -116,7 +116,7 @@
 type (
 	// PublishView publishes a new view to traffic.
 	PublishView struct{ View *View }
-	// SendHeartbeats sends a heartbeat to peers. The shell fills in the target's state.
+	// SendHeartbeats sends a heartbeat to peers. The I/O layer fills in the target's state.
 	SendHeartbeats struct {
 		To               []crid.Daemon
 		Stopping         bool
@@ -175,7 +175,7 @@
 }
 
 // RateShare returns the part of an account's rate that this daemon hands out as its
-// owner. A daemon that hears no peer may be one of many that have just started, each of
+// owner. A daemon that receives no heartbeat may be one of many that have just started, each of
 // which would hand out the whole rate to its own callers.
 func (v *View) RateShare() float64 {
 	if len(v.Live) <= 1 {
--- a/core/crmesh/reader.go
+++ b/core/crmesh/reader.go
@@ -21,8 +21,8 @@
 
 // readers returns the daemons of the own domain that read the store: the first by rank
 // that the store answers, or the first of all in an outage for all. All daemons of a
-// domain that hear the same peers agree on them. Where they differ for a moment, a
-// daemon that is asked and is no reader says so.
+// domain that receive heartbeats of the same peers agree on them. Where they differ for a moment, a
+// daemon that is queried and is no reader answers that it is none.
 func (s *State) readers() []crid.Daemon {
 	var available, unavailable []crid.Daemon
 	add := func(d crid.Daemon, storeUnavailable bool) {
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -151,7 +151,7 @@
 	g.Expect(c.view[c.names[0]].Readers).To(gomega.ContainElement(rejected))
 }
 
-// A daemon learns from its readers that the store is unavailable. If it told others so
+// A daemon learns from its readers that the store is unavailable. If it reported that to others
 // without an attempt of its own, all daemons of a domain would, and none would take the
 // readers' place.
 func TestStoreIsUnavailableOnlyByOwnCalls(t *testing.T) {
--- a/core/crquota/decide.go
+++ b/core/crquota/decide.go
@@ -2,7 +2,7 @@
 
 import "camphorroad/core/crid"
 
-// Origin says where a token request comes from, and thereby how far it may be forwarded.
+// Origin is where a token request comes from, and thereby how far it may be forwarded.
 type Origin uint8
 
 // Origins of token requests.
@@ -26,13 +26,13 @@
 }
 
 // Decide returns how a daemon handles a token request for an account. Members are the daemons
-// that should be present. Reachable are those of them that this daemon hears, or expects to hear
-// soon.
+// that should be present. Reachable are those of them whose heartbeats this daemon receives, or
+// expects soon.
 //
 // A partition between two daemons leaves both alive. If the next owner took the place of the first
 // one because it could not reach it, both would grant the whole rate to the daemons that reach
 // them, and the account would get 1.5 times its limit. A daemon that owns an account only because
-// it cannot reach another therefore first asks a third daemon, which may reach the first owner. It
+// it cannot reach another therefore first queries a third daemon, which may reach the first owner. It
 // grants the token itself only if that fails.
 func Decide(a crid.Account, members, reachable []crid.Daemon, self crid.Daemon, origin Origin) Action {
 	owner := Owner(a, reachable)
--- a/core/crquota/partition_test.go
+++ b/core/crquota/partition_test.go
@@ -69,7 +69,7 @@
 }
 
 // All callers of a large account enter at one daemon, and its owner does not answer. They get that
-// daemon's fallback bucket, and are told when it has the next token.
+// daemon's fallback bucket, and receive the wait for its next token.
 func TestFallbackRefusalReturnsWait(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := crquota.NewFallbackLimiter(func() float64 { return 0.9 })
--- a/core/crroute/crroute_test.go
+++ b/core/crroute/crroute_test.go
@@ -246,7 +246,7 @@
 	g.Expect(l.AvoidedUntil()).To(gomega.Equal(until), "a longer avoidance is kept")
 }
 
-// A draining target refuses every request before the list says so. Once requests
+// A draining target refuses every request before the list marks it so. Once requests
 // are not retried after its answer and would fail. In an overload, targets that
 // refuse some requests and answer others must not be avoided.
 func TestTargetThatOnlyShedsIsAvoided(t *testing.T) {
--- a/core/crslot/crslot_test.go
+++ b/core/crslot/crslot_test.go
@@ -191,8 +191,8 @@
 }
 
 // The process is paused while a request waits, and resumes long after its
-// deadline with the slot just freed. The caller may have been told that the
-// request did not run.
+// deadline with the slot just freed. The caller may have received the response
+// that the request did not run.
 func TestNothingStartsAfterDeadlineDuringPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/core/crslot/queue.go
+++ b/core/crslot/queue.go
@@ -198,7 +198,7 @@
 
 // recheck compares the deadline and the context once more. After a pause of the
 // process a slot may have been assigned long ago; the caller may have given up
-// since, or may have been told that the request failed.
+// since, or may have received the response that the request failed.
 func (q *Queue) recheck(ctx context.Context, w *waiter, d decision) (*Lease, error) {
 	if d.err != nil {
 		return nil, d.err
--- a/io/crbeat/crbeat.go
+++ b/io/crbeat/crbeat.go
@@ -72,7 +72,7 @@
 	Address     string
 	OnHeartbeat func(from crid.Daemon, b crmesh.Heartbeat)
 	// Grant takes a token for a peer. handled is false if another daemon has to be
-	// asked.
+	// queried.
 	Grant func(a crid.Account, origin crquota.Origin) (ok bool, wait time.Duration, handled bool)
 }
 
@@ -195,7 +195,7 @@
 }
 
 // RequestToken requests a token of an account from a daemon. The response to a relayed
-// request takes longer, as that daemon asks another one.
+// request takes longer, as that daemon queries another one.
 func (c *Channel) RequestToken(ctx context.Context, to crid.Daemon, a crid.Account, origin crquota.Origin) (ok bool, wait time.Duration, err error) {
 	if origin == crquota.ToRelay {
 		return c.roundTrip(ctx, to, tokenRequest{Account: a, Origin: origin}, 1, relayTimeout)
--- a/io/crentry/answer.go
+++ b/io/crentry/answer.go
@@ -167,7 +167,7 @@
 	return false
 }
 
-// bodyless reports whether a response has no body, whatever its head says.
+// bodyless reports whether a response has no body, whatever its head states.
 func bodyless(method string, status int) bool {
 	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -34,7 +34,7 @@
 	Forward(ctx context.Context, to *crroute.Target, f *crhop.Forward, body BodySource, sent func(Revoker)) (*crhop.Exchange, error)
 }
 
-// Revoker asks the exit whether a forward was started, and prevents it if not.
+// Revoker queries the exit whether a forward was started, and prevents it if not.
 type Revoker interface {
 	Revoke(ctx context.Context) crforward.RevokeResult
 }
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -278,8 +278,8 @@
 	return s.tracker.MayRetry()
 }
 
-// handleLost handles an attempt without a response. If it may have been sent, a request of
-// class once asks the exit to revoke it: only a revoke proves that the request did not
+// handleLost handles an attempt without a response. If it may have been sent, a revoke is sent
+// to the exit for a request of class once: only a revoke proves that the request did not
 // run and never will.
 func (s *activeRequest) handleLost(ctx context.Context, n int, target *crroute.Target, err error, inTime bool, started crid.Instant, rv Revoker) {
 	now := s.entry.opts.Clock()
--- a/io/crexit/body.go
+++ b/io/crexit/body.go
@@ -23,7 +23,7 @@
 }
 
 // newRequestBody returns the body to send, or nil. net/http replays a request
-// that has no body on a fresh connection when the reused one breaks, for safe
+// that has no body on a new connection when the reused one breaks, for safe
 // methods and for anything with an Idempotency-Key header; a request of class
 // once without a body would then run twice. net/http never replays a body that it
 // cannot rewind, so a request of class once that it might replay gets an empty body
--- a/io/crfeed/crfeed.go
+++ b/io/crfeed/crfeed.go
@@ -41,7 +41,7 @@
 
 const (
 	// readerWait is how long a query to a reader waits for changes. A reader that
-	// hangs but still sends beats is abandoned after this time; until then, peers of
+	// hangs but still sends heartbeats is abandoned after this time; until then, peers of
 	// other domains report changes.
 	readerWait = 3 * time.Second
 	// readerTimeout is the time that a reader may take beyond the wait: a list of
--- a/io/crfeed/crfeed_test.go
+++ b/io/crfeed/crfeed_test.go
@@ -96,7 +96,7 @@
 	g.Expect(f.peers.queried).To(gomega.BeEmpty())
 }
 
-// Both readers of a domain fail at the same time. Until their beats are missed, no daemon
+// Both readers of a domain fail at the same time. Until their heartbeats are missed, no daemon
 // there would learn of a withdrawn key; so each reads the store directly at once, and does
 // not query the failed readers again for a while.
 func TestTheStoreIsReadDirectlyWhenNoReaderAnswers(t *testing.T) {
@@ -171,7 +171,7 @@
 	g.Expect(f.store.calls).To(gomega.Equal(0))
 }
 
-// A reader has dropped the changes asked for. Continuing from its newest change would miss
+// A reader has dropped the requested changes. Continuing from its newest change would miss
 // what was removed in between, so the caller has to list again.
 func TestWatchReturnsCompactedWhenAReaderDroppedTheChanges(t *testing.T) {
 	g := gomega.NewWithT(t)
--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -24,15 +24,15 @@
 )
 
 const (
-	localDelay    = time.Millisecond        // one way, within a domain
-	remoteDelay   = 3 * time.Millisecond    // one way, between domains
-	storeDelay    = 2 * time.Millisecond    // one way
-	callTimeout   = 1500 * time.Millisecond // of a store call, beyond its wait
-	maxStartDelay = 300 * time.Millisecond
-	localBeat     = 400 * time.Millisecond
-	remoteBeat    = time.Second
-	lapse         = 1600 * time.Millisecond
-	tick          = 100 * time.Millisecond
+	localDelay     = time.Millisecond        // one way, within a domain
+	remoteDelay    = 3 * time.Millisecond    // one way, between domains
+	storeDelay     = 2 * time.Millisecond    // one way
+	callTimeout    = 1500 * time.Millisecond // of a store call, beyond its wait
+	maxStartDelay  = 300 * time.Millisecond
+	localInterval  = 400 * time.Millisecond
+	remoteInterval = time.Second
+	lapse          = 1600 * time.Millisecond
+	tick           = 100 * time.Millisecond
 )
 
 // silence is a period in which the store answers no daemon, or only some. Calls that are
@@ -199,7 +199,7 @@
 func (f *fleet) add(id crid.Daemon, domain crid.Domain) {
 	m := &member{id: id, domain: domain, fleet: f, events: make(chan crevent.Event, 1024), inForce: make(map[uint64]time.Time)}
 	m.state = crmesh.New(crmesh.Params{
-		Self: id, Domain: domain, Service: "s", Address: string(id) + ":1", LocalInterval: localBeat, RemoteInterval: remoteBeat, RecordGrace: lapse,
+		Self: id, Domain: domain, Service: "s", Address: string(id) + ":1", LocalInterval: localInterval, RemoteInterval: remoteInterval, RecordGrace: lapse,
 	})
 	m.view.Store(&crmesh.View{Size: 1, Confirmed: 1, Reachable: 1})
 	log := crlog.New(io.Discard, "info", string(id))
@@ -259,7 +259,7 @@
 		case crmesh.PublishView:
 			m.use(eff.View)
 		case crmesh.SendHeartbeats:
-			m.beat(eff)
+			m.sendHeartbeats(eff)
 		case crmesh.Pull:
 			go m.pull(ctx, eff.From)
 		case crmesh.RenewWatches:
@@ -297,7 +297,7 @@
 	return remoteDelay
 }
 
-func (m *member) beat(eff crmesh.SendHeartbeats) {
+func (m *member) sendHeartbeats(eff crmesh.SendHeartbeats) {
 	for _, id := range eff.To {
 		d := m.fleet.members[id]
 		b := crmesh.Heartbeat{
--- a/io/crhop/client.go
+++ b/io/crhop/client.go
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// Revoke asks the exit to revoke a forward, over the session in which it was sent. The
+// Revoke requests that the exit revoke a forward, over the session in which it was sent. The
 // result is unknown if that session has ended or no response arrives in time.
 func (c *Client) Revoke(ctx context.Context, h *Handle) crforward.RevokeResult {
 	stream, err := h.session.OpenStream()
--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -100,7 +100,7 @@
 	RenewSession bool                `cbor:"e"` // further forwards need a new session
 }
 
-// Revoke asks whether a forward was started and, if not, prevents it from ever starting.
+// Revoke queries whether a forward was started and, if not, prevents it from ever starting.
 type Revoke struct {
 	Session crforward.SessionID `cbor:"x"`
 	ID      crid.Request        `cbor:"i"`
--- a/io/crmesh/crmesh_test.go
+++ b/io/crmesh/crmesh_test.go
@@ -221,7 +221,7 @@
 }
 
 // The store compacts its history while the open watches miss a change. A new watch of
-// one daemon finds it, and the others hear of it.
+// one daemon finds it, and the others receive it from there.
 func TestChangeLostByCompactionIsFound(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 4)
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -23,7 +23,7 @@
 // one side or the other.
 const maxRelays = 2
 
-// ownerBackoff is how long a daemon that did not answer is not asked again.
+// ownerBackoff is how long a daemon that did not answer gets no further requests.
 const ownerBackoff = time.Second
 
 // ownerLimiter keeps the token buckets of the accounts that this daemon owns.
@@ -43,7 +43,7 @@
 	return m.loop.view.Load().TokenStep(name, m.self, by)
 }
 
-// answer takes a token for a peer. handled is false if another daemon has to be asked.
+// answer takes a token for a peer. handled is false if another daemon has to be queried.
 func (m *ownerLimiter) answer(name crid.Account, by crquota.Origin) (ok bool, wait time.Duration, handled bool) {
 	if step := m.decide(name, by); step.To != "" || !step.Grant {
 		return false, 0, false
@@ -53,7 +53,7 @@
 }
 
 // take takes a token from an account's bucket. An account that is not in this daemon's
-// plan is allowed: the daemon that asks has a newer plan.
+// plan is allowed: the daemon that sends the request has a newer plan.
 func (m *ownerLimiter) take(name crid.Account) (ok bool, wait time.Duration) {
 	v := m.loop.view.Load()
 	if v.Plan == nil {
@@ -91,7 +91,7 @@
 	return q
 }
 
-// route is a daemon and the role in which it is asked. One that does not answer as the
+// route is a daemon and the role in which it is queried. One that does not answer as the
 // owner may still answer as a relay.
 type route struct {
 	to     crid.Daemon
--- a/io/croffer/croffer.go
+++ b/io/croffer/croffer.go
@@ -24,7 +24,7 @@
 	"camphorroad/core/crpolicy"
 )
 
-// Offer asks an exit to run a request.
+// Offer requests that an exit run a request.
 type Offer struct {
 	_              struct{} `cbor:",toarray"`
 	ID             string   // of the request, for logs
--- a/io/crtrace/trace_test.go
+++ b/io/crtrace/trace_test.go
@@ -295,9 +295,9 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	beat := crmember.Heartbeat{Seq: 9, Incarnation: 1 << 60, Newest: 2, LastActive: 2, ConfigRevision: 1, Echo: crmember.Echo{Incarnation: 1 << 59, Seq: 8}}
+	heartbeat := crmember.Heartbeat{Seq: 9, Incarnation: 1 << 60, Newest: 2, LastActive: 2, ConfigRevision: 1, Echo: crmember.Echo{Incarnation: 1 << 59, Seq: 8}}
 	for b.Loop() {
-		rec.Event(crevent.Received{Now: 1, From: "booking-2", Msg: beat})
-		rec.Effects([]crevent.Effect{crevent.Send{To: "booking-2", Msg: beat}})
+		rec.Event(crevent.Received{Now: 1, From: "booking-2", Msg: heartbeat})
+		rec.Effects([]crevent.Effect{crevent.Send{To: "booking-2", Msg: heartbeat}})
 	}
 }
--- a/io/crwatch/compress.go
+++ b/io/crwatch/compress.go
@@ -23,7 +23,7 @@
 // errDecompressedSize means that a value exceeds maxDecompressedBytes.
 var errDecompressedSize = errors.New("the value is too large")
 
-// compressedValue caches the compressed form of a value for the next peer that asks.
+// compressedValue caches the compressed form of a value for the next peer that requests it.
 type compressedValue struct {
 	revision crid.Revision
 	value    []byte
--- a/io/crwatch/crwatch.go
+++ b/io/crwatch/crwatch.go
@@ -63,7 +63,7 @@
 	Compressed bool          `cbor:"z,omitempty"` // the value is compressed for transfer between daemons
 }
 
-// ErrCompacted means that the store has discarded the history asked for.
+// ErrCompacted means that the store has discarded the requested history.
 var ErrCompacted = errors.New("the store has lost this history")
 
 // Store is a store that can be listed and watched.
@@ -86,7 +86,7 @@
 	// fleetWatchInterval is the mean time between the starts of two watches of a
 	// scope, over all daemons that read the store. The store may not deliver some
 	// changes to pending watches; a new watch then fails as compacted, and peers learn
-	// of the change from beats. Each call is billed, so the readers take turns.
+	// of the change from heartbeats. Each call is billed, so the readers take turns.
 	fleetWatchInterval = 500 * time.Millisecond
 	// minWait and maxWait bound the wait of a watch. The store allows no wait above
 	// maxWait.
--- a/io/crwatch/history.go
+++ b/io/crwatch/history.go
@@ -9,13 +9,13 @@
 )
 
 // ErrUnavailable means that the store cannot be read at present.
-var ErrUnavailable = errors.New("the store is away")
+var ErrUnavailable = errors.New("store unavailable")
 
 // firstRevision is the lowest revision of a store that was ever written to.
 const firstRevision crid.Revision = 1
 
 // maxHistory bounds the number of changes kept for peers that read through this
-// daemon. A peer asks again within milliseconds; one that missed more lists again.
+// daemon. A peer sends its next request within milliseconds; one that missed more lists again.
 const maxHistory = 2000
 
 // history is the latest changes of the records, in the order in which they came.
--- a/io/crwatch/history_test.go
+++ b/io/crwatch/history_test.go
@@ -146,7 +146,7 @@
 }
 
 // Many daemons lack a change at the same time. Complete lists for all of them would
-// saturate the link of the daemon that they ask.
+// saturate the link of the daemon that they query.
 func TestAnUpdateHoldsOnlyWhatThePeerLacks(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := &fakeStore{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5, watch: make(chan answer)}
--- a/io/crwatch/scope.go
+++ b/io/crwatch/scope.go
@@ -169,7 +169,7 @@
 }
 
 // succeeded records an answer of the store. The scope becomes available to peers only
-// after the answer was applied: a peer that asked before would get a list without
+// after the answer was applied: a peer that sent a request before would get a list without
 // targets.
 func (s *scopeFollower) succeeded() {
 	quiet := s.recordAnswer()
@@ -212,7 +212,7 @@
 	_ = crclock.Sleep(ctx, s.backoff/2+rand.N(s.backoff/2+1)) // Run notices the end of the context
 }
 
-// reportLoss reports that the store cannot be read: once because readers say so, and
+// reportLoss reports that the store cannot be read: once because readers report it, and
 // once more when this daemon's own calls show it.
 func (s *scopeFollower) reportLoss(err error) {
 	peers := errors.Is(err, ErrUnavailable)
