--- a/io/crwire/crwire.go
+++ b/io/crwire/crwire.go
@@ -1,5 +1,9 @@
-// Package crwire is the codec between daemons: length-prefixed frames on a
-// stream, and control messages that carry their kind. Values are CBOR.
+// Package crwire encodes what daemons send each other, in CBOR: length-prefixed
+// frames on a stream ([Writer], [Reader]), and control messages with their kind
+// ([Registry]).
+//
+// io/crhop and io/crexit use the frames for forwards, io/crpeer the messages for the
+// reducers. io/crtrace encodes the messages of traces with a Registry too.
 //
 // # Usage
 //
@@ -27,23 +31,23 @@
 	"camphorroad/core/crevent"
 )
 
-// MaxFrame bounds one frame, in bytes. A longer one is refused unread, so that
-// a broken peer can not make a daemon allocate without bound.
+// MaxFrame bounds one frame, in bytes. A longer one is rejected unread, so that a
+// faulty peer cannot make a daemon allocate memory without bound.
 const MaxFrame = 1 << 20
 
-// abortMark stands where a frame's length would.
+// abortMark is sent in place of a frame's length.
 const abortMark = MaxFrame + 1
 
 // Errors of the codec.
 var (
-	// ErrTooLong tells of a frame over MaxFrame.
+	// ErrTooLong means that a frame is longer than MaxFrame.
 	ErrTooLong = errors.New("frame too long")
-	// ErrUnknownKind tells of a message kind that this version does not know.
+	// ErrUnknownKind means that a message kind is not registered.
 	ErrUnknownKind = errors.New("unknown message kind")
-	// ErrTruncated tells of a stream that ended before its end mark.
+	// ErrTruncated means that a stream ended before its end mark.
 	ErrTruncated = errors.New("stream ended before its end mark")
-	// ErrAborted tells that the sender's own source broke off.
-	ErrAborted = errors.New("the sender's source broke off")
+	// ErrAborted means that the sender failed to read the body that it was sending.
+	ErrAborted = errors.New("sender failed to read the body")
 )
 
 // Registry maps message kinds to their types.
@@ -51,8 +55,8 @@
 	types map[string]reflect.Type
 }
 
-// NewRegistry collects zero values of all messages; two of one kind are an
-// error.
+// NewRegistry returns a Registry of the types of the given zero values. Two messages
+// of one kind are an error.
 func NewRegistry(groups ...[]crevent.Message) (*Registry, error) {
 	reg := &Registry{types: make(map[string]reflect.Type)}
 	for _, group := range groups {
@@ -72,7 +76,7 @@
 	Body cbor.RawMessage
 }
 
-// Encode returns the bytes of a message with its kind.
+// Encode encodes a message with its kind.
 func (r *Registry) Encode(msg crevent.Message) ([]byte, error) {
 	body, err := cbor.Marshal(msg)
 	if err != nil {
@@ -81,7 +85,7 @@
 	return cbor.Marshal(envelope{Kind: msg.MessageKind(), Body: body})
 }
 
-// Decode reads a message; a kind not registered gives ErrUnknownKind.
+// Decode decodes a message. It returns ErrUnknownKind if the kind is not registered.
 func (r *Registry) Decode(b []byte) (crevent.Message, error) {
 	var env envelope
 	if err := cbor.Unmarshal(b, &env); err != nil {
@@ -105,27 +109,27 @@
 
 const bufferSize = 4 << 10
 
-// The buffers of a stream are most of what a forward would allocate.
+// Buffers are pooled: they would be most of the memory that a forward allocates.
 var (
 	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
 	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
 )
 
-// NewWriter wraps w.
+// NewWriter returns a Writer to w with a pooled buffer.
 func NewWriter(w io.Writer) *Writer {
 	buf := writers.Get().(*bufio.Writer)
 	buf.Reset(w)
 	return &Writer{w: buf}
 }
 
-// Release gives the buffer back; the Writer must not be used any more.
+// Release returns the buffer to the pool. The Writer must not be used afterwards.
 func (w *Writer) Release() {
 	w.w.Reset(nil)
 	writers.Put(w.w)
 	w.w = nil
 }
 
-// Kind writes the byte that a stream begins with.
+// Kind writes the first byte of a stream, its kind.
 func (w *Writer) Kind(k byte) error { return w.w.WriteByte(k) }
 
 // Value writes v as one frame.
@@ -137,8 +141,8 @@
 	return w.Chunk(b)
 }
 
-// Chunk writes b as one frame; an empty b writes nothing, as an empty frame is
-// the end mark.
+// Chunk writes b as one frame. An empty b writes nothing, since an empty frame is the
+// end mark.
 func (w *Writer) Chunk(b []byte) error {
 	if len(b) == 0 {
 		return nil
@@ -150,8 +154,8 @@
 	return err
 }
 
-// End writes the end mark and flushes. A stream that ends without it was cut:
-// the reader must not take what it has for the whole.
+// End writes the end mark and flushes. A stream that ends without it is truncated, and
+// its reader must not treat the content as complete.
 func (w *Writer) End() error {
 	if err := w.length(0); err != nil {
 		return err
@@ -159,9 +163,9 @@
 	return w.w.Flush()
 }
 
-// Abort writes the mark of a body that broke off at its source, and flushes.
-// Resetting the stream instead would also throw away what the receiver has not
-// read yet, and it could not tell a broken source from a broken link.
+// Abort writes the mark for a body that could not be read to its end, and flushes.
+// A reset of the stream would also discard what the receiver has not read yet, and the
+// receiver could not distinguish a failed source from a failed connection.
 func (w *Writer) Abort() error {
 	if err := w.length(abortMark); err != nil {
 		return err
@@ -169,7 +173,7 @@
 	return w.w.Flush()
 }
 
-// Flush sends what is buffered.
+// Flush sends the buffered bytes.
 func (w *Writer) Flush() error { return w.w.Flush() }
 
 func (w *Writer) length(n int) error {
@@ -185,22 +189,22 @@
 	done bool
 }
 
-// NewReader wraps r.
+// NewReader returns a Reader of r with a pooled buffer.
 func NewReader(r io.Reader) *Reader {
 	buf := readers.Get().(*bufio.Reader)
 	buf.Reset(r)
 	return &Reader{r: buf}
 }
 
-// Release gives the buffer back; the Reader must not be used any more, nor be in
-// use by another goroutine: it would read bytes of another request.
+// Release returns the buffer to the pool. The Reader must not be used afterwards, nor be
+// in use by another goroutine, which would read bytes of another request.
 func (r *Reader) Release() {
 	r.r.Reset(nil)
 	readers.Put(r.r)
 	r.r = nil
 }
 
-// Kind reads the byte that a stream begins with.
+// Kind reads the first byte of a stream, its kind.
 func (r *Reader) Kind() (byte, error) {
 	k, err := r.r.ReadByte()
 	return k, truncated(err)
@@ -222,9 +226,8 @@
 	return nil
 }
 
-// frame returns the next n bytes, which are good until the next read. Nearly all
-// heads fit the buffer and need no memory of their own; the decoder keeps none of
-// the bytes.
+// frame returns the next n bytes, which are valid until the next read. Nearly all heads
+// fit the buffer and need no allocation, as the decoder keeps none of the bytes.
 func (r *Reader) frame(n int) ([]byte, error) {
 	if n <= r.r.Size() {
 		b, err := r.r.Peek(n)
@@ -239,8 +242,8 @@
 	return b, err
 }
 
-// Read reads the bytes of the chunks that follow. It returns io.EOF only after
-// the end mark, and ErrTruncated when the stream ends without it.
+// Read reads the bytes of the next chunks. It returns io.EOF only after the end mark, and
+// ErrTruncated if the stream ends without it.
 func (r *Reader) Read(p []byte) (int, error) {
 	if r.done {
 		return 0, io.EOF
@@ -267,10 +270,10 @@
 	return 0, truncated(err)
 }
 
-// Buffered reports whether more bytes are at hand without waiting.
+// Buffered reports whether a read would return buffered bytes without waiting.
 func (r *Reader) Buffered() bool { return r.r.Buffered() > 0 }
 
-// Done reports whether the end mark was read.
+// Done reports whether the end mark has been read.
 func (r *Reader) Done() bool { return r.done }
 
 func (r *Reader) length() (uint64, error) {
