--- a/core/craccount/overflow.go
+++ b/core/craccount/overflow.go
@@ -12,7 +12,7 @@
 	minSpentAge  = 20 * time.Millisecond // spent tokens younger than this are reported without an age
 )
 
-// SpentTokens tells how long ago, at least, tokens were spent when the report was sent.
+// SpentTokens states how long ago, at least, tokens were spent when the report was sent.
 type SpentTokens struct {
 	_     struct{} `cbor:",toarray"`
 	Count int      // tokens
--- a/core/craccount/tokenpool.go
+++ b/core/craccount/tokenpool.go
@@ -191,7 +191,7 @@
 	return true
 }
 
-// signalDrain tells the caller of Drain not to wait for the next tick.
+// signalDrain signals the caller of Drain not to wait for the next tick.
 func (p *TokenPool) signalDrain() {
 	select {
 	case p.drainNeeded <- struct{}{}:
--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -139,7 +139,7 @@
 
 // rankDomain counts and ranks the domain's daemons. In a large fleet, membership
 // always detects the loss of the list's voters, and only samples the other
-// daemons. A ranking of the daemons heard recently would differ between daemons,
+// daemons. A ranking of the daemons that sent messages recently would differ between daemons,
 // and most of them would rank themselves first. So all daemons not known to be
 // lost are ranked, voters first.
 func (s *State) rankDomain(now crid.Instant) {
--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -62,7 +62,7 @@
 	return "unknown"
 }
 
-// Refusal tells why a request got no slot and when to retry.
+// Refusal is why a request got no slot and when to retry.
 type Refusal struct {
 	reason        Reason
 	retryAfter    time.Duration
@@ -108,7 +108,7 @@
 // Decided is closed once the request has got a slot or lost its place.
 func (t *Ticket) Decided() <-chan struct{} { return t.decided }
 
-// Refusal tells why the request lost its place, or is nil if it got a slot. It
+// Refusal is why the request lost its place, or is nil if it got a slot. It
 // may be called once Decided is closed.
 func (t *Ticket) Refusal() *Refusal { return t.refusal }
 
--- a/core/crgate/timing.go
+++ b/core/crgate/timing.go
@@ -16,7 +16,7 @@
 	responseMargin = 12 * time.Millisecond
 )
 
-// Timing tells until when a response is of use to the caller.
+// Timing states until when a response is of use to the caller.
 type Timing struct {
 	Kind      crpace.Kind
 	Nested    bool          // a running request, which holds a slot in the fleet, waits for this one
--- a/core/crhealth/sample.go
+++ b/core/crhealth/sample.go
@@ -11,7 +11,7 @@
 const (
 	// groupCount is the number of groups that accounts are hashed to; group 0 is for
 	// probes. Counts by group take a fixed space for any number of accounts, and still
-	// tell the failures of one account from those of many.
+	// distinguish the failures of one account from those of many.
 	groupCount = 17
 	// bucketCount is the number of latency buckets, from below bucketBase to above 30
 	// s. The bounds of a bucket differ by a factor of the square root of two.
--- a/core/crinstance/crinstance.go
+++ b/core/crinstance/crinstance.go
@@ -89,7 +89,7 @@
 	return names
 }
 
-// ListUpdated tells the reducers of a list that was read from the platform or a peer.
+// ListUpdated notifies the reducers of a list that was read from the platform or a peer.
 type ListUpdated struct {
 	Now  crid.Instant
 	List List
--- a/core/crmember/notice.go
+++ b/core/crmember/notice.go
@@ -2,7 +2,7 @@
 
 import "camphorroad/core/crid"
 
-// Lease tells the sibling reducers under which instance list this daemon may act,
+// Lease notifies the sibling reducers under which instance list this daemon may act,
 // and until when. Contacts with peers renew it. Active keeps its value while the
 // lease is lost (Until is zero), and is zero during a handover.
 //
@@ -47,12 +47,12 @@
 // requests to, and request tokens from, a handful of daemons only.
 func (p Peer) Down() bool { return !p.Reachable && !p.Sampled }
 
-// PeersChanged tells the sibling reducers of a change among the peers.
+// PeersChanged notifies the sibling reducers of a change among the peers.
 type PeersChanged struct {
 	Now   crid.Instant
 	Peers []Peer // sorted by daemon, without this daemon
 
-	// SampledOnly tells that since the last notice only sampled peers have changed:
+	// SampledOnly means that since the last notice only sampled peers have changed:
 	// whether they are reachable, or have been heard at all.
 	SampledOnly bool `cbor:"Passing" json:"Passing"`
 }
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -57,12 +57,12 @@
 		Changes  []crregistry.Change
 		Revision crid.Revision
 	}
-	// StoreUnavailable tells that the store cannot be read.
+	// StoreUnavailable reports that the store cannot be read.
 	StoreUnavailable struct {
 		Now             crid.Instant
 		ReportedByPeers bool // by peers that read it; this daemon has not tried itself
 	}
-	// StoreAvailable tells that the store can be read again.
+	// StoreAvailable reports that the store can be read again.
 	StoreAvailable struct{ Now crid.Instant }
 	// HeartbeatReceived is a heartbeat of a peer.
 	HeartbeatReceived struct {
@@ -70,17 +70,17 @@
 		From      crid.Daemon
 		Heartbeat Heartbeat
 	}
-	// OfferReceived tells that a peer has offered a request.
+	// OfferReceived reports that a peer has offered a request.
 	OfferReceived struct {
 		Now  crid.Instant
 		From crid.Daemon
 	}
-	// TokenRequestUnanswered tells that a peer did not answer a token request and its retry.
+	// TokenRequestUnanswered reports that a peer did not answer a token request and its retry.
 	TokenRequestUnanswered struct {
 		Now  crid.Instant
 		Peer crid.Daemon
 	}
-	// TargetChanged tells that the state of this daemon's target has changed. It causes
+	// TargetChanged reports that the state of this daemon's target has changed. It causes
 	// urgent heartbeats.
 	TargetChanged struct{ Now crid.Instant }
 )
@@ -158,12 +158,12 @@
 	OwnRecord      *crregistry.Record `cbor:"Own" json:"Own"`         // record of this daemon's target; nil: none
 	Live           []crid.Daemon      `cbor:"Daemons" json:"Daemons"` // this daemon and the peers that are up, without stopping ones
 	Owners         []crid.Daemon      // Live, and recorded peers whose first heartbeat may still come
-	Members        []crid.Daemon      // Owners, and recorded peers that are not heard
+	Members        []crid.Daemon      // Owners, and recorded peers without heartbeats
 	Size           int                // daemons of the fleet, up or not, and seeds
-	Confirmed      int                `cbor:"Known" json:"Known"` // Size without seeds that no record names and that are not heard
+	Confirmed      int                `cbor:"Known" json:"Known"` // Size without seeds that no record names and that send no heartbeats
 	Reachable      int                `cbor:"Heard" json:"Heard"` // Confirmed without peers that are silent or whose first heartbeat is overdue
 	Readers        []crid.Daemon      // daemons of the own domain that read the store for it
-	ReadersPending bool               `cbor:"Coming" json:"Coming"`   // a peer of the own domain is still to be heard for the first time, or there are no records
+	ReadersPending bool               `cbor:"Coming" json:"Coming"`   // the first heartbeat of a peer of the own domain is still expected, or there are no records
 	StoreReaders   int                `cbor:"Lookers" json:"Lookers"` // daemons of the whole fleet that read the store
 	Silent         map[crid.Daemon]bool
 	Stopping       bool
--- a/core/crmesh/peer.go
+++ b/core/crmesh/peer.go
@@ -26,7 +26,7 @@
 	unansweredSince crid.Instant // since when it answers no token requests; zero: it answers
 	knownSince      crid.Instant // when it became known
 	unresponsive    bool         // silent because it answers no token requests
-	overdue         bool         // never heard, for as long as makes other peers silent
+	overdue         bool         // no heartbeat received, for as long as makes other peers silent
 }
 
 // trackNewer notes a plan or records of a peer that this daemon lacks, until the store
@@ -91,8 +91,8 @@
 	return cmp.Or(cmp.Compare(rank(a, salt), rank(b, salt)), cmp.Compare(a, b)) < 0
 }
 
-// missesHeartbeats reports whether a peer that was heard before is not heard any more.
-// A peer that was never heard may just have started; a request to it shows
+// missesHeartbeats reports whether the heartbeats of a peer have stopped.
+// A peer without any heartbeat so far may just have started; a request to it shows
 // whether it is up.
 func (s *State) missesHeartbeats(now crid.Instant, p *peer) bool {
 	if p.lastHeard == 0 {
@@ -126,7 +126,7 @@
 }
 
 // isMember reports whether a peer is known to be part of the fleet. A seed without a
-// record may be a machine that is gone, unless it is heard.
+// record may be a machine that is gone, unless its heartbeats arrive.
 func (s *State) isMember(p *peer) bool {
 	return p.known && (p.hasRecord || !s.hasRecords || (p.lastHeard != 0 && !p.silent))
 }
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// A stopping reader tells its peers, and is replaced at once.
+// A stopping reader notifies its peers, and is replaced at once.
 func TestStoppingReaderIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newCluster(12)
@@ -319,7 +319,7 @@
 	g.Expect(renewals(s.Step(crevent.Tick{Now: start.Add(700 * time.Millisecond)}))).To(gomega.Equal(1))
 }
 
-// A daemon that has just started must not grant tokens of accounts whose owner it has not heard yet.
+// A daemon that has just started must not grant tokens of accounts whose owner has sent it no heartbeat yet.
 func TestNewDaemonTreatsRecordedPeersAsOwners(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newCluster(6)
