--- a/core/crgate/timing.go
+++ b/core/crgate/timing.go
@@ -16,7 +16,7 @@
 	responseMargin = 12 * time.Millisecond
 )
 
-// Timing tells until when a response is of use to the caller.
+// Timing states until when a response is of use to the caller.
 type Timing struct {
 	Kind      crpace.Kind
 	Nested    bool          // a running request, which holds a slot in the fleet, waits for this one
@@ -31,7 +31,7 @@
 // be served in time by another target.
 //
 // A request that cannot meet its objective may wait as long as a response is of
-// any use. So may a nested request: its own objective says nothing of the time
+// any use. So may a nested request: its own objective does not bound the time
 // that its parent has left, and its refusal would fail the parent.
 func (g *Gate) LatestStart(now crid.Instant, t Timing) crid.Instant {
 	g.mu.Lock()
--- a/core/crmember/notice.go
+++ b/core/crmember/notice.go
@@ -2,7 +2,7 @@
 
 import "camphorroad/core/crid"
 
-// Lease tells the sibling reducers under which instance list this daemon may act,
+// Lease notifies the sibling reducers under which instance list this daemon may act,
 // and until when. Contacts with peers renew it. Active keeps its value while the
 // lease is lost (Until is zero), and is zero during a handover.
 //
@@ -37,22 +37,22 @@
 	Domain      crid.Domain
 	Incarnation crid.Incarnation
 	Reachable   bool // two-way contact within the contact timeout
-	Sampled     bool // gets a heartbeat only occasionally, so that being unreachable says nothing
+	Sampled     bool // gets a heartbeat only occasionally, so that being unreachable is no sign of a failure
 	Leaving     bool
 }
 
 // Down reports whether the peer is unreachable though it gets a heartbeat each
 // round. In a fleet with more than MaxVoters daemons most peers are sampled and
 // reachable only for short times. If they counted as down, this daemon would send
-// requests to, and ask for tokens from, a handful of daemons only.
+// requests to, and request tokens from, a handful of daemons only.
 func (p Peer) Down() bool { return !p.Reachable && !p.Sampled }
 
-// PeersChanged tells the sibling reducers of a change among the peers.
+// PeersChanged notifies the sibling reducers of a change among the peers.
 type PeersChanged struct {
 	Now   crid.Instant
 	Peers []Peer // sorted by daemon, without this daemon
 
-	// SampledOnly tells that since the last notice only sampled peers have changed:
+	// SampledOnly means that since the last notice only sampled peers have changed:
 	// whether they are reachable, or have been heard at all.
 	SampledOnly bool `cbor:"Passing" json:"Passing"`
 }
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// A stopping reader tells its peers, and is replaced at once.
+// A stopping reader notifies its peers, and is replaced at once.
 func TestStoppingReaderIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newCluster(12)
@@ -151,7 +151,7 @@
 	g.Expect(c.view[c.names[0]].Readers).To(gomega.ContainElement(rejected))
 }
 
-// A daemon learns from its readers that the store is unavailable. If it told others so
+// A daemon learns from its readers that the store is unavailable. If it reported that to others
 // without an attempt of its own, all daemons of a domain would, and none would take the
 // readers' place.
 func TestStoreIsUnavailableOnlyByOwnCalls(t *testing.T) {
@@ -319,7 +319,7 @@
 	g.Expect(renewals(s.Step(crevent.Tick{Now: start.Add(700 * time.Millisecond)}))).To(gomega.Equal(1))
 }
 
-// A daemon that has just started must not grant tokens of accounts whose owner it has not heard yet.
+// A daemon that has just started must not grant tokens of accounts whose owner has sent it no heartbeat yet.
 func TestNewDaemonTreatsRecordedPeersAsOwners(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newCluster(6)
