--- a/lab/crstage/crstage.go
+++ b/lab/crstage/crstage.go
@@ -164,16 +164,16 @@
 // Ready returns the address of the daemon's pages.
 func (m *Machine) Ready() string { return m.ready }
 
-// Stage is a store with targets.
-type Stage struct {
+// Environment is a store with targets.
+type Environment struct {
 	store    *crstore.Store
 	server   *http.Server
 	machines []*Machine
 }
 
 // Start sets a stage with one service.
-func Start(ctx context.Context, opts Options) (*Stage, error) {
-	s := &Stage{store: crstore.New()}
+func Start(ctx context.Context, opts Options) (*Environment, error) {
+	s := &Environment{store: crstore.New()}
 	address := fmt.Sprintf("127.%d.5.10:%d", opts.Net, PortStore)
 	l, err := new(net.ListenConfig).Listen(ctx, "tcp4", address)
 	if err != nil {
@@ -192,7 +192,7 @@
 	return s, nil
 }
 
-func (s *Stage) add(opts Options, i int, store string) error {
+func (s *Environment) add(opts Options, i int, store string) error {
 	host := func(i int) string { return fmt.Sprintf("127.%d.1.%d", opts.Net, 10+i%opts.Machines) }
 	at := func(port int) string { return fmt.Sprintf("%s:%d", host(i), port) }
 	m := &Machine{name: fmt.Sprintf("machine-%d", i), caller: at(PortCaller), ready: at(PortReady)}
@@ -216,10 +216,10 @@
 }
 
 // Machines returns the machines.
-func (s *Stage) Machines() []*Machine { return append([]*Machine(nil), s.machines...) }
+func (s *Environment) Machines() []*Machine { return append([]*Machine(nil), s.machines...) }
 
 // Close ends the stand-ins.
-func (s *Stage) Close() error {
+func (s *Environment) Close() error {
 	for _, m := range s.machines {
 		m.target.Close()
 	}
