--- a/lab/crsoak/check.go
+++ b/lab/crsoak/check.go
@@ -158,10 +158,10 @@
 		}
 		slices.SortFunc(again, time.Time.Compare)
 		for _, end := range again {
-			n := within(again, end.Add(-crstage.BudgetSpan), end)
-			requests := max(within(asked, end.Add(-crstage.BudgetSpan), end), within(asked, end.Add(-2*crstage.BudgetSpan), end.Add(-crstage.BudgetSpan)))
+			n := within(again, end.Add(-crstage.BudgetWindow), end)
+			requests := max(within(asked, end.Add(-crstage.BudgetWindow), end), within(asked, end.Add(-2*crstage.BudgetWindow), end.Add(-crstage.BudgetWindow)))
 			if bound := crstage.BudgetRatio*float64(requests) + crstage.BudgetSlack; float64(n) > bound {
-				v.add("budget: %s got %d repeats in %v, %.0f are allowed", service, n, crstage.BudgetSpan, bound)
+				v.add("budget: %s got %d repeats in %v, %.0f are allowed", service, n, crstage.BudgetWindow, bound)
 				break
 			}
 		}
--- a/lab/crstage/crstage.go
+++ b/lab/crstage/crstage.go
@@ -41,7 +41,7 @@
 	GraceTime   = 6 * time.Second
 	BudgetRatio = 0.2
 	BudgetSlack = 40.0
-	BudgetSpan  = 10 * time.Second
+	BudgetWindow  = 10 * time.Second
 	Slots       = 4
 )
 
@@ -89,7 +89,7 @@
 window = %v
 `, s.Name, s.Address, s.Domain, s.Service, s.Target, s.Seeds[0], s.Seeds[1], at(PortCaller), at(PortReady), at(PortControl),
 		at(PortPages), listen, PortPeer, PortPeer+1, s.Store,
-		DrainTime.Milliseconds(), GraceTime.Seconds(), BudgetRatio, BudgetSlack, BudgetSpan.Seconds())
+		DrainTime.Milliseconds(), GraceTime.Seconds(), BudgetRatio, BudgetSlack, BudgetWindow.Seconds())
 }
 
 // Record is a target's entry in the store.
