--- a/lab/crstage/crstage.go
+++ b/lab/crstage/crstage.go
@@ -1,12 +1,14 @@
-// Package crstage sets a stage for daemons that join a fleet through a store: it
-// writes their settings, the records of their targets and a configuration, and
-// runs stand-ins of store and targets.
+// Package crstage sets up a local environment for daemons that join a fleet through
+// a store: it runs a fake store (crstore) and fake targets (crtarget) in this process
+// and writes the daemons' settings files, the targets' records and a configuration.
+// It starts no daemons. The command "camphorlab stage" uses the whole environment;
+// crsoak uses the settings, records and configurations with fakes of its own.
 //
 // # Usage
 //
-//	stage, err := crstage.Start(ctx, crstage.Options{Dir: dir, Machines: 3, Net: 70})
-//	for _, m := range stage.Machines() { start("camphorroad", "join", "--config", m.File()) }
-//	defer stage.Close()
+//	env, err := crstage.Start(ctx, crstage.Options{Dir: dir, Machines: 3, Net: 70, Key: key})
+//	defer env.Close()
+//	for _, m := range env.Machines() { start("camphorroad", "join", "--config", m.File()) }
 package crstage
 
 import (
@@ -24,7 +26,7 @@
 	"camphorroad/lab/crtarget"
 )
 
-// Ports of the stage, the same on all machines.
+// Ports, the same on all machines.
 const (
 	PortTarget = 9000 + iota
 	PortCaller
@@ -35,21 +37,21 @@
 	PortStore
 )
 
-// Bounds that all settings hold.
+// Values in the [bounds] section of every settings file, and the slots of every target.
 const (
-	DrainTime   = 2 * time.Second
-	GraceTime   = 6 * time.Second
-	BudgetRatio = 0.2
-	BudgetSlack = 40.0
-	BudgetWindow  = 10 * time.Second
-	Slots       = 4
+	DrainTime    = 2 * time.Second
+	GraceTime    = 6 * time.Second
+	BudgetRatio  = 0.2
+	BudgetSlack  = 40.0
+	BudgetWindow = 10 * time.Second
+	Slots        = 4
 )
 
-// Settings are what a daemon's settings file says.
+// Settings is the content of a daemon's settings file.
 type Settings struct {
 	Name    string
-	Address string // as peers know it
-	Listen  string // to listen at, if that is another one
+	Address string // host advertised to peers
+	Listen  string // host to listen on; empty: Address
 	Domain  string
 	Service string
 	Target  string
@@ -57,13 +59,13 @@
 	Store   string
 }
 
-// TOML returns the file.
+// TOML returns the settings as the text of a settings file.
 func (s Settings) TOML() string {
 	listen := s.Listen
 	if listen == "" {
 		listen = s.Address
 	}
-	at := func(port int) string { return fmt.Sprintf("%s:%d", listen, port) }
+	addr := func(port int) string { return fmt.Sprintf("%s:%d", listen, port) }
 	return fmt.Sprintf(`name = %q
 address = %q
 domain = %q
@@ -87,15 +89,15 @@
 ratio = %v
 slack = %v
 window = %v
-`, s.Name, s.Address, s.Domain, s.Service, s.Target, s.Seeds[0], s.Seeds[1], at(PortCaller), at(PortReady), at(PortControl),
-		at(PortPages), listen, PortPeer, PortPeer+1, s.Store,
+`, s.Name, s.Address, s.Domain, s.Service, s.Target, s.Seeds[0], s.Seeds[1], addr(PortCaller), addr(PortReady), addr(PortControl),
+		addr(PortPages), listen, PortPeer, PortPeer+1, s.Store,
 		DrainTime.Milliseconds(), GraceTime.Seconds(), BudgetRatio, BudgetSlack, BudgetWindow.Seconds())
 }
 
-// Record is a target's entry in the store.
+// Record is a target's record in the store.
 type Record struct {
 	Address string
-	Born    int
+	Born    int // start of the target; greater after a restart
 	Service string
 	Domain  string
 	Leaving bool
@@ -122,9 +124,10 @@
 	Burst float64  `json:"burst"`
 }
 
-// Publish writes a configuration: reads and writes to the services s0 and s1.
+// Publish writes a configuration with idempotent and non-idempotent routes to the
+// services s0 and s1.
 func Publish(s *crstore.Store, version int, accounts []Account) error {
-	listed, err := json.Marshal(accounts)
+	encoded, err := json.Marshal(accounts)
 	if err != nil {
 		return fmt.Errorf("encode the accounts: %w", err)
 	}
@@ -134,19 +137,19 @@
 {"name":"hold","path-prefix":"/hold/","kind":"non_idempotent","timeout-ms":1500,"objective-latency-ms":800,"priority":1,"service":"s0","max-attempts":3},
 {"name":"read","path-prefix":"/read/","kind":"idempotent","timeout-ms":1500,"objective-latency-ms":800,"priority":2,"service":"s1","max-attempts":2},
 {"name":"pay","path-prefix":"/pay/","kind":"non_idempotent","timeout-ms":1500,"objective-latency-ms":800,"priority":0,"service":"s1","max-attempts":2}]}]}`,
-		version, listed))
+		version, encoded))
 	return nil
 }
 
-// Options are the settings of a stage.
+// Options configure an environment.
 type Options struct {
-	Dir      string // for the daemons' settings
+	Dir      string // directory for the daemons' settings files
 	Machines int
-	Net      int // second byte of the loopback addresses
-	Key      string
+	Net      int    // second byte of the loopback addresses
+	Key      string // API key of the only account
 }
 
-// Machine is one machine of a stage.
+// Machine is one loopback address with a target and the settings of a daemon.
 type Machine struct {
 	name, file, caller, ready string
 	target                    *crtarget.Target
@@ -155,23 +158,23 @@
 // Name returns the machine's name.
 func (m *Machine) Name() string { return m.name }
 
-// File returns the daemon's settings file.
+// File returns the path of the daemon's settings file.
 func (m *Machine) File() string { return m.file }
 
-// Caller returns the address where callers enter.
+// Caller returns the address on which the daemon serves callers.
 func (m *Machine) Caller() string { return m.caller }
 
-// Ready returns the address of the daemon's pages.
+// Ready returns the address of the daemon's readiness endpoint.
 func (m *Machine) Ready() string { return m.ready }
 
-// Environment is a store with targets.
+// Environment is a fake store with a fake target on each machine.
 type Environment struct {
 	store    *crstore.Store
 	server   *http.Server
 	machines []*Machine
 }
 
-// Start sets a stage with one service.
+// Start runs the store and the targets of one service, and writes all settings and records.
 func Start(ctx context.Context, opts Options) (*Environment, error) {
 	s := &Environment{store: crstore.New()}
 	address := fmt.Sprintf("127.%d.5.10:%d", opts.Net, PortStore)
@@ -180,31 +183,31 @@
 		return nil, fmt.Errorf("listen for the store: %w", err)
 	}
 	s.server = &http.Server{Handler: s.store, ReadHeaderTimeout: time.Minute}
-	go func() { _ = s.server.Serve(l) }() // ends when the server is closed
+	go func() { _ = s.server.Serve(l) }() // returns when the server is closed
 	if err := Publish(s.store, 1, []Account{{Name: "surveyor", Keys: []string{opts.Key}, Rate: 50, Burst: 100}}); err != nil {
 		return nil, errors.Join(err, s.Close())
 	}
 	for i := range opts.Machines {
-		if err := s.add(opts, i, address); err != nil {
+		if err := s.addMachine(opts, i, address); err != nil {
 			return nil, errors.Join(err, s.Close())
 		}
 	}
 	return s, nil
 }
 
-func (s *Environment) add(opts Options, i int, store string) error {
+func (s *Environment) addMachine(opts Options, i int, store string) error {
 	host := func(i int) string { return fmt.Sprintf("127.%d.1.%d", opts.Net, 10+i%opts.Machines) }
-	at := func(port int) string { return fmt.Sprintf("%s:%d", host(i), port) }
-	m := &Machine{name: fmt.Sprintf("machine-%d", i), caller: at(PortCaller), ready: at(PortReady)}
+	addr := func(port int) string { return fmt.Sprintf("%s:%d", host(i), port) }
+	m := &Machine{name: fmt.Sprintf("machine-%d", i), caller: addr(PortCaller), ready: addr(PortReady)}
 	id := fmt.Sprintf("target-%d", i)
-	target, err := crtarget.Start(crtarget.Options{Address: at(PortTarget), ID: id, Slots: Slots})
+	target, err := crtarget.Start(crtarget.Options{Address: addr(PortTarget), ID: id, Slots: Slots})
 	if err != nil {
 		return err
 	}
 	m.target = target
 	s.machines = append(s.machines, m)
 	cfg := Settings{
-		Name: m.name, Address: host(i), Domain: string(rune('a' + i%3)), Service: "s0", Target: at(PortTarget), Store: store,
+		Name: m.name, Address: host(i), Domain: string(rune('a' + i%3)), Service: "s0", Target: addr(PortTarget), Store: store,
 		Seeds: [2]string{fmt.Sprintf("%s:%d", host(i+1), PortControl), fmt.Sprintf("%s:%d", host(i+2), PortControl)},
 	}
 	m.file = filepath.Join(opts.Dir, m.name+".toml")
@@ -218,7 +221,7 @@
 // Machines returns the machines.
 func (s *Environment) Machines() []*Machine { return append([]*Machine(nil), s.machines...) }
 
-// Close ends the stand-ins.
+// Close stops the targets and the store.
 func (s *Environment) Close() error {
 	for _, m := range s.machines {
 		m.target.Close()
