--- a/lab/crstore/crstore.go
+++ b/lab/crstore/crstore.go
@@ -26,7 +26,7 @@
 // The modes.
 const (
 	None    Mode = iota // answers
-	Busy                // 503 to every call
+	Unavailable                // 503 to every call
 	Many                // 429 to every call
 	Reset               // closes every connection without an answer
 	Silent              // takes calls and never answers
@@ -171,7 +171,7 @@
 	}
 	s.mu.Unlock()
 	switch f.Mode {
-	case Busy:
+	case Unavailable:
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 	case Many:
 		http.Error(w, "too many", http.StatusTooManyRequests)
