--- a/lab/crstore/crstore.go
+++ b/lab/crstore/crstore.go
@@ -27,7 +27,7 @@
 const (
 	None    Mode = iota // answers
 	Unavailable                // 503 to every call
-	Many                // 429 to every call
+	TooManyRequests                // 429 to every call
 	Reset               // closes every connection without an answer
 	Silent              // takes calls and never answers
 	Slow                // answers after the delay
@@ -173,7 +173,7 @@
 	switch f.Mode {
 	case Unavailable:
 		http.Error(w, "busy", http.StatusServiceUnavailable)
-	case Many:
+	case TooManyRequests:
 		http.Error(w, "too many", http.StatusTooManyRequests)
 	case Reset, LoseOne:
 		panic(http.ErrAbortHandler)
