--- a/lab/crstore/crstore.go
+++ b/lab/crstore/crstore.go
@@ -29,7 +29,7 @@
 	Unavailable                // 503 to every call
 	TooManyRequests                // 429 to every call
 	Reset               // closes every connection without an answer
-	Silent              // takes calls and never answers
+	Hang              // takes calls and never answers
 	Slow                // answers after the delay
 	LoseOne             // loses the next answer and its connection
 )
@@ -177,7 +177,7 @@
 		http.Error(w, "too many", http.StatusTooManyRequests)
 	case Reset, LoseOne:
 		panic(http.ErrAbortHandler)
-	case Silent:
+	case Hang:
 		<-r.Context().Done()
 	case Slow:
 		time.Sleep(f.Delay)
