--- a/lab/crsoak/fault.go
+++ b/lab/crsoak/fault.go
@@ -156,7 +156,7 @@
 		pause(ctx, s.lasts)
 		p.fleet.grams.lose(0)
 	case "store":
-		modes := []crstore.Mode{crstore.Unavailable, crstore.TooManyRequests, crstore.Reset, crstore.Hang, crstore.Slow, crstore.LoseOne}
+		modes := []crstore.Mode{crstore.Unavailable, crstore.TooManyRequests, crstore.Reset, crstore.Hang, crstore.Slow, crstore.ResetOnce}
 		p.fleet.store.Fail(crstore.Fault{Mode: modes[r.IntN(len(modes))], Delay: 250 * time.Millisecond})
 		pause(ctx, s.lasts)
 		p.fleet.store.Fail(crstore.Fault{})
--- a/lab/crstore/crstore.go
+++ b/lab/crstore/crstore.go
@@ -31,7 +31,7 @@
 	Reset               // closes every connection without an answer
 	Hang              // takes calls and never answers
 	Slow                // answers after the delay
-	LoseOne             // loses the next answer and its connection
+	ResetOnce             // loses the next answer and its connection
 )
 
 // Fault is how the store fails until the next one is set.
@@ -166,7 +166,7 @@
 	if len(f.Only) > 0 && !slices.Contains(f.Only, host) {
 		f = Fault{}
 	}
-	if f.Mode == LoseOne {
+	if f.Mode == ResetOnce {
 		s.fault = Fault{}
 	}
 	s.mu.Unlock()
@@ -175,7 +175,7 @@
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 	case TooManyRequests:
 		http.Error(w, "too many", http.StatusTooManyRequests)
-	case Reset, LoseOne:
+	case Reset, ResetOnce:
 		panic(http.ErrAbortHandler)
 	case Hang:
 		<-r.Context().Done()
