--- a/io/crmesh/crmesh_test.go
+++ b/io/crmesh/crmesh_test.go
@@ -225,7 +225,7 @@
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 4)
 	time.Sleep(time.Second)
-	f.store.Deafen()
+	f.store.PauseWatches()
 	f.publish(2, 500, "k2")
 	time.Sleep(500 * time.Millisecond)
 	f.store.Compact()
--- a/lab/crsoak/fault.go
+++ b/lab/crsoak/fault.go
@@ -161,7 +161,7 @@
 		pause(ctx, s.lasts)
 		p.fleet.store.Fail(crstore.Fault{})
 	case "compact":
-		p.fleet.store.Deafen()
+		p.fleet.store.PauseWatches()
 		pause(ctx, min(s.lasts, time.Second))
 		p.fleet.store.Compact()
 	case "target":
--- a/lab/crstore/crstore.go
+++ b/lab/crstore/crstore.go
@@ -109,8 +109,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Deafen has waiting watches hear nothing of what follows.
-func (s *Store) Deafen() {
+// PauseWatches has waiting watches hear nothing of what follows.
+func (s *Store) PauseWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.deaf = true
