--- a/io/crmesh/crmesh_test.go
+++ b/io/crmesh/crmesh_test.go
@@ -444,7 +444,7 @@
 func TestAnOutageOfTheStoreChangesNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
-	f.store.Fail(crstore.Fault{Mode: crstore.Unavailable})
+	f.store.SetFault(crstore.Fault{Mode: crstore.Unavailable})
 	for _, m := range f.machines {
 		m.store.CloseClientConnections()
 	}
--- a/lab/crsoak/fault.go
+++ b/lab/crsoak/fault.go
@@ -157,9 +157,9 @@
 		p.fleet.grams.lose(0)
 	case "store":
 		modes := []crstore.Mode{crstore.Unavailable, crstore.TooManyRequests, crstore.Reset, crstore.Hang, crstore.Slow, crstore.ResetOnce}
-		p.fleet.store.Fail(crstore.Fault{Mode: modes[r.IntN(len(modes))], Delay: 250 * time.Millisecond})
+		p.fleet.store.SetFault(crstore.Fault{Mode: modes[r.IntN(len(modes))], Delay: 250 * time.Millisecond})
 		pause(ctx, s.lasts)
-		p.fleet.store.Fail(crstore.Fault{})
+		p.fleet.store.SetFault(crstore.Fault{})
 	case "compact":
 		p.fleet.store.PauseWatches()
 		pause(ctx, min(s.lasts, time.Second))
--- a/lab/crstore/crstore.go
+++ b/lab/crstore/crstore.go
@@ -126,8 +126,8 @@
 	s.deaf = false
 }
 
-// Fail sets how the store fails from now on.
-func (s *Store) Fail(f Fault) {
+// SetFault sets how the store fails from now on.
+func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
