--- a/lab/crstore/crstore.go
+++ b/lab/crstore/crstore.go
@@ -38,9 +38,9 @@
 type Fault struct {
 	Mode  Mode
 	Delay time.Duration
-	// Only names the callers' addresses, without ports, that are concerned;
+	// Clients names the callers' addresses, without ports, that are concerned;
 	// empty: all.
-	Only []string
+	Clients []string
 }
 
 // pageItems bounds a page of a range.
@@ -163,7 +163,7 @@
 	s.calls++
 	f := s.fault
 	host, _, _ := strings.Cut(r.RemoteAddr, ":")
-	if len(f.Only) > 0 && !slices.Contains(f.Only, host) {
+	if len(f.Clients) > 0 && !slices.Contains(f.Clients, host) {
 		f = Fault{}
 	}
 	if f.Mode == ResetOnce {
