--- a/lab/crstore/crstore.go
+++ b/lab/crstore/crstore.go
@@ -1,6 +1,8 @@
-// Package crstore is a stand-in of the store on the users' platform: items under
-// growing revisions, pages, watches with a bounded history, and the ways in which
-// the store fails.
+// Package crstore implements a fake of the store on the users' platform: items with
+// increasing revisions, paginated ranges, watches over a history that can be
+// compacted, and injected faults. crstage, crsoak and the tests of platform and
+// io/crmesh use it. The real store's client is in platform; lab/crplatform is the
+// fake of the configuration service under /v1.
 //
 // # Usage
 //
@@ -20,31 +22,30 @@
 	"time"
 )
 
-// Mode is a way in which the store fails.
+// Mode is a kind of fault.
 type Mode uint8
 
-// The modes.
+// The kinds of faults.
 const (
-	None    Mode = iota // answers
-	Unavailable                // 503 to every call
-	TooManyRequests                // 429 to every call
-	Reset               // closes every connection without an answer
-	Hang              // takes calls and never answers
-	Slow                // answers after the delay
-	ResetOnce             // loses the next answer and its connection
+	None            Mode = iota // no fault
+	Unavailable                 // 503 to every request
+	TooManyRequests             // 429 to every request
+	Reset                       // closes every connection without a response
+	Hang                        // accepts requests and never responds
+	Slow                        // responds after Delay
+	ResetOnce                   // closes the connection of the next request without a response, then no fault
 )
 
-// Fault is how the store fails until the next one is set.
+// Fault is the store's fault until the next SetFault.
 type Fault struct {
 	Mode  Mode
 	Delay time.Duration
-	// Clients names the callers' addresses, without ports, that are concerned;
-	// empty: all.
+	// Clients are the IP addresses to which the fault applies; empty: all.
 	Clients []string
 }
 
-// pageItems bounds a page of a range.
-const pageItems = 50
+// pageSize is the maximum number of items in a page of a range.
+const pageSize = 50
 
 type item struct {
 	Key      string `json:"key"`
@@ -54,22 +55,22 @@
 	Removed  bool   `json:"removed,omitempty"`
 }
 
-// Store is the stand-in. It is safe for concurrent use.
+// Store is the fake store. It is safe for concurrent use.
 type Store struct {
-	mu       sync.Mutex
-	items    map[string]item
-	history  []item
-	first    uint64 // the oldest revision from which a watch can go on
-	revision uint64
-	deaf     bool
-	fault    Fault
-	changed  chan struct{}
-	calls    int
+	mu        sync.Mutex
+	items     map[string]item
+	history   []item
+	compacted uint64 // a watch after an older revision gets 410
+	revision  uint64
+	paused    bool
+	fault     Fault
+	changed   chan struct{}
+	calls     int
 }
 
 // New returns an empty store.
 func New() *Store {
-	return &Store{items: make(map[string]item), revision: 1, first: 1, changed: make(chan struct{})}
+	return &Store{items: make(map[string]item), revision: 1, compacted: 1, changed: make(chan struct{})}
 }
 
 // Put writes an item.
@@ -82,7 +83,7 @@
 		it.Created = old.Created
 	}
 	s.items[key] = it
-	s.note(it)
+	s.record(it)
 }
 
 // Remove removes an item.
@@ -94,46 +95,46 @@
 	}
 	s.revision++
 	delete(s.items, key)
-	s.note(item{Key: key, Revision: s.revision, Removed: true})
+	s.record(item{Key: key, Revision: s.revision, Removed: true})
 }
 
-func (s *Store) note(it item) {
+func (s *Store) record(it item) {
 	s.history = append(s.history, it)
-	if !s.deaf {
-		s.wake()
+	if !s.paused {
+		s.notify()
 	}
 }
 
-func (s *Store) wake() {
+func (s *Store) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// PauseWatches has waiting watches hear nothing of what follows.
+// PauseWatches withholds all events from watches until Compact.
 func (s *Store) PauseWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf = true
+	s.paused = true
 }
 
-// Compact drops the history; waiting watches go on waiting, and each fresh one
-// that asks for what is gone is told so.
+// Compact drops the history and ends PauseWatches. It does not wake waiting watches;
+// a new watch after an older revision gets 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.first = s.revision
-	s.deaf = false
+	s.compacted = s.revision
+	s.paused = false
 }
 
-// SetFault sets how the store fails from now on.
+// SetFault replaces the fault; the zero Fault ends it.
 func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the number of requests received, failed ones included.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,23 +143,23 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if s.refuse(w, r) {
+	if s.injectFault(w, r) {
 		return
 	}
 	switch r.URL.Path {
 	case "/kv-key":
-		s.key(w, r)
+		s.serveKey(w, r)
 	case "/kv-range":
-		s.list(w, r)
+		s.serveRange(w, r)
 	case "/kv-watch":
-		s.watch(w, r)
+		s.serveWatch(w, r)
 	default:
 		http.NotFound(w, r)
 	}
 }
 
-// refuse plays the fault; it reports whether the call is over.
-func (s *Store) refuse(w http.ResponseWriter, r *http.Request) bool {
+// injectFault applies the fault and reports whether the request is finished.
+func (s *Store) injectFault(w http.ResponseWriter, r *http.Request) bool {
 	s.mu.Lock()
 	s.calls++
 	f := s.fault
@@ -188,22 +189,22 @@
 	return true
 }
 
-func (s *Store) key(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveKey(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	it, ok := s.items[r.URL.Query().Get("key")]
 	revision := s.revision
 	s.mu.Unlock()
 	if !ok {
-		answer(w, http.StatusNotFound, map[string]any{"error": "no such key", "current-rev": revision})
+		writeJSON(w, http.StatusNotFound, map[string]any{"error": "no such key", "current-rev": revision})
 		return
 	}
-	answer(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		item
 		Current uint64 `json:"current-rev"`
 	}{it, revision})
 }
 
-func (s *Store) list(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,13 +215,13 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b item) int { return strings.Compare(a.Key, b.Key) })
-	more := len(list) > pageItems
-	answer(w, http.StatusOK, map[string]any{
-		"items": list[:min(len(list), pageItems)], "has-more": more, "current-rev": s.revision,
+	more := len(list) > pageSize
+	writeJSON(w, http.StatusOK, map[string]any{
+		"items": list[:min(len(list), pageSize)], "has-more": more, "current-rev": s.revision,
 	})
 }
 
-func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, err := strconv.ParseUint(q.Get("after"), 10, 64)
 	wait, err2 := strconv.Atoi(q.Get("wait-ms"))
@@ -233,21 +234,21 @@
 	for {
 		s.mu.Lock()
 		events := s.since(after, q.Get("path-prefix"))
-		lost := after < s.first
+		isCompacted := after < s.compacted
 		changed, revision := s.changed, s.revision
 		s.mu.Unlock()
-		if lost {
-			answer(w, http.StatusGone, map[string]any{"error": "compacted"})
+		if isCompacted {
+			writeJSON(w, http.StatusGone, map[string]any{"error": "compacted"})
 			return
 		}
 		if len(events) > 0 {
-			answer(w, http.StatusOK, map[string]any{"events": events, "current-rev": revision})
+			writeJSON(w, http.StatusOK, map[string]any{"events": events, "current-rev": revision})
 			return
 		}
 		select {
 		case <-changed:
 		case <-deadline.C:
-			answer(w, http.StatusOK, map[string]any{"events": []item{}, "current-rev": revision})
+			writeJSON(w, http.StatusOK, map[string]any{"events": []item{}, "current-rev": revision})
 			return
 		case <-r.Context().Done():
 			return
@@ -256,7 +257,7 @@
 }
 
 func (s *Store) since(after uint64, prefix string) []item {
-	if s.deaf {
+	if s.paused {
 		return nil
 	}
 	var out []item
@@ -268,9 +269,9 @@
 	return out
 }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that has gone needs no answer.
+	// An error means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(v)
 }
