--- a/io/crlink/crlink_test.go
+++ b/io/crlink/crlink_test.go
@@ -19,7 +19,7 @@
 	srv, err := crtarget.Start(crtarget.Options{Address: "127.0.0.1:0", ID: "i-1", Slots: 4})
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 	t.Cleanup(srv.Close)
-	srv.Set(b)
+	srv.SetBehaviour(b)
 	return srv, crlink.NewPool(srv.Address(), crlink.Options{ConnectTimeout: time.Second, IdleTimeout: time.Second, MaxIdle: 4})
 }
 
@@ -42,7 +42,7 @@
 // response to its own request.
 func TestDuplicateResponseIsDiscarded(t *testing.T) {
 	g := gomega.NewWithT(t)
-	srv, pool := startTarget(t, crtarget.Behaviour{Extra: 1})
+	srv, pool := startTarget(t, crtarget.Behaviour{Duplicate: 1})
 	for _, id := range []string{"a", "b", "c", "d"} {
 		resp, err := exchange(t, pool, id)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -90,14 +90,14 @@
 // A target closes the connection within its response, which must not pass for a
 // complete one.
 func TestTruncatedResponseIsAnError(t *testing.T) {
-	_, pool := startTarget(t, crtarget.Behaviour{Cut: 1})
+	_, pool := startTarget(t, crtarget.Behaviour{Truncate: 1})
 	_, err := exchange(t, pool, "a")
 	gomega.NewWithT(t).Expect(err).To(gomega.HaveOccurred())
 }
 
 func TestCloseDelimitedResponseEndsConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, pool := startTarget(t, crtarget.Behaviour{Endless: 1})
+	_, pool := startTarget(t, crtarget.Behaviour{CloseDelimited: 1})
 	for _, id := range []string{"a", "b"} {
 		resp, err := exchange(t, pool, id)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -149,12 +149,12 @@
 // the target goes on working on it.
 func TestContextEndClosesConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
-	srv, pool := startTarget(t, crtarget.Behaviour{Work: 5 * time.Second})
+	srv, pool := startTarget(t, crtarget.Behaviour{ServiceTime: 5 * time.Second})
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	c, err := pool.Get(ctx)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	_, err = c.Exchange(ctx, crlink.Request{Method: http.MethodGet, URI: "/", Host: "h"}, nil)
 	g.Expect(errors.Is(err, context.DeadlineExceeded)).To(gomega.BeTrue())
-	g.Eventually(srv.Stopped).Should(gomega.Equal(1))
+	g.Eventually(srv.Cancelled).Should(gomega.Equal(1))
 }
--- a/io/crmesh/crmesh_test.go
+++ b/io/crmesh/crmesh_test.go
@@ -30,7 +30,7 @@
 		g.Expect(runs[0].Account).To(gomega.Equal("t1"))
 		g.Expect(runs[0].From).To(gomega.Equal("s1"))
 		g.Expect(runs[0].Header).NotTo(gomega.HaveKey("Authorization"))
-		g.Expect(runs[0].Wait).To(gomega.BeNumerically("<=", 4*time.Second))
+		g.Expect(runs[0].Timeout).To(gomega.BeNumerically("<=", 4*time.Second))
 	}
 }
 
@@ -48,7 +48,7 @@
 func TestASickTargetIsLeftAfterItsFirstFailure(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 4)
-	f.machines[2].target.Set(crtarget.Behaviour{Fail: 1})
+	f.machines[2].target.SetBehaviour(crtarget.Behaviour{Error: 1})
 	lost := 0
 	for i := range 80 {
 		a := f.machines[i%4].call(http.MethodPost, "/hold/", "k1")
@@ -68,11 +68,11 @@
 func TestARecoveredTargetIsUsedAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
-	f.machines[1].target.Set(crtarget.Behaviour{Fail: 1})
+	f.machines[1].target.SetBehaviour(crtarget.Behaviour{Error: 1})
 	for range 10 {
 		f.machines[1].call(http.MethodGet, "/look/", "k1")
 	}
-	f.machines[1].target.Set(crtarget.Behaviour{})
+	f.machines[1].target.SetBehaviour(crtarget.Behaviour{})
 	holds := func() int {
 		f.machines[1].call(http.MethodGet, "/look/", "k1")
 		f.machines[1].call(http.MethodPost, "/hold/", "k1")
@@ -93,7 +93,7 @@
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	for _, m := range f.machines {
-		m.target.Set(crtarget.Behaviour{Reset: 1})
+		m.target.SetBehaviour(crtarget.Behaviour{Reset: 1})
 	}
 	for range 10 {
 		a := f.machines[0].call(http.MethodPost, "/hold/", "k1")
@@ -107,7 +107,7 @@
 func TestWhatATargetDidNotRunGoesElsewhere(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
-	f.machines[0].target.Set(crtarget.Behaviour{Shed: 1})
+	f.machines[0].target.SetBehaviour(crtarget.Behaviour{Shed: 1})
 	for range 10 {
 		a := f.machines[0].call(http.MethodPost, "/hold/", "k1")
 		g.Expect(a.status).To(gomega.Equal(http.StatusOK))
@@ -155,7 +155,7 @@
 	f := newFleet(t, 2)
 	f.publish(2, 1000, "k1")
 	for _, m := range f.machines {
-		m.target.Set(crtarget.Behaviour{Work: 400 * time.Millisecond})
+		m.target.SetBehaviour(crtarget.Behaviour{ServiceTime: 400 * time.Millisecond})
 	}
 	time.Sleep(time.Second)
 	var mu sync.Mutex
@@ -187,7 +187,7 @@
 	}
 	g.Expect(quick).To(gomega.BeNumerically(">", len(refused)/2))
 	for _, m := range f.machines {
-		g.Expect(m.target.Most()).To(gomega.BeNumerically("<=", 4), "slots")
+		g.Expect(m.target.Peak()).To(gomega.BeNumerically("<=", 4), "slots")
 	}
 }
 
@@ -305,7 +305,7 @@
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	for _, m := range f.machines {
-		m.target.Set(crtarget.Behaviour{Work: 300 * time.Millisecond})
+		m.target.SetBehaviour(crtarget.Behaviour{ServiceTime: 300 * time.Millisecond})
 	}
 	var mu sync.Mutex
 	var failed []answer
@@ -348,7 +348,7 @@
 	m.cfg.Bounds.Grace = 1.6
 	m.start()
 	f.settle()
-	m.target.Set(crtarget.Behaviour{Work: 1300 * time.Millisecond})
+	m.target.SetBehaviour(crtarget.Behaviour{ServiceTime: 1300 * time.Millisecond})
 	got := make(chan answer, 1)
 	go func() { got <- m.call(http.MethodPost, "/hold/", "k1") }()
 	g.Eventually(func() int { return len(m.target.Runs()) }).Should(gomega.Equal(1))
@@ -367,7 +367,7 @@
 	m.start()
 	f.settle()
 	for _, other := range f.machines {
-		other.target.Set(crtarget.Behaviour{Work: 4 * time.Second})
+		other.target.SetBehaviour(crtarget.Behaviour{ServiceTime: 4 * time.Second})
 	}
 	got := make(chan answer, 2)
 	for range 2 {
@@ -387,7 +387,7 @@
 func TestAStoppingDaemonStillTakesWhatEndsInTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
-	f.machines[0].target.Set(crtarget.Behaviour{Shed: 1})
+	f.machines[0].target.SetBehaviour(crtarget.Behaviour{Shed: 1})
 	g.Expect(f.machines[0].call(http.MethodPost, "/hold/", "k1").status).To(gomega.Equal(http.StatusOK))
 	stopping := make(chan struct{})
 	go func() {
--- a/lab/crsoak/fault.go
+++ b/lab/crsoak/fault.go
@@ -168,9 +168,9 @@
 		ill := sickness(r.IntN(8))
 		return p.each(s.machines, func(m *machine) error {
 			target, _ := m.at()
-			target.Set(ill)
+			target.SetBehaviour(ill)
 			pause(ctx, s.lasts)
-			target.Set(calm())
+			target.SetBehaviour(calm())
 			return nil
 		})
 	case "crash", "leave":
@@ -190,7 +190,7 @@
 	b := calm()
 	switch i {
 	case 0:
-		b.Fail = 0.7
+		b.Error = 0.7
 	case 1:
 		b.Hang = 0.5
 	case 2:
@@ -198,13 +198,13 @@
 	case 3:
 		b.Shed = 0.7
 	case 4:
-		b.Extra = 0.5
+		b.Duplicate = 0.5
 	case 5:
-		b.Cut = 0.5
+		b.Truncate = 0.5
 	case 6:
-		b.Endless = 0.5
+		b.CloseDelimited = 0.5
 	default:
-		b.Work = 400 * time.Millisecond
+		b.ServiceTime = 400 * time.Millisecond
 	}
 	return b
 }
--- a/lab/crsoak/fleet.go
+++ b/lab/crsoak/fleet.go
@@ -168,7 +168,7 @@
 	if err != nil {
 		return err
 	}
-	target.Set(calm())
+	target.SetBehaviour(calm())
 	m.mu.Lock()
 	m.starts, m.target, m.id = starts, target, id
 	m.mu.Unlock()
@@ -177,7 +177,7 @@
 }
 
 // calm is how a target works without a fault.
-func calm() crtarget.Behaviour { return crtarget.Behaviour{Work: 15 * time.Millisecond} }
+func calm() crtarget.Behaviour { return crtarget.Behaviour{ServiceTime: 15 * time.Millisecond} }
 
 // endTarget ends a target at once and keeps what ran on it.
 func (f *fleet) endTarget(m *machine) {
--- a/lab/crtarget/crtarget.go
+++ b/lab/crtarget/crtarget.go
@@ -1,12 +1,14 @@
-// Package crtarget is a stand-in of a target on the users' platform: it runs
-// requests in slots, seals its answers, says when it did not run one, and fails
-// in the gray ways that the platform knows.
+// Package crtarget implements a fake of a target on the users' platform: it executes
+// requests, seals its responses, marks requests that it did not execute, and injects
+// partial failures for a share of its requests. It records every request that it
+// executed. crstage, crsoak and the tests of io/crlink and io/crmesh use it.
+// crupstream is the fake of an upstream that speaks the daemon's own protocol.
 //
 // # Usage
 //
-//	t := crtarget.Start(crtarget.Options{Address: "127.0.0.2:0", ID: "i-1", Slots: 4})
+//	t, err := crtarget.Start(crtarget.Options{Address: "127.0.0.2:0", ID: "i-1", Slots: 4})
 //	defer t.Close()
-//	t.Set(crtarget.Behaviour{Fail: 1})
+//	t.SetBehaviour(crtarget.Behaviour{Error: 1})
 package crtarget
 
 import (
@@ -24,106 +26,106 @@
 	"time"
 )
 
-// Behaviour is how a target works and fails. Shares are of its requests.
+// Behaviour configures service time and faults. Each fault is a probability per request.
 type Behaviour struct {
-	Work    time.Duration
-	Fail    float64 // answers 500 at once
-	Hang    float64 // answers at its deadline with 504
-	Reset   float64 // runs the request and resets the connection
-	Shed    float64 // says that it did not run the request
-	Extra   float64 // answers twice
-	Cut     float64 // breaks off in the middle of its answer
-	Strip   float64 // leaves its seal away
-	Endless float64 // answers without a length, and closes
+	ServiceTime    time.Duration
+	Error          float64 // responds with 500 at once
+	Hang           float64 // responds with 504 at the request's deadline
+	Reset          float64 // executes the request and resets the connection
+	Shed           float64 // responds that it did not execute the request
+	Duplicate      float64 // responds twice
+	Truncate       float64 // closes the connection within the response body
+	Unsealed       float64 // omits the seal
+	CloseDelimited float64 // responds without Content-Length and closes the connection
 }
 
-// Run is a request that ran.
+// Run is a request that the target executed.
 type Run struct {
 	At                    time.Time
-	Target                string // where it ran
+	Target                string // ID of the target
 	ID, Method, URI, Body string
 	Account, From         string
-	Wait                  time.Duration
+	Timeout               time.Duration
 	Header                http.Header
 }
 
-// Options are the settings of a target.
+// Options configure a target.
 type Options struct {
 	Address string
 	ID      string
-	Slots   int
+	Slots   int // not enforced
 }
 
-// Target is the stand-in. It is safe for concurrent use.
+// Target is the fake target. It is safe for concurrent use.
 type Target struct {
-	opts     Options
-	listener net.Listener
-	mu       sync.Mutex
-	does     Behaviour
-	runs     []Run
-	stopped  int // runs whose connection closed before their end
-	running  int
-	most     int
-	conns    map[net.Conn]bool
-	done     sync.WaitGroup
+	opts      Options
+	listener  net.Listener
+	mu        sync.Mutex
+	behaviour Behaviour
+	runs      []Run
+	cancelled int // requests whose connection closed before they finished
+	running   int
+	peak      int
+	conns     map[net.Conn]bool
+	wg        sync.WaitGroup
 }
 
-// Start listens and serves.
+// Start starts a target that listens on opts.Address.
 func Start(opts Options) (*Target, error) {
 	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", opts.Address)
 	if err != nil {
 		return nil, err
 	}
 	t := &Target{opts: opts, listener: l, conns: make(map[net.Conn]bool)}
-	t.done.Add(1)
+	t.wg.Add(1)
 	go t.accept()
 	return t, nil
 }
 
-// Address returns where the target listens.
+// Address returns the address on which the target listens.
 func (t *Target) Address() string { return t.listener.Addr().String() }
 
-// Set changes how the target behaves.
-func (t *Target) Set(b Behaviour) {
+// SetBehaviour replaces the behaviour for later requests.
+func (t *Target) SetBehaviour(b Behaviour) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.does = b
+	t.behaviour = b
 }
 
-// Runs returns the requests that ran.
+// Runs returns the executed requests in the order of their start.
 func (t *Target) Runs() []Run {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]Run(nil), t.runs...)
 }
 
-// Stopped returns how many runs ended as their connection closed.
-func (t *Target) Stopped() int {
+// Cancelled returns the number of requests whose connection closed before they finished.
+func (t *Target) Cancelled() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.stopped
+	return t.cancelled
 }
 
-// Most returns the greatest number of requests that ran at one time.
-func (t *Target) Most() int {
+// Peak returns the maximum number of concurrent requests.
+func (t *Target) Peak() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.most
+	return t.peak
 }
 
-// Close ends the target at once, with all its connections.
+// Close closes the listener and all connections at once.
 func (t *Target) Close() {
-	_ = t.listener.Close() // whoever connects later is refused
+	_ = t.listener.Close() // later connections are refused
 	t.mu.Lock()
 	for c := range t.conns {
-		_ = c.Close() // the other side sees it
+		_ = c.Close() // the peer sees the close
 	}
 	t.mu.Unlock()
-	t.done.Wait()
+	t.wg.Wait()
 }
 
 func (t *Target) accept() {
-	defer t.done.Done()
+	defer t.wg.Done()
 	for {
 		conn, err := t.listener.Accept()
 		if err != nil {
@@ -132,15 +134,15 @@
 		t.mu.Lock()
 		t.conns[conn] = true
 		t.mu.Unlock()
-		t.done.Add(1)
+		t.wg.Add(1)
 		go t.serve(conn)
 	}
 }
 
 func (t *Target) serve(conn net.Conn) {
-	defer t.done.Done()
+	defer t.wg.Done()
 	defer func() {
-		_ = conn.Close() // its end is what the caller sees
+		_ = conn.Close() // the caller sees the close
 		t.mu.Lock()
 		delete(t.conns, conn)
 		t.mu.Unlock()
@@ -155,90 +157,89 @@
 		if err != nil {
 			return
 		}
-		if !t.answer(conn, br, r, string(body)) {
+		if !t.handle(conn, br, r, string(body)) {
 			return
 		}
 	}
 }
 
-// answer answers one request; it reports whether the connection goes on.
-func (t *Target) answer(conn net.Conn, br *bufio.Reader, r *http.Request, body string) bool {
+// handle responds to one request and reports whether the connection stays open.
+func (t *Target) handle(conn net.Conn, br *bufio.Reader, r *http.Request, body string) bool {
 	t.mu.Lock()
-	does := t.does
+	b := t.behaviour
 	t.mu.Unlock()
 	id := r.Header.Get("Request-Id")
 	if want := r.Header.Get("Expected-Instance"); want != "" && want != t.opts.ID {
-		return t.write(conn, 421, id, "Instance-Id: "+t.opts.ID+"\r\n", "", false)
+		return t.writeResponse(conn, 421, id, "Instance-Id: "+t.opts.ID+"\r\n", "", false)
 	}
-	if chance(does.Shed) {
-		return t.write(conn, 503, id, "Not-Executed: 1\r\n", "", false)
+	if chance(b.Shed) {
+		return t.writeResponse(conn, 503, id, "Not-Executed: 1\r\n", "", false)
 	}
-	t.begin(r, body)
-	defer t.end()
-	wait, err := strconv.Atoi(r.Header.Get("Deadline-Milliseconds"))
+	t.start(r, body)
+	defer t.finish()
+	timeout, err := strconv.Atoi(r.Header.Get("Deadline-Milliseconds"))
 	if err != nil {
-		wait = int(time.Minute / time.Millisecond)
+		timeout = int(time.Minute / time.Millisecond)
 	}
 	switch {
-	case chance(does.Reset):
+	case chance(b.Reset):
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // so that closing resets
+			_ = tcp.SetLinger(0) // makes Close send a reset
 		}
 		return false
-	case chance(does.Fail):
-		return t.write(conn, 500, id, "", "failed\n", true)
-	case chance(does.Hang):
-		t.work(conn, br, time.Duration(wait)*time.Millisecond)
-		return t.write(conn, 504, id, "", "late\n", true)
+	case chance(b.Error):
+		return t.writeResponse(conn, 500, id, "", "failed\n", true)
+	case chance(b.Hang):
+		t.serveFor(conn, br, time.Duration(timeout)*time.Millisecond)
+		return t.writeResponse(conn, 504, id, "", "late\n", true)
 	}
-	if !t.work(conn, br, does.Work) {
+	if !t.serveFor(conn, br, b.ServiceTime) {
 		return false
 	}
-	return t.good(conn, does, id, r)
+	return t.respond(conn, b, id, r)
 }
 
-func (t *Target) good(conn net.Conn, does Behaviour, id string, r *http.Request) bool {
+func (t *Target) respond(conn net.Conn, b Behaviour, id string, r *http.Request) bool {
 	text := "answer to " + id + " " + r.Method + " " + r.URL.RequestURI() + "\n"
 	switch {
-	case chance(does.Cut):
+	case chance(b.Truncate):
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(text), text[:4])
 		return false
-	case chance(does.Strip):
-		return t.write(conn, 200, id, "", text, false)
-	case chance(does.Endless):
+	case chance(b.Unsealed):
+		return t.writeResponse(conn, 200, id, "", text, false)
+	case chance(b.CloseDelimited):
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Seal: s\r\n\r\n%s", id, text)
 		return false
-	case chance(does.Extra):
-		first := t.write(conn, 200, id, "", text, true)
-		return first && t.write(conn, 200, id, "", text, true)
+	case chance(b.Duplicate):
+		first := t.writeResponse(conn, 200, id, "", text, true)
+		return first && t.writeResponse(conn, 200, id, "", text, true)
 	}
-	return t.write(conn, 200, id, "", text, true)
+	return t.writeResponse(conn, 200, id, "", text, true)
 }
 
-func chance(share float64) bool { return share > 0 && rand.Float64() < share }
+func chance(probability float64) bool { return probability > 0 && rand.Float64() < probability }
 
-func (t *Target) begin(r *http.Request, body string) {
-	wait, _ := strconv.Atoi(r.Header.Get("Deadline-Milliseconds")) // zero: not told
+func (t *Target) start(r *http.Request, body string) {
+	timeout, _ := strconv.Atoi(r.Header.Get("Deadline-Milliseconds")) // zero: no deadline given
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.running++
-	t.most = max(t.most, t.running)
+	t.peak = max(t.peak, t.running)
 	t.runs = append(t.runs, Run{
 		At: time.Now(), Target: t.opts.ID, ID: r.Header.Get("Request-Id"), Method: r.Method, URI: r.URL.RequestURI(), Body: body,
 		Account: r.Header.Get("Tenant-Name"), From: r.Header.Get("Calling-Service"),
-		Wait: time.Duration(wait) * time.Millisecond, Header: r.Header,
+		Timeout: time.Duration(timeout) * time.Millisecond, Header: r.Header,
 	})
 }
 
-func (t *Target) end() {
+func (t *Target) finish() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.running--
 }
 
-// work takes the time, or less when the connection closes; it reports whether
-// the work was finished.
-func (t *Target) work(conn net.Conn, br *bufio.Reader, d time.Duration) bool {
+// serveFor waits for d and reports true, or reports false if the connection closes first.
+func (t *Target) serveFor(conn net.Conn, br *bufio.Reader, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -253,12 +254,12 @@
 		return true
 	}
 	t.mu.Lock()
-	t.stopped++
+	t.cancelled++
 	t.mu.Unlock()
 	return false
 }
 
-func (t *Target) write(conn net.Conn, status int, id, extra, body string, sealed bool) bool {
+func (t *Target) writeResponse(conn net.Conn, status int, id, extra, body string, sealed bool) bool {
 	if sealed {
 		extra += "Response-Seal: s\r\n"
 	}
