--- a/command/lab/upstream.go
+++ b/command/lab/upstream.go
@@ -42,7 +42,7 @@
 		return oops.Wrapf(err, "listen")
 	}
 	fmt.Fprintf(f.ErrOut, "upstream %s listens on %s\n", o.Name, ln.Addr())
-	up := crupstream.New(crupstream.Options{Name: o.Name, Slots: o.Slots, Queue: o.Queue, Service: o.Service, Cold: o.Cold})
+	up := crupstream.New(crupstream.Options{Name: o.Name, Slots: o.Slots, Queue: o.Queue, ServiceTime: o.Service, Warmup: o.Cold})
 	server := &http.Server{Handler: up, ReadHeaderTimeout: headerTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
--- a/io/crexit/watch_test.go
+++ b/io/crexit/watch_test.go
@@ -35,7 +35,7 @@
 
 func newWatchedExit(t *testing.T, change func(*crpolicy.Service)) *watchedExit {
 	w := &watchedExit{WithT: gomega.NewWithT(t)}
-	w.upstream = crupstream.New(crupstream.Options{Name: "t", Slots: 2, Queue: 2, Service: 25 * time.Millisecond})
+	w.upstream = crupstream.New(crupstream.Options{Name: "t", Slots: 2, Queue: 2, ServiceTime: 25 * time.Millisecond})
 	srv := httptest.NewServer(w.upstream)
 	t.Cleanup(srv.Close)
 	w.exit = crexit.New(crexit.Options{
@@ -50,7 +50,7 @@
 	})
 	svc := crpolicy.Service{
 		Name: "s", Slots: 2, Queue: 2, Connections: 8, HealthPath: "/health", LoadPath: "/load",
-		Probe: crpolicy.Probe{Path: "/probe", Status: 200, Body: crupstream.ProbeAnswer, Interval: 100 * time.Millisecond},
+		Probe: crpolicy.Probe{Path: "/probe", Status: 200, Body: crupstream.ProbeBody, Interval: 100 * time.Millisecond},
 	}
 	change(&svc)
 	w.Expect(w.exit.Apply(crpolicy.NewSnapshot(1, []crpolicy.Service{svc}, nil))).To(gomega.BeEmpty())
--- a/lab/crfleet/options.go
+++ b/lab/crfleet/options.go
@@ -36,15 +36,15 @@
 }
 
 func (s Service) upstream(name string) crupstream.Options {
-	opts := crupstream.Options{Name: name, Slots: s.Slots, Queue: s.Queue, Service: s.Time, Cold: s.Cold}
+	opts := crupstream.Options{Name: name, Slots: s.Slots, Queue: s.Queue, ServiceTime: s.Time, Warmup: s.Cold}
 	if opts.Slots == 0 {
 		opts.Slots = defaultSlots
 	}
 	if opts.Queue == 0 {
 		opts.Queue = defaultQueue
 	}
-	if opts.Service == 0 {
-		opts.Service = defaultTime
+	if opts.ServiceTime == 0 {
+		opts.ServiceTime = defaultTime
 	}
 	return opts
 }
--- a/lab/crload/run.go
+++ b/lab/crload/run.go
@@ -198,7 +198,7 @@
 	if outcome != Answered || resp.StatusCode >= http.StatusBadRequest {
 		return outcome
 	}
-	var answer crupstream.Answer
+	var answer crupstream.Response
 	if err := json.Unmarshal(body, &answer); err != nil {
 		return Mixed
 	}
--- a/lab/crload/run_test.go
+++ b/lab/crload/run_test.go
@@ -16,7 +16,7 @@
 func TestLatencyIsNeverBelowTheServiceTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const service = 20 * time.Millisecond
-	srv := httptest.NewServer(crupstream.New(crupstream.Options{Name: "u", Slots: 50, Service: service}))
+	srv := httptest.NewServer(crupstream.New(crupstream.Options{Name: "u", Slots: 50, ServiceTime: service}))
 	defer srv.Close()
 	report, err := crload.Run(t.Context(), crload.Plan{
 		Seconds: 0.5, Seed: 1, Entries: []string{srv.URL},
--- a/lab/crupstream/crupstream.go
+++ b/lab/crupstream/crupstream.go
@@ -1,18 +1,20 @@
-// Package crupstream is a stand-in for one upstream of the users: it has slots,
-// a service time, health and load endpoints, a known answer for probes, sheds
-// load, has a cold start, drains, and fails gray on request. It counts how
-// often each request ran, which is what proofs of at-most-once compare with
-// what callers were told.
+// Package crupstream implements a fake upstream. It has slots and a queue, a service
+// time, health, load and probe endpoints, load shedding, a warm-up and a drain, and
+// it injects partial failures. It counts how often it executed each request; the
+// checks of at-most-once execution compare this with the responses that callers got.
+// crfleet, crload, the command "camphorlab upstream" and the tests of io/crexit and
+// e2e use it. crtarget is the fake of a target on the users' platform, with the
+// platform's seals and headers.
 //
 // # Usage
 //
-//	u := crupstream.New(crupstream.Options{Name: "booking-1", Slots: 5, Service: 5 * time.Millisecond})
+//	u := crupstream.New(crupstream.Options{Name: "booking-1", Slots: 5, ServiceTime: 5 * time.Millisecond})
 //	http.ListenAndServe("127.0.0.1:9100", u)
 //
-// Faults are switched by POST /lab/fault with a JSON [Fault]; GET /lab/runs
-// tells what ran. A request's query may ask for work=MS of service time in place
-// of the usual, for an answer of bytes=N more, and for that answer to come in
-// parts over drip=MS.
+// POST /lab/fault with a JSON [Fault] sets the fault, POST /lab/drain starts the drain,
+// and GET /lab/runs returns the executed requests as [Runs]. Query parameters of a
+// request: work=MS replaces the service time, bytes=N adds N bytes to the response, and
+// drip=MS sends the response in parts over that time.
 package crupstream
 
 import (
@@ -29,76 +31,76 @@
 	"time"
 )
 
-// ProbeAnswer is the known answer of the probe path.
-const ProbeAnswer = "known-answer"
+// ProbeBody is the response body of the probe path.
+const ProbeBody = "known-answer"
 
-// Header names of the stand-in's own protocol.
+// Names of headers, and the prefix of client keys.
 const (
-	HeaderLabID    = "X-Lab-Id"       // the load tool's name of a request
-	HeaderEcho     = "X-Request-Echo" // echoes the fleet's request identity
-	headerRequest  = "Camphorroad-Request"
-	headerAccount  = "Camphorroad-Account"
-	headerDraining = "X-Draining"
-	keyMark        = "crk_"
+	HeaderLabID     = "X-Lab-Id"       // the load generator's ID of a request
+	HeaderEcho      = "X-Request-Echo" // returns the value of Camphorroad-Request
+	headerRequest   = "Camphorroad-Request"
+	headerAccount   = "Camphorroad-Account"
+	headerDraining  = "X-Draining"
+	clientKeyPrefix = "crk_"
 )
 
-// Kind names a fault.
+// Kind is a kind of fault.
 type Kind string
 
 // The faults.
 const (
 	FaultNone   Kind = "none"
-	FaultSlow   Kind = "slow"   // service time times Factor
-	FaultWrong  Kind = "wrong"  // somebody else's answer
-	FaultStall  Kind = "stall"  // no answer until the caller gives up
-	FaultReset  Kind = "reset"  // the connection breaks within the body
+	FaultSlow   Kind = "slow"   // service time multiplied by Factor
+	FaultWrong  Kind = "wrong"  // response to another request
+	FaultStall  Kind = "stall"  // no response until the caller cancels
+	FaultReset  Kind = "reset"  // connection closed within the response body
 	FaultError  Kind = "error"  // status 500
-	FaultFlap   Kind = "flap"   // slow and well in turn, each for Period
-	FaultLie    Kind = "lie"    // slow, while health and load report a well target
-	FaultLate   Kind = "late"   // runs at once, answers after Factor service times
+	FaultFlap   Kind = "flap"   // alternates between slow and no fault, each for Period
+	FaultLie    Kind = "lie"    // slow, while health and load report a healthy, idle upstream
+	FaultLate   Kind = "late"   // executes at once, responds after Factor service times
 	FaultRefuse Kind = "refuse" // sheds every request
 	FaultPoison Kind = "poison" // status 500 for the requests of one account
 )
 
-// Fault is a fault in force.
+// Fault configures a fault.
 type Fault struct {
 	Kind    Kind          `json:"kind"`
 	Factor  float64       `json:"factor"`
 	Period  time.Duration `json:"period"`
-	Health  string        `json:"health"`  // what /health says while the fault lasts: "ok" or "sick"
-	Account string        `json:"account"` // of poison
+	Health  string        `json:"health"`  // result of /health during the fault: "ok" or "sick"; empty: sick only with the error kind
+	Account string        `json:"account"` // for FaultPoison
 }
 
 // Options configure an upstream.
 type Options struct {
-	Name    string
-	Slots   int
-	Queue   int           // waiting requests before it sheds
-	Service time.Duration // service time of one request
-	Cold    time.Duration // after start, service time falls from four times to one over this
+	Name        string
+	Slots       int
+	Queue       int // maximum number of waiting requests; more are shed
+	ServiceTime time.Duration
+	Warmup      time.Duration // time after start in which the service time falls from four times its value to one
 }
 
-// Upstream is an http.Handler.
+// Upstream is the fake upstream, an http.Handler. It is safe for concurrent use.
 type Upstream struct {
-	opts     Options
-	started  time.Time
-	slots    chan struct{}
-	inflight atomic.Int64
-	leaks    atomic.Int64
-	draining atomic.Bool
-	fault    atomic.Pointer[Fault]
-	since    atomic.Int64
-
-	mu   sync.Mutex
-	runs map[string]int
-	by   map[string]int
-	log  []Run
-	peak int64
+	opts       Options
+	started    time.Time
+	slots      chan struct{}
+	inflight   atomic.Int64
+	leaks      atomic.Int64
+	draining   atomic.Bool
+	fault      atomic.Pointer[Fault]
+	faultSince atomic.Int64
+
+	mu        sync.Mutex
+	runs      map[string]int
+	byAccount map[string]int
+	runLog    []Run
+	peak      int64
 }
 
-// Run is one request that ran.
+// Run is an executed request.
 type Run struct {
-	ID      string // the load tool's name
+	ID      string // value of HeaderLabID
 	Account string
 	At      time.Time
 }
@@ -106,65 +108,66 @@
 // New returns an upstream without a fault.
 func New(opts Options) *Upstream {
 	u := &Upstream{
-		opts:    opts,
-		started: time.Now(),
-		slots:   make(chan struct{}, opts.Slots),
-		runs:    make(map[string]int),
-		by:      make(map[string]int),
+		opts:      opts,
+		started:   time.Now(),
+		slots:     make(chan struct{}, opts.Slots),
+		runs:      make(map[string]int),
+		byAccount: make(map[string]int),
 	}
 	u.SetFault(Fault{Kind: FaultNone})
 	return u
 }
 
-// SetFault switches the fault.
+// SetFault replaces the fault and restarts the periods of FaultFlap.
 func (u *Upstream) SetFault(f Fault) {
-	u.since.Store(time.Now().UnixNano())
+	u.faultSince.Store(time.Now().UnixNano())
 	u.fault.Store(&f)
 }
 
-// Drain makes the upstream finish what it has and shed all new work, for good.
+// Drain makes the upstream finish its accepted requests and shed all later ones. It
+// cannot be undone.
 func (u *Upstream) Drain() { u.draining.Store(true) }
 
 // ServeHTTP implements http.Handler.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/health":
-		u.health(w)
+		u.serveHealth(w)
 	case "/load":
-		u.load(w)
+		u.serveLoad(w)
 	case "/probe":
-		u.probe(w, r)
+		u.serveProbe(w, r)
 	case "/lab/fault":
-		u.setFault(w, r)
+		u.serveSetFault(w, r)
 	case "/lab/runs":
-		u.reportRuns(w)
+		u.serveRuns(w)
 	case "/lab/drain":
 		u.Drain()
 	default:
-		u.work(w, r)
+		u.serveRequest(w, r)
 	}
 }
 
-func (u *Upstream) health(w http.ResponseWriter) {
+func (u *Upstream) serveHealth(w http.ResponseWriter) {
 	f := u.fault.Load()
-	sick := f.Health == "sick" || (f.Kind == FaultError && f.Health == "")
+	unhealthy := f.Health == "sick" || (f.Kind == FaultError && f.Health == "")
 	if u.draining.Load() {
 		w.Header().Set(headerDraining, "1")
 	}
-	if sick || u.draining.Load() {
+	if unhealthy || u.draining.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	_, _ = io.WriteString(w, "{}\n")
 }
 
-// Load is what the load endpoint reports.
+// Load is the response of the load endpoint.
 type Load struct {
 	InFlight int64 `json:"inflight"`
 	Slots    int   `json:"slots"`
 	Draining bool  `json:"draining"`
 }
 
-func (u *Upstream) load(w http.ResponseWriter) {
+func (u *Upstream) serveLoad(w http.ResponseWriter) {
 	n := u.inflight.Load()
 	if u.fault.Load().Kind == FaultLie {
 		n = 0
@@ -172,19 +175,19 @@
 	writeJSON(w, Load{InFlight: n, Slots: u.opts.Slots, Draining: u.draining.Load()})
 }
 
-func (u *Upstream) probe(w http.ResponseWriter, r *http.Request) {
+func (u *Upstream) serveProbe(w http.ResponseWriter, r *http.Request) {
 	f := u.fault.Load()
-	if !u.pause(r, u.serviceTime(f)) {
+	if !u.sleep(r, u.serviceTime(f)) {
 		return
 	}
 	if f.Kind == FaultWrong {
 		_, _ = io.WriteString(w, "wrong")
 		return
 	}
-	_, _ = io.WriteString(w, ProbeAnswer)
+	_, _ = io.WriteString(w, ProbeBody)
 }
 
-func (u *Upstream) setFault(w http.ResponseWriter, r *http.Request) {
+func (u *Upstream) serveSetFault(w http.ResponseWriter, r *http.Request) {
 	var f Fault
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -193,17 +196,17 @@
 	u.SetFault(f)
 }
 
-// Runs is what ran so far.
+// Runs summarizes the executed requests.
 type Runs struct {
 	Name     string         `json:"name"`
 	Total    int            `json:"total"`
-	Requests map[string]int `json:"requests"` // runs by the load tool's request name
+	Requests map[string]int `json:"requests"` // executions by HeaderLabID
 	Accounts map[string]int `json:"accounts"`
 	Leaks    int64          `json:"leaks"` // requests that carried a client key
-	Peak     int64          `json:"peak"`  // most in flight at once
+	Peak     int64          `json:"peak"`  // maximum number of concurrent requests, waiting ones included
 }
 
-// Runs returns what ran so far.
+// Runs returns a summary of the requests executed so far.
 func (u *Upstream) Runs() Runs {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -212,20 +215,20 @@
 		out.Requests[id] = n
 		out.Total += n
 	}
-	for a, n := range u.by {
+	for a, n := range u.byAccount {
 		out.Accounts[a] = n
 	}
 	return out
 }
 
-func (u *Upstream) reportRuns(w http.ResponseWriter) { writeJSON(w, u.Runs()) }
+func (u *Upstream) serveRuns(w http.ResponseWriter) { writeJSON(w, u.Runs()) }
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func (u *Upstream) work(w http.ResponseWriter, r *http.Request) {
+func (u *Upstream) serveRequest(w http.ResponseWriter, r *http.Request) {
 	n := u.inflight.Add(1)
 	defer u.inflight.Add(-1)
 	f := u.fault.Load()
@@ -245,39 +248,39 @@
 		return
 	}
 	u.record(r, n)
-	if !u.pause(r, u.timeFor(r, f)) {
+	if !u.sleep(r, u.requestTime(r, f)) {
 		return
 	}
-	u.answer(w, r, f, body)
+	u.respond(w, r, f, body)
 }
 
 func (u *Upstream) record(r *http.Request, n int64) {
-	if carriesKey(r) {
+	if hasClientKey(r) {
 		u.leaks.Add(1)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.runs[r.Header.Get(HeaderLabID)]++
-	u.by[r.Header.Get(headerAccount)]++
-	u.log = append(u.log, Run{ID: r.Header.Get(HeaderLabID), Account: r.Header.Get(headerAccount), At: time.Now()})
+	u.byAccount[r.Header.Get(headerAccount)]++
+	u.runLog = append(u.runLog, Run{ID: r.Header.Get(HeaderLabID), Account: r.Header.Get(headerAccount), At: time.Now()})
 	u.peak = max(u.peak, n)
 }
 
-// Log returns every run in the order of its start.
+// Log returns the executed requests in the order of their start.
 func (u *Upstream) Log() []Run {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return slices.Clone(u.log)
+	return slices.Clone(u.runLog)
 }
 
-func carriesKey(r *http.Request) bool {
+func hasClientKey(r *http.Request) bool {
 	uri, _ := url.QueryUnescape(r.RequestURI)
-	if strings.Contains(uri, keyMark) || r.Header.Get("Authorization") != "" {
+	if strings.Contains(uri, clientKeyPrefix) || r.Header.Get("Authorization") != "" {
 		return true
 	}
 	for _, values := range r.Header {
 		for _, v := range values {
-			if strings.Contains(v, keyMark) {
+			if strings.Contains(v, clientKeyPrefix) {
 				return true
 			}
 		}
@@ -286,32 +289,33 @@
 }
 
 func (u *Upstream) serviceTime(f *Fault) time.Duration {
-	d := u.opts.Service
+	d := u.opts.ServiceTime
 	switch f.Kind {
 	case FaultSlow, FaultLie, FaultLate:
 		d = time.Duration(float64(d) * f.Factor)
 	case FaultStall:
 		d = time.Hour
 	case FaultFlap:
-		since := time.Since(time.Unix(0, u.since.Load()))
+		since := time.Since(time.Unix(0, u.faultSince.Load()))
 		if f.Period > 0 && (since/f.Period)%2 == 0 {
 			d = time.Duration(float64(d) * f.Factor)
 		}
 	case FaultNone, FaultWrong, FaultReset, FaultError, FaultRefuse, FaultPoison:
 	}
-	if age := time.Since(u.started); age < u.opts.Cold {
-		d += time.Duration(3 * float64(d) * (1 - float64(age)/float64(u.opts.Cold)))
+	if age := time.Since(u.started); age < u.opts.Warmup {
+		d += time.Duration(3 * float64(d) * (1 - float64(age)/float64(u.opts.Warmup)))
 	}
 	return d
 }
 
-// timeFor is the service time of one request; the fault's part in it stays.
-func (u *Upstream) timeFor(r *http.Request, f *Fault) time.Duration {
-	asked, ok := millis(r, "work")
-	if !ok || u.opts.Service == 0 {
+// requestTime returns the service time of a request. The fault and the warm-up scale a
+// time given by the work parameter, too.
+func (u *Upstream) requestTime(r *http.Request, f *Fault) time.Duration {
+	given, ok := millis(r, "work")
+	if !ok || u.opts.ServiceTime == 0 {
 		return u.serviceTime(f)
 	}
-	return time.Duration(float64(u.serviceTime(f)) / float64(u.opts.Service) * float64(asked))
+	return time.Duration(float64(u.serviceTime(f)) / float64(u.opts.ServiceTime) * float64(given))
 }
 
 func millis(r *http.Request, name string) (time.Duration, bool) {
@@ -319,8 +323,8 @@
 	return time.Duration(n) * time.Millisecond, err == nil && n > 0
 }
 
-// pause reports false when the caller has given up meanwhile.
-func (u *Upstream) pause(r *http.Request, d time.Duration) bool {
+// sleep waits for d and reports false if the caller cancels first.
+func (u *Upstream) sleep(r *http.Request, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -331,21 +335,21 @@
 	}
 }
 
-// Answer is the body of every answer.
-type Answer struct {
-	ID       string `json:"id"` // the request's X-Lab-Id
+// Response is the JSON body of every successful response.
+type Response struct {
+	ID       string `json:"id"` // value of HeaderLabID in the request
 	Account  string `json:"account"`
 	Upstream string `json:"upstream"`
-	Length   int    `json:"length"` // bytes of the request's body
+	Length   int    `json:"length"` // bytes of the request body
 	Fill     string `json:"fill,omitempty"`
 }
 
-func (u *Upstream) answer(w http.ResponseWriter, r *http.Request, f *Fault, body []byte) {
+func (u *Upstream) respond(w http.ResponseWriter, r *http.Request, f *Fault, body []byte) {
 	if f.Kind == FaultError || (f.Kind == FaultPoison && f.Account == r.Header.Get(headerAccount)) {
 		http.Error(w, "internal error", http.StatusInternalServerError)
 		return
 	}
-	a := Answer{ID: r.Header.Get(HeaderLabID), Account: r.Header.Get(headerAccount), Upstream: u.opts.Name, Length: len(body)}
+	a := Response{ID: r.Header.Get(HeaderLabID), Account: r.Header.Get(headerAccount), Upstream: u.opts.Name, Length: len(body)}
 	echo := r.Header.Get(headerRequest)
 	if f.Kind == FaultWrong {
 		a.ID, echo = "another", "another"
@@ -366,23 +370,23 @@
 		panic(http.ErrAbortHandler)
 	}
 	if over, ok := millis(r, "drip"); ok {
-		u.drip(w, r, b, over)
+		u.writeSlowly(w, r, b, over)
 		return
 	}
 	_, _ = w.Write(b)
 }
 
-// dripParts is the number of parts of an answer that comes slowly.
-const dripParts = 20
+// slowParts is the number of parts in which writeSlowly sends a response.
+const slowParts = 20
 
-func (u *Upstream) drip(w http.ResponseWriter, r *http.Request, b []byte, over time.Duration) {
+func (u *Upstream) writeSlowly(w http.ResponseWriter, r *http.Request, b []byte, over time.Duration) {
 	rc := http.NewResponseController(w)
-	size := max(1, len(b)/dripParts)
+	size := max(1, len(b)/slowParts)
 	for part := range slices.Chunk(b, size) {
 		if _, err := w.Write(part); err != nil || rc.Flush() != nil {
 			return
 		}
-		if !u.pause(r, over/dripParts) {
+		if !u.sleep(r, over/slowParts) {
 			return
 		}
 	}
