--- a/e2e/account_test.go
+++ b/e2e/account_test.go
@@ -87,7 +87,7 @@
 	It("holds while the daemons that mint are frozen beyond the horizon", func() {
 		a := account("surge", 60, 60)
 		f := newFleet(5, 2*time.Millisecond, a)
-		f.Platform().SetFault(labplatform.Fault{Mode: labplatform.ModeAway})
+		f.Platform().SetFault(labplatform.Fault{Mode: labplatform.ModeReset})
 		wait := timeline(
 			time.Second,
 			f.Daemon(0).Freeze, f.Daemon(1).Freeze,
--- a/e2e/config_test.go
+++ b/e2e/config_test.go
@@ -39,7 +39,7 @@
 	It("outlives a platform that is away, also through a daemon's restart", func() {
 		a := account("survey", 1000, 1000)
 		f := newFleet(5, time.Millisecond, a)
-		f.Platform().SetFault(labplatform.Fault{Mode: labplatform.ModeAway})
+		f.Platform().SetFault(labplatform.Fault{Mode: labplatform.ModeReset})
 		time.Sleep(3 * time.Second)
 		for _, d := range f.Daemons() {
 			Expect(d.Get(a, "/kits/1").Status).To(Equal(http.StatusOK), d.Name())
--- a/e2e/trace_test.go
+++ b/e2e/trace_test.go
@@ -121,7 +121,7 @@
 	// The platform is away for a while; nobody may notice.
 	It("replays exactly when the platform is away", func() {
 		f := start()
-		f.Platform().SetFault(labplatform.Fault{Mode: labplatform.ModeAway})
+		f.Platform().SetFault(labplatform.Fault{Mode: labplatform.ModeReset})
 		time.Sleep(3 * time.Second)
 		_, err := f.SetAccounts(account(a.Name, 50, 60))
 		must(err)
--- a/io/crplatform/client_test.go
+++ b/io/crplatform/client_test.go
@@ -101,7 +101,7 @@
 		fault lab.Fault
 		want  error
 	}{
-		"unavailable": {lab.Fault{Mode: lab.ModeAway}, crplatform.ErrUnavailable},
+		"unavailable": {lab.Fault{Mode: lab.ModeReset}, crplatform.ErrUnavailable},
 		"hang":        {lab.Fault{Mode: lab.ModeHang}, crplatform.ErrUnavailable},
 		"slow":        {lab.Fault{Mode: lab.ModeSlow, Delay: 10 * time.Millisecond}, nil},
 		"stale":       {lab.Fault{Mode: lab.ModeStale}, crplatform.ErrStale},
--- a/lab/crmeasure/cases.go
+++ b/lab/crmeasure/cases.go
@@ -61,7 +61,7 @@
 		{Name: "two", count: 2, begin: faults(slow, wrong), end: well, beside: ejecting},
 		{Name: "cut", byCallers: true, begin: cut, end: heal},
 		{Name: "frozen", apart: 1, byCallers: true, begin: freeze, end: resume},
-		{Name: "platform", begin: platform(crplatform.ModeAway), end: platform(crplatform.ModeNone)},
+		{Name: "platform", begin: platform(crplatform.ModeReset), end: platform(crplatform.ModeNone)},
 		{Name: "rolling", apart: replaced, begin: replace, beside: rating, least: rollingTime},
 		{Name: "surge", surge: surgeFactor, beside: rating},
 	}
--- a/lab/crplatform/dir.go
+++ b/lab/crplatform/dir.go
@@ -13,7 +13,7 @@
 	"camphorroad/core/crinstance"
 )
 
-// Names in a directory to publish, as `policy build` writes it.
+// Names in a bundle directory, as written by `policy build`.
 const (
 	manifestFile  = "manifest"
 	valuesDir     = "values"
@@ -37,8 +37,7 @@
 	Instances []fileInstance `toml:"instance"`
 }
 
-// ReadUpload reads a bundle directory. A directory without a manifest gives
-// ok false.
+// ReadUpload reads a bundle directory. ok is false if it has no manifest.
 func ReadUpload(dir string) (up Upload, ok bool, err error) {
 	up.Manifest, err = os.ReadFile(filepath.Join(dir, manifestFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -61,8 +60,7 @@
 	return up, true, nil
 }
 
-// ReadInstances reads DIR/instances.toml. A directory without one gives ok
-// false.
+// ReadInstances reads DIR/instances.toml. ok is false if the file does not exist.
 func ReadInstances(dir string) (instances []crinstance.Instance, ok bool, err error) {
 	data, err := os.ReadFile(filepath.Join(dir, instancesFile))
 	if errors.Is(err, fs.ErrNotExist) {
--- a/lab/crplatform/handler.go
+++ b/lab/crplatform/handler.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	maxWait   = time.Minute
-	poll      = 20 * time.Millisecond // at which a waiting watch looks for a lagging list
-	pageSize  = 2000                  // instances a page
-	pageBytes = 900_000               // of their JSON, to stay below the limit of an answer
-	maxUpload = 256 << 20             // bytes of a published bundle
+	maxWait      = time.Minute
+	pollInterval = 20 * time.Millisecond // of a waiting watch, which is not notified when a delayed list becomes visible
+	pageSize     = 2000                  // instances
+	maxPageBytes = 900_000               // of the instances' JSON, below the client's limit of a response
+	maxUpload    = 256 << 20             // bytes of a published bundle
 )
 
-// Upload is a whole bundle as the operator's side publishes it.
+// Upload is a bundle as published by an operator.
 type Upload struct {
 	Manifest []byte   `json:"manifest"`
 	Values   [][]byte `json:"values"`
 }
 
-// Published is the answer to a change from the operator's side.
+// Published is the response to an operator's change.
 type Published struct {
 	Rev crid.Revision `json:"rev"`
 }
 
-// Handler serves the platform's protocol under /v1, and the operator's side
-// under /lab, which is never counted and never fails.
+// Handler serves the platform's protocol under /v1 and the operator's endpoints under
+// /lab. Requests under /lab are not counted, and faults do not apply to them.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/watch", p.faulty(func(c *Counts) { c.Watch++ }, p.serveWatch))
-	mux.HandleFunc("GET /v1/value/{name...}", p.faulty(func(c *Counts) { c.Value++ }, p.serveValue))
-	mux.HandleFunc("GET /v1/instances", p.faulty(func(c *Counts) { c.Instances++ }, p.serveInstances))
+	mux.HandleFunc("GET /v1/watch", p.withFault(func(c *Counts) { c.Watch++ }, p.serveWatch))
+	mux.HandleFunc("GET /v1/value/{name...}", p.withFault(func(c *Counts) { c.Value++ }, p.serveValue))
+	mux.HandleFunc("GET /v1/instances", p.withFault(func(c *Counts) { c.Instances++ }, p.serveInstances))
 	mux.HandleFunc("GET /lab/counts", func(w http.ResponseWriter, _ *http.Request) { reply(w, p.Counts()) })
 	mux.HandleFunc("POST /lab/publish", p.servePublish)
 	mux.HandleFunc("PUT /lab/instances", p.serveSetInstances)
@@ -45,14 +45,14 @@
 	return mux
 }
 
-// faulty counts a call and lets the current fault act on it.
-func (p *Platform) faulty(add func(*Counts), next http.HandlerFunc) http.HandlerFunc {
+// withFault counts a request and applies the current fault to it.
+func (p *Platform) withFault(add func(*Counts), next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.count(add)
 		f := p.currentFault()
 		switch f.Mode {
-		case ModeAway:
-			panic(http.ErrAbortHandler) // net/http cuts the connection
+		case ModeReset:
+			panic(http.ErrAbortHandler) // net/http closes the connection
 		case ModeHang:
 			<-r.Context().Done()
 			return
@@ -74,13 +74,13 @@
 		http.Error(w, "give after=REVISION and wait=DURATION", http.StatusBadRequest)
 		return
 	}
-	ends := time.NewTimer(min(wait, maxWait))
-	defer ends.Stop()
+	deadline := time.NewTimer(min(wait, maxWait))
+	defer deadline.Stop()
 	for {
-		s, changed := p.visible()
+		s, changed := p.current()
 		switch p.currentFault().Mode {
-		case ModeAway, ModeHang:
-			panic(http.ErrAbortHandler) // going away also cuts those who wait
+		case ModeReset, ModeHang:
+			panic(http.ErrAbortHandler) // the fault also ends waiting watches
 		}
 		if s.head.Rev != crid.Revision(after) {
 			reply(w, s.head)
@@ -88,8 +88,8 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(poll):
-		case <-ends.C:
+		case <-time.After(pollInterval):
+		case <-deadline.C:
 			reply(w, s.head)
 			return
 		case <-r.Context().Done():
@@ -113,7 +113,7 @@
 }
 
 func (p *Platform) serveInstances(w http.ResponseWriter, r *http.Request) {
-	s, _ := p.visible()
+	s, _ := p.current()
 	after := crid.Daemon(r.FormValue("after"))
 	page := crplatform.Page{Rev: s.head.List}
 	bytes := 0
@@ -127,7 +127,7 @@
 			return
 		}
 		bytes += len(text)
-		if n := len(page.Instances); n == pageSize || (n > 0 && bytes > pageBytes) {
+		if n := len(page.Instances); n == pageSize || (n > 0 && bytes > maxPageBytes) {
 			page.Next = page.Instances[n-1].Daemon
 			break
 		}
@@ -176,5 +176,5 @@
 
 func reply(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // a caller that left has no use for it
+	_ = json.NewEncoder(w).Encode(v) // an error means that the client has disconnected
 }
--- a/lab/crplatform/platform.go
+++ b/lab/crplatform/platform.go
@@ -1,6 +1,7 @@
-// Package crplatform is the stand-in of the users' platform for tests and the
-// demo: it holds published values and the list of instances under one growing
-// revision, counts each call, and fails on request.
+// Package crplatform implements a fake of the users' platform for tests and the demo:
+// it holds published values and the list of instances under one increasing revision,
+// counts requests, and injects faults. The client of the platform is in io/crplatform;
+// crstore is the fake of the platform's store.
 //
 // # Usage
 //
@@ -8,7 +9,7 @@
 //	server := httptest.NewServer(p.Handler())
 //	rev, err := p.Publish(manifest, values)
 //	rev = p.SetInstances(instances)
-//	p.SetFault(crplatform.Fault{Mode: crplatform.ModeAway})
+//	p.SetFault(crplatform.Fault{Mode: crplatform.ModeReset})
 package crplatform
 
 import (
@@ -23,48 +24,49 @@
 	"camphorroad/io/crpolicyfile"
 )
 
-// Mode is a way in which the platform fails.
+// Mode is a kind of fault.
 type Mode string
 
-// The modes of failure.
+// The kinds of faults.
 const (
-	ModeNone  Mode = ""      // answers truly
-	ModeAway  Mode = "away"  // closes every connection without an answer
-	ModeHang  Mode = "hang"  // takes calls and never answers
-	ModeSlow  Mode = "slow"  // answers after Delay
-	ModeStale Mode = "stale" // answers from Back changes ago
-	ModeFlap  Mode = "flap"  // turns between true and stale every Delay
+	ModeNone  Mode = ""      // no fault
+	ModeReset Mode = "away"  // closes every connection without a response
+	ModeHang  Mode = "hang"  // accepts requests and never responds
+	ModeSlow  Mode = "slow"  // responds after Delay
+	ModeStale Mode = "stale" // responds with the state of Back changes ago
+	ModeFlap  Mode = "flap"  // alternates between the current and a stale state every Delay
 )
 
-// Fault is how the platform fails, until the next one is set.
+// Fault is the platform's fault until the next SetFault.
 type Fault struct {
 	Mode  Mode          `json:"mode"`
-	Delay time.Duration `json:"delay"` // nanoseconds, of slow and flap
-	Back  int           `json:"back"`  // changes, of stale and flap; zero means one
-	Lag   time.Duration `json:"lag"`   // nanoseconds by which the list of instances is late, in every mode
+	Delay time.Duration `json:"delay"` // nanoseconds, for slow and flap
+	Back  int           `json:"back"`  // changes, for stale and flap; zero means one
+	Lag   time.Duration `json:"lag"`   // nanoseconds by which the list of instances is delayed, in every mode
 }
 
-// Counts holds the calls so far; a waiting watch is one call.
+// Counts holds the numbers of requests so far; a waiting watch is one request.
 type Counts struct {
 	Watch     int `json:"watch"`
 	Value     int `json:"value"`
 	Instances int `json:"instances"`
 }
 
-// Total is the number of all calls.
+// Total returns the number of all requests.
 func (c Counts) Total() int { return c.Watch + c.Value + c.Instances }
 
-// ErrBundle tells that a bundle is not whole; nothing of it was published.
-var ErrBundle = errors.New("bundle is not whole")
+// ErrIncompleteBundle means that a manifest is invalid or one of its values is missing.
+// Nothing of the bundle was published.
+var ErrIncompleteBundle = errors.New("bundle is incomplete")
 
-// state is what was newest between two changes.
+// state is the platform's content between two changes.
 type state struct {
 	head      crconfig.Head
 	instances []crinstance.Instance
 	since     time.Time
 }
 
-// Platform is the stand-in. It is safe for concurrent use.
+// Platform is the fake platform. It is safe for concurrent use.
 type Platform struct {
 	mu      sync.Mutex
 	rev     crid.Revision
@@ -86,23 +88,23 @@
 	}
 }
 
-// Publish puts a bundle in place of the former in one step, and returns its
-// revision. Publishing what is published already changes nothing.
+// Publish replaces the bundle atomically and returns its revision. Publishing the
+// current bundle again changes nothing.
 func (p *Platform) Publish(manifest []byte, values [][]byte) (crid.Revision, error) {
 	m, err := crpolicyfile.ParseManifest(manifest)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrBundle, err)
+		return 0, fmt.Errorf("%w: %w", ErrIncompleteBundle, err)
 	}
-	have := map[crconfig.Digest][]byte{crconfig.DigestOf(manifest): manifest}
+	byDigest := map[crconfig.Digest][]byte{crconfig.DigestOf(manifest): manifest}
 	for _, data := range values {
-		have[crconfig.DigestOf(data)] = data
+		byDigest[crconfig.DigestOf(data)] = data
 	}
 	for _, e := range m.Entries {
-		if len(have[e.Digest]) != e.Size {
-			return 0, fmt.Errorf("%w: value %s is missing", ErrBundle, e.Name)
+		if len(byDigest[e.Digest]) != e.Size {
+			return 0, fmt.Errorf("%w: value %s is missing", ErrIncompleteBundle, e.Name)
 		}
 	}
-	return p.publish(crconfig.DigestOf(manifest), have), nil
+	return p.publish(crconfig.DigestOf(manifest), byDigest), nil
 }
 
 func (p *Platform) publish(manifest crconfig.Digest, values map[crconfig.Digest][]byte) crid.Revision {
@@ -118,11 +120,11 @@
 	p.rev++
 	last.head.Conf = p.rev
 	last.head.Manifest = manifest
-	p.push(last)
+	p.appendState(last)
 	return p.rev
 }
 
-// SetInstances puts a list of instances in place and returns its revision.
+// SetInstances replaces the list of instances and returns its revision.
 func (p *Platform) SetInstances(instances []crinstance.Instance) crid.Revision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,40 +132,40 @@
 	p.rev++
 	last.head.List = p.rev
 	last.instances = crinstance.NewList(p.rev, instances).Instances()
-	p.push(last)
+	p.appendState(last)
 	return p.rev
 }
 
-// SetFault makes the platform fail, or mends it with the zero Fault.
+// SetFault replaces the fault; the zero Fault ends it.
 func (p *Platform) SetFault(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
 	p.faultAt = time.Now()
-	p.wake()
+	p.notify()
 }
 
-// Counts returns the calls so far.
+// Counts returns the numbers of requests so far.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-func (p *Platform) push(s state) {
+func (p *Platform) appendState(s state) {
 	s.head.Rev = p.rev
 	s.since = time.Now()
 	p.history = append(p.history, s)
-	p.wake()
+	p.notify()
 }
 
-func (p *Platform) wake() {
+func (p *Platform) notify() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// visible returns what a caller is shown now, and what to wait on for more.
-func (p *Platform) visible() (state, <-chan struct{}) {
+// current returns the state shown to clients now, and a channel closed on the next change.
+func (p *Platform) current() (state, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
--- a/lab/crplatform/platform_test.go
+++ b/lab/crplatform/platform_test.go
@@ -16,7 +16,7 @@
 
 func TestIncompleteBundleIsNotPublished(t *testing.T) {
 	p := crplatform.New(0)
-	if _, err := p.Publish([]byte("junk"), nil); !errors.Is(err, crplatform.ErrBundle) {
+	if _, err := p.Publish([]byte("junk"), nil); !errors.Is(err, crplatform.ErrIncompleteBundle) {
 		t.Errorf("got %v", err)
 	}
 }
@@ -41,9 +41,9 @@
 	}
 }
 
-// A page above the limit of a platform's answer is refused by every daemon, and a
-// fleet of the planned size then never learns of a new list.
-func TestLongListIsReadWhole(t *testing.T) {
+// Daemons reject a page above the size limit of a response, so a large fleet would
+// never receive a new list.
+func TestLongListIsReadInPages(t *testing.T) {
 	list := make([]crinstance.Instance, 5500)
 	for i := range list {
 		list[i] = crinstance.Instance{Daemon: crid.Daemon(fmt.Sprintf("instance-%05d", i)), Domain: "north", Addr: "127.0.0.1:7001"}
