--- a/command/lab/upstream.go
+++ b/command/lab/upstream.go
@@ -43,7 +43,7 @@
 		return oops.Wrapf(err, "listen")
 	}
 	fmt.Fprintf(f.ErrOut, "upstream %s listens on %s\n", o.Name, ln.Addr())
-	upstream := crupstream.New(crupstream.Options{Name: o.Name, Slots: o.Slots, Queue: o.Queue, Service: o.Service, Cold: o.Cold})
+	upstream := crupstream.New(crupstream.Options{Name: o.Name, Slots: o.Slots, Queue: o.Queue, ServiceTime: o.Service, Warmup: o.Cold})
 	server := &http.Server{Handler: upstream, ReadHeaderTimeout: headerTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
--- a/e2e/trace_test.go
+++ b/e2e/trace_test.go
@@ -121,7 +121,7 @@
 	// The platform is unavailable for a while; callers must not be affected.
 	It("replays exactly when the platform is unavailable", func() {
 		f := start()
-		f.Platform().SetFault(labplatform.Fault{Mode: labplatform.ModeAway})
+		f.Platform().SetFault(labplatform.Fault{Mode: labplatform.ModeReset})
 		time.Sleep(3 * time.Second)
 		_, err := f.SetAccounts(account(a.Name, 50, 60))
 		must(err)
--- a/io/crmesh/crmesh_test.go
+++ b/io/crmesh/crmesh_test.go
@@ -30,7 +30,7 @@
 		g.Expect(runs[0].Account).To(gomega.Equal("t1"))
 		g.Expect(runs[0].From).To(gomega.Equal("s1"))
 		g.Expect(runs[0].Header).NotTo(gomega.HaveKey("Authorization"))
-		g.Expect(runs[0].Wait).To(gomega.BeNumerically("<=", 4*time.Second))
+		g.Expect(runs[0].Timeout).To(gomega.BeNumerically("<=", 4*time.Second))
 	}
 }
 
@@ -47,7 +47,7 @@
 func TestFailingTargetIsAvoidedAfterItsFirstFailure(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 4)
-	f.machines[2].target.Set(crtarget.Behaviour{Fail: 1})
+	f.machines[2].target.SetBehaviour(crtarget.Behaviour{Error: 1})
 	failed := 0
 	for i := range 80 {
 		a := f.machines[i%4].call(http.MethodPost, "/hold/", "k1")
@@ -68,11 +68,11 @@
 func TestRecoveredTargetIsUsedAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
-	f.machines[1].target.Set(crtarget.Behaviour{Fail: 1})
+	f.machines[1].target.SetBehaviour(crtarget.Behaviour{Error: 1})
 	for range 10 {
 		f.machines[1].call(http.MethodGet, "/look/", "k1")
 	}
-	f.machines[1].target.Set(crtarget.Behaviour{})
+	f.machines[1].target.SetBehaviour(crtarget.Behaviour{})
 	nonIdempotentRuns := func() int {
 		f.machines[1].call(http.MethodGet, "/look/", "k1")
 		f.machines[1].call(http.MethodPost, "/hold/", "k1")
@@ -94,7 +94,7 @@
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	for _, m := range f.machines {
-		m.target.Set(crtarget.Behaviour{Reset: 1})
+		m.target.SetBehaviour(crtarget.Behaviour{Reset: 1})
 	}
 	for range 10 {
 		a := f.machines[0].call(http.MethodPost, "/hold/", "k1")
@@ -108,7 +108,7 @@
 func TestRequestShedByATargetIsRetriedElsewhere(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
-	f.machines[0].target.Set(crtarget.Behaviour{Shed: 1})
+	f.machines[0].target.SetBehaviour(crtarget.Behaviour{Shed: 1})
 	for range 10 {
 		a := f.machines[0].call(http.MethodPost, "/hold/", "k1")
 		g.Expect(a.status).To(gomega.Equal(http.StatusOK))
@@ -156,7 +156,7 @@
 	f := newFleet(t, 2)
 	f.publish(2, 1000, "k1")
 	for _, m := range f.machines {
-		m.target.Set(crtarget.Behaviour{Work: 400 * time.Millisecond})
+		m.target.SetBehaviour(crtarget.Behaviour{ServiceTime: 400 * time.Millisecond})
 	}
 	time.Sleep(time.Second)
 	var mu sync.Mutex
@@ -188,7 +188,7 @@
 	}
 	g.Expect(fast).To(gomega.BeNumerically(">", len(refused)/2))
 	for _, m := range f.machines {
-		g.Expect(m.target.Most()).To(gomega.BeNumerically("<=", 4), "slots")
+		g.Expect(m.target.Peak()).To(gomega.BeNumerically("<=", 4), "slots")
 	}
 }
 
@@ -226,7 +226,7 @@
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 4)
 	time.Sleep(time.Second)
-	f.store.Deafen()
+	f.store.PauseWatches()
 	f.publish(2, 500, "k2")
 	time.Sleep(500 * time.Millisecond)
 	f.store.Compact()
@@ -305,7 +305,7 @@
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	for _, m := range f.machines {
-		m.target.Set(crtarget.Behaviour{Work: 300 * time.Millisecond})
+		m.target.SetBehaviour(crtarget.Behaviour{ServiceTime: 300 * time.Millisecond})
 	}
 	var mu sync.Mutex
 	var failed []response
@@ -348,7 +348,7 @@
 	m.cfg.Bounds.Grace = 1.6
 	m.start()
 	f.waitReady()
-	m.target.Set(crtarget.Behaviour{Work: 1300 * time.Millisecond})
+	m.target.SetBehaviour(crtarget.Behaviour{ServiceTime: 1300 * time.Millisecond})
 	got := make(chan response, 1)
 	go func() { got <- m.call(http.MethodPost, "/hold/", "k1") }()
 	g.Eventually(func() int { return len(m.target.Runs()) }).Should(gomega.Equal(1))
@@ -368,7 +368,7 @@
 	m.start()
 	f.waitReady()
 	for _, other := range f.machines {
-		other.target.Set(crtarget.Behaviour{Work: 4 * time.Second})
+		other.target.SetBehaviour(crtarget.Behaviour{ServiceTime: 4 * time.Second})
 	}
 	got := make(chan response, 2)
 	for range 2 {
@@ -388,7 +388,7 @@
 func TestStoppingDaemonServesRequestsThatEndInTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
-	f.machines[0].target.Set(crtarget.Behaviour{Shed: 1})
+	f.machines[0].target.SetBehaviour(crtarget.Behaviour{Shed: 1})
 	g.Expect(f.machines[0].call(http.MethodPost, "/hold/", "k1").status).To(gomega.Equal(http.StatusOK))
 	stopping := make(chan struct{})
 	go func() {
@@ -444,7 +444,7 @@
 func TestRequestsAreServedDuringAStoreOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
-	f.store.Fail(crstore.Fault{Mode: crstore.Busy})
+	f.store.SetFault(crstore.Fault{Mode: crstore.Unavailable})
 	for _, m := range f.machines {
 		m.store.CloseClientConnections()
 	}
--- a/lab/crsoak/check.go
+++ b/lab/crsoak/check.go
@@ -161,10 +161,10 @@
 		}
 		slices.SortFunc(retries, time.Time.Compare)
 		for _, end := range retries {
-			n := countBetween(retries, end.Add(-crstage.BudgetSpan), end)
-			requests := max(countBetween(sent, end.Add(-crstage.BudgetSpan), end), countBetween(sent, end.Add(-2*crstage.BudgetSpan), end.Add(-crstage.BudgetSpan)))
+			n := countBetween(retries, end.Add(-crstage.BudgetWindow), end)
+			requests := max(countBetween(sent, end.Add(-crstage.BudgetWindow), end), countBetween(sent, end.Add(-2*crstage.BudgetWindow), end.Add(-crstage.BudgetWindow)))
 			if limit := crstage.BudgetRatio*float64(requests) + crstage.BudgetSlack; float64(n) > limit {
-				v.add("budget: %s got %d retries in %v, limit is %.0f", service, n, crstage.BudgetSpan, limit)
+				v.add("budget: %s got %d retries in %v, limit is %.0f", service, n, crstage.BudgetWindow, limit)
 				break
 			}
 		}
--- a/lab/crsoak/fault.go
+++ b/lab/crsoak/fault.go
@@ -157,21 +157,21 @@
 		sleep(ctx, f.duration)
 		in.fleet.datagrams.setLoss(0)
 	case "store":
-		modes := []crstore.Mode{crstore.Busy, crstore.Many, crstore.Reset, crstore.Silent, crstore.Slow, crstore.LoseOne}
-		in.fleet.store.Fail(crstore.Fault{Mode: modes[r.IntN(len(modes))], Delay: 250 * time.Millisecond})
+		modes := []crstore.Mode{crstore.Unavailable, crstore.TooManyRequests, crstore.Reset, crstore.Hang, crstore.Slow, crstore.ResetOnce}
+		in.fleet.store.SetFault(crstore.Fault{Mode: modes[r.IntN(len(modes))], Delay: 250 * time.Millisecond})
 		sleep(ctx, f.duration)
-		in.fleet.store.Fail(crstore.Fault{})
+		in.fleet.store.SetFault(crstore.Fault{})
 	case "compact":
-		in.fleet.store.Deafen()
+		in.fleet.store.PauseWatches()
 		sleep(ctx, min(f.duration, time.Second))
 		in.fleet.store.Compact()
 	case "target":
 		behaviour := grayFailure(r.IntN(8))
 		return in.forEach(f.machines, func(m *machine) error {
 			target, _ := m.currentTarget()
-			target.Set(behaviour)
+			target.SetBehaviour(behaviour)
 			sleep(ctx, f.duration)
-			target.Set(healthyBehaviour())
+			target.SetBehaviour(healthyBehaviour())
 			return nil
 		})
 	case "crash", "leave":
@@ -191,7 +191,7 @@
 	b := healthyBehaviour()
 	switch i {
 	case 0:
-		b.Fail = 0.7
+		b.Error = 0.7
 	case 1:
 		b.Hang = 0.5
 	case 2:
@@ -199,13 +199,13 @@
 	case 3:
 		b.Shed = 0.7
 	case 4:
-		b.Extra = 0.5
+		b.Duplicate = 0.5
 	case 5:
-		b.Cut = 0.5
+		b.Truncate = 0.5
 	case 6:
-		b.Endless = 0.5
+		b.CloseDelimited = 0.5
 	default:
-		b.Work = 400 * time.Millisecond
+		b.ServiceTime = 400 * time.Millisecond
 	}
 	return b
 }
--- a/lab/crsoak/fleet.go
+++ b/lab/crsoak/fleet.go
@@ -169,7 +169,7 @@
 	if err != nil {
 		return err
 	}
-	target.Set(healthyBehaviour())
+	target.SetBehaviour(healthyBehaviour())
 	m.mu.Lock()
 	m.targetStarts, m.target, m.targetID = starts, target, id
 	m.mu.Unlock()
@@ -178,7 +178,9 @@
 }
 
 // healthyBehaviour returns the behaviour of a target without a fault.
-func healthyBehaviour() crtarget.Behaviour { return crtarget.Behaviour{Work: 15 * time.Millisecond} }
+func healthyBehaviour() crtarget.Behaviour {
+	return crtarget.Behaviour{ServiceTime: 15 * time.Millisecond}
+}
 
 // stopTarget closes a target without draining and keeps its runs.
 func (f *fleet) stopTarget(m *machine) {
