--- a/lab/crfleet/cost.go
+++ b/lab/crfleet/cost.go
@@ -14,8 +14,8 @@
 // clockTicks a second is the unit of processor time in /proc on Linux.
 const clockTicks = 100
 
-// Cost is what a daemon uses.
-type Cost struct {
+// Usage is what a daemon uses.
+type Usage struct {
 	CPU      float64 // seconds, or their part of a second
 	Sent     float64 // bytes of control messages, or a second
 	Received float64
@@ -24,8 +24,8 @@
 }
 
 // Cost is what the process has used so far, by the system's and its own word.
-func (d *Daemon) Cost(ctx context.Context) (Cost, error) {
-	var c Cost
+func (d *Daemon) Cost(ctx context.Context) (Usage, error) {
+	var c Usage
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.PID()))
 	if err != nil {
 		return c, err
@@ -64,20 +64,20 @@
 
 // CostOver is the mean over the daemons of what one uses in a second, watched
 // for the given time; Memory is that at its end.
-func (f *Fleet) CostOver(ctx context.Context, watched time.Duration) (Cost, error) {
+func (f *Fleet) CostOver(ctx context.Context, watched time.Duration) (Usage, error) {
 	before, err := f.sumCost(ctx)
 	if err != nil {
-		return Cost{}, err
+		return Usage{}, err
 	}
 	start := time.Now()
 	time.Sleep(watched)
 	after, err := f.sumCost(ctx)
 	if err != nil {
-		return Cost{}, err
+		return Usage{}, err
 	}
 	n := float64(len(f.Daemons()))
 	seconds := n * time.Since(start).Seconds()
-	return Cost{
+	return Usage{
 		CPU:      (after.CPU - before.CPU) / seconds,
 		Sent:     (after.Sent - before.Sent) / seconds,
 		Received: (after.Received - before.Received) / seconds,
@@ -86,8 +86,8 @@
 	}, nil
 }
 
-func (f *Fleet) sumCost(ctx context.Context) (Cost, error) {
-	var sum Cost
+func (f *Fleet) sumCost(ctx context.Context) (Usage, error) {
+	var sum Usage
 	for _, d := range f.Daemons() {
 		c, err := d.Cost(ctx)
 		if err != nil {
--- a/lab/crmemory/crmemory.go
+++ b/lab/crmemory/crmemory.go
@@ -109,7 +109,7 @@
 
 // stage carries out a step, lets the daemon settle, and notes what it holds.
 func (r *run) stage(ctx context.Context, name string, step func(context.Context) error) error {
-	var before crfleet.Cost
+	var before crfleet.Usage
 	if len(r.rows) > 0 {
 		var err error
 		if before, err = r.daemon.Cost(ctx); err != nil {
--- a/lab/crpath/crpath.go
+++ b/lab/crpath/crpath.go
@@ -189,8 +189,8 @@
 	return b.account.Key()
 }
 
-func (b *bench) uses(ctx context.Context) ([]crfleet.Cost, error) {
-	var all []crfleet.Cost
+func (b *bench) uses(ctx context.Context) ([]crfleet.Usage, error) {
+	var all []crfleet.Usage
 	for _, d := range b.fleet.Daemons() {
 		c, err := d.Cost(ctx)
 		if err != nil {
@@ -201,7 +201,7 @@
 	return all, nil
 }
 
-func each(before, after crfleet.Cost, n int) Use {
+func each(before, after crfleet.Usage, n int) Use {
 	return Use{
 		CPU:    time.Duration((after.CPU - before.CPU) / float64(n) * float64(time.Second)),
 		Allocs: (after.Allocs - before.Allocs) / float64(n),
