--- a/lab/crfleet/cost.go
+++ b/lab/crfleet/cost.go
@@ -23,8 +23,8 @@
 	Allocs   float64 // objects, or a second
 }
 
-// Cost is what the process has used so far, by the system's and its own word.
-func (d *Daemon) Cost(ctx context.Context) (Usage, error) {
+// Usage is what the process has used so far, by the system's and its own word.
+func (d *Daemon) Usage(ctx context.Context) (Usage, error) {
 	var c Usage
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.PID()))
 	if err != nil {
@@ -89,7 +89,7 @@
 func (f *Fleet) sumCost(ctx context.Context) (Usage, error) {
 	var sum Usage
 	for _, d := range f.Daemons() {
-		c, err := d.Cost(ctx)
+		c, err := d.Usage(ctx)
 		if err != nil {
 			return sum, fmt.Errorf("cost of %s: %w", d.Name(), err)
 		}
--- a/lab/crmemory/crmemory.go
+++ b/lab/crmemory/crmemory.go
@@ -112,7 +112,7 @@
 	var before crfleet.Usage
 	if len(r.rows) > 0 {
 		var err error
-		if before, err = r.daemon.Cost(ctx); err != nil {
+		if before, err = r.daemon.Usage(ctx); err != nil {
 			return err
 		}
 	}
@@ -124,7 +124,7 @@
 	if err := sleep(ctx, r.opts.Settle); err != nil {
 		return err
 	}
-	cost, err := r.daemon.Cost(ctx)
+	cost, err := r.daemon.Usage(ctx)
 	if err != nil {
 		return err
 	}
--- a/lab/crpath/crpath.go
+++ b/lab/crpath/crpath.go
@@ -192,7 +192,7 @@
 func (b *bench) uses(ctx context.Context) ([]crfleet.Usage, error) {
 	var all []crfleet.Usage
 	for _, d := range b.fleet.Daemons() {
-		c, err := d.Cost(ctx)
+		c, err := d.Usage(ctx)
 		if err != nil {
 			return nil, err
 		}
