--- a/e2e/idle_test.go
+++ b/e2e/idle_test.go
@@ -34,7 +34,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			f := newFleet(n, time.Millisecond, account("surveyor", 50, 100))
 			time.Sleep(idleSettle)
-			c, err := f.CostOver(within(time.Minute), idleFor)
+			c, err := f.MeanUsage(within(time.Minute), idleFor)
 			must(err)
 			AddReportEntry(fmt.Sprintf(
 				"idle daemons=%d cpu=%.2f%% sent=%.0fB/s received=%.0fB/s rss=%.1fMB",
--- a/lab/crfleet/cost.go
+++ b/lab/crfleet/cost.go
@@ -62,9 +62,9 @@
 	return n
 }
 
-// CostOver is the mean over the daemons of what one uses in a second, watched
+// MeanUsage is the mean over the daemons of what one uses in a second, watched
 // for the given time; Memory is that at its end.
-func (f *Fleet) CostOver(ctx context.Context, watched time.Duration) (Usage, error) {
+func (f *Fleet) MeanUsage(ctx context.Context, watched time.Duration) (Usage, error) {
 	before, err := f.sumCost(ctx)
 	if err != nil {
 		return Usage{}, err
