--- a/lab/crfleet/daemon.go
+++ b/lab/crfleet/daemon.go
@@ -19,7 +19,7 @@
 // Errors of a daemon's process.
 var (
 	ErrNotStarted = errors.New("the daemon was not started")
-	ErrNoEnd      = errors.New("the daemon did not end in time")
+	ErrExitTimeout      = errors.New("the daemon did not end in time")
 )
 
 // endTime bounds the wait for a killed process.
@@ -169,7 +169,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), endTime)
 	defer cancel()
-	if err := d.Wait(ctx); errors.Is(err, ErrNoEnd) {
+	if err := d.Wait(ctx); errors.Is(err, ErrExitTimeout) {
 		return err
 	}
 	return nil
@@ -207,7 +207,7 @@
 		defer d.mu.Unlock()
 		return d.err
 	case <-ctx.Done():
-		return fmt.Errorf("%s: %w", d.name, ErrNoEnd)
+		return fmt.Errorf("%s: %w", d.name, ErrExitTimeout)
 	}
 }
 
