--- a/lab/crfleet/call.go
+++ b/lab/crfleet/call.go
@@ -87,8 +87,8 @@
 	return err
 }
 
-// ErrDump tells that a dump lacks what this package reads from it.
-var ErrDump = errors.New("the dump lacks a part")
+// ErrIncompleteDump tells that a dump lacks what this package reads from it.
+var ErrIncompleteDump = errors.New("the dump lacks a part")
 
 // State is the operators' dump of a daemon, as far as proofs read it.
 type State struct {
@@ -116,7 +116,7 @@
 	s := State{Daemon: dump.Daemon, Standing: dump.Standing, Revision: dump.Revision, Raw: raw}
 	for name, part := range map[string]any{"member": &s.Member, "config": &s.Config, "health": &s.Health} {
 		if len(dump.Parts[name]) == 0 {
-			return State{}, fmt.Errorf("%w: %s", ErrDump, name)
+			return State{}, fmt.Errorf("%w: %s", ErrIncompleteDump, name)
 		}
 		if err := json.Unmarshal(dump.Parts[name], part); err != nil {
 			return State{}, fmt.Errorf("part %s: %w", name, err)
