--- a/e2e/account_test.go
+++ b/e2e/account_test.go
@@ -26,7 +26,7 @@
 		wait := timeline(
 			time.Second,
 			func() { f.Links().Cut("daemon-1", "daemon-2") },
-			f.Daemon(2).Freeze,
+			f.Daemon(2).Suspend,
 			3*time.Second,
 			f.Daemon(2).Resume, f.Daemon(3).Kill, f.Daemon(3).Start,
 			2*time.Second,
@@ -90,11 +90,11 @@
 		f.Platform().SetFault(labplatform.Fault{Mode: labplatform.ModeAway})
 		wait := timeline(
 			time.Second,
-			f.Daemon(0).Freeze, f.Daemon(1).Freeze,
+			f.Daemon(0).Suspend, f.Daemon(1).Suspend,
 			3500*time.Millisecond,
 			f.Daemon(0).Resume, f.Daemon(1).Resume,
 			time.Second,
-			f.Daemon(2).Freeze, f.Daemon(3).Freeze, f.Daemon(4).Freeze,
+			f.Daemon(2).Suspend, f.Daemon(3).Suspend, f.Daemon(4).Suspend,
 			3500*time.Millisecond,
 			f.Daemon(2).Resume, f.Daemon(3).Resume, f.Daemon(4).Resume,
 		)
@@ -115,7 +115,7 @@
 		all := f.Instances()
 		wait := timeline(
 			time.Second,
-			f.Daemon(0).Freeze, f.Daemon(5).Start,
+			f.Daemon(0).Suspend, f.Daemon(5).Start,
 			func() { f.List(all[1:6]) },
 			3500*time.Millisecond,
 			f.Daemon(0).Resume,
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -18,7 +18,7 @@
 		f := newFleet(5, 5*time.Millisecond, a)
 		wait := timeline(
 			500*time.Millisecond,
-			f.Daemon(1).Freeze,
+			f.Daemon(1).Suspend,
 			func() { f.Links().Cut("daemon-3", "daemon-4") },
 			1500*time.Millisecond,
 			f.Daemon(1).Resume, f.Daemon(4).Kill,
--- a/e2e/step_test.go
+++ b/e2e/step_test.go
@@ -113,7 +113,7 @@
 
 func none(*crfleet.Fleet, *crfleet.Daemon, *crfleet.Daemon) error { return nil }
 
-func freezeExit(_ *crfleet.Fleet, _, exit *crfleet.Daemon) error { return exit.Freeze() }
+func freezeExit(_ *crfleet.Fleet, _, exit *crfleet.Daemon) error { return exit.Suspend() }
 
 func resumeExit(_ *crfleet.Fleet, _, exit *crfleet.Daemon) error { return exit.Resume() }
 
--- a/e2e/trace_test.go
+++ b/e2e/trace_test.go
@@ -93,7 +93,7 @@
 		stop := call(a, f.Daemon(1), f.Daemon(2))
 		defer stop()
 		time.Sleep(500 * time.Millisecond)
-		must(d.Freeze())
+		must(d.Suspend())
 		time.Sleep(3 * time.Second)
 		must(d.Resume())
 		Eventually(d.Ready, "10s", "20ms").ShouldNot(Succeed())
--- a/e2e/withdraw_test.go
+++ b/e2e/withdraw_test.go
@@ -202,7 +202,7 @@
 	// of the withdrawal.
 	It("is not served by a daemon that slept through the withdrawal", func() {
 		asleep := f.Daemon(4)
-		must(asleep.Freeze())
+		must(asleep.Suspend())
 		withdraw(4)
 		expectRefusedEverywhere(f.Daemons()[:4], withdrawn(4))
 		time.Sleep(2500 * time.Millisecond)
--- a/lab/crfleet/daemon.go
+++ b/lab/crfleet/daemon.go
@@ -178,8 +178,8 @@
 // Stop asks the process for a planned stop; Wait waits for its end.
 func (d *Daemon) Stop() error { return d.signal(syscall.SIGTERM) }
 
-// Freeze suspends the process.
-func (d *Daemon) Freeze() error { return d.signal(syscall.SIGSTOP) }
+// Suspend suspends the process.
+func (d *Daemon) Suspend() error { return d.signal(syscall.SIGSTOP) }
 
 // Resume lets a frozen process run again.
 func (d *Daemon) Resume() error { return d.signal(syscall.SIGCONT) }
--- a/lab/crmeasure/cases.go
+++ b/lab/crmeasure/cases.go
@@ -149,7 +149,7 @@
 	return daemons[len(daemons)-1]
 }
 
-func freeze(_ context.Context, s *stage) error { return s.last().Freeze() }
+func freeze(_ context.Context, s *stage) error { return s.last().Suspend() }
 
 func resume(_ context.Context, s *stage) error { return s.last().Resume() }
 
