--- a/e2e/account_test.go
+++ b/e2e/account_test.go
@@ -116,12 +116,12 @@
 		wait := timeline(
 			time.Second,
 			f.Daemon(0).Suspend, f.Daemon(5).Start,
-			func() { f.List(all[1:6]) },
+			func() { f.SetInstances(all[1:6]) },
 			3500*time.Millisecond,
 			f.Daemon(0).Resume,
 			time.Second,
 			f.Daemon(1).Kill, f.Daemon(6).Start,
-			func() { f.List(all[2:7]) },
+			func() { f.SetInstances(all[2:7]) },
 		)
 		surge(a, 11, f.URLs()[:5])
 		wait()
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -114,7 +114,7 @@
 		list := f.Instances()
 		list[2].State = crinstance.StateLeaving
 		var listed time.Time
-		wait := timeline(1500*time.Millisecond, func() { listed = time.Now() }, func() { f.List(list) })
+		wait := timeline(1500*time.Millisecond, func() { listed = time.Now() }, func() { f.SetInstances(list) })
 		report := run(leavePlan(a, 6, f.URLs()))
 		wait()
 		told := expectTrue(f, report)
--- a/e2e/list_test.go
+++ b/e2e/list_test.go
@@ -21,7 +21,7 @@
 			time.Second,
 			f.Daemon(4).Kill,
 			time.Second,
-			func() { f.List(f.Instances()[:4]) },
+			func() { f.SetInstances(f.Instances()[:4]) },
 		)
 		report := run(crload.Plan{
 			Seconds: 8, Seed: 5, Entries: f.URLs()[:4],
--- a/e2e/trace_test.go
+++ b/e2e/trace_test.go
@@ -109,7 +109,7 @@
 		f := start()
 		stop := call(a, f.Daemon(0), f.Daemon(1))
 		defer stop()
-		f.List(f.Instances()[:2])
+		f.SetInstances(f.Instances()[:2])
 		Eventually(func() int { return f.Daemon(2).Get(a, "/kits/1").Status }, "10s", "50ms").ShouldNot(Equal(200))
 		time.Sleep(3 * time.Second)
 		report := replay(f.Daemon(0), "list")
--- a/lab/crfleet/crfleet.go
+++ b/lab/crfleet/crfleet.go
@@ -154,7 +154,7 @@
 	if _, err := f.Publish(); err != nil {
 		return err
 	}
-	f.List(f.Instances()[:f.opts.daemons])
+	f.SetInstances(f.Instances()[:f.opts.daemons])
 	for _, d := range f.daemons[:f.opts.daemons] {
 		if err := d.Start(); err != nil {
 			return err
@@ -237,8 +237,8 @@
 	return f.links.addr(d.name)
 }
 
-// List puts a list of instances on the platform and returns its revision.
-func (f *Fleet) List(instances []crinstance.Instance) crid.Revision {
+// SetInstances puts a list of instances on the platform and returns its revision.
+func (f *Fleet) SetInstances(instances []crinstance.Instance) crid.Revision {
 	return f.platform.SetInstances(instances)
 }
 
--- a/lab/crmemory/crmemory.go
+++ b/lab/crmemory/crmemory.go
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	r.fleet.List(r.fleet.Instances())
+	r.fleet.SetInstances(r.fleet.Instances())
 	if err := r.daemon.Start(); err != nil {
 		return err
 	}
@@ -224,7 +224,7 @@
 			Name: crid.Target(fmt.Sprintf("target-%05d", i)), Service: crid.Service(serviceName(i % r.opts.Services)),
 		})
 	}
-	rev := r.fleet.List(all)
+	rev := r.fleet.SetInstances(all)
 	return r.wait(ctx, func() error {
 		// The dump of so long a list would itself be the most of the memory.
 		if !strings.Contains(r.daemon.Log(), fmt.Sprintf(`"event":%d,"level":"info","list":"%d"`, crmember.EventListAdopted, rev)) {
