--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -36,7 +36,7 @@
 
 // booking is the service of most specs, with a service time.
 func booking(service time.Duration) crfleet.Service {
-	return crfleet.Service{Name: "booking", Policy: crfleet.BookingPolicy, Time: service}
+	return crfleet.Service{Name: "booking", Policy: crfleet.BookingPolicy, ServiceTime: service}
 }
 
 // newFleet starts n daemons with one upstream each, and ends them with the spec.
--- a/e2e/health_test.go
+++ b/e2e/health_test.go
@@ -141,7 +141,7 @@
 func sickFleet(accounts ...crfleet.Account) (*crfleet.Fleet, *ejectedWatch) {
 	f := startFleet(
 		crfleet.WithDaemons(sickDaemons),
-		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: sickPolicy, Time: 10 * time.Millisecond}),
+		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: sickPolicy, ServiceTime: 10 * time.Millisecond}),
 		crfleet.WithAccounts(accounts...),
 	)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -247,7 +247,7 @@
 		a := account("survey", 5000, 5000)
 		f := startFleet(
 			crfleet.WithDaemons(3),
-			crfleet.WithServices(crfleet.Service{Name: "booking", Policy: stepPolicy, Targets: 1, Slots: stepSlots, Time: stepService}),
+			crfleet.WithServices(crfleet.Service{Name: "booking", Policy: stepPolicy, Targets: 1, Slots: stepSlots, ServiceTime: stepService}),
 			crfleet.WithAccounts(a),
 		)
 		exit, entry := f.Daemon(0), f.Daemon(1)
--- a/e2e/step_test.go
+++ b/e2e/step_test.go
@@ -178,7 +178,7 @@
 	a := account("survey", 5000, 5000)
 	f, err := crfleet.New(context.Background(),
 		crfleet.WithDaemons(3),
-		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: stepPolicy, Targets: 1, Slots: stepSlots, Time: stepService}),
+		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: stepPolicy, Targets: 1, Slots: stepSlots, ServiceTime: stepService}),
 		crfleet.WithAccounts(a),
 	)
 	if err != nil {
--- a/lab/crmeasure/shape.go
+++ b/lab/crmeasure/shape.go
@@ -103,7 +103,7 @@
 	var services []crfleet.Service
 	for _, svc := range s.Services {
 		services = append(services, crfleet.Service{
-			Name: svc.name, Policy: svc.policy(), Targets: svc.targets, Slots: svc.slots, Time: serviceTime,
+			Name: svc.name, Policy: svc.policy(), Targets: svc.targets, Slots: svc.slots, ServiceTime: serviceTime,
 		})
 	}
 	return []crfleet.Option{
--- a/lab/crpath/crpath.go
+++ b/lab/crpath/crpath.go
@@ -104,7 +104,7 @@
 		crfleet.WithBinary(opts.Binary),
 		crfleet.WithDaemons(2),
 		crfleet.WithoutRelays(),
-		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: policy, Targets: 1, Slots: 512, Queue: 4096, Time: time.Nanosecond}),
+		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: policy, Targets: 1, Slots: 512, Queue: 4096, ServiceTime: time.Nanosecond}),
 		crfleet.WithAccounts(account),
 	)
 	if err != nil {
