--- a/lab/crfleet/options.go
+++ b/lab/crfleet/options.go
@@ -18,7 +18,7 @@
 	Slots   int           // zero: 5
 	Queue   int           // requests that wait before the upstream sheds; zero: 20
 	ServiceTime    time.Duration // service time; zero: 5 ms
-	Cold    time.Duration // cold start
+	ColdStart    time.Duration // cold start
 }
 
 const (
@@ -36,7 +36,7 @@
 }
 
 func (s Service) upstream(name string) crupstream.Options {
-	opts := crupstream.Options{Name: name, Slots: s.Slots, Queue: s.Queue, Service: s.ServiceTime, Cold: s.Cold}
+	opts := crupstream.Options{Name: name, Slots: s.Slots, Queue: s.Queue, Service: s.ServiceTime, Cold: s.ColdStart}
 	if opts.Slots == 0 {
 		opts.Slots = defaultSlots
 	}
