--- a/e2e/account_test.go
+++ b/e2e/account_test.go
@@ -37,7 +37,7 @@
 			Accounts: []crload.Account{{Name: a.Name, Key: a.Key(), Rate: 600, Calls: reads}},
 		})
 		wait()
-		at := f.Admitted(a.Name)
+		at := f.AdmissionTimes(a.Name)
 		AddReportEntry("admitted", len(at))
 		Expect(len(at)).To(BeNumerically(">", 200))
 		Expect(crfleet.Excess(at, a, spread)).To(BeNumerically("<=", 0))
@@ -71,7 +71,7 @@
 // expectWithinRate looks at every window of what ran.
 func expectWithinRate(f *crfleet.Fleet, a crfleet.Account, atLeast int) {
 	GinkgoHelper()
-	at := f.Admitted(a.Name)
+	at := f.AdmissionTimes(a.Name)
 	excess := crfleet.Excess(at, a, spread)
 	AddReportEntry("admitted", len(at))
 	AddReportEntry("worst window over burst + rate*w", excess)
@@ -144,6 +144,6 @@
 		AddReportEntry("steady", line.Results)
 		AddReportEntry("loud", report.Lines()[1].Results)
 		Expect(float64(line.Results[crload.NotRun])).To(BeNumerically("<=", 0.02*float64(line.Sent)))
-		Expect(crfleet.Excess(f.Admitted(loud.Name), loud, spread)).To(BeNumerically("<=", 0))
+		Expect(crfleet.Excess(f.AdmissionTimes(loud.Name), loud, spread)).To(BeNumerically("<=", 0))
 	})
 })
--- a/lab/crfleet/window.go
+++ b/lab/crfleet/window.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Admitted returns when an account's requests ran, over all upstreams, in
+// AdmissionTimes returns when an account's requests ran, over all upstreams, in
 // order.
-func (f *Fleet) Admitted(account string) []time.Time {
+func (f *Fleet) AdmissionTimes(account string) []time.Time {
 	var at []time.Time
 	for _, run := range f.Log() {
 		if run.Account == account {
