--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -251,7 +251,7 @@
 			crfleet.WithAccounts(a),
 		)
 		exit, entry := f.Daemon(0), f.Daemon(1)
-		calls := &stepCalls{entry: entry, told: make(map[string]crfleet.Reply)}
+		calls := &stepCalls{entry: entry, told: make(map[string]crfleet.Response)}
 		for n := range stepSlots {
 			calls.send([]crfleet.Request{{Account: a, Method: http.MethodPost, Path: "/holds?work=500", ID: fmt.Sprintf("last-%d", n)}})
 		}
--- a/e2e/step_test.go
+++ b/e2e/step_test.go
@@ -87,7 +87,7 @@
 	entry *crfleet.Daemon
 	wg    sync.WaitGroup
 	mu    sync.Mutex
-	told  map[string]crfleet.Reply
+	told  map[string]crfleet.Response
 }
 
 func (c *stepCalls) send(requests []crfleet.Request) {
@@ -155,7 +155,7 @@
 	err    error
 	before map[string]int // runs at the moment of the fault
 	after  map[string]int
-	told   map[string]crfleet.Reply
+	told   map[string]crfleet.Response
 	logs   string
 }
 
@@ -187,7 +187,7 @@
 	defer f.Close()
 	time.Sleep(time.Second) // a fleet just started has few tokens
 	exit, entry := f.Daemon(0), f.Daemon(1)
-	calls := &stepCalls{entry: entry, told: make(map[string]crfleet.Reply)}
+	calls := &stepCalls{entry: entry, told: make(map[string]crfleet.Response)}
 	calls.send(stepRequests(a, stepRun, 2))
 	calls.send(stepRequests(a, stepAnswer, 2))
 	calls.send(stepRequests(a, stepRequest, 2))
@@ -266,7 +266,7 @@
 	return names
 }
 
-func expectToldTrue(runs map[string]int, told map[string]crfleet.Reply, entryDies bool) {
+func expectToldTrue(runs map[string]int, told map[string]crfleet.Response, entryDies bool) {
 	GinkgoHelper()
 	count := make(map[string]int)
 	for id, reply := range told {
--- a/lab/crfleet/call.go
+++ b/lab/crfleet/call.go
@@ -35,8 +35,8 @@
 	Client  *http.Client // nil: the default client
 }
 
-// Reply is what the caller got.
-type Reply struct {
+// Response is what the caller got.
+type Response struct {
 	Status  int
 	Outcome string // the Camphorroad-Outcome header
 	Header  http.Header
@@ -45,17 +45,17 @@
 }
 
 // Get sends a GET.
-func (d *Daemon) Get(a Account, path string) Reply {
+func (d *Daemon) Get(a Account, path string) Response {
 	return d.Call(context.Background(), Request{Account: a, Method: http.MethodGet, Path: path})
 }
 
 // Call sends a request to this daemon and reads the whole answer.
-func (d *Daemon) Call(ctx context.Context, r Request) Reply {
+func (d *Daemon) Call(ctx context.Context, r Request) Response {
 	ctx, cancel := context.WithTimeout(ctx, callTime)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, r.Method, d.URL()+r.Path, r.Body)
 	if err != nil {
-		return Reply{Err: err}
+		return Response{Err: err}
 	}
 	for name, values := range r.Header {
 		req.Header[name] = values
@@ -70,11 +70,11 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return Reply{Err: err}
+		return Response{Err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return Reply{
+	return Response{
 		Status: resp.StatusCode, Outcome: resp.Header.Get("Camphorroad-Outcome"), Header: resp.Header, Body: body, Err: err,
 	}
 }
