--- a/lab/crfleet/call.go
+++ b/lab/crfleet/call.go
@@ -15,16 +15,16 @@
 	"camphorroad/lab/crupstream"
 )
 
-// ErrNotReady tells that a daemon did not become ready in time.
+// ErrNotReady reports that a daemon did not become ready within the timeout.
 var ErrNotReady = errors.New("the daemon is not ready")
 
 const (
-	startTime = 20 * time.Second
-	callTime  = 5 * time.Second
-	pollTime  = 50 * time.Millisecond
+	startTimeout = 20 * time.Second
+	callTimeout  = 5 * time.Second
+	pollInterval = 50 * time.Millisecond
 )
 
-// Request is one caller's request.
+// Request is a request of a client account.
 type Request struct {
 	Account Account
 	Method  string
@@ -35,23 +35,23 @@
 	Client  *http.Client // nil: the default client
 }
 
-// Response is what the caller got.
+// Response is the response to a [Request].
 type Response struct {
 	Status  int
 	Outcome string // the Camphorroad-Outcome header
 	Header  http.Header
 	Body    []byte
-	Err     error // no whole answer
+	Err     error // the response is missing or incomplete
 }
 
-// Get sends a GET.
+// Get sends a GET request.
 func (d *Daemon) Get(a Account, path string) Response {
 	return d.Call(context.Background(), Request{Account: a, Method: http.MethodGet, Path: path})
 }
 
-// Call sends a request to this daemon and reads the whole answer.
+// Call sends a request to this daemon and reads the whole response.
 func (d *Daemon) Call(ctx context.Context, r Request) Response {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, r.Method, d.URL()+r.Path, r.Body)
 	if err != nil {
@@ -79,18 +79,18 @@
 	}
 }
 
-// Ready reports nil once the daemon takes callers' work.
+// Ready returns nil if the daemon accepts client requests.
 func (d *Daemon) Ready() error {
-	ctx, cancel := context.WithTimeout(d.fleet.ctx, callTime)
+	ctx, cancel := context.WithTimeout(d.fleet.ctx, callTimeout)
 	defer cancel()
 	_, err := d.fetchAdmin(ctx, "/ready")
 	return err
 }
 
-// ErrIncompleteDump tells that a dump lacks what this package reads from it.
+// ErrIncompleteDump reports that a state dump lacks a part that this package reads.
 var ErrIncompleteDump = errors.New("the dump lacks a part")
 
-// State is the operators' dump of a daemon, as far as proofs read it.
+// State holds the parts of a daemon's state dump that tests read.
 type State struct {
 	Daemon   string
 	Standing bool
@@ -101,8 +101,8 @@
 	Raw      []byte // the whole dump
 }
 
-// readState decodes a dump. A part that is missing is an error: a proof that saw
-// no ejection in an empty part would prove nothing.
+// readState decodes a state dump. A missing part is an error: otherwise a test
+// for the absence of ejections would pass on an empty part.
 func readState(raw []byte) (State, error) {
 	var dump struct {
 		Daemon   string                     `json:"daemon"`
@@ -125,7 +125,7 @@
 	return s, nil
 }
 
-// Ejected names the targets to which the daemon sends no work as sick.
+// Ejected returns the names of the targets that the daemon has ejected as unhealthy.
 func (s State) Ejected() []string {
 	var names []string
 	for _, service := range s.Health.Services {
@@ -148,7 +148,7 @@
 	return false
 }
 
-// State asks for the operators' dump.
+// State fetches the state dump from the admin listener.
 func (d *Daemon) State(ctx context.Context) (State, error) {
 	body, err := d.fetchAdmin(ctx, "/state")
 	if err != nil {
@@ -161,8 +161,8 @@
 	return s, nil
 }
 
-// fetchAdmin makes one request to the operators' pages, without keeping the
-// connection: the daemon behind it may be killed next.
+// fetchAdmin makes one request to the admin listener. It does not keep the
+// connection, because the daemon may be killed next.
 func (d *Daemon) fetchAdmin(ctx context.Context, path string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, d.AdminURL()+path, nil)
 	if err != nil {
@@ -183,7 +183,7 @@
 
 // WaitReady waits until the daemon is ready.
 func (d *Daemon) WaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startTime)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := poll(ctx, d.Ready); err != nil {
 		return fmt.Errorf("%w: %s: %w\n%s", ErrNotReady, d.name, err, d.Log())
@@ -201,14 +201,14 @@
 	return nil
 }
 
-// WaitTokens waits until each account is admitted at each daemon but the spares: a fresh fleet
-// mints nothing for as long as tokens of a former one might still be spent.
+// WaitTokens waits until each daemon but the spares admits each account. A new fleet does not
+// refill buckets while tokens of a previous fleet might still be spent.
 func (f *Fleet) WaitTokens(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startTime)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	for _, a := range f.accountsNow() {
+	for _, a := range f.currentAccounts() {
 		for _, d := range f.daemons[:f.opts.daemons] {
-			err := poll(ctx, func() error { return d.admits(a) })
+			err := poll(ctx, func() error { return d.checkAdmitted(a) })
 			if err != nil {
 				return fmt.Errorf("%w: %s for %s: %w\n%s", ErrNotReady, d.name, a.Name, err, d.Log())
 			}
@@ -217,12 +217,12 @@
 	return nil
 }
 
-// warmPath is a path that no route needs to have; any status but a refusal will
-// do.
-const warmPath = "/kits/warm"
+// probePath does not need a route: any status but 401, 429 and 503 shows that the
+// account is admitted.
+const probePath = "/kits/warm"
 
-func (d *Daemon) admits(a Account) error {
-	r := d.Get(a, warmPath)
+func (d *Daemon) checkAdmitted(a Account) error {
+	r := d.Get(a, probePath)
 	if r.Err != nil {
 		return r.Err
 	}
@@ -232,7 +232,7 @@
 	return nil
 }
 
-func (f *Fleet) accountsNow() []Account {
+func (f *Fleet) currentAccounts() []Account {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]Account(nil), f.accounts...)
@@ -248,7 +248,7 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(pollTime):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/lab/crfleet/cost.go
+++ b/lab/crfleet/cost.go
@@ -11,19 +11,22 @@
 	"time"
 )
 
-// clockTicks a second is the unit of processor time in /proc on Linux.
+// clockTicks is the number of clock ticks in a second; /proc on Linux gives processor
+// time in ticks.
 const clockTicks = 100
 
-// Usage is what a daemon uses.
+// Usage is the resource usage of a daemon: totals from [Daemon.Usage], rates per second
+// from [Fleet.MeanUsage].
 type Usage struct {
-	CPU      float64 // seconds, or their part of a second
-	Sent     float64 // bytes of control messages, or a second
+	CPU      float64 // seconds, or seconds per second
+	Sent     float64 // bytes of control messages, or bytes per second
 	Received float64
 	Memory   float64 // resident bytes
-	Allocs   float64 // objects, or a second
+	Allocs   float64 // objects, or objects per second
 }
 
-// Usage is what the process has used so far, by the system's and its own word.
+// Usage returns the usage since the start of the process, from /proc and from the
+// daemon's metrics.
 func (d *Daemon) Usage(ctx context.Context) (Usage, error) {
 	var c Usage
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.PID()))
@@ -39,15 +42,16 @@
 		return c, err
 	}
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
-	c.CPU = (number(fields[11]) + number(fields[12])) / clockTicks
-	c.Memory = 1024 * number(strings.Fields(valueOf(status, "VmRSS:"))[0])
-	c.Sent = number(valueOf(metrics, "camphorroad_control_sent_bytes_total "))
-	c.Received = number(valueOf(metrics, "camphorroad_control_received_bytes_total "))
-	c.Allocs = number(valueOf(metrics, "camphorroad_process_allocations_total "))
+	c.CPU = (parseNumber(fields[11]) + parseNumber(fields[12])) / clockTicks
+	c.Memory = 1024 * parseNumber(strings.Fields(valueOf(status, "VmRSS:"))[0])
+	c.Sent = parseNumber(valueOf(metrics, "camphorroad_control_sent_bytes_total "))
+	c.Received = parseNumber(valueOf(metrics, "camphorroad_control_received_bytes_total "))
+	c.Allocs = parseNumber(valueOf(metrics, "camphorroad_process_allocations_total "))
 	return c, nil
 }
 
-// valueOf returns what follows a name at the start of a line; "0" if none does.
+// valueOf returns the rest of the first line that starts with name, or "0" if there
+// is none.
 func valueOf(text []byte, name string) string {
 	for lines := bufio.NewScanner(bytes.NewReader(text)); lines.Scan(); {
 		if rest, ok := strings.CutPrefix(lines.Text(), name); ok {
@@ -57,21 +61,21 @@
 	return "0"
 }
 
-func number(s string) float64 {
+func parseNumber(s string) float64 {
 	n, _ := strconv.ParseFloat(s, 64)
 	return n
 }
 
-// MeanUsage is the mean over the daemons of what one uses in a second, watched
-// for the given time; Memory is that at its end.
-func (f *Fleet) MeanUsage(ctx context.Context, watched time.Duration) (Usage, error) {
-	before, err := f.sumCost(ctx)
+// MeanUsage returns the usage per second over the given period, as the mean over the
+// daemons. Memory is the value at the end of the period.
+func (f *Fleet) MeanUsage(ctx context.Context, period time.Duration) (Usage, error) {
+	before, err := f.totalUsage(ctx)
 	if err != nil {
 		return Usage{}, err
 	}
 	start := time.Now()
-	time.Sleep(watched)
-	after, err := f.sumCost(ctx)
+	time.Sleep(period)
+	after, err := f.totalUsage(ctx)
 	if err != nil {
 		return Usage{}, err
 	}
@@ -86,12 +90,12 @@
 	}, nil
 }
 
-func (f *Fleet) sumCost(ctx context.Context) (Usage, error) {
+func (f *Fleet) totalUsage(ctx context.Context) (Usage, error) {
 	var sum Usage
 	for _, d := range f.Daemons() {
 		c, err := d.Usage(ctx)
 		if err != nil {
-			return sum, fmt.Errorf("cost of %s: %w", d.Name(), err)
+			return sum, fmt.Errorf("usage of %s: %w", d.Name(), err)
 		}
 		sum.CPU += c.CPU
 		sum.Sent += c.Sent
--- a/lab/crfleet/crfleet.go
+++ b/lab/crfleet/crfleet.go
@@ -1,39 +1,39 @@
-// Package crfleet runs a whole fleet on one machine for proofs and measures:
-// daemons as real processes on loopback, the platform and the upstreams as
-// stand-ins in this process, and between the daemons relays that can cut each
-// direction of a link alone. It never ends a process that it did not start.
+// Package crfleet runs a fleet on one machine for end-to-end tests and benchmarks.
+// The daemons are processes on loopback. The platform and the upstreams are
+// simulated in this process. UDP relays between the daemons can cut each direction
+// of a link separately. The package only ends processes that it started.
 //
 // # Usage
 //
-// A program that is to be its own daemon begins its main, or TestMain, with
+// A program that also serves as the daemon binary begins its main, or TestMain, with
 //
 //	crfleet.ServeIfDaemon(command.RunProcess)
 //
-// and then, or with [WithBinary] in its place,
+// Other programs pass [WithBinary] to New instead. Then
 //
 //	f, err := crfleet.New(ctx,
 //		crfleet.WithDaemons(5),
 //		crfleet.WithDomains("domain-1", "domain-2", "domain-3"),
-//		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: text, Slots: 5, Time: 5 * time.Millisecond}),
+//		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: text, Slots: 5, ServiceTime: 5 * time.Millisecond}),
 //		crfleet.WithAccounts(crfleet.Account{Name: "survey", Rate: 100, Burst: 50}),
 //	)
 //	defer f.Close()
 //	d := f.Daemon(0)
-//	err = d.Freeze()                             // SIGSTOP; then Resume
+//	err = d.Suspend()                            // SIGSTOP; then Resume
 //	err = d.Kill()                               // SIGKILL; then Start
 //	err = d.Stop()                               // SIGTERM; then Wait
 //	f.Links().Cut("daemon-1", "daemon-2")        // that direction only; then Heal
-//	f.Platform().SetFault(crplatform.Fault{...}) // the platform stand-in
-//	f.Target(2).SetFault(crupstream.Fault{...})  // an upstream stand-in
+//	f.Platform().SetFault(crplatform.Fault{...}) // the simulated platform
+//	f.Target(2).SetFault(crupstream.Fault{...})  // a simulated upstream
 //	rev, err := f.SetAccounts(kept)              // publishes
-//	rev = f.List(f.Instances()[:4])              // lists fewer daemons
-//	state, err := d.State(ctx)                   // the operators' dump
-//	reply := d.Call(ctx, crfleet.Request{Account: a, Method: "GET", Path: "/kits/1"})
+//	rev = f.SetInstances(f.Instances()[:4])      // lists fewer daemons
+//	state, err := d.State(ctx)                   // the state dump
+//	resp := d.Call(ctx, crfleet.Request{Account: a, Method: "GET", Path: "/kits/1"})
 //	runs := f.Runs()                             // how often each request of crload ran
 //	f.Counts(), f.URLs(), f.Log()
 //
-// New returns once every daemon is ready and every account admitted everywhere.
-// The end of ctx, or Close, ends all processes and stand-ins.
+// New returns once every daemon is ready and admits every account. When ctx is
+// done, the processes are killed; Close also stops the simulated servers.
 package crfleet
 
 import (
@@ -51,11 +51,11 @@
 	"camphorroad/lab/crupstream"
 )
 
-// daemonEnv makes the program run as a daemon.
+// daemonEnv is the environment variable that makes the program run as a daemon.
 const daemonEnv = "CAMPHORROAD_FLEET_DAEMON"
 
-// DaemonEnv is the variable, with its value, that makes a program which calls
-// [ServeIfDaemon] a daemon.
+// DaemonEnv returns the environment variable, as NAME=VALUE, that makes a program
+// run as a daemon when it calls [ServeIfDaemon].
 func DaemonEnv() string { return daemonEnv + "=1" }
 
 // ServeIfDaemon runs the command line and exits if this process was started as
@@ -76,8 +76,8 @@
 // Key is the account's only key.
 func (a Account) Key() string { return "crk_test-" + a.Name }
 
-// Fleet is the running whole. Its methods are safe for concurrent use, but for
-// changes of one daemon's process, which must come from one goroutine at a time.
+// Fleet is a running fleet. Its methods are safe for concurrent use, except that only
+// one goroutine at a time may start, stop or signal a given daemon.
 type Fleet struct {
 	opts     options
 	dir      string
@@ -89,17 +89,17 @@
 	daemons  []*Daemon
 	targets  []*Target
 
-	mu       sync.Mutex
-	accounts []Account
-	policies map[string]string // TOML by service
-	closed   sync.Once
+	mu        sync.Mutex
+	accounts  []Account
+	policies  map[string]string // TOML by service
+	closeOnce sync.Once
 }
 
-// New starts a fleet and waits until it serves.
+// New starts a fleet and waits until it is ready, unless [WithoutWaiting] is given.
 func New(ctx context.Context, opts ...Option) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "crfleet-")
 	if err != nil {
-		return nil, fmt.Errorf("fleet's directory: %w", err)
+		return nil, fmt.Errorf("create the fleet's directory: %w", err)
 	}
 	f := &Fleet{
 		opts:     newOptions(opts),
@@ -111,19 +111,19 @@
 	f.links = newLinks(f.ctx, f.opts.delay)
 	f.accounts = append(f.accounts, f.opts.accounts...)
 	f.server = httptest.NewServer(f.platform.Handler())
-	if err := f.build(); err != nil {
+	if err := f.prepare(); err != nil {
 		f.Close()
 		return nil, err
 	}
-	if err := f.begin(); err != nil {
+	if err := f.start(); err != nil {
 		f.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// build makes the daemons' settings and the upstreams.
-func (f *Fleet) build() error {
+// prepare creates the daemons, their settings files and the upstreams.
+func (f *Fleet) prepare() error {
 	for i := range f.opts.daemons + f.opts.spares {
 		d, err := newDaemon(f, i)
 		if err != nil {
@@ -134,7 +134,7 @@
 	next := 0
 	for _, s := range f.opts.services {
 		f.policies[s.Name] = s.Policy
-		for i := range s.count(len(f.daemons)) {
+		for i := range s.targetCount(len(f.daemons)) {
 			d := f.daemons[next%len(f.daemons)]
 			next++
 			t := newTarget(fmt.Sprintf("%s-%d", s.Name, i+1), s, d.name)
@@ -150,7 +150,7 @@
 	return nil
 }
 
-func (f *Fleet) begin() error {
+func (f *Fleet) start() error {
 	if _, err := f.Publish(); err != nil {
 		return err
 	}
@@ -169,12 +169,12 @@
 	return f.WaitTokens(f.ctx)
 }
 
-// Close ends all processes and stand-ins and waits for the processes' end.
+// Close ends all processes, waits for them to exit and stops the simulated servers.
 func (f *Fleet) Close() {
-	f.closed.Do(func() {
+	f.closeOnce.Do(func() {
 		f.cancel()
 		for _, d := range f.daemons {
-			d.end()
+			d.waitExit()
 		}
 		for _, t := range f.targets {
 			t.server.CloseClientConnections()
@@ -189,22 +189,22 @@
 // Daemons returns all daemons, in the order of their numbers, spares last.
 func (f *Fleet) Daemons() []*Daemon { return append([]*Daemon(nil), f.daemons...) }
 
-// Daemon returns one, counted from zero.
+// Daemon returns the daemon with index i, from zero.
 func (f *Fleet) Daemon(i int) *Daemon { return f.daemons[i] }
 
 // Targets returns all upstreams, service by service.
 func (f *Fleet) Targets() []*Target { return append([]*Target(nil), f.targets...) }
 
-// Target returns one, counted from zero.
+// Target returns the upstream with index i, from zero.
 func (f *Fleet) Target(i int) *Target { return f.targets[i] }
 
 // Links returns the links between the daemons.
 func (f *Fleet) Links() *Links { return f.links }
 
-// Platform returns the platform's stand-in.
+// Platform returns the simulated platform.
 func (f *Fleet) Platform() *crplatform.Platform { return f.platform }
 
-// URLs are the callers' base URLs of all daemons.
+// URLs returns the base URLs of all daemons for clients.
 func (f *Fleet) URLs() []string {
 	urls := make([]string, 0, len(f.daemons))
 	for _, d := range f.daemons {
@@ -213,13 +213,13 @@
 	return urls
 }
 
-// Instances is the whole list of instances, spares included, all live. Daemons reach one another
-// by the addresses of their relays.
+// Instances returns the list of all instances, spares included, all live. The addresses are those
+// of the relays, unless [WithoutRelays] is given.
 func (f *Fleet) Instances() []crinstance.Instance {
 	list := make([]crinstance.Instance, 0, len(f.daemons))
 	for _, d := range f.daemons {
 		in := crinstance.Instance{
-			Daemon: crid.Daemon(d.name), Domain: crid.Domain(d.domain), Addr: f.addrOf(d), State: crinstance.StateLive,
+			Daemon: crid.Daemon(d.name), Domain: crid.Domain(d.domain), Addr: f.advertisedAddr(d), State: crinstance.StateLive,
 		}
 		for _, t := range d.targets {
 			in.Targets = append(in.Targets, crinstance.Target{Name: crid.Target(t.name), Service: crid.Service(t.service)})
@@ -229,15 +229,15 @@
 	return list
 }
 
-// addrOf is where the other daemons find one.
-func (f *Fleet) addrOf(d *Daemon) string {
+// advertisedAddr returns the peer address of d in the instance list.
+func (f *Fleet) advertisedAddr(d *Daemon) string {
 	if f.opts.direct {
-		return d.peer
+		return d.peerAddr
 	}
 	return f.links.addr(d.name)
 }
 
-// SetInstances puts a list of instances on the platform and returns its revision.
+// SetInstances publishes a list of instances on the platform and returns its revision.
 func (f *Fleet) SetInstances(instances []crinstance.Instance) crid.Revision {
 	return f.platform.SetInstances(instances)
 }
@@ -258,7 +258,7 @@
 	return f.Publish()
 }
 
-// Publish builds accounts and policies and puts them on the platform.
+// Publish builds a bundle of the accounts and policies and publishes it on the platform.
 func (f *Fleet) Publish() (crid.Revision, error) {
 	bundle, err := crpolicyfile.Build(f.files())
 	if err != nil {
@@ -286,7 +286,7 @@
 	return append(files, crpolicyfile.File{Name: "accounts.toml", Data: text})
 }
 
-// Runs counts, over all upstreams, how often each request of the load tool ran.
+// Runs returns, for each request ID, how often the request ran at all upstreams together.
 func (f *Fleet) Runs() map[string]int {
 	all := make(map[string]int)
 	for _, t := range f.targets {
@@ -297,7 +297,7 @@
 	return all
 }
 
-// Log returns every run at every upstream, unordered.
+// Log returns every run at every upstream, in no particular order.
 func (f *Fleet) Log() []crupstream.Run {
 	var all []crupstream.Run
 	for _, t := range f.targets {
@@ -306,5 +306,5 @@
 	return all
 }
 
-// Counts returns the calls that the platform has had.
+// Counts returns the number of calls that the platform received.
 func (f *Fleet) Counts() crplatform.Counts { return f.platform.Counts() }
--- a/lab/crfleet/daemon.go
+++ b/lab/crfleet/daemon.go
@@ -18,32 +18,32 @@
 
 // Errors of a daemon's process.
 var (
-	ErrNotStarted = errors.New("the daemon was not started")
-	ErrExitTimeout      = errors.New("the daemon did not end in time")
+	ErrNotStarted  = errors.New("the daemon was not started")
+	ErrExitTimeout = errors.New("the daemon did not exit in time")
 )
 
-// endTime bounds the wait for a killed process.
-const endTime = 10 * time.Second
+// exitTimeout limits the wait for the exit of a killed process.
+const exitTimeout = 10 * time.Second
 
-// Daemon is one process of the fleet, through all its lives.
+// Daemon is a daemon of the fleet. Its process can be started again after its exit.
 type Daemon struct {
-	fleet   *Fleet
-	name    string
-	domain  string
-	config  string
-	http    string
-	peer    string
-	admin   string
-	log     *logBuffer
-	targets []*Target
+	fleet      *Fleet
+	name       string
+	domain     string
+	configPath string
+	httpAddr   string
+	peerAddr   string
+	adminAddr  string
+	log        *logBuffer
+	targets    []*Target
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
-	done chan struct{} // closed at the process's end
-	err  error         // of the last life, after done
+	done chan struct{} // closed at the exit of the process
+	err  error         // exit error of the last process; valid once done is closed
 }
 
-// logBuffer keeps what the process wrote on standard error.
+// logBuffer collects the standard error output of the processes.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -70,19 +70,19 @@
 		log:    &logBuffer{},
 	}
 	var err error
-	if d.http, err = freeTCP(); err != nil {
+	if d.httpAddr, err = freeTCP(); err != nil {
 		return nil, err
 	}
-	if d.peer, err = freeUDP(); err != nil {
+	if d.peerAddr, err = freeUDP(); err != nil {
 		return nil, err
 	}
-	if d.admin, err = freeTCP(); err != nil {
+	if d.adminAddr, err = freeTCP(); err != nil {
 		return nil, err
 	}
 	if err := crcert.Issue(f.dir, d.name); err != nil {
 		return nil, err
 	}
-	return d, f.links.add(d.name, d.peer)
+	return d, f.links.add(d.name, d.peerAddr)
 }
 
 const settingsFormat = `name = %q
@@ -105,18 +105,18 @@
 addr = %q
 `
 
-const modeSettings = 0o600
+const settingsMode = 0o600
 
 func (d *Daemon) writeSettings() error {
 	dir := d.fleet.dir
-	text := fmt.Appendf(nil, settingsFormat, d.name, d.domain, d.http, d.peer, d.admin, d.fleet.server.URL,
+	text := fmt.Appendf(nil, settingsFormat, d.name, d.domain, d.httpAddr, d.peerAddr, d.adminAddr, d.fleet.server.URL,
 		filepath.Join(dir, d.name+".pem"), filepath.Join(dir, d.name+".key"), filepath.Join(dir, "ca.pem"))
 	for _, t := range d.targets {
 		text = fmt.Appendf(text, targetFormat, t.name, t.service, t.addr())
 	}
 	text = append(text, strings.ReplaceAll(d.fleet.opts.settings, "{daemon}", d.name)...)
-	d.config = filepath.Join(dir, d.name+".toml")
-	if err := os.WriteFile(d.config, text, modeSettings); err != nil {
+	d.configPath = filepath.Join(dir, d.name+".toml")
+	if err := os.WriteFile(d.configPath, text, settingsMode); err != nil {
 		return fmt.Errorf("settings of %s: %w", d.name, err)
 	}
 	return nil
@@ -129,20 +129,20 @@
 func (d *Daemon) Domain() string { return d.domain }
 
 // URL is the base URL for callers.
-func (d *Daemon) URL() string { return "http://" + d.http }
+func (d *Daemon) URL() string { return "http://" + d.httpAddr }
 
 // AdminURL is the base URL for operators.
-func (d *Daemon) AdminURL() string { return "http://" + d.admin }
+func (d *Daemon) AdminURL() string { return "http://" + d.adminAddr }
 
-// Targets are the upstreams beside it.
+// Targets returns the upstreams next to the daemon.
 func (d *Daemon) Targets() []*Target { return append([]*Target(nil), d.targets...) }
 
-// Log is what all its lives have written on standard error.
+// Log returns the standard error output of all its processes.
 func (d *Daemon) Log() string { return d.log.String() }
 
-// Start begins a life of the daemon. The former must have ended.
+// Start starts a process of the daemon. The previous one must have exited.
 func (d *Daemon) Start() error {
-	cmd := exec.CommandContext(d.fleet.ctx, d.fleet.opts.binary, "serve", "--config", d.config)
+	cmd := exec.CommandContext(d.fleet.ctx, d.fleet.opts.binary, "serve", "--config", d.configPath)
 	cmd.Env = append(append(os.Environ(), daemonEnv+"=1"), d.fleet.opts.env...)
 	cmd.Stderr = d.log
 	if err := cmd.Start(); err != nil {
@@ -162,12 +162,12 @@
 	return nil
 }
 
-// Kill ends the process at once, as a machine's loss would, and waits for it.
+// Kill kills the process with SIGKILL, as in a machine failure, and waits for its exit.
 func (d *Daemon) Kill() error {
 	if err := d.signal(syscall.SIGKILL); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), endTime)
+	ctx, cancel := context.WithTimeout(context.Background(), exitTimeout)
 	defer cancel()
 	if err := d.Wait(ctx); errors.Is(err, ErrExitTimeout) {
 		return err
@@ -175,25 +175,25 @@
 	return nil
 }
 
-// Stop asks the process for a planned stop; Wait waits for its end.
+// Stop starts a graceful shutdown with SIGTERM; Wait waits for the exit.
 func (d *Daemon) Stop() error { return d.signal(syscall.SIGTERM) }
 
 // Suspend suspends the process.
 func (d *Daemon) Suspend() error { return d.signal(syscall.SIGSTOP) }
 
-// Resume lets a frozen process run again.
+// Resume continues a suspended process.
 func (d *Daemon) Resume() error { return d.signal(syscall.SIGCONT) }
 
-// PID is the number of the running process.
+// PID is the process ID.
 func (d *Daemon) PID() int { return d.cmd.Process.Pid }
 
-// Reload sends SIGHUP, at which the daemon reads its certificates again.
+// Reload sends SIGHUP, on which the daemon reloads its certificates.
 func (d *Daemon) Reload() error { return d.signal(syscall.SIGHUP) }
 
-// CertFile is the file of the daemon's certificate towards its peers.
+// CertFile is the path of the daemon's peer certificate.
 func (d *Daemon) CertFile() string { return filepath.Join(d.fleet.dir, d.name+".pem") }
 
-// Wait waits for the process's end and returns how it ended: nil is exit 0.
+// Wait waits for the exit of the process. It returns nil for exit code 0.
 func (d *Daemon) Wait(ctx context.Context) error {
 	d.mu.Lock()
 	done := d.done
@@ -223,9 +223,9 @@
 	return nil
 }
 
-// end waits for the process that the fleet's context has killed.
-func (d *Daemon) end() {
-	ctx, cancel := context.WithTimeout(context.Background(), endTime)
+// waitExit waits for the exit of the process after the fleet's context was canceled.
+func (d *Daemon) waitExit() {
+	ctx, cancel := context.WithTimeout(context.Background(), exitTimeout)
 	defer cancel()
 	_ = d.Wait(ctx)
 }
--- a/lab/crfleet/links.go
+++ b/lab/crfleet/links.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// Links carry the daemons' datagrams, so that any direction between two of them
-// can be cut alone. The list of instances names a daemon's relay as its
-// address; a sender is known by the address that its datagrams come from.
+// Links relays the daemons' datagrams, so that each direction between two daemons
+// can be cut separately. The instance list gives the address of a daemon's relay. A
+// sender is identified by the source address of its datagrams.
 type Links struct {
 	ctx   context.Context
-	delay time.Duration // of each datagram
+	delay time.Duration // added to each datagram
 
 	mu    sync.Mutex
-	names map[string]string // a daemon's own UDP address to its name
+	names map[string]string // daemon names by UDP address
 	all   map[string]*relay
 	cuts  map[[2]string]bool
 }
 
-// relay stands before one daemon.
+// relay forwards the datagrams to and from one daemon.
 type relay struct {
 	links  *Links
 	name   string
 	front  net.PacketConn
 	target net.Addr
 
-	mu   sync.Mutex
-	back map[string]*flow // by the sender's address
+	mu    sync.Mutex
+	flows map[string]*flow // by the sender's address
 }
 
-// flow stands for one sender towards the daemon.
+// flow holds the socket through which the datagrams of one sender reach the daemon.
 type flow struct {
 	conn   net.PacketConn
 	sender string
@@ -64,7 +64,7 @@
 	if err != nil {
 		return fmt.Errorf("relay: %w", err)
 	}
-	r := &relay{links: l, name: name, front: front, target: addr, back: make(map[string]*flow)}
+	r := &relay{links: l, name: name, front: front, target: addr, flows: make(map[string]*flow)}
 	l.mu.Lock()
 	l.names[target] = name
 	l.all[name] = r
@@ -79,11 +79,11 @@
 	return l.all[name].front.LocalAddr().String()
 }
 
-// Cut drops everything that from sends to to, until Heal.
-func (l *Links) Cut(from, to string) { l.set(from, to, true) }
+// Cut drops all datagrams between the daemons in the direction from, to, until Heal.
+func (l *Links) Cut(from, to string) { l.setCut(from, to, true) }
 
-// Heal lets it through again.
-func (l *Links) Heal(from, to string) { l.set(from, to, false) }
+// Heal ends the cut of a direction.
+func (l *Links) Heal(from, to string) { l.setCut(from, to, false) }
 
 // CutBoth cuts both directions between two daemons.
 func (l *Links) CutBoth(a, b string) {
@@ -91,14 +91,14 @@
 	l.Cut(b, a)
 }
 
-// HealAll ends every cut.
+// HealAll ends all cuts.
 func (l *Links) HealAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.cuts)
 }
 
-func (l *Links) set(from, to string, cut bool) {
+func (l *Links) setCut(from, to string, cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cuts[[2]string{from, to}] = cut
@@ -117,14 +117,14 @@
 }
 
 const (
-	datagram = 64 << 10
-	// inAir is how many datagrams a delayed direction holds; more are lost, as
-	// in a full buffer of a switch.
-	inAir = 1 << 14
+	maxDatagramSize = 64 << 10
+	// delayQueueLen is the number of datagrams that wait in a delayed direction. Further
+	// ones are dropped, as by a switch with a full buffer.
+	delayQueueLen = 1 << 14
 )
 
 func (r *relay) forward() {
-	buf := make([]byte, datagram)
+	buf := make([]byte, maxDatagramSize)
 	sends := make(map[*flow]func([]byte))
 	for {
 		n, from, err := r.front.ReadFrom(buf)
@@ -147,7 +147,7 @@
 func (r *relay) flowFor(from net.Addr) (*flow, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if fl, ok := r.back[from.String()]; ok {
+	if fl, ok := r.flows[from.String()]; ok {
 		return fl, nil
 	}
 	conn, err := r.links.listen()
@@ -155,13 +155,13 @@
 		return nil, err
 	}
 	fl := &flow{conn: conn, sender: r.links.nameOf(from)}
-	r.back[from.String()] = fl
-	go r.answer(fl, from)
+	r.flows[from.String()] = fl
+	go r.forwardReplies(fl, from)
 	return fl, nil
 }
 
-func (r *relay) answer(fl *flow, to net.Addr) {
-	buf := make([]byte, datagram)
+func (r *relay) forwardReplies(fl *flow, to net.Addr) {
+	buf := make([]byte, maxDatagramSize)
 	send := r.links.sender(r.front, to)
 	for {
 		n, _, err := fl.conn.ReadFrom(buf)
@@ -174,17 +174,16 @@
 	}
 }
 
-// sender returns a function that sends in order, each datagram after the
-// delay.
+// sender returns a function that sends datagrams in order, each after the delay.
 func (l *Links) sender(conn net.PacketConn, to net.Addr) func([]byte) {
 	if l.delay == 0 {
 		return func(b []byte) { _, _ = conn.WriteTo(b, to) }
 	}
-	type late struct {
+	type delayedDatagram struct {
 		at time.Time
 		b  []byte
 	}
-	queue := make(chan late, inAir)
+	queue := make(chan delayedDatagram, delayQueueLen)
 	go func() {
 		for {
 			select {
@@ -198,7 +197,7 @@
 	}()
 	return func(b []byte) {
 		select {
-		case queue <- late{at: time.Now().Add(l.delay), b: append([]byte(nil), b...)}:
+		case queue <- delayedDatagram{at: time.Now().Add(l.delay), b: append([]byte(nil), b...)}:
 		default:
 		}
 	}
--- a/lab/crfleet/options.go
+++ b/lab/crfleet/options.go
@@ -10,15 +10,15 @@
 // Option configures a fleet.
 type Option func(*options)
 
-// Service is a service and the shape of its upstreams.
+// Service is a service and the configuration of its simulated upstreams.
 type Service struct {
-	Name    string
-	Policy  string        // the policy file's TOML
-	Targets int           // zero: one beside each daemon
-	Slots   int           // zero: 5
-	Queue   int           // requests that wait before the upstream sheds; zero: 20
-	ServiceTime    time.Duration // service time; zero: 5 ms
-	ColdStart    time.Duration // cold start
+	Name        string
+	Policy      string        // the policy file's TOML
+	Targets     int           // zero: one next to each daemon
+	Slots       int           // zero: 5
+	Queue       int           // waiting requests above which the upstream sheds load; zero: 20
+	ServiceTime time.Duration // zero: 5 ms
+	ColdStart   time.Duration // duration
 }
 
 const (
@@ -28,14 +28,14 @@
 	defaultTime    = 5 * time.Millisecond
 )
 
-func (s Service) count(daemons int) int {
+func (s Service) targetCount(daemons int) int {
 	if s.Targets > 0 {
 		return s.Targets
 	}
 	return daemons
 }
 
-func (s Service) upstream(name string) crupstream.Options {
+func (s Service) upstreamOptions(name string) crupstream.Options {
 	opts := crupstream.Options{Name: name, Slots: s.Slots, Queue: s.Queue, Service: s.ServiceTime, Cold: s.ColdStart}
 	if opts.Slots == 0 {
 		opts.Slots = defaultSlots
@@ -49,8 +49,8 @@
 	return opts
 }
 
-// BookingPolicy is the policy of the service that a fleet has by default: reads
-// below /kits may repeat, holds below /holds run at most once.
+// BookingPolicy is the policy of the default service: reads below /kits may be
+// retried, holds below /holds run at most once.
 const BookingPolicy = `
 [service]
 name = "booking"
@@ -103,18 +103,18 @@
 // WithDaemons sets the number of daemons; default 5.
 func WithDaemons(n int) Option { return func(o *options) { o.daemons = n } }
 
-// WithSpares adds daemons, with their targets, that are neither started nor
-// listed at first; they come after the others.
+// WithSpares adds n daemons with their targets. New neither starts nor lists them.
+// They have the last indexes.
 func WithSpares(n int) Option { return func(o *options) { o.spares = n } }
 
-// WithDomains names the failure domains, over which daemons are dealt in turn;
+// WithDomains sets the failure domains, to which daemons are assigned round-robin;
 // default three.
 func WithDomains(names ...string) Option {
 	return func(o *options) { o.domains = append([]string(nil), names...) }
 }
 
-// WithServices replaces the default service. Targets are dealt over the daemons
-// in turn, service after service.
+// WithServices replaces the default service. Targets are assigned to
+// the daemons round-robin, service by service.
 func WithServices(services ...Service) Option {
 	return func(o *options) { o.services = append([]Service(nil), services...) }
 }
@@ -124,18 +124,18 @@
 	return func(o *options) { o.accounts = append([]Account(nil), accounts...) }
 }
 
-// WithBinary runs the daemons from another program than this one.
+// WithBinary sets the program of the daemons; default this program.
 func WithBinary(path string) Option { return func(o *options) { o.binary = path } }
 
 // WithDelay delays each datagram between daemons by d, one way.
 func WithDelay(d time.Duration) Option { return func(o *options) { o.delay = d } }
 
-// WithoutRelays lets daemons reach one another directly, as a measure of the path
-// needs. No link can be cut or delayed then.
+// WithoutRelays makes daemons send to one another directly, so that a latency
+// benchmark does not include the relays. Links cannot be cut or delayed then.
 func WithoutRelays() Option { return func(o *options) { o.direct = true } }
 
 // WithSettings adds TOML tables to each daemon's settings, such as [limits];
-// "{daemon}" in it stands for the daemon's name.
+// "{daemon}" in text is replaced by the daemon's name.
 func WithSettings(text string) Option { return func(o *options) { o.settings = text } }
 
 // WithEnv adds variables, each NAME=VALUE, to the daemons' environment, such as
@@ -144,5 +144,5 @@
 	return func(o *options) { o.env = append([]string(nil), vars...) }
 }
 
-// WithoutWaiting makes New return at once after starting the processes.
+// WithoutWaiting makes New return without waiting for the daemons to be ready.
 func WithoutWaiting() Option { return func(o *options) { o.noWait = true } }
--- a/lab/crfleet/port.go
+++ b/lab/crfleet/port.go
@@ -9,14 +9,14 @@
 	"sync"
 )
 
-// Ports are taken from below the range that the system gives to outgoing
-// connections, or one of those could take a daemon's port before it starts. Each
-// process begins elsewhere, so that fleets of several processes seldom look at
-// the same port between its check and its use.
+// Ports are below the ephemeral range of the system; otherwise an outgoing
+// connection could take a daemon's port before the daemon starts. Each process
+// starts its search at a different port, so that fleets of several processes seldom
+// pick the same port between its check and its use.
 const (
 	firstPort = 21000
 	lastPort  = 32000
-	// portStride is a prime, and wider than the ports of a fleet.
+	// portStride is a prime, and larger than the number of ports of a fleet.
 	portStride = 211
 )
 
--- a/lab/crfleet/target.go
+++ b/lab/crfleet/target.go
@@ -7,7 +7,7 @@
 	"camphorroad/lab/crupstream"
 )
 
-// Target is an upstream stand-in beside a daemon.
+// Target is a simulated upstream next to a daemon.
 type Target struct {
 	*crupstream.Upstream
 	name    string
@@ -17,20 +17,20 @@
 }
 
 func newTarget(name string, s Service, daemon string) *Target {
-	up := crupstream.New(s.upstream(name))
+	up := crupstream.New(s.upstreamOptions(name))
 	return &Target{Upstream: up, name: name, service: s.Name, daemon: daemon, server: httptest.NewServer(up)}
 }
 
 // Name is the target's name.
 func (t *Target) Name() string { return t.name }
 
-// Service is the service that it serves.
+// Service is the name of the target's service.
 func (t *Target) Service() string { return t.service }
 
-// Daemon is the name of the daemon beside it.
+// Daemon is the name of the daemon next to the target.
 func (t *Target) Daemon() string { return t.daemon }
 
-// URL is the upstream's base URL, past the fleet.
+// URL is the base URL of the upstream itself, for requests that bypass the daemons.
 func (t *Target) URL() string { return t.server.URL }
 
 func (t *Target) addr() string { return strings.TrimPrefix(t.server.URL, "http://") }
--- a/lab/crfleet/window.go
+++ b/lab/crfleet/window.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// AdmissionTimes returns when an account's requests ran, over all upstreams, in
-// order.
+// AdmissionTimes returns the times at which an account's requests ran at all
+// upstreams, in ascending order.
 func (f *Fleet) AdmissionTimes(account string) []time.Time {
 	var at []time.Time
 	for _, run := range f.Log() {
@@ -19,14 +19,15 @@
 	return at
 }
 
-// Excess is by how many requests the worst window exceeds burst + rate*w; at or
-// below zero the account kept to its rate, and it is -Inf if nothing ran. A request runs up to spread after
-// it was admitted, so that a window may look shorter by that than it was.
-func Excess(at []time.Time, a Account, spread time.Duration) float64 {
+// Excess returns the maximum over all windows of length w of the number of requests
+// minus burst + rate*w. At or below zero the account kept to its rate; without requests
+// it is -Inf. A request runs up to spread after its admission, so a window may look
+// shorter by spread than it was.
+func Excess(times []time.Time, a Account, spread time.Duration) float64 {
 	worst := math.Inf(-1)
-	for i := range at {
-		for j := i; j < len(at); j++ {
-			w := at[j].Sub(at[i]) + spread
+	for i := range times {
+		for j := i; j < len(times); j++ {
+			w := times[j].Sub(times[i]) + spread
 			worst = max(worst, float64(j-i+1)-a.Burst-a.Rate*w.Seconds())
 		}
 	}
