--- a/e2e/account_test.go
+++ b/e2e/account_test.go
@@ -25,7 +25,7 @@
 		wait := timeline(
 			time.Second,
 			func() { f.Links().Cut("daemon-1", "daemon-2") },
-			f.Daemon(2).Freeze,
+			f.Daemon(2).Suspend,
 			3*time.Second,
 			f.Daemon(2).Resume, f.Daemon(3).Kill, f.Daemon(3).Start,
 			2*time.Second,
@@ -36,7 +36,7 @@
 			Accounts: []crload.Account{{Name: a.Name, Key: a.Key(), Rate: 600, Calls: reads}},
 		})
 		wait()
-		at := f.Admitted(a.Name)
+		at := f.AdmissionTimes(a.Name)
 		AddReportEntry("admitted", len(at))
 		Expect(len(at)).To(BeNumerically(">", 200))
 		Expect(crfleet.Excess(at, a, admissionDelay)).To(BeNumerically("<=", 0))
@@ -70,7 +70,7 @@
 // expectWithinRate checks every window of the executed requests against the rate.
 func expectWithinRate(f *crfleet.Fleet, a crfleet.Account, atLeast int) {
 	GinkgoHelper()
-	at := f.Admitted(a.Name)
+	at := f.AdmissionTimes(a.Name)
 	excess := crfleet.Excess(at, a, admissionDelay)
 	AddReportEntry("admitted", len(at))
 	AddReportEntry("worst window over burst + rate*w", excess)
@@ -88,11 +88,11 @@
 		f.Platform().SetFault(labplatform.Fault{Mode: labplatform.ModeReset})
 		wait := timeline(
 			time.Second,
-			f.Daemon(0).Freeze, f.Daemon(1).Freeze,
+			f.Daemon(0).Suspend, f.Daemon(1).Suspend,
 			3500*time.Millisecond,
 			f.Daemon(0).Resume, f.Daemon(1).Resume,
 			time.Second,
-			f.Daemon(2).Freeze, f.Daemon(3).Freeze, f.Daemon(4).Freeze,
+			f.Daemon(2).Suspend, f.Daemon(3).Suspend, f.Daemon(4).Suspend,
 			3500*time.Millisecond,
 			f.Daemon(2).Resume, f.Daemon(3).Resume, f.Daemon(4).Resume,
 		)
@@ -113,13 +113,13 @@
 		all := f.Instances()
 		wait := timeline(
 			time.Second,
-			f.Daemon(0).Freeze, f.Daemon(5).Start,
-			func() { f.List(all[1:6]) },
+			f.Daemon(0).Suspend, f.Daemon(5).Start,
+			func() { f.SetInstances(all[1:6]) },
 			3500*time.Millisecond,
 			f.Daemon(0).Resume,
 			time.Second,
 			f.Daemon(1).Kill, f.Daemon(6).Start,
-			func() { f.List(all[2:7]) },
+			func() { f.SetInstances(all[2:7]) },
 		)
 		surge(a, 11, f.URLs()[:5])
 		wait()
@@ -142,6 +142,6 @@
 		AddReportEntry("steady", line.Results)
 		AddReportEntry("loud", report.Lines()[1].Results)
 		Expect(float64(line.Results[crload.NotRun])).To(BeNumerically("<=", 0.02*float64(line.Sent)))
-		Expect(crfleet.Excess(f.Admitted(loud.Name), loud, admissionDelay)).To(BeNumerically("<=", 0))
+		Expect(crfleet.Excess(f.AdmissionTimes(loud.Name), loud, admissionDelay)).To(BeNumerically("<=", 0))
 	})
 })
--- a/e2e/health_test.go
+++ b/e2e/health_test.go
@@ -141,7 +141,7 @@
 func startHealthFleet(accounts ...crfleet.Account) (*crfleet.Fleet, *ejectionWatch) {
 	f := startFleet(
 		crfleet.WithDaemons(healthDaemons),
-		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: healthPolicy, Time: 10 * time.Millisecond}),
+		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: healthPolicy, ServiceTime: 10 * time.Millisecond}),
 		crfleet.WithAccounts(accounts...),
 	)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -114,7 +114,7 @@
 		list := f.Instances()
 		list[2].State = crinstance.StateLeaving
 		var listed time.Time
-		wait := timeline(1500*time.Millisecond, func() { listed = time.Now() }, func() { f.List(list) })
+		wait := timeline(1500*time.Millisecond, func() { listed = time.Now() }, func() { f.SetInstances(list) })
 		report := run(leavePlan(a, 6, f.URLs()))
 		wait()
 		told := expectTruthful(f, report)
@@ -245,11 +245,11 @@
 		a := account("survey", 5000, 5000)
 		f := startFleet(
 			crfleet.WithDaemons(3),
-			crfleet.WithServices(crfleet.Service{Name: "booking", Policy: stepPolicy, Targets: 1, Slots: stepSlots, Time: stepService}),
+			crfleet.WithServices(crfleet.Service{Name: "booking", Policy: stepPolicy, Targets: 1, Slots: stepSlots, ServiceTime: stepService}),
 			crfleet.WithAccounts(a),
 		)
 		exit, entry := f.Daemon(0), f.Daemon(1)
-		calls := &stepCalls{entry: entry, told: make(map[string]crfleet.Reply)}
+		calls := &stepCalls{entry: entry, told: make(map[string]crfleet.Response)}
 		for n := range stepSlots {
 			calls.send([]crfleet.Request{{Account: a, Method: http.MethodPost, Path: "/holds?work=500", ID: fmt.Sprintf("last-%d", n)}})
 		}
--- a/e2e/step_test.go
+++ b/e2e/step_test.go
@@ -88,7 +88,7 @@
 	entry *crfleet.Daemon
 	wg    sync.WaitGroup
 	mu    sync.Mutex
-	told  map[string]crfleet.Reply
+	told  map[string]crfleet.Response
 }
 
 func (c *stepCalls) send(requests []crfleet.Request) {
@@ -114,7 +114,7 @@
 
 func noAction(*crfleet.Fleet, *crfleet.Daemon, *crfleet.Daemon) error { return nil }
 
-func freezeExit(_ *crfleet.Fleet, _, exit *crfleet.Daemon) error { return exit.Freeze() }
+func freezeExit(_ *crfleet.Fleet, _, exit *crfleet.Daemon) error { return exit.Suspend() }
 
 func resumeExit(_ *crfleet.Fleet, _, exit *crfleet.Daemon) error { return exit.Resume() }
 
@@ -156,7 +156,7 @@
 	err    error
 	before map[string]int // runs at the moment of the fault
 	after  map[string]int
-	told   map[string]crfleet.Reply
+	told   map[string]crfleet.Response
 	logs   string
 }
 
@@ -179,7 +179,7 @@
 	a := account("survey", 5000, 5000)
 	f, err := crfleet.New(context.Background(),
 		crfleet.WithDaemons(3),
-		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: stepPolicy, Targets: 1, Slots: stepSlots, Time: stepService}),
+		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: stepPolicy, Targets: 1, Slots: stepSlots, ServiceTime: stepService}),
 		crfleet.WithAccounts(a),
 	)
 	if err != nil {
@@ -188,7 +188,7 @@
 	defer f.Close()
 	time.Sleep(time.Second) // a new fleet has few tokens
 	exit, entry := f.Daemon(0), f.Daemon(1)
-	calls := &stepCalls{entry: entry, told: make(map[string]crfleet.Reply)}
+	calls := &stepCalls{entry: entry, told: make(map[string]crfleet.Response)}
 	calls.send(stepRequests(a, stepRun, 2))
 	calls.send(stepRequests(a, stepResponse, 2))
 	calls.send(stepRequests(a, stepRequest, 2))
@@ -265,7 +265,7 @@
 	return names
 }
 
-func expectTruthfulReplies(runs map[string]int, told map[string]crfleet.Reply, entryDies bool) {
+func expectTruthfulReplies(runs map[string]int, told map[string]crfleet.Response, entryDies bool) {
 	GinkgoHelper()
 	count := make(map[string]int)
 	for id, reply := range told {
--- a/lab/crpath/crpath.go
+++ b/lab/crpath/crpath.go
@@ -104,7 +104,7 @@
 		crfleet.WithBinary(opts.Binary),
 		crfleet.WithDaemons(2),
 		crfleet.WithoutRelays(),
-		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: policy, Targets: 1, Slots: 512, Queue: 4096, Time: time.Nanosecond}),
+		crfleet.WithServices(crfleet.Service{Name: "booking", Policy: policy, Targets: 1, Slots: 512, Queue: 4096, ServiceTime: time.Nanosecond}),
 		crfleet.WithAccounts(account),
 	)
 	if err != nil {
@@ -189,10 +189,10 @@
 	return b.account.Key()
 }
 
-func (b *bench) uses(ctx context.Context) ([]crfleet.Cost, error) {
-	var all []crfleet.Cost
+func (b *bench) uses(ctx context.Context) ([]crfleet.Usage, error) {
+	var all []crfleet.Usage
 	for _, d := range b.fleet.Daemons() {
-		c, err := d.Cost(ctx)
+		c, err := d.Usage(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -201,7 +201,7 @@
 	return all, nil
 }
 
-func each(before, after crfleet.Cost, n int) Use {
+func each(before, after crfleet.Usage, n int) Use {
 	return Use{
 		CPU:    time.Duration((after.CPU - before.CPU) / float64(n) * float64(time.Second)),
 		Allocs: (after.Allocs - before.Allocs) / float64(n),
