--- a/lab/crmemory/crmemory.go
+++ b/lab/crmemory/crmemory.go
@@ -1,6 +1,7 @@
-// Package crmemory measures the memory of a daemon as a process, under
-// configurations and lists of the size that the users plan for. The platform's
-// stand-in is in this process; the list's other instances do not run.
+// Package crmemory measures the memory usage of a daemon process under configurations
+// and instance lists of the size that the users plan for; the lab command prints the
+// rows. The platform is simulated in this process. The other listed instances do not
+// run.
 //
 // # Usage
 //
@@ -22,57 +23,57 @@
 	"camphorroad/lab/crfleet"
 )
 
-// The changes of configuration after which a daemon is measured.
-const manyChanges = 10
+// changeCount is the number of configuration changes in the stage "ten changes".
+const changeCount = 10
 
-// Sizes of the list that the users plan for.
+// Sizes of the instance list that the users plan for.
 const (
-	domains   = 9
-	routes    = 12_000
-	firstPort = 1000 // none of the listed instances listens
-	perAddr   = 250
+	domains      = 9
+	routes       = 12_000
+	firstPort    = 1000 // nothing listens on the ports of the added instances
+	portsPerAddr = 250
 )
 
 const (
-	inForceTime = 2 * time.Minute
-	poll        = 100 * time.Millisecond
+	applyTimeout = 2 * time.Minute
+	pollInterval = 100 * time.Millisecond
 )
 
-var errNotHeld = errors.New("the daemon does not hold what was published")
+var errNotApplied = errors.New("the daemon has not applied the published configuration or list")
 
 // Options configure a measurement.
 type Options struct {
 	Binary    string        // the daemon's program
 	Accounts  int           // in the configuration
-	Instances int           // in the list of the last stage; zero: no such stage
+	Instances int           // in the list of the stage "list"; zero: no such stage
 	Targets   int           // in that list
 	Services  int           // of those targets
-	Settle    time.Duration // from a configuration in force to its row
-	Env       []string      // of the daemon, such as GOGC=50
+	Settle    time.Duration // wait between the end of a step and its measurement
+	Env       []string      // environment of the daemon, such as GOGC=50
 	Settings  string        // TOML added to the daemon's settings
 }
 
-// Row is one stage.
+// Row is the result of one stage.
 type Row struct {
 	Stage    string        `json:"stage"`
 	Accounts int           `json:"accounts"`
-	Took     time.Duration `json:"took"` // nanoseconds, from the stage's beginning until it was in force
-	CPU      float64       `json:"cpu"`  // seconds of processor time in the stage, settling included
+	Took     time.Duration `json:"took"` // nanoseconds, from the start of the stage until its change was applied
+	CPU      float64       `json:"cpu"`  // seconds of processor time in the stage, including Options.Settle
 	Memory   crfleet.Memory
 }
 
-// run is one daemon through its stages.
+// run is the state of a measurement.
 type run struct {
-	opts   Options
-	fleet  *crfleet.Fleet
-	daemon *crfleet.Daemon
-	policy crpolicyfile.Policy
-	next   int // account to change
-	rows   []Row
+	opts        Options
+	fleet       *crfleet.Fleet
+	daemon      *crfleet.Daemon
+	policy      crpolicyfile.Policy
+	nextAccount int // index of the account changed last
+	rows        []Row
 }
 
-// Measure starts a daemon under a configuration, changes it, and puts a long
-// list in place.
+// Measure starts a daemon with a configuration, changes the configuration and
+// publishes a long instance list. It returns one row per stage.
 func Measure(ctx context.Context, opts Options) ([]Row, error) {
 	fleet, err := crfleet.New(ctx,
 		crfleet.WithBinary(opts.Binary), crfleet.WithDaemons(0), crfleet.WithSpares(1), crfleet.WithoutWaiting(),
@@ -83,32 +84,32 @@
 	}
 	defer fleet.Close()
 	r := &run{opts: opts, fleet: fleet, daemon: fleet.Daemon(0), policy: policy(opts)}
-	err = r.stages(ctx)
+	err = r.runStages(ctx)
 	return r.rows, err
 }
 
-func (r *run) stages(ctx context.Context) error {
-	if err := r.stage(ctx, "start", r.start); err != nil {
+func (r *run) runStages(ctx context.Context) error {
+	if err := r.runStage(ctx, "start", r.start); err != nil {
 		return err
 	}
 	if r.opts.Accounts > 0 {
-		if err := r.stage(ctx, "one change", r.change); err != nil {
+		if err := r.runStage(ctx, "one change", r.change); err != nil {
 			return err
 		}
-		if err := r.stage(ctx, "ten changes", r.changes); err != nil {
+		if err := r.runStage(ctx, "ten changes", r.changes); err != nil {
 			return err
 		}
 	}
 	if r.opts.Instances > 0 {
-		if err := r.stage(ctx, "list", r.list); err != nil {
+		if err := r.runStage(ctx, "list", r.publishList); err != nil {
 			return err
 		}
 	}
-	return r.stage(ctx, "rest", func(context.Context) error { return nil })
+	return r.runStage(ctx, "rest", func(context.Context) error { return nil })
 }
 
-// stage carries out a step, lets the daemon settle, and notes what it holds.
-func (r *run) stage(ctx context.Context, name string, step func(context.Context) error) error {
+// runStage runs a step, waits for Options.Settle and records the memory usage.
+func (r *run) runStage(ctx context.Context, name string, step func(context.Context) error) error {
 	var before crfleet.Usage
 	if len(r.rows) > 0 {
 		var err error
@@ -124,7 +125,7 @@
 	if err := sleep(ctx, r.opts.Settle); err != nil {
 		return err
 	}
-	cost, err := r.daemon.Usage(ctx)
+	usage, err := r.daemon.Usage(ctx)
 	if err != nil {
 		return err
 	}
@@ -132,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	r.rows = append(r.rows, Row{Stage: name, Accounts: r.opts.Accounts, Took: took, CPU: cost.CPU - before.CPU, Memory: m})
+	r.rows = append(r.rows, Row{Stage: name, Accounts: r.opts.Accounts, Took: took, CPU: usage.CPU - before.CPU, Memory: m})
 	return nil
 }
 
@@ -145,11 +146,11 @@
 	if err := r.daemon.Start(); err != nil {
 		return err
 	}
-	return r.inForce(ctx, rev)
+	return r.waitApplied(ctx, rev)
 }
 
 func (r *run) changes(ctx context.Context) error {
-	for range manyChanges {
+	for range changeCount {
 		if err := r.change(ctx); err != nil {
 			return err
 		}
@@ -158,14 +159,14 @@
 }
 
 func (r *run) change(ctx context.Context) error {
-	const stride = 7919 // a prime, so that changes spread over the values
-	r.next = (r.next + stride) % len(r.policy.Accounts)
-	r.policy.Accounts[r.next].Rate++
+	const stride = 7919 // a prime, so that changes are spread over the values
+	r.nextAccount = (r.nextAccount + stride) % len(r.policy.Accounts)
+	r.policy.Accounts[r.nextAccount].Rate++
 	rev, err := r.publish()
 	if err != nil {
 		return err
 	}
-	return r.inForce(ctx, rev)
+	return r.waitApplied(ctx, rev)
 }
 
 func (r *run) publish() (crid.Revision, error) {
@@ -180,41 +181,42 @@
 	return r.fleet.Platform().Publish(bundle.Manifest(), values)
 }
 
-// inForce waits until the daemon serves a revision of the configuration.
-func (r *run) inForce(ctx context.Context, rev crid.Revision) error {
+// waitApplied waits until the daemon has applied a configuration revision.
+func (r *run) waitApplied(ctx context.Context, rev crid.Revision) error {
 	return r.wait(ctx, func() error {
 		m, err := r.daemon.Memory(ctx)
 		if err != nil || m.Revision < rev {
-			return errors.Join(errNotHeld, err)
+			return errors.Join(errNotApplied, err)
 		}
 		return nil
 	})
 }
 
-// wait asks until check is content: at a start the pages are not served yet.
+// wait calls check until it returns nil. Errors are expected at the start, before the
+// admin listener serves requests.
 func (r *run) wait(ctx context.Context, check func() error) error {
-	ctx, cancel := context.WithTimeout(ctx, inForceTime)
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	for {
 		err := check()
 		if err == nil {
 			return nil
 		}
-		if sleep(ctx, poll) != nil {
+		if sleep(ctx, pollInterval) != nil {
 			return fmt.Errorf("%w\n%s", err, r.daemon.Log())
 		}
 	}
 }
 
-// list puts the long list in place. The daemon then hears nearly none of those
+// publishList puts the long publishList in place. The daemon then hears nearly none of those
 // it names, so it has no standing, and goes on dialling.
-func (r *run) list(ctx context.Context) error {
+func (r *run) publishList(ctx context.Context) error {
 	all := r.fleet.Instances()
 	for i := len(all); i < r.opts.Instances; i++ {
 		all = append(all, crinstance.Instance{
 			Daemon: crid.Daemon(fmt.Sprintf("instance-%05d", i)),
 			Domain: crid.Domain(fmt.Sprintf("domain-%d", i%domains+1)),
-			Addr:   fmt.Sprintf("127.1.%d.1:%d", i/perAddr, firstPort+i%perAddr),
+			Addr:   fmt.Sprintf("127.1.%d.1:%d", i/portsPerAddr, firstPort+i%portsPerAddr),
 			State:  crinstance.StateLive,
 		})
 	}
@@ -226,16 +228,16 @@
 	}
 	rev := r.fleet.SetInstances(all)
 	return r.wait(ctx, func() error {
-		// The dump of so long a list would itself be the most of the memory.
+		// A state dump of so long a list would dominate the memory usage; read the log instead.
 		if !strings.Contains(r.daemon.Log(), fmt.Sprintf(`"event":%d,"level":"info","list":"%d"`, crmember.EventListAdopted, rev)) {
-			return errNotHeld
+			return errNotApplied
 		}
 		return nil
 	})
 }
 
-// policy makes the configuration: without a list only the booking service, and
-// else all services of its targets with their routes.
+// policy builds the configuration: the booking service and, if there is a list, all
+// services of its targets with their routes.
 func policy(opts Options) crpolicyfile.Policy {
 	p := crpolicyfile.Policy{Services: []crpolicy.Service{service("booking")}}
 	if opts.Instances > 0 {
--- a/lab/crmemory/table.go
+++ b/lab/crmemory/table.go
@@ -7,14 +7,14 @@
 
 const megabyte = 1e6
 
-// Header names the columns of Cells; memory is in millions of bytes.
+// Header returns the column names of [Row.Cells]. Memory is in megabytes (10^6 bytes).
 func Header() []string {
 	return []string{
 		"STAGE", "ACCOUNTS", "SECONDS", "CPUSECONDS", "RESIDENT", "PEAK", "MAPPED", "HEAP", "IDLE", "STACKS", "RUNTIME", "COLLECTIONS",
 	}
 }
 
-// Cells are the columns of one stage.
+// Cells returns the columns of the row.
 func (r Row) Cells() []string {
 	cells := []string{
 		r.Stage, strconv.Itoa(r.Accounts), decimal(float64(r.Took) / float64(time.Second)), strconv.FormatFloat(r.CPU, 'f', 2, 64),
