--- a/lab/crmemory/crmemory.go
+++ b/lab/crmemory/crmemory.go
@@ -208,8 +208,8 @@
 	}
 }
 
-// publishList puts the long publishList in place. The daemon then hears nearly none of those
-// it names, so it has no standing, and goes on dialling.
+// publishList publishes the long instance list. Nearly none of the listed instances
+// run, so the daemon has no lease and keeps trying to connect to them.
 func (r *run) publishList(ctx context.Context) error {
 	all := r.fleet.Instances()
 	for i := len(all); i < r.opts.Instances; i++ {
