--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -153,7 +153,7 @@
 func (d *daemon) updateFor(data []byte) (any, error) {
 	var have crwatch.Revisions
 	if err := cbor.Unmarshal(data, &have); err != nil {
-		return nil, fmt.Errorf("decode the revisions of the peer: %w", err)
+		return nil, fmt.Errorf("decode what the peer has: %w", err)
 	}
 	return d.follower.UpdateFor(have), nil
 }
