--- a/core/crplan/crplan.go
+++ b/core/crplan/crplan.go
@@ -4,8 +4,8 @@
 // read it. The daemon of `camphorroad serve` uses core/crpolicy instead; the two
 // share only the class of a route and the hash of a key.
 //
-// A [Plan] is immutable and validated as a whole when it is created, so it never
-// contains a route without a service or a key of two accounts.
+// A [Plan] is immutable and validated as a whole when it is created: every route
+// has a service, and no key belongs to two accounts.
 //
 // # Usage
 //
@@ -69,7 +69,7 @@
 	HasPriority bool    `cbor:"Ranked" json:"Ranked"` // Priority overrides that of the route
 	Priority    int     // 0 is the most urgent
 	Rate        float64 // requests a second; zero: no limit
-	Burst       float64 // requests beyond the rate
+	Burst       float64 // requests above the rate
 }
 
 // Service is a service in a plan.
@@ -97,7 +97,7 @@
 	limits   Limits
 }
 
-// New validates and indexes a plan. The error describes the first fault.
+// New validates and indexes a plan. The error describes the first invalid entry.
 func New(version uint64, routes []Route, accounts []Account, services []Service, limits Limits) (*Plan, error) {
 	p := &Plan{
 		version:  version,
@@ -153,7 +153,7 @@
 	case r.Timeout < 0:
 		return fmt.Errorf("the timeout is negative")
 	case len(r.Shares) == 0:
-		return fmt.Errorf("no service is named")
+		return fmt.Errorf("the route has no services")
 	}
 	return p.checkShares(r.Shares)
 }
@@ -170,7 +170,7 @@
 		total += s.Weight
 	}
 	if total <= 0 {
-		return fmt.Errorf("the weights add up to nothing")
+		return fmt.Errorf("the sum of the weights is zero")
 	}
 	return nil
 }
@@ -180,7 +180,7 @@
 		return fmt.Errorf("an account has no name")
 	}
 	if _, ok := p.accounts[a.Name]; ok {
-		return fmt.Errorf("the account %q stands twice", a.Name)
+		return fmt.Errorf("the account %q is listed twice", a.Name)
 	}
 	p.accounts[a.Name] = a
 	for _, key := range a.Keys {
@@ -223,7 +223,8 @@
 	return a, ok
 }
 
-// Route returns the route with the longest prefix of the path.
+// Route returns the host's route with the longest prefix that matches the path.
+// The host may include a port.
 func (p *Plan) Route(host, path string) (*Route, bool) {
 	name, _, _ := strings.Cut(host, ":")
 	for _, r := range p.hosts[strings.ToLower(name)] {
--- a/core/crplan/crplan_test.go
+++ b/core/crplan/crplan_test.go
@@ -55,14 +55,14 @@
 		return []crplan.Route{r}
 	}
 	for name, routes := range map[string][]crplan.Route{
-		"host":    bad(func(r *crplan.Route) { r.Host = "" }),
-		"prefix":  bad(func(r *crplan.Route) { r.Prefix = "/hold" }),
-		"class":   bad(func(r *crplan.Route) { r.Class = 0 }),
-		"targets": bad(func(r *crplan.Route) { r.MaxTargets = 0 }),
-		"service": bad(func(r *crplan.Route) { r.Shares[0].Service = "nobody" }),
-		"weights": bad(func(r *crplan.Route) { r.Shares[0].Weight = 0 }),
-		"none":    bad(func(r *crplan.Route) { r.Shares = nil }),
-		"twice":   {route("a", "/x/"), route("b", "/x/")},
+		"host":      bad(func(r *crplan.Route) { r.Host = "" }),
+		"prefix":    bad(func(r *crplan.Route) { r.Prefix = "/hold" }),
+		"class":     bad(func(r *crplan.Route) { r.Class = 0 }),
+		"targets":   bad(func(r *crplan.Route) { r.MaxTargets = 0 }),
+		"service":   bad(func(r *crplan.Route) { r.Shares[0].Service = "unknown" }),
+		"weights":   bad(func(r *crplan.Route) { r.Shares[0].Weight = 0 }),
+		"shares":    bad(func(r *crplan.Route) { r.Shares = nil }),
+		"duplicate": {route("a", "/x/"), route("b", "/x/")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := crplan.New(1, routes, nil, services, crplan.Limits{})
