--- a/core/crpolicy/keys.go
+++ b/core/crpolicy/keys.go
@@ -13,8 +13,9 @@
 // copies the segments of its own keys only.
 const keysPerSegment = 64
 
-// KeyConflict is the error of a key that belongs to two accounts. The account of
-// a request with that key would be arbitrary.
+// KeyConflict is the error of a key that is listed twice, for two accounts or for
+// the same one. With two, the account of a request with that key would be
+// arbitrary.
 type KeyConflict struct {
 	Hash          KeyHash
 	First, Second crid.Account
@@ -29,8 +30,8 @@
 // keyRef maps a fingerprint of a key's hash to the key's account.
 type keyRef struct {
 	fingerprint uint32
-	part        uint16
-	account     uint16
+	part        uint16 // index in the parts
+	account     uint16 // index in the part
 }
 
 // keyIndex finds accounts by the hash of a key. It is immutable: an updated index
@@ -45,6 +46,7 @@
 	return &keyIndex{bits: n, segments: make([][]keyRef, 1<<n)}
 }
 
+// locate returns the segment of a key's hash, and its fingerprint in the segment.
 func (x *keyIndex) locate(h KeyHash) (segment int, fingerprint uint32) {
 	v := binary.BigEndian.Uint64(h[:])
 	return int(v >> 32 >> (32 - x.bits)), uint32(v)
@@ -124,6 +126,7 @@
 	}
 }
 
+// retain copies the references to unchanged parts, with capacity for added ones.
 func (r *indexUpdate) retain(refs []keyRef, added int) []keyRef {
 	retained := make([]keyRef, 0, len(refs)+added)
 	for _, ref := range refs {
@@ -148,8 +151,8 @@
 	}
 }
 
-// checkConflict records the first key that is already in the index, of another
-// account or of the same one.
+// checkConflict records the first key that is already in the index, for another
+// account or for the same one.
 func (r *indexUpdate) checkConflict(part, account int, h KeyHash) {
 	if r.conflict != nil {
 		return
--- a/core/crpolicy/part.go
+++ b/core/crpolicy/part.go
@@ -21,9 +21,9 @@
 // Part contains the accounts of one published value. It is immutable, so that
 // configurations with a common value share its part.
 //
-// A daemon stores 410,000 accounts, and also the bytes of the values for its
-// peers. So names and keys are offsets into those bytes, and everything else is
-// small and free of pointers, which the garbage collector would follow.
+// A daemon stores 410,000 accounts, and also the bytes of their values, which it
+// sends to peers. So names and keys are offsets into those bytes, and everything
+// else is small and free of pointers, which the garbage collector would follow.
 type Part struct {
 	data    []byte  // bytes that contain the names and keys
 	entries []entry // sorted by name
@@ -86,8 +86,8 @@
 }
 
 // add locates an account in data from an offset on, and returns the offset after
-// it. A match may be in a place with another meaning, which does no harm, since
-// only its bytes are used.
+// it. The match may lie in another field of the value. That is harmless, since
+// only the matching bytes are used.
 func (p *Part) add(a Account, from int) (next int, ok bool) {
 	name, next := p.locate([]byte(a.Name), from, from)
 	if name < 0 {
@@ -192,8 +192,8 @@
 }
 
 func (p *Part) name(i int) []byte {
-	s := p.entries[i]
-	return p.data[s.name : s.name+uint32(s.nameLen)]
+	e := p.entries[i]
+	return p.data[e.name : e.name+uint32(e.nameLen)]
 }
 
 // account returns the i-th account, without its keys.
--- a/core/crpolicy/snapshot.go
+++ b/core/crpolicy/snapshot.go
@@ -14,7 +14,7 @@
 type Snapshot struct {
 	rev      crid.Revision
 	services map[crid.Service]Service
-	parts    []*Part // indexed by Shard, a power of two; nil: empty
+	parts    []*Part // indexed by Shard; the length is a power of two; nil: an empty part
 	keys     *keyIndex
 }
 
@@ -35,9 +35,9 @@
 }
 
 // Assemble returns a configuration of validated parts. The i-th part contains the
-// accounts whose Shard is i; nil is an empty part. Parts shared with the previous
-// configuration, nil if there is none, are not indexed again. The error is a
-// *KeyConflict.
+// accounts whose Shard is i; nil is an empty part. Parts that the previous
+// configuration also has are not indexed again; previous is nil if there is none.
+// The error is a *KeyConflict.
 func Assemble(previous *Snapshot, rev crid.Revision, services []Service, parts []*Part) (*Snapshot, error) {
 	s, conflict := assemble(previous, rev, services, parts)
 	if conflict != nil {
@@ -90,8 +90,8 @@
 func (s *Snapshot) Accounts() []Account { return s.AccountsSince(nil) }
 
 // AccountsSince returns the accounts that may differ from those of a previous
-// configuration, sorted by name. It returns all accounts if previous is nil, and
-// no removed ones.
+// configuration, sorted by name. It returns all accounts if previous is nil.
+// Accounts that were removed are not returned.
 func (s *Snapshot) AccountsSince(previous *Snapshot) []Account {
 	var all []Account
 	for i, p := range s.parts {
