--- a/core/crroute/crroute_test.go
+++ b/core/crroute/crroute_test.go
@@ -137,9 +137,8 @@
 	g.Expect(seen["cold"]).To(gomega.BeNumerically("~", 1000, 300))
 }
 
-// A one-way partition makes first one and then all targets unreachable. Callers
-// would get time-outs if the first stayed in use, and needless refusals if the
-// last did not.
+// A one-way partition makes first one target unreachable, then all. Requests to the first
+// would time out; with no target used at the end, requests would be refused needlessly.
 func TestTwoChoicesAvoidsUnreachableTargetsUnlessAllAre(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a := target("a", "m", crroute.StatusReady, crroute.FullWeight)
@@ -156,7 +155,7 @@
 	info.Tried = []crid.Target{"a", "b"}
 	g.Expect(pickCounts(p, info, 50)).To(gomega.Equal(map[crid.Target]int{"ejected": 50}))
 	info.Tried = append(info.Tried, "ejected")
-	g.Expect(pickCounts(p, info, 50)).To(gomega.BeEmpty(), "a leaving target takes nothing")
+	g.Expect(pickCounts(p, info, 50)).To(gomega.BeEmpty(), "a leaving target takes no requests")
 	info = crroute.PickInfo{Now: info.Now.Add(time.Second), IntN: info.IntN}
 	g.Expect(pickCounts(p, info, 50)).To(gomega.HaveLen(2), "avoidance ends by itself")
 }
@@ -218,17 +217,16 @@
 		targets = append(targets, target(fmt.Sprint(i), domain, crroute.StatusReady, crroute.FullWeight))
 	}
 	p := crroute.NewPool("0", targets)
-	var c crroute.Picker[*crroute.Target] = crroute.TwoChoices[*crroute.Target]{}
+	var picker crroute.Picker[*crroute.Target] = crroute.TwoChoices[*crroute.Target]{}
 	info := crroute.PickInfo{Now: crid.Instant(time.Hour), IntN: rand.New(rand.NewPCG(1, 2)).IntN}
 	b.ReportAllocs()
 	for b.Loop() {
-		_, _ = c.Pick(p, info)
+		_, _ = picker.Pick(p, info)
 	}
 }
 
-// A restarted daemon refuses at once, since it has no policy yet, and its targets
-// seem the least loaded. Entries that kept picking them had requests refused three
-// times each while other targets were ready.
+// A restarted daemon has no policy yet and refuses at once, so its targets seem the
+// least loaded. Picked again, they refuse a request three times while others are ready.
 func TestNotReadyTargetIsAvoidedBriefly(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l crroute.Load
@@ -239,16 +237,15 @@
 	for range 20 {
 		l.RecordNotReady(now)
 	}
-	g.Expect(l.Avoided(now.Add(time.Second))).To(gomega.BeFalse(), "it must not accumulate: the target is healthy")
+	g.Expect(l.Avoided(now.Add(time.Second))).To(gomega.BeFalse(), "repeated calls must not prolong it: the target is healthy")
 	l.RecordUnreachable(now)
 	until := l.AvoidedUntil()
 	l.RecordNotReady(now.Add(-time.Second))
 	g.Expect(l.AvoidedUntil()).To(gomega.Equal(until), "a longer avoidance is kept")
 }
 
-// A draining target refuses every request before the list marks it so. Once requests
-// are not retried after its answer and would fail. In an overload, targets that
-// refuse some requests and answer others must not be avoided.
+// A draining target refuses all requests before the list marks it; those of class once fail,
+// as they are not retried. Targets that refuse only some in an overload must not be avoided.
 func TestTargetThatOnlyShedsIsAvoided(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var draining, busy crroute.Load
--- a/core/crroute/dump.go
+++ b/core/crroute/dump.go
@@ -26,7 +26,7 @@
 	Domain   crid.Domain   `json:"domain"`
 	Status   string        `json:"status"`
 	Weight   int           `json:"weight"`   // of FullWeight
-	InFlight int64         `json:"inflight"` // requests of this daemon
+	InFlight int64         `json:"inflight"` // requests from this daemon
 	Failures int64         `json:"strikes"`  // failures since the last answer
 	Avoided  time.Duration `json:"avoided"`  // remaining time of avoidance; zero: not avoided
 }
--- a/core/crroute/load.go
+++ b/core/crroute/load.go
@@ -11,7 +11,7 @@
 const (
 	avoidBase     = 200 * time.Millisecond
 	maxAvoid      = 10 * time.Second
-	shedBase      = 2 * time.Second // avoidance after shedThreshold refusals; each further attempt may cost a caller of a once request
+	shedBase      = 2 * time.Second // avoidance after shedThreshold refusals; each further attempt may fail a request of class once
 	shedThreshold = 3               // consecutive refusals because of load after which a target is avoided
 	maxAvoidShift = 6               // doublings from avoidBase to above maxAvoid
 	maxFailures   = 16              // bounds the cost of a failing target
@@ -20,8 +20,9 @@
 	reportTTL = 100 * time.Millisecond
 )
 
-// Load is what this daemon knows of one target from its own requests. It outlives
-// the pools that contain the target, and is safe for concurrent use.
+// Load is the load of one target and its recent failures, as observed by this
+// daemon's own requests. It outlives the pools that contain the target, and is
+// safe for concurrent use.
 type Load struct {
 	inFlight     atomic.Int64
 	failures     atomic.Int64
@@ -33,10 +34,10 @@
 // Begin counts a request sent to the target.
 func (l *Load) Begin() { l.inFlight.Add(1) }
 
-// End counts a request finished, whatever its outcome.
+// End counts a request as finished, whatever its outcome.
 func (l *Load) End() { l.inFlight.Add(-1) }
 
-// InFlight is the number of requests of this daemon on the target.
+// InFlight is the number of requests from this daemon in flight at the target.
 func (l *Load) InFlight() int64 { return l.inFlight.Load() }
 
 // SetReportedInFlight records the number of requests in flight that the exit
@@ -62,9 +63,9 @@
 
 // RecordUnreachable records that this daemon could not reach the target, and
 // avoids it for a time that doubles up to ten seconds. Only this daemon avoids
-// it, since a one-way partition makes only some daemons lose a target. Ejecting
-// it would take good capacity from all others; not avoiding it would cost each
-// request a time-out.
+// it, since in a one-way partition the target is unreachable from some daemons
+// only. Ejecting it would take healthy capacity from all others; not avoiding it
+// would cost each request a time-out.
 func (l *Load) RecordUnreachable(now crid.Instant) {
 	l.avoidFor(avoidBase, l.addFailure(), now)
 }
@@ -79,6 +80,7 @@
 	}
 }
 
+// avoidFor avoids the target for a base time, doubled for every failure after the first.
 func (l *Load) avoidFor(base time.Duration, failures int64, now crid.Instant) {
 	shift := min(failures-1, maxAvoidShift)
 	pause := min(base<<shift, maxAvoid)
@@ -86,8 +88,8 @@
 }
 
 // RecordNotReady records that the target's daemon has no policy for it yet, and
-// avoids the target for avoidBase. This is no fault of the target, so it does not
-// count as a failure.
+// avoids the target for avoidBase. It does not count as a failure, since the
+// target itself is healthy.
 func (l *Load) RecordNotReady(now crid.Instant) {
 	if until := now.Add(avoidBase); l.AvoidedUntil().Before(until) {
 		l.avoidedUntil.Store(int64(until))
--- a/core/crroute/path.go
+++ b/core/crroute/path.go
@@ -8,7 +8,7 @@
 // PathFault is the reason why a path is rejected.
 type PathFault uint8
 
-// The reasons.
+// The reasons for which a path is rejected.
 const (
 	PathRelative     PathFault = iota + 1 // does not start with a slash
 	PathDotSegment                        // has a segment "." or ".."
@@ -42,7 +42,7 @@
 // way than the route table. The request must be refused; it was not run.
 type PathError struct {
 	fault PathFault
-	at    int
+	at    int // offset in bytes
 }
 
 // Error implements error. It omits the path, which the caller controls.
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("ambiguous path: %s at byte %d", e.fault, e.at)
 }
 
-// Fault returns the reason.
+// Fault returns the reason for the rejection.
 func (e *PathError) Fault() PathFault { return e.fault }
 
 // CheckPath rejects a path that an upstream could resolve to another resource
--- a/core/crroute/chooser.go
+++ b/core/crroute/picker.go
@@ -23,8 +23,8 @@
 // maxDraws bounds the random draws before all candidates are searched.
 const maxDraws = 6
 
-// localPreference is by how much the cost of a local target may exceed that of a
-// remote one while the local one is still preferred.
+// localPreference is the amount by which the cost of a local target may exceed
+// that of a remote one while the local one is still preferred.
 const localPreference = 1
 
 // TwoChoices picks the less loaded of two random targets (power of two choices),
@@ -67,9 +67,9 @@
 // with a probability proportional to its weight. Compared by load alone it would
 // get all work at once, since a target that has just returned has the least load.
 func draw[C Candidate](candidates []C, info *PickInfo) (C, bool) {
-	var none C
+	var zero C
 	if len(candidates) == 0 {
-		return none, false
+		return zero, false
 	}
 	for range maxDraws {
 		c := candidates[info.IntN(len(candidates))]
@@ -102,8 +102,8 @@
 }
 
 // lastResort picks a target when every one is avoided or ejected. Refusing all
-// requests would turn a wrong ejection into an outage. Targets that are only
-// avoided come first, the one whose avoidance ends first before the others. A
+// requests would turn a wrong ejection into an outage. Avoided targets come before
+// ejected ones; among the avoided, the one whose avoidance ends first is picked. A
 // leaving target is never picked, since its process is about to exit.
 func lastResort[C Candidate](p *Pool[C], info *PickInfo) (C, bool) {
 	var best C
@@ -140,12 +140,12 @@
 
 // Pick implements Picker.
 func (r *RoundRobin[C]) Pick(p *Pool[C], info PickInfo) (C, bool) {
-	var none C
+	var zero C
 	for range p.all {
 		c := p.all[r.next.Add(1)%uint64(len(p.all))]
 		if c.Status() != StatusLeaving && !slices.Contains(info.Tried, c.Name()) {
 			return c, true
 		}
 	}
-	return none, false
+	return zero, false
 }
--- a/core/crroute/pool.go
+++ b/core/crroute/pool.go
@@ -29,7 +29,7 @@
 	Status() Status
 	// Weight is its slow-start weight, from 1 to FullWeight.
 	Weight() int
-	// Load is what this daemon knows of it from its own requests.
+	// Load is its load, as observed by this daemon's own requests.
 	Load() *Load
 }
 
@@ -77,7 +77,7 @@
 // immutable and safe for concurrent use.
 type Pool[C Candidate] struct {
 	all   []C // the local ones first
-	local int
+	local int // number of local candidates
 }
 
 // NewPool copies the candidates, those of the domain first.
--- a/core/crroute/table.go
+++ b/core/crroute/table.go
@@ -66,7 +66,7 @@
 type Table struct {
 	hosts   map[string]prefixes
 	anyHost prefixes
-	size    int
+	size    int // number of routes
 }
 
 // NewTable indexes all routes of a configuration. It returns a *RouteError for a
@@ -113,6 +113,7 @@
 	return t.hosts[host]
 }
 
+// sort puts routes with methods before a route for any method.
 func (t *Table) sort() {
 	order := func(a, b entry) int {
 		return min(len(b.route.Methods), 1) - min(len(a.route.Methods), 1)
