--- a/core/crconfig/delta.go
+++ b/core/crconfig/delta.go
@@ -8,7 +8,7 @@
 	"camphorroad/core/crinstance"
 )
 
-// maxRemoved bounds the number of remembered instances that are no longer listed.
+// maxRemoved bounds the number of removed instances in a changeLog.
 const maxRemoved = 5000
 
 // changeLog records the list revision at which each instance last changed, so
@@ -56,7 +56,7 @@
 }
 
 // diff returns the changes from the base revision to the list. It reports false
-// if they are not known or exceed limit.
+// if the log does not reach back to the base, or if they exceed limit.
 func (c *changeLog) diff(base crid.Revision, list crinstance.List, limit int) (changed []crinstance.Instance, removed []crid.Daemon, ok bool) {
 	if base == 0 || base < c.base || base > list.Revision() {
 		return nil, nil, false
--- a/core/crconfig/dump.go
+++ b/core/crconfig/dump.go
@@ -21,7 +21,7 @@
 	Ranked              []crid.Daemon `json:"ranked"` // readers and standbys of the domain
 	PlatformUnavailable bool          `json:"away"`   // this daemon's last call failed
 	Reachable           int           `json:"reachable"`
-	KnownPeers          int           `json:"heard"`
+	KnownPeers          int           `json:"heard"` // daemons whose last Have is stored
 }
 
 // Dump returns the state as a JSON-ready value.
--- a/core/crconfig/effect.go
+++ b/core/crconfig/effect.go
@@ -22,7 +22,7 @@
 	FaultMissing
 )
 
-// ManifestName is the name under which the platform holds the manifest.
+// ManifestName is the name under which the platform stores the manifest.
 const ManifestName = "manifest"
 
 // WatchPlatform makes the I/O layer wait for a head newer than After. A zero Wait
--- a/core/crconfig/fault_test.go
+++ b/core/crconfig/fault_test.go
@@ -37,7 +37,7 @@
 	f.platform.unavailable = true
 	f.start(f.names...)
 	f.run(20 * time.Second)
-	for _, d := range f.alive() {
+	for _, d := range f.running() {
 		if f.daemons[d].Ready() {
 			t.Errorf("%s is ready", d)
 		}
@@ -46,9 +46,8 @@
 	f.runUntilApplied(t, 2, 40*time.Second)
 }
 
-// The platform is restored from a backup and serves an older revision, or
-// alternates between two. Applying the older one would make withdrawn keys valid
-// again.
+// The platform, restored from a backup, serves an older revision or alternates between
+// two. Applying the older one would make withdrawn keys valid again.
 func TestOlderRevisionIsIgnoredAndReported(t *testing.T) {
 	f := newSettledFleet(t, 12, 3)
 	rev := f.platform.publish(content{Keys: []string{}})
@@ -61,7 +60,7 @@
 	f.platform.lag = 1
 	f.run(10 * time.Second)
 	reports := 0
-	for _, d := range f.alive() {
+	for _, d := range f.running() {
 		reports += f.daemons[d].reports[crconfig.EventStalePlatform]
 		if f.daemons[d].Revision() != rev {
 			t.Errorf("%s went back to revision %d", d, f.daemons[d].Revision())
@@ -84,7 +83,7 @@
 	f.platform.publish(content{Bad: true})
 	f.run(9 * time.Second)
 	reports := 0
-	for _, d := range f.alive() {
+	for _, d := range f.running() {
 		reports += f.daemons[d].reports[crconfig.EventRejected]
 		if f.daemons[d].Revision() != 2 || !f.daemons[d].Trusted(f.clock(d)) {
 			t.Errorf("%s has revision %d", d, f.daemons[d].Revision())
@@ -108,7 +107,7 @@
 	f.platform.unreadable = true
 	rev = f.platform.publish(content{Keys: []string{"k", "m"}})
 	f.run(30 * time.Second)
-	for _, d := range f.alive() {
+	for _, d := range f.running() {
 		if !f.daemons[d].Trusted(f.clock(d)) || f.daemons[d].reports[crconfig.EventTrustLost] > 0 {
 			t.Errorf("%s lost trust", d)
 		}
@@ -135,16 +134,15 @@
 	f.runUntilApplied(t, f.platform.publish(content{}), 9*time.Second)
 }
 
-// Above 31 daemons, membership only samples most peers. If daemons took a peer
-// that was not sampled for lost, nearly all would become readers and exceed the
-// platform's rate. If ranked daemons fail, others must replace them.
+// Above 31 daemons, membership only samples most peers. If unsampled peers counted as lost, nearly
+// all daemons would read and exceed the platform's rate. Ranked daemons that fail must be replaced.
 func TestSampledFleetHasTwoReadersPerDomain(t *testing.T) {
 	f := newFleet(200, 5, crconfig.DefaultParams())
 	f.sampled = true
 	rev := f.platform.publish(content{})
 	f.start(f.names...)
 	f.runUntilApplied(t, rev, 60*time.Second)
-	expect := func(when string) {
+	expectTwoPerDomain := func(when string) {
 		t.Helper()
 		f.run(10 * time.Second)
 		if n := len(f.readers()); n != 10 {
@@ -152,7 +150,7 @@
 		}
 	}
 	f.run(20 * time.Second)
-	expect("at rest")
+	expectTwoPerDomain("without faults")
 	calls := f.platform.calls
 	f.runUntilApplied(t, f.platform.publish(content{}), 9*time.Second)
 	f.run(time.Second)
@@ -161,9 +159,9 @@
 	}
 	voters := crmember.Voters(f.platform.list, 0, crmember.DefaultParams().MaxVoters)
 	f.killInDomain("m0", voters)
-	expect("after the voters of one failed")
+	expectTwoPerDomain("after the voters of one failed")
 	f.killInDomain("m0", f.readers())
-	expect("after two sampled readers failed")
+	expectTwoPerDomain("after two sampled readers failed")
 	weight := func(d crid.Daemon) uint64 { return xxhash.Sum64String("reader/" + string(d)) }
 	byWeight := slices.SortedFunc(slices.Values(f.names), func(a, b crid.Daemon) int { return cmp.Compare(weight(a), weight(b)) })
 	perDomain := make(map[crid.Domain]int)
@@ -175,7 +173,7 @@
 	f.runUntilApplied(t, f.platform.publish(content{}), 9*time.Second)
 	f.killInDomain("", voters)
 	f.run(time.Second)
-	for _, d := range f.alive() {
+	for _, d := range f.running() {
 		if node := f.daemons[d]; node != nil {
 			f.killInDomain("", node.Dump().(crconfig.Dump).Ranked)
 		}
@@ -183,8 +181,8 @@
 	f.runUntilApplied(t, f.platform.publish(content{}), 60*time.Second)
 }
 
-// killInDomain kills those daemons that are in a domain, or all of them if domain
-// is empty.
+// killInDomain kills those of the named daemons that are in a domain, or all of
+// them if domain is empty.
 func (f *fleet) killInDomain(domain crid.Domain, names []crid.Daemon) {
 	for _, d := range names {
 		if domain == "" || f.domains[d] == domain {
@@ -197,7 +195,7 @@
 func expectKeyRejected(t *testing.T, f *fleet, rev crid.Revision) {
 	t.Helper()
 	took := f.runUntilApplied(t, rev, 9*time.Second)
-	for _, d := range f.alive() {
+	for _, d := range f.running() {
 		if _, ok := f.daemons[d].Snapshot().AccountByKey(crpolicy.HashKey("k")); ok {
 			t.Errorf("%s still accepts the key", d)
 		}
@@ -241,7 +239,7 @@
 	f.blocked = func(from, to crid.Daemon) bool { return from == isolated || to == isolated }
 	f.updateMembership()
 	f.run(time.Hour / 60)
-	for _, d := range f.alive() {
+	for _, d := range f.running() {
 		if got := f.daemons[d].Trusted(f.clock(d)); got == (d == isolated) {
 			t.Errorf("%s: Trusted() = %v", d, got)
 		}
@@ -281,9 +279,8 @@
 	}
 }
 
-// One of three daemons is lost and the platform is unavailable. Then the link
-// between the other two fails for a while, and one of them is replaced. Both must
-// continue with only each other to query.
+// The platform is unavailable and one of three daemons is lost. The other two, though
+// partitioned for a while and one then replaced, must continue with only each other to query.
 func TestTwoOfThreeContinueWithoutPlatform(t *testing.T) {
 	f := newSettledFleet(t, 3, 3)
 	f.platform.unavailable = true
@@ -298,31 +295,30 @@
 	f.kill("d0001")
 	f.start("d0001")
 	f.run(3 * time.Second)
-	for _, d := range f.alive() {
+	for _, d := range f.running() {
 		if !f.daemons[d].Ready() || !f.daemons[d].Trusted(f.clock(d)) {
 			t.Errorf("%s does not continue: %+v", d, f.daemons[d].Dump())
 		}
 	}
 }
 
-// All daemons of a fleet start at the same time, such as after a power failure,
-// at first without known peers. Above its rate the platform refuses calls, also
-// those of other clients.
+// After a power failure all daemons start at the same time, at first without known peers.
+// Above its rate the platform refuses calls, also those of other clients.
 func TestSimultaneousStartStaysWithinPlatformRate(t *testing.T) {
-	const n, domains, peerless = 600, 9, 35
+	const n, domains, secondsWithoutPeers = 600, 9, 35
 	f := newFleet(n, domains, crconfig.DefaultParams())
 	rev := f.platform.publish(content{})
 	f.platform.listCalls = 3 // as for 5,500 instances
 	f.connected = false
 	f.start(f.names...)
-	f.run(peerless * time.Second) // no daemon has a peer before all daemons have a list
+	f.run(secondsWithoutPeers * time.Second) // no daemon has a peer before all daemons have a list
 	f.connected = true
 	f.updateMembership()
 	f.runUntilApplied(t, rev, 60*time.Second)
 	f.run(5 * time.Second)
 	peakWithoutPeers, peakWithPeers := 0, 0
 	for second, calls := range f.platform.callsPerSecond {
-		if second < peerless {
+		if second < secondsWithoutPeers {
 			peakWithoutPeers = max(peakWithoutPeers, calls)
 		} else {
 			peakWithPeers = max(peakWithPeers, calls)
@@ -342,7 +338,7 @@
 // maxApplyTime is the time within which a published change must be applied everywhere.
 const maxApplyTime = 9 * time.Second
 
-// Watches that a short outage left unanswered keep their readers from changes until the wait is over.
+// A short outage leaves watches unanswered, and their readers get no changes until the wait is over.
 func TestChangeIsAppliedInTimeAfterUnresponsivePlatform(t *testing.T) {
 	for _, n := range []int{3, 12, 120} {
 		f := newSettledFleet(t, n, 3)
@@ -353,7 +349,7 @@
 	}
 }
 
-// A backoff that grew in a long outage keeps all readers from a platform that has recovered.
+// The backoff grows in a long outage, and all readers wait for it after the platform has recovered.
 func TestChangeIsAppliedInTimeAfterLongOutage(t *testing.T) {
 	f := newSettledFleet(t, 3, 3)
 	for range 12 {
--- a/core/crconfig/fetch.go
+++ b/core/crconfig/fetch.go
@@ -7,7 +7,7 @@
 	"camphorroad/core/crid"
 )
 
-// maxRejected bounds the number of remembered configurations that failed validation.
+// maxRejected bounds the number of recorded configurations that failed validation.
 const maxRejected = 32
 
 // maxErrorBytes bounds the length of an error text in a report.
@@ -78,10 +78,10 @@
 }
 
 // checkConflict reports two different manifests with the same revision, which a
-// correct platform never publishes. The first one stays.
+// correct platform never publishes. The first one is kept.
 func (s *State) checkConflict(r crid.Revision, ours, other Digest) {
 	if ours != other && s.conflictRev != r {
-		s.conflictRev = r // report once a revision, since peers repeat it twice a second
+		s.conflictRev = r // report once for each revision, since peers repeat it twice a second
 		s.report(EventConflictingManifests, "revision", rev(r), "ours", ours.String(), "other", other.String())
 	}
 }
@@ -103,8 +103,8 @@
 	s.nextConf = f
 }
 
-// missing returns the entries still to be fetched. Until the manifest is here, it
-// is the only one.
+// missing returns the entries still to be fetched. Until the manifest is fetched,
+// it is the only one.
 func (s *State) missing() []Entry {
 	f := s.nextConf
 	if f.raw == nil {
@@ -170,8 +170,9 @@
 	f.attempts++
 }
 
-// pullFromNextPeer pulls from a peer that was not tried yet. Without one it
-// starts over after a pause. It also schedules the fallback to the platform.
+// pullFromNextPeer pulls from a peer that was not tried yet. If none is left, it
+// starts over after a pause. It also schedules the fallback to the platform then,
+// and after PullTries failed pulls.
 func (s *State) pullFromNextPeer(now crid.Instant) {
 	f := s.nextConf
 	holder, ok := s.pickHolder()
@@ -216,8 +217,8 @@
 func (s *State) readMissing(now crid.Instant) {
 	f := s.nextConf
 	for _, e := range s.missing() {
-		if due, ok := f.readDeadlines[e.Digest]; ok {
-			if !now.Before(due) {
+		if deadline, ok := f.readDeadlines[e.Digest]; ok {
+			if !now.Before(deadline) {
 				s.readFailed(now)
 				return
 			}
@@ -248,7 +249,8 @@
 	s.addValue(ev.Digest, ev.Data)
 }
 
-// readFailed switches to pulling from peers, and schedules another fallback to the platform.
+// readFailed switches to pulling from peers, and schedules another fallback to the
+// platform. A configuration that no peer has is abandoned.
 func (s *State) readFailed(now crid.Instant) {
 	f := s.nextConf
 	s.watch.failures++
@@ -275,7 +277,8 @@
 	}
 }
 
-// addValue stores a complete value whose digest was verified.
+// addValue stores a complete value whose digest was verified. The manifest is also
+// parsed.
 func (s *State) addValue(d Digest, data []byte) {
 	f := s.nextConf
 	if d != f.digest {
@@ -316,7 +319,7 @@
 	s.observe(now, s.announced.rev, s.announced.digest, "")
 }
 
-// reject drops a configuration that failed validation; the active one stays.
+// reject drops a configuration that failed validation; the active one is kept.
 func (s *State) reject(err error) {
 	f := s.nextConf
 	s.rejected = append(s.rejected, version{f.rev, f.digest})
--- a/core/crconfig/fleet_test.go
+++ b/core/crconfig/fleet_test.go
@@ -20,7 +20,7 @@
 const (
 	tick    = 50 * time.Millisecond
 	latency = 2 * time.Millisecond // one-way latency between daemons, and to the platform
-	lease   = 3 * time.Second      // of contact, while a peer is reachable
+	lease   = 3 * time.Second      // for which a tick with a reachable peer extends contact
 )
 
 // bundle is one published configuration; it is invalid if its content is Bad.
@@ -103,11 +103,11 @@
 	domains       map[crid.Daemon]crid.Domain
 	daemons       map[crid.Daemon]*daemon
 	queue         map[time.Duration][]event // by millisecond
-	platform      *platform
+	platform      *fakePlatform
 	blocked       func(from, to crid.Daemon) bool
 	connected     bool    // links between daemons work
 	sampled       bool    // membership samples peers, as in a large fleet
-	loss          float64 // of messages between daemons
+	loss          float64 // fraction of the messages between daemons
 	messages      int
 	instancesSent int // instances sent in list pushes
 }
@@ -120,7 +120,7 @@
 		daemons:   make(map[crid.Daemon]*daemon),
 		queue:     make(map[time.Duration][]event),
 		connected: true,
-		platform:  &platform{listCalls: 1, heads: []crconfig.Head{{}}, values: make(map[crconfig.Digest][]byte), callsPerSecond: make(map[int]int)},
+		platform:  &fakePlatform{listCalls: 1, heads: []crconfig.Head{{}}, values: make(map[crconfig.Digest][]byte), callsPerSecond: make(map[int]int)},
 	}
 	var instances []crinstance.Instance
 	for i := range n {
@@ -172,9 +172,9 @@
 		f.updateSampledMembership()
 		return
 	}
-	for _, d := range f.alive() {
+	for _, d := range f.running() {
 		var peers []crmember.Peer
-		for _, p := range f.alive() {
+		for _, p := range f.running() {
 			if p != d && f.connectedTo(d, p) {
 				peers = append(peers, crmember.Peer{Daemon: p, Domain: f.domains[p], Reachable: true})
 			}
@@ -221,14 +221,14 @@
 	}
 }
 
-func (f *fleet) alive() []crid.Daemon {
-	var alive []crid.Daemon
+func (f *fleet) running() []crid.Daemon {
+	var running []crid.Daemon
 	for _, d := range f.names {
 		if f.daemons[d] != nil {
-			alive = append(alive, d)
+			running = append(running, d)
 		}
 	}
-	return alive
+	return running
 }
 
 func (f *fleet) schedule(delay time.Duration, to crid.Daemon, ev crevent.Event) {
@@ -258,17 +258,17 @@
 		case crconfig.ReadPlatform:
 			f.countCall()
 			data, ok := f.platform.values[e.Digest]
-			f.reply(d, answer{digest: e.Digest, data: data, unreadable: !ok || f.platform.unreadable})
+			f.respond(d, response{digest: e.Digest, data: data, unreadable: !ok || f.platform.unreadable})
 		case crconfig.ReadList:
 			for range f.platform.listCalls {
 				f.countCall()
 			}
-			f.reply(d, answer{list: f.platform.list})
+			f.respond(d, response{list: f.platform.list})
 		}
 	}
 }
 
-// delivers reports whether a message arrives.
+// delivers reports whether the network delivers a message, at random under loss.
 func (f *fleet) delivers(from, to crid.Daemon) bool {
 	if !f.connected || (f.blocked != nil && f.blocked(from, to)) {
 		return false
@@ -281,22 +281,22 @@
 	f.platform.callsPerSecond[int(f.now/time.Second)]++
 }
 
-func (f *fleet) reply(d crid.Daemon, a answer) {
+func (f *fleet) respond(d crid.Daemon, r response) {
 	if f.platform.unresponsive {
 		return
 	}
-	a.unavailable = f.platform.unavailable || f.platform.unreachableFrom[d]
-	f.schedule(2*latency, d, a)
+	r.unavailable = f.platform.unavailable || f.platform.unreachableFrom[d]
+	f.schedule(2*latency, d, r)
 }
 
-// received and answer get their timestamps on delivery, from the receiver's clock.
+// received and response get their timestamps on delivery, from the receiver's clock.
 type received struct {
 	crevent.Event
 	from crid.Daemon
 	msg  crevent.Message
 }
 
-type answer struct {
+type response struct {
 	crevent.Event
 	digest      crconfig.Digest
 	data        []byte
@@ -314,26 +314,26 @@
 	switch ev := e.ev.(type) {
 	case received:
 		f.step(e.to, crevent.Received{Now: now, From: ev.from, Msg: ev.msg})
-	case answer:
+	case response:
 		f.step(e.to, ev.at(now))
 	}
 }
 
-func (a answer) at(now crid.Instant) crevent.Event {
+func (r response) at(now crid.Instant) crevent.Event {
 	fault := crconfig.FaultNone
 	switch {
-	case a.unavailable:
+	case r.unavailable:
 		fault = crconfig.FaultUnavailable
-	case a.unreadable:
+	case r.unreadable:
 		fault = crconfig.FaultMissing
 	}
 	switch {
-	case a.head != nil:
-		return crconfig.WatchResult{Now: now, Head: *a.head, Fault: fault}
-	case a.list.Revision() > 0:
-		return crconfig.ListResult{Now: now, List: a.list, Fault: fault}
+	case r.head != nil:
+		return crconfig.WatchResult{Now: now, Head: *r.head, Fault: fault}
+	case r.list.Revision() > 0:
+		return crconfig.ListResult{Now: now, List: r.list, Fault: fault}
 	}
-	return crconfig.ReadResult{Now: now, Digest: a.digest, Data: a.data, Fault: fault}
+	return crconfig.ReadResult{Now: now, Digest: r.digest, Data: r.data, Fault: fault}
 }
 
 // run advances the simulated time. All daemons tick at the same time, which is
@@ -355,7 +355,7 @@
 	if f.sampled && f.now%time.Second == 0 {
 		f.updateMembership()
 	}
-	for _, d := range f.alive() {
+	for _, d := range f.running() {
 		node := f.daemons[d]
 		if node.peerCount > 0 {
 			now := f.clock(d)
@@ -379,22 +379,22 @@
 	head := f.platform.head()
 	if f.platform.unavailable || f.platform.unreachableFrom[d] || head.Rev != w.after || f.now >= w.until {
 		node.watch = nil
-		f.reply(d, answer{head: &head})
+		f.respond(d, response{head: &head})
 	}
 }
 
-// runUntilApplied runs until all living daemons have applied the revision, and
+// runUntilApplied runs until all running daemons have applied the revision, and
 // returns the time that it took.
 func (f *fleet) runUntilApplied(t testing.TB, rev crid.Revision, limit time.Duration) time.Duration {
 	t.Helper()
 	from := f.now
 	for f.now-from < limit {
-		if !slices.ContainsFunc(f.alive(), func(d crid.Daemon) bool { return f.daemons[d].Revision() < rev }) {
+		if !slices.ContainsFunc(f.running(), func(d crid.Daemon) bool { return f.daemons[d].Revision() < rev }) {
 			return f.now - from
 		}
 		f.run(tick)
 	}
-	for _, d := range f.alive() {
+	for _, d := range f.running() {
 		if f.daemons[d].Revision() < rev {
 			t.Fatalf("%s has revision %d, want %d, after %s: %+v", d, f.daemons[d].Revision(), rev, limit, f.daemons[d].Dump())
 		}
@@ -404,7 +404,7 @@
 
 func (f *fleet) readers() []crid.Daemon {
 	var readers []crid.Daemon
-	for _, d := range f.alive() {
+	for _, d := range f.running() {
 		if f.daemons[d].Reader() {
 			readers = append(readers, d)
 		}
--- a/core/crconfig/gossip.go
+++ b/core/crconfig/gossip.go
@@ -29,23 +29,23 @@
 	}
 }
 
-// handleHave handles a peer's Have. A peer that lacks something is sent a reply
-// at once, so that updates travel both ways.
+// handleHave handles a peer's Have. A query is replied to at once, and so is a
+// peer with an older configuration or list, so that it can pull the newer one.
 func (s *State) handleHave(now crid.Instant, from crid.Daemon, msg Have) {
 	if from == s.self {
 		return
 	}
 	s.haves[from] = msg
-	if _, ok := s.watch.lastHeard[from]; ok {
-		s.watch.lastHeard[from] = now
+	if _, ok := s.watch.lastHaveAt[from]; ok {
+		s.watch.lastHaveAt[from] = now
 	}
 	if msg.Echo != 0 && msg.Echo == s.nonce {
 		s.answered[from] = true
 	}
 	s.observe(now, msg.Conf, msg.Manifest, from)
 	s.observeList(msg.List)
-	lacks := msg.Conf < s.conf.rev || msg.List < s.list.Revision()
-	if msg.Reply || (!lacks && msg.Nonce == 0) {
+	outdated := msg.Conf < s.conf.rev || msg.List < s.list.Revision()
+	if msg.Reply || (!outdated && msg.Nonce == 0) {
 		return
 	}
 	reply := s.localHave()
@@ -139,7 +139,7 @@
 	return s.params.QueryFanout/2 + 1
 }
 
-// resync discards what this daemon knows about the newest revisions, after it was
+// resync begins to query the peers anew, at the start and after this daemon was
 // partitioned or suspended. A key may have been withdrawn meanwhile, so trust is
 // only regained when enough peers reply to a query with a new nonce. Replies that
 // were queued meanwhile echo an older nonce.
@@ -155,7 +155,7 @@
 }
 
 // checkCaughtUp detects that this daemon has applied the newest configuration
-// that its peers announced.
+// that its peers announced, once the quorum is reached.
 func (s *State) checkCaughtUp() {
 	if s.caughtUp || !s.quorumReached || s.conf.rev == 0 || (s.nextConf != nil && s.nextConf.heldByPeer) {
 		return
--- a/core/crconfig/list.go
+++ b/core/crconfig/list.go
@@ -16,8 +16,8 @@
 	inFlight         bool        // a platform read or a pull is in flight
 	peer             crid.Daemon // peer with a pull in flight; empty: the platform
 	deadline         crid.Instant
-	rev              crid.Revision // revision of instances
-	instances        []crinstance.Instance
+	rev              crid.Revision         // revision of instances
+	instances        []crinstance.Instance // received so far
 	attempts         int
 	retryAt          crid.Instant
 	fallbackAt       crid.Instant
@@ -52,8 +52,8 @@
 	}
 	l.fromPlatform = true
 	if s.watch.unconfirmed {
-		call := time.Duration(float64(time.Second) / s.params.rateShare())
-		l.retryAt = now.Add(call + s.jitter(time.Duration(s.params.listCalls())*call))
+		callInterval := time.Duration(float64(time.Second) / s.params.rateShare())
+		l.retryAt = now.Add(callInterval + s.jitter(time.Duration(s.params.listCalls())*callInterval))
 	}
 }
 
--- a/core/crconfig/list_test.go
+++ b/core/crconfig/list_test.go
@@ -11,9 +11,8 @@
 	"camphorroad/core/crinstance"
 )
 
-// The list of instances changes all day. Sent as a whole, each change would cost
-// 5,500 daemons ten times the bytes. Applied to another list, a diff would keep
-// removed instances in use.
+// The list of instances changes all day. Sent as a whole, each change would cost 5,500 daemons
+// ten times the bytes. Applied to another list, a diff would keep removed instances in use.
 func TestListsAreSentAsDiffs(t *testing.T) {
 	f := newSettledFleet(t, 60, 3)
 	before := f.instancesSent
@@ -35,7 +34,7 @@
 		f.run(time.Duration(50+i*37) * time.Millisecond)
 	}
 	f.run(9 * time.Second)
-	for _, d := range f.alive() {
+	for _, d := range f.running() {
 		if got := f.daemons[d].List(); !reflect.DeepEqual(got, f.platform.list) {
 			t.Errorf("%s has %d instances at revision %d, want %d at %d", d, got.Len(), got.Revision(), f.platform.list.Len(), f.platform.list.Revision())
 		}
@@ -73,9 +72,8 @@
 	}
 }
 
-// The platform serves a list that is too large for a daemon. The platform does
-// not count as unavailable, and without a report the missing instances go
-// unnoticed.
+// The platform serves a list that is too large for a daemon. The platform does not
+// count as unavailable, so only a report shows that instances are missing.
 func TestUnusableListIsReportedOnce(t *testing.T) {
 	p := newHarness("a")
 	p.receive("a", crconfig.Have{List: 7})
--- a/core/crconfig/machine_test.go
+++ b/core/crconfig/machine_test.go
@@ -30,7 +30,7 @@
 
 func (m *stateMachine) check(t *rapid.T) {
 	m.newest = 0
-	for _, d := range m.f.alive() {
+	for _, d := range m.f.running() {
 		node := m.f.daemons[d]
 		for _, rev := range node.applied {
 			if rev < m.highest[d] {
@@ -42,15 +42,16 @@
 		m.newest = max(m.newest, node.Revision())
 	}
 	m.holders = 0
-	for _, d := range m.f.alive() {
+	for _, d := range m.f.running() {
 		if m.f.daemons[d].Revision() == m.newest {
 			m.holders++
 		}
 	}
 }
 
-// restart replaces a daemon if the newest configuration survives: the platform
-// serves it, or a majority of all daemons have it without the replaced one.
+// restart replaces a daemon, unless that would lose the newest configuration. The
+// platform must serve it, or a majority of all daemons must have it without the
+// replaced one.
 func (m *stateMachine) restart(t *rapid.T) {
 	d := rapid.SampledFrom(m.f.names).Draw(t, "daemon")
 	fromPlatform := m.f.platform.lag == 0 && !m.f.platform.unavailable && m.f.platform.head().Conf >= m.newest
@@ -65,9 +66,8 @@
 	m.f.start(d)
 }
 
-// Publications, platform faults, broken links and restarts occur in random order.
-// A revision that decreases at a daemon, also across a restart, would make a
-// withdrawn key valid again.
+// Publications, platform faults, broken links and restarts occur in random order. A revision
+// that decreases at a daemon, also across a restart, would make a withdrawn key valid again.
 func TestRevisionNeverDecreases(t *testing.T) {
 	fixRapidSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
--- a/core/crconfig/message.go
+++ b/core/crconfig/message.go
@@ -54,7 +54,7 @@
 // ListPull requests from a peer its list of instances from an offset, or a diff
 // against the list that the sender has.
 type ListPull struct {
-	Base   crid.Revision `cbor:"h"` // the sender's list; zero: it has none, or wants the whole list
+	Base   crid.Revision `cbor:"h"` // the sender's list; zero: it has none, or requests the whole list
 	Rev    crid.Revision `cbor:"r"` // list that Offset refers to; zero: any
 	Offset int           `cbor:"o"` // index of the first instance
 }
--- a/core/crconfig/notice.go
+++ b/core/crconfig/notice.go
@@ -8,10 +8,10 @@
 // failure domain a few readers, ranked by rendezvous hashing over the reachable
 // daemons, watch the platform. Standbys replace readers that fail. All daemons
 // gossip the revisions they have applied to a few random peers twice a second. A
-// daemon that learns of a newer revision pulls the missing values, which are
+// daemon that receives a newer revision pulls the missing values, which are
 // addressed by digest, from one peer at a time. The active configuration is only
 // ever replaced by one with a larger revision. A configuration that fails
-// validation is rejected as a whole, and the active one stays.
+// validation is rejected as a whole, and the active one is kept.
 //
 // # Usage
 //
--- a/core/crconfig/params.go
+++ b/core/crconfig/params.go
@@ -6,17 +6,18 @@
 	"camphorroad/core/crmember"
 )
 
-// Params are the reducer's settings.
+// Params are the reducer's settings. State.isConfirmedReader describes confirmed
+// readers.
 type Params struct {
 	Readers          int           // daemons of a domain that watch the platform
 	Standbys         int           `cbor:"Spares" json:"Spares"` // daemons ranked next, which replace readers that cannot read
 	Voters           int           // daemons of a list whose loss membership always detects; crmember's MaxVoters
-	PeerTimeout      time.Duration `cbor:"Silence" json:"Silence"` // after which a silent ranked daemon counts as unavailable
+	PeerTimeout      time.Duration `cbor:"Silence" json:"Silence"` // after which a ranked daemon that sent no Have counts as unavailable
 	Fanout           int           // peers of one gossip round
 	GossipInterval   time.Duration `cbor:"SpreadEvery" json:"SpreadEvery"` // between two gossip rounds
 	PullTimeout      time.Duration // after which a pull fails; doubles after every third failure
 	PullTries        int           // failed pulls before the fallback to the platform
-	PushBytes        int           // of values in one message
+	PushBytes        int           // bytes of values in one message
 	PushItems        int           // instances in one message
 	ReadsPerTick     int           // platform calls per 50 ms of a confirmed reader
 	ReadTimeout      time.Duration // of one platform call other than a watch
--- a/core/crconfig/platform_test.go
+++ b/core/crconfig/platform_test.go
@@ -6,13 +6,13 @@
 	"camphorroad/core/crinstance"
 )
 
-// platform is a fake platform.
-type platform struct {
+// fakePlatform replaces the platform in tests.
+type fakePlatform struct {
 	heads           []crconfig.Head // oldest first
 	values          map[crconfig.Digest][]byte
 	list            crinstance.List
 	unavailable     bool
-	unresponsive    bool // accepts calls without responding, also to pending watches
+	unresponsive    bool // accepts calls without responding, and leaves pending watches unanswered
 	lag             int  // serves a head that is this many changes old
 	calls           int
 	listCalls       int // calls that a read of the list takes
@@ -21,9 +21,9 @@
 	unreachableFrom map[crid.Daemon]bool // responses do not reach these daemons
 }
 
-func (p *platform) head() crconfig.Head { return p.heads[max(0, len(p.heads)-1-p.lag)] }
+func (p *fakePlatform) head() crconfig.Head { return p.heads[max(0, len(p.heads)-1-p.lag)] }
 
-func (p *platform) publish(c content) crid.Revision {
+func (p *fakePlatform) publish(c content) crid.Revision {
 	b := newBundle(c)
 	for d, data := range b.values {
 		p.values[d] = data
@@ -37,7 +37,7 @@
 }
 
 // publishList publishes a new list of instances.
-func (p *platform) publishList(instances []crinstance.Instance) crid.Revision {
+func (p *fakePlatform) publishList(instances []crinstance.Instance) crid.Revision {
 	h := p.heads[len(p.heads)-1]
 	h.Rev++
 	h.List = h.Rev
--- a/core/crconfig/pull.go
+++ b/core/crconfig/pull.go
@@ -43,8 +43,9 @@
 }
 
 // handlePush handles a reply to a pull. A push from any peer but the current one
-// is ignored, such as a late duplicate. Parts that do not fit are skipped; a peer
-// that sends nothing else is dropped when its deadline passes.
+// is ignored, such as a late duplicate. Parts that do not continue the bytes
+// received so far are skipped; a peer that sends only such parts is dropped when
+// its deadline passes.
 func (s *State) handlePush(now crid.Instant, from crid.Daemon, msg Push) {
 	f := s.nextConf
 	if f == nil || f.peer != from {
--- a/core/crconfig/push_test.go
+++ b/core/crconfig/push_test.go
@@ -11,7 +11,7 @@
 	"camphorroad/core/crmember"
 )
 
-// harness runs one reducer whose peers the test plays.
+// harness runs one reducer; the test sends it the messages of its peers.
 type harness struct {
 	*crconfig.State
 	now   crid.Instant
@@ -150,16 +150,16 @@
 	rounds := 0
 	for len(pull.Want) > 0 && rounds < 20 {
 		rounds++
-		answer := source.receive("sink", pull)[0].(crevent.Send).Msg.(crconfig.Push)
+		push := source.receive("sink", pull)[0].(crevent.Send).Msg.(crconfig.Push)
 		size := 0
-		for _, part := range answer.Parts {
+		for _, part := range push.Parts {
 			size += len(part.Data)
 		}
 		if size > smallFleetParams().PushBytes {
 			t.Fatalf("%d bytes in one message", size)
 		}
-		_, pull = findPull(sink.receive("source", answer))
-		sink.receive("source", answer)
+		_, pull = findPull(sink.receive("source", push))
+		sink.receive("source", push)
 	}
 	if sink.Revision() != 7 || rounds != 5 {
 		t.Errorf("has revision %d after %d rounds", sink.Revision(), rounds)
@@ -198,24 +198,23 @@
 // the one before, in which a key is withdrawn. That one must still be applied.
 func TestPeerConfigurationPrecedesUnreadablePlatform(t *testing.T) {
 	p := newHarness("a")
-	held, named := newBundle(content{}), newBundle(content{Keys: []string{"n"}})
+	applied, announced := newBundle(content{}), newBundle(content{Keys: []string{"n"}})
 	p.transfer(t, "a", 2, newBundle(content{Keys: []string{"k"}}))
-	to, pull := findPull(p.receive("a", crconfig.Have{Conf: 3, Manifest: held.digest()}))
-	p.Step(crconfig.WatchResult{Now: p.now, Head: crconfig.Head{Rev: 4, Conf: 4, Manifest: named.digest()}})
+	to, pull := findPull(p.receive("a", crconfig.Have{Conf: 3, Manifest: applied.digest()}))
+	p.Step(crconfig.WatchResult{Now: p.now, Head: crconfig.Head{Rev: 4, Conf: 4, Manifest: announced.digest()}})
 	for range 4 {
 		if to == "" {
 			break
 		}
-		to, pull = findPull(p.receive(to, fullPush(held, pull.Want[0].Digest)))
+		to, pull = findPull(p.receive(to, fullPush(applied, pull.Want[0].Digest)))
 	}
 	if p.Revision() != 3 {
 		t.Errorf("has revision %d: %+v", p.Revision(), p.Dump())
 	}
 }
 
-// A key is withdrawn while a daemon is suspended, and messages from before the
-// withdrawal are in its queue. After it resumes, it must not accept the key
-// because of these messages.
+// A key is withdrawn while a daemon is suspended with earlier messages in its queue.
+// After it resumes, it must not accept the key because of these messages.
 func TestResumedDaemonTrustsOnlyNewReplies(t *testing.T) {
 	p := newHarness("a", "b", "c")
 	p.Step(crmember.Lease{Now: p.now, ContactUntil: p.now.Add(lease)})
--- a/core/crconfig/reader.go
+++ b/core/crconfig/reader.go
@@ -22,7 +22,7 @@
 type watch struct {
 	ranked                []crid.Daemon                // readers and standbys of the domain, by rank
 	visible               int                          // daemons of the domain not known to be lost, including this one
-	lastHeard             map[crid.Daemon]crid.Instant // ranked daemons that membership only samples, by the time of their last Have
+	lastHaveAt            map[crid.Daemon]crid.Instant // last Have, or first ranking, of each ranked daemon that membership only samples
 	isolated              bool                         // no majority was reachable for PeerGrace
 	majorityAt            crid.Instant                 // when a majority was last reachable, or when this daemon started
 	selectedAt            crid.Instant                 // since when selected is true
@@ -30,8 +30,8 @@
 	reader                bool
 	unconfirmedSettleTime time.Duration // SettleTime while unconfirmed
 	inFlight              bool
-	deadline              crid.Instant // of the call in flight
-	after                 crid.Revision
+	deadline              crid.Instant  // of the call in flight
+	after                 crid.Revision // revision known when the call in flight began
 	nextAt                crid.Instant
 	failures              int
 	unavailable           bool // the last watch failed
@@ -39,7 +39,7 @@
 	platformRev           crid.Revision
 	reportedStale         Head // last stale head reported
 	tickBudget            int  // platform calls left in this tick, for a confirmed reader
-	unconfirmed           bool // this daemon sees too little of its domain to be a confirmed reader
+	unconfirmed           bool // result of isUnconfirmed at the last update of the role
 	tokens                float64
 	refilledAt            crid.Instant
 }
@@ -133,15 +133,15 @@
 // candidate is a daemon of the domain that may be a reader.
 type candidate struct {
 	daemon  crid.Daemon
-	sampled bool // membership may not notice its loss
+	sampled bool // membership may not detect its loss
 	weight  uint64
 }
 
 // rankDomain counts and ranks the domain's daemons. In a large fleet, membership
 // always detects the loss of the list's voters, and only samples the other
-// daemons. A ranking of the daemons that sent messages recently would differ between daemons,
-// and most of them would rank themselves first. So all daemons not known to be
-// lost are ranked, voters first.
+// daemons. A ranking of the daemons that sent messages recently would differ
+// between daemons, and most of them would rank themselves first. So all daemons
+// not known to be lost are ranked, voters first.
 func (s *State) rankDomain(now crid.Instant) {
 	sampled := s.sampled && !s.voter && s.list.Revision() > 0
 	all := []candidate{{daemon: s.self, sampled: sampled, weight: weight(s.self)}}
@@ -152,13 +152,13 @@
 		}
 	}
 	slices.SortFunc(all, compareCandidates)
-	previous := s.watch.lastHeard
+	previous := s.watch.lastHaveAt
 	s.watch.ranked = nil
-	s.watch.lastHeard = make(map[crid.Daemon]crid.Instant)
+	s.watch.lastHaveAt = make(map[crid.Daemon]crid.Instant)
 	for _, c := range all[:min(s.params.Readers+s.params.Standbys, len(all))] {
 		s.watch.ranked = append(s.watch.ranked, c.daemon)
 		if c.sampled && c.daemon != s.self {
-			s.watch.lastHeard[c.daemon] = cmp.Or(previous[c.daemon], now)
+			s.watch.lastHaveAt[c.daemon] = cmp.Or(previous[c.daemon], now)
 		}
 	}
 }
@@ -203,8 +203,8 @@
 	if d == s.self {
 		return s.watch.unavailable
 	}
-	lastHeard, sampled := s.watch.lastHeard[d]
-	return s.haves[d].PlatformUnavailable || (sampled && now.Sub(lastHeard) > s.params.PeerTimeout)
+	lastHaveAt, sampled := s.watch.lastHaveAt[d]
+	return s.haves[d].PlatformUnavailable || (sampled && now.Sub(lastHaveAt) > s.params.PeerTimeout)
 }
 
 // otherRanked returns the other ranked daemons of the domain. Ranked daemons
@@ -266,8 +266,8 @@
 }
 
 // isConfirmedReader reports whether this daemon is one of the few readers of its
-// domain: it is selected, and sees enough of the domain to know that few others
-// are.
+// domain: it is selected, and so much of the domain is visible that few others can
+// be selected too.
 func (s *State) isConfirmedReader() bool { return s.watch.reader && !s.watch.unconfirmed }
 
 // handleWatchResult handles the result of a watch.
--- a/core/crconfig/state.go
+++ b/core/crconfig/state.go
@@ -34,7 +34,7 @@
 
 	self      crid.Daemon
 	domain    crid.Domain
-	startedAt crid.Instant
+	startedAt crid.Instant // time of the start or the last resync
 	rng       *rand.Rand
 
 	conf        activeConf
@@ -94,7 +94,7 @@
 
 // Trusted reports whether keys and policy may still be used. The daemon must be in
 // contact with the fleet, must have reached a quorum of peers since it last
-// regained contact, and must not have failed for longer than BehindMax to get a
+// regained contact, and must not have failed for longer than BehindMax to fetch a
 // newer configuration that a peer has applied.
 func (s *State) Trusted(now crid.Instant) bool {
 	return s.caughtUp && now.Before(s.contactUntil) && !s.isBehind(now)
@@ -255,9 +255,9 @@
 }
 
 // isBehind reports whether a peer has applied a newer configuration that this
-// daemon failed to get for longer than BehindMax: a key may be withdrawn there.
-// What only the platform announces does not count. Otherwise a value that the
-// platform announces but cannot serve would stop the whole fleet.
+// daemon failed to fetch for longer than BehindMax: a key may be withdrawn there.
+// A configuration that only the platform announces does not count. Otherwise one
+// whose values the platform cannot serve would stop the whole fleet.
 func (s *State) isBehind(now crid.Instant) bool {
 	f := s.nextConf
 	return f != nil && f.heldByPeer && now.Sub(f.heldByPeerSince) > s.params.BehindMax
