--- a/core/crslot/backoff.go
+++ b/core/crslot/backoff.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// overloadThreshold is the number of consecutive overload responses, over
-	// all entries, from which on the target is taken to accept nothing.
+	// overloadThreshold is the number of consecutive overload responses, to the
+	// requests of all entries together, at which the backoff begins.
 	overloadThreshold = 2
 	backoffBase       = time.Second
 	// backoffMaxDoublings limits the backoff to eight times backoffBase.
 	backoffMaxDoublings = 3
 )
 
-// OverloadBackoff keeps requests of class once from a target that only answers
-// with overload responses (429 or 503). Such a request cannot be retried after
-// the target's response, so that its caller is refused; one that the exit
-// refuses is proved not to have run and goes to another target. Requests of
-// class repeat are still sent, and show when the target accepts work again.
+// OverloadBackoff states for how long an exit refuses requests of class once for
+// a target that answers only with overload responses (429 or 503). Once the
+// target has responded, such a request cannot be retried, and its caller gets
+// the overload response. A request that the exit refuses is proved not to have
+// run, and the entry can send it to another target. Requests of class repeat
+// are still sent, and their responses show when the target accepts work again.
 //
 // While all consecutive overload responses belong to one account, only that
 // account backs off: an upstream may reject one account for a reason of its
@@ -57,8 +58,8 @@
 	b.consecutive, b.severalAccounts, b.until = 0, false, 0
 }
 
-// Remaining is the time for which the account's requests of class once are
-// still refused; zero: they are not.
+// Remaining returns the time for which the account's requests of class once are
+// still refused, or zero if they are not refused.
 func (b *OverloadBackoff) Remaining(account crid.Account, now crid.Instant) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/core/crslot/crslot_test.go
+++ b/core/crslot/crslot_test.go
@@ -103,10 +103,8 @@
 	{"requests that hang", source{"large", 100 * time.Millisecond, 2 * time.Second}, 250 * time.Millisecond, 20},
 }
 
-// A large account sends five times its rate, requests ten times as long, or
-// requests that hang. In order of arrival its requests would fill the slots and
-// the queue, and the seven other accounts would see long waits and refusals at
-// a modest rate.
+// One account sends too many requests, long ones or ones that hang. Served in
+// order of arrival, they fill slots and queue, and the others wait or are refused.
 func TestOtherAccountsKeepTheirShare(t *testing.T) {
 	p := crslot.Params{Slots: 5, MaxWaiting: 20}
 	for _, c := range fairCases {
@@ -134,8 +132,8 @@
 	return lease
 }
 
-// All slots are held by slow requests. A caller with 50 ms left must learn at
-// once that its request did not run, while it can still try another target.
+// All slots are held by slow requests. A request with 50 ms left must be refused
+// at once, while it can still be sent to another target.
 func TestUnreachableDeadlineRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -190,9 +188,8 @@
 	})
 }
 
-// The process is paused while a request waits, and resumes long after its
-// deadline with the slot just freed. The caller may have received the response
-// that the request did not run.
+// The process is paused beyond a waiting request's deadline, and a slot becomes
+// free. The caller may have received the response that the request did not run.
 func TestNothingStartsAfterDeadlineDuringPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -213,9 +210,8 @@
 	})
 }
 
-// One account has filled the queue when another sends its first request. The
-// newcomer gets a place, and the newest request of the first account is refused
-// at once.
+// One account has filled the queue when another sends its first request. That
+// request must be queued, and the newest one of the first account is refused at once.
 func TestFullQueueDisplacesAccountAboveItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -238,7 +234,7 @@
 		go wait("small")
 		g.Expect(<-results).To(gomega.Equal("refused large"))
 		lease.Release()
-		g.Expect(<-results).To(gomega.Equal("ran small"), "it has used less")
+		g.Expect(<-results).To(gomega.Equal("ran small"), "this account has used less slot time")
 	})
 }
 
@@ -268,9 +264,8 @@
 	})
 }
 
-// The target answers a burst with 503. Without a reduction more requests would
-// be rejected; a reduction for each response would close the target for
-// seconds.
+// The target answers a burst with 503. Without a reduction it would reject more;
+// with one for each response, its slots would drop to one for seconds.
 func TestOverloadResponsesReduceSlotsTemporarily(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/core/crslot/errors.go
+++ b/core/crslot/errors.go
@@ -8,7 +8,7 @@
 // Reason is why a request got no slot.
 type Reason uint8
 
-// The reasons of a refusal. The request was not run for any of them.
+// The reasons of a refusal. In each case the request was not run.
 const (
 	ReasonFull      Reason = iota + 1 // the wait queue is full
 	ReasonExpired                     // the deadline has passed or cannot be met
--- a/core/crslot/flow.go
+++ b/core/crslot/flow.go
@@ -9,11 +9,10 @@
 )
 
 const (
-	// evictThreshold is the number of accounts from which on idle ones are
-	// evicted.
+	// evictThreshold is the number of accounts at which idle ones are evicted.
 	evictThreshold = 512
-	// activeWindow is the time after its last request for which an account
-	// counts as active.
+	// activeWindow is the time for which an account counts as active after one
+	// of its requests has arrived or ended.
 	activeWindow = 2 * time.Second
 	// longRequestFactor is the ratio of an account's service time to the median
 	// account's above which slots are reserved for the others.
@@ -26,7 +25,7 @@
 // flow is the state of one account.
 type flow struct {
 	account     crid.Account
-	startTag    float64 // virtual time at which its next request starts
+	startTag    float64 // virtual time at which its next request starts, in nanoseconds
 	serviceTime float64 // moving average, in nanoseconds
 	waiters     []*waiter
 	running     []*Lease
@@ -38,7 +37,7 @@
 
 func (f *flow) size() int { return len(f.waiters) + len(f.running) }
 
-// usedSlots is the average number of slots that the account used lately. For an
+// usedSlots is the recent average of the slots that the account used. For an
 // account that has just become active the average is taken over its period of
 // activity.
 func (f *flow) usedSlots(now crid.Instant) float64 {
@@ -147,8 +146,8 @@
 	return l
 }
 
-// charge replaces the estimated charge of a request by the time that it took,
-// and updates the averages.
+// charge replaces the estimated charge of a request by the time that it took, in
+// nanoseconds, and updates the averages.
 //
 // If every request were charged alike, an account whose requests take ten times
 // as long would get ten times the slot time of the others, and their waits
@@ -213,8 +212,9 @@
 	return f.startTag
 }
 
-// reservedForOthers reports whether one more slot for the account would be one
-// that the other accounts use, while its requests are much longer than theirs.
+// reservedForOthers reports whether the account must not get another slot: its
+// requests are much longer than those of the other accounts, and one more slot
+// for it would leave the others fewer than they used recently.
 // A slot cannot be preempted: once requests that hang hold all of them, the
 // other accounts wait until those end, whatever their share. An account that is
 // alone, or whose requests are as long as the others', may use all slots.
@@ -244,9 +244,9 @@
 	}
 }
 
-// flowToDisplace is the account whose newest waiter is refused to admit a
-// request of f: the one with the most requests, if f has less than its fair
-// share.
+// flowToDisplace returns the flow whose newest waiter is refused so that a
+// request of f can wait: the flow with the most requests, if f has less than
+// its fair share. Otherwise it returns nil.
 func (q *Queue) flowToDisplace(f *flow) *flow {
 	if q.discipline == DisciplineFIFO {
 		return nil
@@ -260,25 +260,27 @@
 	if most == nil || most == f || f.size() >= most.size()-1 {
 		return nil
 	}
-	if f.size() >= max(1, (q.maxWaiting+q.limit.slots())/q.activeFlows(f)) {
+	if f.size() >= max(1, (q.maxWaiting+q.limit.slots())/q.flowsWithRequests(f)) {
 		return nil
 	}
 	return most
 }
 
-// activeFlows is the number of accounts with requests, the newcomer included.
-func (q *Queue) activeFlows(newcomer *flow) int {
+// flowsWithRequests is the number of accounts that have requests, including the
+// account of the arriving request.
+func (q *Queue) flowsWithRequests(arriving *flow) int {
 	n := 1
 	for _, f := range q.flows {
-		if f != newcomer && f.size() > 0 {
+		if f != arriving && f.size() > 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// estimateWait is the wait of a request of f behind ahead others of f: the work
-// that start-time fair queueing serves first, divided by the number of slots.
+// estimateWait estimates the wait of a request of f that has the given number of
+// waiting requests of f before it: the work that start-time fair queueing serves
+// first, divided by the number of slots.
 func (q *Queue) estimateWait(f *flow, ahead int) time.Duration {
 	tag := f.startTag + float64(ahead)*f.serviceTime
 	work := float64(ahead) * f.serviceTime
@@ -301,6 +303,9 @@
 	return q.serveTime(work)
 }
 
+// serveTime estimates the time until the slots have served the waiting work, in
+// nanoseconds. Running requests count as half done. Those beyond the current
+// number of slots count once more, since their ends free no slot.
 func (q *Queue) serveTime(work float64) time.Duration {
 	slots := q.limit.slots()
 	running := float64(q.inFlight) * q.meanServiceTime / 2
@@ -309,8 +314,8 @@
 }
 
 // sweep refuses waiters that cannot meet their deadline any more, because the
-// target became slower or lost slots since they arrived. Refused only at the
-// deadline, the caller would have no time left for another target.
+// target became slower or lost slots since they arrived. If they were refused
+// only at the deadline, no time would be left to try another target.
 func (q *Queue) sweep(now crid.Instant) {
 	if now.Sub(q.sweptAt) < sweepInterval {
 		return
--- a/core/crslot/limit.go
+++ b/core/crslot/limit.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// decreaseFactor is the factor of one decrease of the limit.
+	// decreaseFactor is the factor by which one decrease multiplies the limit.
 	decreaseFactor = 0.7
 	// decreaseInterval is the least time between two decreases. Requests that
 	// ran together are rejected together and must lower the limit only once.
--- a/core/crslot/queue.go
+++ b/core/crslot/queue.go
@@ -4,11 +4,11 @@
 // A [Queue] runs as many requests at once as the target has slots, and lets as
 // many wait as the policy allows. Slots are assigned by start-time fair
 // queueing between accounts. An account is charged the time that its requests
-// took, so that neither many requests nor long ones crowd out the other
-// accounts. A request that cannot meet its deadline is refused at once.
+// took, so that it cannot exceed its share by sending many requests or long
+// ones. A request that cannot meet its deadline is refused at once.
 //
-// [OverloadBackoff] keeps requests of class once from a target that only
-// answers with overload responses.
+// [OverloadBackoff] states for how long requests of class once are refused for a
+// target that answers only with overload responses.
 //
 // Package crgate assigns slots in io/cregress by priority instead, without
 // fairness between accounts.
@@ -71,7 +71,7 @@
 	limit             aimdLimit
 	flows             map[crid.Account]*flow
 	backlogged        []*flow // flows that have waiters
-	virtualTime       float64
+	virtualTime       float64 // largest start tag of a request that got a slot, in nanoseconds
 	meanServiceTime   float64 // moving average, in nanoseconds
 	medianServiceTime float64 // median of the accounts' service times at the last sweep, in nanoseconds
 	usedSlots         float64 // average number of slots that all accounts used, at the last sweep
@@ -104,12 +104,12 @@
 	}
 }
 
-// Lease is the right to run one request. It must be released exactly once;
-// later releases do nothing.
+// Lease is the right to run one request. The holder must call Release or Cancel;
+// only the first call has an effect.
 type Lease struct {
 	queue     *Queue
 	flow      *flow
-	charged   float64
+	charged   float64 // virtual time charged at the grant, in nanoseconds
 	grantedAt crid.Instant
 	released  bool
 }
@@ -168,11 +168,11 @@
 	if q.waiting < q.maxWaiting {
 		return nil
 	}
-	victim := q.flowToDisplace(f)
-	if victim == nil {
+	displaced := q.flowToDisplace(f)
+	if displaced == nil {
 		return &Error{reason: ReasonFull, retryAfter: q.backlog()}
 	}
-	q.refuse(victim.waiters[len(victim.waiters)-1], ReasonFull)
+	q.refuse(displaced.waiters[len(displaced.waiters)-1], ReasonFull)
 	return nil
 }
 
@@ -196,9 +196,9 @@
 	return q.recheck(ctx, w, <-w.decided)
 }
 
-// recheck compares the deadline and the context once more. After a pause of the
-// process a slot may have been assigned long ago; the caller may have given up
-// since, or may have received the response that the request failed.
+// recheck checks the deadline and the context again. After a pause of the
+// process the slot may have been assigned long ago. The caller may have
+// disconnected since, or may have received the response that the request failed.
 func (q *Queue) recheck(ctx context.Context, w *waiter, d decision) (*Lease, error) {
 	if d.err != nil {
 		return nil, d.err
