--- a/core/crview/bench_test.go
+++ b/core/crview/bench_test.go
@@ -13,7 +13,7 @@
 	"camphorroad/core/crview"
 )
 
-// size is the size of the fleet in a benchmark.
+// size is the size of a fleet and of its configuration.
 type size struct{ daemons, targets, services, routes int }
 
 func (s size) snapshot() *crpolicy.Snapshot {
@@ -58,7 +58,7 @@
 	return fmt.Sprintf("targets=%d/routes=%d", s.targets, s.routes)
 }
 
-// BenchmarkBuild measures the cost of a view after a new configuration.
+// BenchmarkBuild measures building a view after a new configuration.
 func BenchmarkBuild(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.String(), func(b *testing.B) {
@@ -73,8 +73,8 @@
 	}
 }
 
-// BenchmarkWithPools measures the cost of a view after a change of the list, of
-// a peer or of a target's health, which rebuilds the pools only.
+// BenchmarkWithPools measures building a view after a change of the list, of a
+// peer or of a target's health, for which only the pools are rebuilt.
 func BenchmarkWithPools(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.String(), func(b *testing.B) {
--- a/core/crview/crview.go
+++ b/core/crview/crview.go
@@ -26,7 +26,8 @@
 	"camphorroad/core/crroute"
 )
 
-// TargetHealth is what core/crhealth decided for one target.
+// TargetHealth is the health state of one target, as determined by
+// core/crhealth.
 type TargetHealth struct {
 	Ejected bool
 	Weight  int // slow-start weight, up to crroute.FullWeight
@@ -44,8 +45,8 @@
 	return &LoadRegistry{loads: make(map[crid.Target]*crroute.Load)}
 }
 
-// Load returns the load of a target. It is the same one on each call, as long
-// as the target is listed.
+// Load returns the load of a target. Each call returns the same pointer while
+// the target is listed.
 func (r *LoadRegistry) Load(name crid.Target) *crroute.Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,7 +77,7 @@
 	Loads    *LoadRegistry
 }
 
-// View is the state of the fleet as requests see it. It is immutable.
+// View is the state of the fleet by which requests are routed. It is immutable.
 type View struct {
 	snapshot *crpolicy.Snapshot
 	table    *crroute.Table
@@ -134,10 +135,10 @@
 	return out
 }
 
-// instanceStatus is the status that an instance gives to its targets. The
-// targets of a peer that is not heard in both directions are avoided by this
-// daemon only, like targets that refuse connections; no other daemon ejects
-// them because of it.
+// instanceStatus returns the status that the targets of an instance get from the
+// state of their daemon. If a peer that gets a heartbeat each round has no two-way
+// contact, this daemon avoids its targets, like targets that refuse connections.
+// Other daemons do not eject them because of that.
 func (in Input) instanceStatus(inst crinstance.Instance, peers map[crid.Daemon]crmember.Peer) crroute.Status {
 	if inst.Daemon == in.Self {
 		if in.Stopping || inst.Leaving() {
--- a/core/crview/view_test.go
+++ b/core/crview/view_test.go
@@ -10,10 +10,8 @@
 	"camphorroad/core/crview"
 )
 
-// A peer that should answer each heartbeat and does not is avoided; the silence
-// of one that is only sampled means nothing. Otherwise, in a fleet with more
-// daemons than voters, almost every target would be avoided and a few would get
-// all requests.
+// In a fleet with more daemons than voters, most peers are only sampled. If being
+// unreachable counted for these, a few targets would get all requests.
 func TestUnreachablePeersAreAvoidedUnlessSampled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := size{daemons: 3, targets: 3, services: 1, routes: 1}
