--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -42,9 +42,9 @@
 	ReasonDisplaced
 	// ReasonLeaving means that the target or its daemon is stopping.
 	ReasonLeaving
-	// ReasonWithdrawn means that the entry cancelled the request or never sent
+	// ReasonCancelled means that the entry cancelled the request or never sent
 	// it.
-	ReasonWithdrawn
+	ReasonCancelled
 )
 
 // String returns a short description for people.
@@ -56,7 +56,7 @@
 		return "displaced"
 	case ReasonLeaving:
 		return "leaving"
-	case ReasonWithdrawn:
+	case ReasonCancelled:
 		return "withdrawn"
 	}
 	return "unknown"
@@ -194,7 +194,7 @@
 	if i := slices.Index(g.waiting, t); i >= 0 {
 		g.waiting = slices.Delete(g.waiting, i, i+1)
 	}
-	g.refuse(t, ReasonWithdrawn, 0)
+	g.refuse(t, ReasonCancelled, 0)
 }
 
 // Release frees the slot of a request that ran. If took is zero it does not
