--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -76,9 +76,9 @@
 // Reason returns why the request got no slot.
 func (r *Refusal) Reason() Reason { return r.reason }
 
-// Wait is the estimated wait for a slot, if the request was refused on arrival
+// EstimatedWait is the estimated wait for a slot, if the request was refused on arrival
 // because of it; otherwise zero.
-func (r *Refusal) Wait() time.Duration { return r.estimatedWait }
+func (r *Refusal) EstimatedWait() time.Duration { return r.estimatedWait }
 
 // MaxWait is the longest wait after which the request would still have started
 // in time, if it was refused on arrival because of its wait; otherwise zero.
--- a/core/crgate/mixture_test.go
+++ b/core/crgate/mixture_test.go
@@ -173,6 +173,6 @@
 	g.Expect(refusal).To(gomega.BeNil())
 	_, refusal = gate.Admit(start, crgate.Request{Kind: readKind, LatestStart: start.Add(300 * time.Millisecond)})
 	g.Expect(refusal.Reason()).To(gomega.Equal(crgate.ReasonFull))
-	g.Expect(refusal.Wait()).To(gomega.BeNumerically("~", time.Second, time.Millisecond))
+	g.Expect(refusal.EstimatedWait()).To(gomega.BeNumerically("~", time.Second, time.Millisecond))
 	g.Expect(refusal.MaxWait()).To(gomega.Equal(300 * time.Millisecond))
 }
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -213,7 +213,7 @@
 	ticket, refused := x.gate.Admit(now, crgate.Request{Kind: o.Kind(), Nested: o.Call, Priority: o.Priority, LatestStart: start})
 	if refused != nil {
 		return x.refuse(now, o, refusal{
-			reason: refused.Reason().String(), retryAfter: refused.RetryAfter(), wait: refused.Wait(), maxWait: refused.MaxWait(),
+			reason: refused.Reason().String(), retryAfter: refused.RetryAfter(), wait: refused.EstimatedWait(), maxWait: refused.MaxWait(),
 		})
 	}
 	return croffer.Reply{Accepted: true, Ticket: x.reserve(now, o, ticket), LoadReport: x.LoadReport()}
