--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -1,9 +1,9 @@
 // Package crgate implements admission control for the slots of one target.
 //
 // A target runs as many requests at once as it has slots, so that its own
-// queue, which knows neither priorities nor deadlines, stays empty. Other
-// requests wait in the [Gate]: those of the highest priority first, each until
-// its latest useful start. A request that cannot start in time is refused at
+// queue, which has neither priorities nor deadlines, stays empty. Other requests
+// wait in the [Gate]: those of the highest priority first, each until its latest
+// useful start. A request that cannot start in time is refused at
 // once, while another target can still serve it.
 //
 // The wait is estimated from the service times of each kind of request
@@ -31,14 +31,15 @@
 	"camphorroad/core/crpace"
 )
 
-// Reason is why a request was not admitted, or lost its place after it was.
+// Reason is why a request was refused, on arrival or while it waited.
 type Reason uint8
 
-// The reasons of a refusal. The request was not run for any of them.
+// The reasons of a refusal. In each case the request was not run.
 const (
 	// ReasonFull means that the request would start too late.
 	ReasonFull Reason = iota + 1
-	// ReasonDisplaced means that more urgent requests took the request's place.
+	// ReasonDisplaced means that the request would start too late, because more
+	// urgent ones arrived after it.
 	ReasonDisplaced
 	// ReasonLeaving means that the target or its daemon is stopping.
 	ReasonLeaving
@@ -76,12 +77,12 @@
 // Reason returns why the request got no slot.
 func (r *Refusal) Reason() Reason { return r.reason }
 
-// EstimatedWait is the estimated wait for a slot, if the request was refused on arrival
-// because of it; otherwise zero.
+// EstimatedWait is the estimated wait for a slot, if the request was refused on
+// arrival because of it; otherwise zero.
 func (r *Refusal) EstimatedWait() time.Duration { return r.estimatedWait }
 
-// MaxWait is the longest wait after which the request would still have started
-// in time, if it was refused on arrival because of its wait; otherwise zero.
+// MaxWait is the longest wait that the request's latest useful start allowed, if
+// it was refused on arrival because of its estimated wait; otherwise zero.
 func (r *Refusal) MaxWait() time.Duration { return r.maxWait }
 
 // RetryAfter estimates when the target can admit such a request again.
@@ -95,7 +96,7 @@
 	LatestStart crid.Instant // latest useful start
 }
 
-// Ticket is the place of an admitted request.
+// Ticket represents an admitted request, first in the queue and then in a slot.
 type Ticket struct {
 	request   Request
 	startedAt crid.Instant // when it got its slot
@@ -105,11 +106,11 @@
 	refusal   *Refusal
 }
 
-// Decided is closed once the request has got a slot or lost its place.
+// Decided is closed once the request has got a slot or was refused.
 func (t *Ticket) Decided() <-chan struct{} { return t.decided }
 
-// Refusal is why the request lost its place, or is nil if it got a slot. It
-// may be called once Decided is closed.
+// Refusal returns why the request was refused, or nil if it got a slot. It may
+// be called once Decided is closed.
 func (t *Ticket) Refusal() *Refusal { return t.refusal }
 
 // Load is the current load of the target.
@@ -117,7 +118,7 @@
 	Running  int
 	Waiting  int
 	Slots    int
-	MeanTime time.Duration // of a request; zero: not known yet
+	MeanTime time.Duration // mean service time; zero: not known yet
 }
 
 // Gate admits requests to one target. It is safe for concurrent use.
--- a/core/crgate/crgate_test.go
+++ b/core/crgate/crgate_test.go
@@ -37,7 +37,7 @@
 	return ticket
 }
 
-func TestSlotsGoByPriority(t *testing.T) {
+func TestSlotsAssignedByPriority(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(1)
 	running := admit(t, gate, 1, time.Second)
@@ -51,8 +51,8 @@
 	g.Expect(granted(low)).To(gomega.BeTrue())
 }
 
-// All slots hold requests of a second. A request with 100 ms left would wait in
-// vain; refused at once, it can go to another target.
+// All slots hold requests of a second. A request with 100 ms left cannot start in
+// time and must be refused while it can still be sent to another target.
 func TestLateStartRefusedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(2)
@@ -67,9 +67,8 @@
 	g.Expect(refusal.RetryAfter()).To(gomega.BeNumerically(">", 100*time.Millisecond))
 }
 
-// Urgent requests arrive while the queue is as long as the least urgent request
-// can wait. That one must be refused at once, not when its time is up, so that
-// it can go to another target.
+// Urgent requests arrive before a less urgent one that just fits its latest start.
+// It must be refused at once, while it can still be sent to another target.
 func TestUrgentRequestsDisplaceOthers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(1)
@@ -85,8 +84,8 @@
 	g.Expect(low.Refusal().Reason()).To(gomega.Equal(crgate.ReasonDisplaced))
 }
 
-// The target hangs, so that no slot becomes free. Waiting requests must still
-// be refused when their time is up.
+// The target hangs, so that no slot becomes free. Waiting requests must still be
+// refused at their latest start.
 func TestSweepRefusesLateRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(1)
@@ -98,8 +97,8 @@
 	g.Expect(waiting.Refusal().Reason()).To(gomega.Equal(crgate.ReasonFull))
 }
 
-// The process is paused while a request waits, and resumes with a free slot.
-// The caller may have received the response that the request did not run.
+// The process is paused beyond a waiting request's latest start, and a slot gets
+// free. The caller may have received the response that the request did not run.
 func TestNothingStartsAfterLatestStart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(1)
@@ -139,9 +138,8 @@
 	g.Expect(granted(admit(t, gate, 1, time.Second))).To(gomega.BeTrue())
 }
 
-// Requests arrive at 1.7 times the target's capacity, one in five of them
-// urgent. The urgent ones must be served, what is admitted must be served in
-// time, and the slots must not be idle.
+// Requests arrive at 1.7 times the target's capacity, one in five of them urgent.
+// The urgent ones must be served, and the slots must not be idle.
 func TestOverloadServesUrgentAndKeepsSlotsBusy(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const slots, serviceTime, maxWait = 5, 300 * time.Millisecond, 700 * time.Millisecond
--- a/core/crgate/mixture_test.go
+++ b/core/crgate/mixture_test.go
@@ -30,10 +30,8 @@
 	}
 }
 
-// All slots of a target with mixed requests are taken and nothing waits. Some
-// orders end at once, which spreads their service times. An order with two
-// seconds left must not be refused, or it would go to a failing target and be
-// lost.
+// All slots are taken, nothing waits, and service times vary, as some orders end
+// at once. Refused with two seconds left, an order could fail at another target.
 func TestBusyTargetWithoutQueueAdmitsOrder(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(5)
@@ -58,7 +56,7 @@
 }
 
 // Requests that have run for most of their time will free their slots soon. The
-// estimate for a new request must not assume that they have just started.
+// estimate for a new request must not count their whole service time.
 func TestEstimateCountsRemainingTimeOfRunning(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(2)
@@ -74,15 +72,15 @@
 	g.Expect(refusal).To(gomega.BeNil())
 }
 
-// arrival is a request of the load below.
+// arrival is a request of drawLoad.
 type arrival struct {
 	at     crid.Instant
 	nested bool
 	took   time.Duration
 }
 
-// drawLoad draws reads of more than a second, more than five slots can serve,
-// and four nested requests a second among them.
+// drawLoad draws reads of more than a second, at a higher rate than five slots
+// can serve, and four short nested requests a second.
 func drawLoad(rng *rand.Rand, span time.Duration) []arrival {
 	var out []arrival
 	for at := start; at < start.Add(span); at = at.Add(10 * time.Millisecond) {
@@ -96,10 +94,8 @@
 	return out
 }
 
-// A target has a fifth more reads of over a second than it can serve, and
-// nested requests of a tenth of a second whose parents have two seconds. Queued
-// behind the reads, nested requests would be late and waste the work of their
-// parents; going first, they cost the reads almost nothing.
+// Behind a fifth more long reads than a target can serve, short nested requests
+// would waste their parents' work. Served first, they must hardly delay the reads.
 func TestNestedRequestsServedInTimeAtFullTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const parentLeft, readObjective, readLeft = 2 * time.Second, 3 * time.Second, 6 * time.Second
@@ -116,17 +112,17 @@
 	arrivals := drawLoad(rand.New(rand.NewPCG(4, 5)), time.Minute)
 	for now := start; now < start.Add(70*time.Second); now = now.Add(5 * time.Millisecond) {
 		for len(arrivals) > 0 && arrivals[0].at <= now {
-			c := arrivals[0]
+			next := arrivals[0]
 			arrivals = arrivals[1:]
-			arrived[c.nested]++
+			arrived[next.nested]++
 			timing := crgate.Timing{Kind: readKind, Objective: readObjective, TimeLeft: readLeft}
-			if c.nested {
-				nestedWork += c.took
+			if next.nested {
+				nestedWork += next.took
 				timing = crgate.Timing{Kind: nestedKind, Nested: true, Objective: 500 * time.Millisecond, TimeLeft: parentLeft}
 			}
-			ticket, refusal := gate.Admit(now, crgate.Request{Kind: timing.Kind, Nested: c.nested, Priority: 2, LatestStart: gate.LatestStart(now, timing)})
+			ticket, refusal := gate.Admit(now, crgate.Request{Kind: timing.Kind, Nested: next.nested, Priority: 2, LatestStart: gate.LatestStart(now, timing)})
 			if refusal == nil {
-				waiting = append(waiting, &open{arrival: c, ticket: ticket})
+				waiting = append(waiting, &open{arrival: next, ticket: ticket})
 			}
 		}
 		stillWaiting := waiting[:0]
@@ -165,7 +161,7 @@
 
 // A refusal must carry the estimated wait and the longest wait that was
 // acceptable, so that an operator can explain it.
-func TestRefusalTellsWaitAndMaxWait(t *testing.T) {
+func TestRefusalHasEstimatedWaitAndMaxWait(t *testing.T) {
 	g := gomega.NewWithT(t)
 	gate := crgate.New(1)
 	addServiceTimes(gate, map[crpace.Kind]time.Duration{readKind: time.Second})
--- a/core/crgate/queue.go
+++ b/core/crgate/queue.go
@@ -7,17 +7,17 @@
 	"camphorroad/core/crid"
 )
 
-// minRemainingShare is the least share of its kind's mean time that a running
-// request is assumed to need still, however long it has been running.
+// minRemainingShare is the share of its kind's mean service time that a running
+// request is assumed to need at least, however long it has been running.
 const minRemainingShare = 0.3
 
 // precedes reports whether a request goes before another one that arrived
 // earlier.
 //
 // A nested request goes before all others: its parent holds a slot while it
-// waits, and the parent's work is wasted if the nested request is late. Queued
-// behind the longer requests of a full target, nested requests would be the
-// last, and their parents would fail with them.
+// waits, and the parent's work is wasted if the nested request is late. Behind
+// the longer requests of a full target, nested requests would start too late,
+// and their parents would fail with them.
 func (a Request) precedes(b Request) bool {
 	if a.Nested != b.Nested {
 		return a.Nested
@@ -34,9 +34,9 @@
 	return i
 }
 
-// estimateWait estimates the time until a request with the given number of
-// waiting ones before it gets a slot: the work before it, divided by the number
-// of slots.
+// estimateWait estimates the wait of a request that has the given number of
+// waiting requests before it: the work before it, divided by the number of
+// slots.
 func (g *Gate) estimateWait(now crid.Instant, ahead int) time.Duration {
 	if ahead == 0 && len(g.running) < g.slots {
 		return 0
@@ -67,9 +67,9 @@
 	}
 }
 
-// displace refuses waiting requests that cannot start in time any more because
-// more urgent ones have arrived. Refused at once, they can still go to another
-// target.
+// displace refuses waiting requests that would start too late even after half of
+// their estimated wait, because more urgent ones have arrived. As they are
+// refused at once, there is time to send them to another target.
 func (g *Gate) displace(now crid.Instant) {
 	for i := len(g.waiting) - 1; i >= 0; i-- {
 		t := g.waiting[i]
--- a/core/crgate/timing.go
+++ b/core/crgate/timing.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// minTimeShare is the share of its kind's mean time that must be left for a
-	// request to be started although it will miss its objective.
+	// minTimeShare is the share of its kind's mean service time that must be left
+	// when a request starts that will miss its objective.
 	minTimeShare = 0.8
 	// responseMargin is the part of the time left that is reserved for the
 	// transfer of the response.
 	responseMargin = 12 * time.Millisecond
 )
 
-// Timing states until when a response is of use to the caller.
+// Timing holds the remaining times in which a response is of use to the caller.
 type Timing struct {
 	Kind      crpace.Kind
 	Nested    bool          // a running request, which holds a slot in the fleet, waits for this one
@@ -25,10 +25,11 @@
 }
 
 // LatestStart returns the latest useful start of a request. A request that can
-// meet its objective must start early enough to be likely to meet it. If it
-// were started at the last moment, every other request of a full target would
-// end too late and take the slot of one that would not. Refused earlier, it may
-// be served in time by another target.
+// meet its objective must start early enough to be likely to meet it. If
+// requests started just in time by the mean service time, about every second
+// one at a full target would end too late, in a slot in which another request
+// could have ended in time. If a request is refused earlier, another target may
+// serve it in time.
 //
 // A request that cannot meet its objective may wait as long as a response is of
 // any use. So may a nested request: its own objective does not bound the time
@@ -36,8 +37,8 @@
 func (g *Gate) LatestStart(now crid.Instant, t Timing) crid.Instant {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if most := g.serviceTimes.UpperEstimate(t.Kind); t.Objective > most && !t.Nested {
-		return now.Add(min(t.Objective, t.TimeLeft) - most)
+	if upper := g.serviceTimes.UpperEstimate(t.Kind); t.Objective > upper && !t.Nested {
+		return now.Add(min(t.Objective, t.TimeLeft) - upper)
 	}
 	need := time.Duration(minTimeShare * float64(g.serviceTimes.Typical(t.Kind)))
 	return now.Add(max(t.TimeLeft-need-responseMargin, 0))
