--- a/core/crforward/doc.go
+++ b/core/crforward/doc.go
@@ -1,20 +1,20 @@
 // Package crforward implements the protocol by which an exit daemon runs each
-// forward at most once, and by which the entry daemon knows whether it may
+// forward at most once, and by which the entry daemon determines whether it may
 // report a request as not run.
 //
 // A request goes caller -> entry -> session -> exit -> upstream. A forward is
 // one attempt at sending a request to an exit. The exit (io/crexit) keeps one
-// [Ledger] per session. Only the exit knows whether a forward was started, and
-// [Ledger.Start] is the last check before the upstream is called. The entry
-// (io/crentry) keeps one [Tracker] per request: it records what is known of
-// each attempt, whether another attempt is allowed, and which [Outcome] to
-// report. [RetryBudget] limits the load that retries add, and [PauseDetector]
-// detects that the process was suspended.
+// [Ledger] per session. Only the exit has a record of whether a forward was
+// started, and [Ledger.Start] is the last check before the upstream is called.
+// The entry (io/crentry) keeps one [Tracker] per request: it records what is
+// known of each attempt, whether another attempt is allowed, and which [Outcome]
+// to report. [RetryBudget] limits the load that retries add, and
+// [PauseDetector] detects that the process was suspended.
 //
 // The clocks of the two daemons are never compared. A forward carries its
 // remaining time, and the exit counts that time from the arrival. A forward
-// that was delayed on its way is caught by a revocation, by [PauseDetector] or
-// by the end of the session.
+// that was delayed on its way is kept from starting by a revocation, by
+// [PauseDetector] or by the end of the session.
 //
 // Requests from io/cringress to io/cregress do not use this package; their
 // retries are limited for the whole fleet by core/crbudget.
--- a/core/crforward/ledger.go
+++ b/core/crforward/ledger.go
@@ -58,8 +58,8 @@
 	at crid.Instant
 }
 
-// disabledGuards disables single checks. Only tests set it, to show that each
-// check is needed.
+// disabledGuards disables single guards. Only tests set it, to show that each
+// guard is needed.
 type disabledGuards struct {
 	dedup, fence, deadline, pause, session bool
 }
@@ -155,7 +155,7 @@
 func (l *Ledger) Revoke(id crid.Request, sentOn SessionID, now crid.Instant) RevokeResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// A restarted exit does not know what it ran before. If it accepted
+	// A restarted exit has no record of what it ran before. If it accepted
 	// revocations of forwards of an earlier session, it would report "fenced"
 	// for a forward that had run.
 	if sentOn != l.session && !l.disabled.session {
@@ -176,9 +176,9 @@
 	return RevokeResultFenced
 }
 
-// Cancel refuses a pending forward whose caller or entry has gone. A running
-// one must be cancelled at the upstream by the caller of Cancel. It reports
-// whether the forward is certain never to start.
+// Cancel refuses a pending forward that is given up. A running one must be
+// cancelled at the upstream by the caller of Cancel. It reports whether the
+// forward is certain never to start.
 func (l *Ledger) Cancel(id crid.Request, now crid.Instant) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -210,7 +210,7 @@
 }
 
 // RecordPause records that the process was paused. No forward starts any more
-// over a session that was opened before now: during the pause forwards lay in
+// over a session that was opened before now: during the pause forwards were in
 // the process's buffers, and their remaining time would be counted only from
 // its end.
 func (l *Ledger) RecordPause(now crid.Instant) {
--- a/core/crforward/ledger_test.go
+++ b/core/crforward/ledger_test.go
@@ -32,9 +32,8 @@
 	return 0
 }
 
-// An event between the arrival and the free slot must prevent the start: the
-// entry may already have reported "not run", and the client would pay a deposit
-// or file a return twice.
+// Events between the arrival and the free slot prevent the start: after "not run"
+// the client repeats the request, and would pay a deposit or file a return twice.
 func TestStartRefusedAfterEvent(t *testing.T) {
 	id := attemptID(1)
 	cases := map[string]struct {
@@ -71,9 +70,8 @@
 	}
 }
 
-// The entry gives up waiting and revokes a forward that may be at any step.
-// After a wrong "fenced" the entry would send a request of class once to
-// another upstream although the first has run it.
+// The entry revokes a forward that may be at any step. After a wrong "fenced" it
+// would send a request of class once to a second upstream although the first ran it.
 func TestRevokeResult(t *testing.T) {
 	id := attemptID(1)
 	register := func(l *Ledger) { _ = l.Register(id, crpolicy.ClassOnce, opened, deadline) }
@@ -104,9 +102,8 @@
 	}
 }
 
-// An entry floods one session with forwards or revocations. The ledger must
-// close instead of evicting records early, which would yield false refusals and
-// false "fenced" results later.
+// An entry floods a session with forwards or revocations. The ledger must close:
+// evicting records early would cause false refusals and "fenced" results later.
 func TestLedgerMemoryBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	params := LedgerParams{MaxPending: 2, MaxFences: 2, MaxRecords: 5, Retention: time.Second}
@@ -126,9 +123,8 @@
 	g.Expect(l.Dump()).To(gomega.Equal(Dump{Pending: 1, Records: 3, Fences: 2, Closed: true}))
 }
 
-// The process is suspended for seconds. Whether its ticker or the queued
-// forward runs first afterwards, the forward must not start: its caller may
-// have given up long ago.
+// The process is suspended for seconds. Whether its ticker or the queued forward
+// runs first afterwards, the forward must not start: its caller may have given up.
 func TestPauseMakesSessionStale(t *testing.T) {
 	for title, tickerFirst := range map[string]bool{"ticker first": true, "traffic first": false} {
 		t.Run(title, func(t *testing.T) {
@@ -149,9 +145,8 @@
 	}
 }
 
-// Every request of a service that is too slow fails. Without the budget each
-// would be retried, and the service would receive several times its load and
-// never recover.
+// All requests of a service that is too slow fail. Without the budget each would be
+// retried, and the service would get several times its load and never recover.
 func TestRetryBudgetLimitsRetries(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := NewRetryBudget(RetryBudgetParams{Ratio: 0.1, MinPerSecond: 1, Burst: 5}, opened)
--- a/core/crforward/machine_test.go
+++ b/core/crforward/machine_test.go
@@ -14,8 +14,8 @@
 	"camphorroad/core/crpolicy"
 )
 
-// retention is that of the simulated exit; its entry uses a shorter
-// window.
+// retention is the LedgerParams.Retention of the simulated exit. The RevokeWindow
+// of its entry is shorter.
 const retention = 3 * time.Second
 
 // op is one step of the simulation; pick selects what the step acts on.
@@ -290,14 +290,13 @@
 	}
 }
 
-// Frames are lost, duplicated, reordered and delayed, the exit is paused and
-// restarted, and sessions break, at any step. The outcome "unknown" is allowed;
-// running a request of class once twice, or running one that was reported as
-// not run, is not.
+// Frames are lost, duplicated, reordered or delayed, sessions break, and the exit pauses
+// or restarts. No request of class once runs twice, and none that was reported as not run.
 func TestForwardInvariants(t *testing.T) {
 	for key, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "20000", "rapid.nofailfile": "true"} {
 		gomega.NewWithT(t).Expect(flag.Set(key, value)).To(gomega.Succeed())
 	}
+	// The outcome "unknown" is allowed at every step.
 	rapid.Check(t, func(t *rapid.T) {
 		if err := runSimulation(opsGenerator.Draw(t, "ops"), disabledGuards{}, disabledTrackerGuards{}); err != nil {
 			t.Fatal(err)
@@ -305,27 +304,27 @@
 	})
 }
 
-// Each check is disabled in turn. Some run must then violate an invariant, or
-// else the simulation could not detect that the check is broken.
+// Each guard is disabled in turn. Some run must then violate an invariant, or else the
+// simulation could not detect that the guard is broken.
 func TestForwardInvariantsNeedEachGuard(t *testing.T) {
 	cases := map[string]struct {
-		disabled disabledGuards
-		track    disabledTrackerGuards
+		disabled        disabledGuards
+		disabledTracker disabledTrackerGuards
 	}{
 		"exit: duplicates":          {disabled: disabledGuards{dedup: true}},
 		"exit: fences":              {disabled: disabledGuards{fence: true}},
 		"exit: deadline":            {disabled: disabledGuards{deadline: true}},
 		"exit: pause":               {disabled: disabledGuards{pause: true}},
 		"exit: session":             {disabled: disabledGuards{session: true}},
-		"entry: proof for retry":    {track: disabledTrackerGuards{proof: true}},
-		"entry: late revoke result": {track: disabledTrackerGuards{revokeWindow: true}},
+		"entry: proof for retry":    {disabledTracker: disabledTrackerGuards{proof: true}},
+		"entry: late revoke result": {disabledTracker: disabledTrackerGuards{revokeWindow: true}},
 	}
 	for title, c := range cases {
 		t.Run(title, func(t *testing.T) {
 			var err error
 			n := 0
 			for ; n < 20000 && err == nil; n++ {
-				err = runSimulation(opsGenerator.Example(n), c.disabled, c.track)
+				err = runSimulation(opsGenerator.Example(n), c.disabled, c.disabledTracker)
 			}
 			gomega.NewWithT(t).Expect(err).To(gomega.HaveOccurred())
 			t.Logf("run %d: %v", n, err)
--- a/core/crforward/outcome.go
+++ b/core/crforward/outcome.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// RevokeResult is the exit's reply to a revocation.
+// RevokeResult is the exit's response to a revocation.
 type RevokeResult uint8
 
 // The results of a revocation.
--- a/core/crforward/record.go
+++ b/core/crforward/record.go
@@ -61,8 +61,8 @@
 }
 
 // addFence keeps the revocation of a forward that has not arrived, until the
-// session ends. At MaxFences it closes the session, so that the forward is
-// refused all the same.
+// session ends. At MaxFences it closes the session, and the forward is refused
+// because of that.
 func (l *Ledger) addFence(id crid.Request) {
 	if l.fences >= l.params.MaxFences {
 		l.closed = true
@@ -73,7 +73,7 @@
 	}
 }
 
-// refuse ends a pending forward for good. The record is kept, since the entry
+// refuse ends a pending forward permanently. The record is kept, since the entry
 // treats the refusal as proof that the forward did not run: a copy that arrives
 // later must not start either.
 func (l *Ledger) refuse(id crid.Request, reason Reason, now crid.Instant) {
--- a/core/crforward/refusal.go
+++ b/core/crforward/refusal.go
@@ -14,7 +14,8 @@
 	ReasonFenced
 	// ReasonFull means that too many forwards of the session are pending.
 	ReasonFull
-	// ReasonCancelled means that the caller or the entry has gone.
+	// ReasonCancelled means that the forward was given up before its start, by
+	// the caller, the entry or the exit.
 	ReasonCancelled
 	// ReasonExpired means that the forward's deadline has passed.
 	ReasonExpired
--- a/core/crforward/tracker.go
+++ b/core/crforward/tracker.go
@@ -23,8 +23,8 @@
 	return TrackerParams{MaxAttempts: 3, RevokeWindow: time.Minute}
 }
 
-// progress is what is known of an attempt. It never decreases, so that a lower
-// one that is learned later changes nothing.
+// progress is what is known of an attempt. It never decreases: a lower value that
+// is recorded later has no effect.
 type progress uint8
 
 const (
@@ -61,7 +61,7 @@
 	disabled       disabledTrackerGuards
 }
 
-// disabledTrackerGuards disables single checks. Only tests set it.
+// disabledTrackerGuards disables single guards. Only tests set it.
 type disabledTrackerGuards struct {
 	proof, revokeWindow bool
 }
@@ -119,17 +119,17 @@
 }
 
 // Failed records that the attempt ended without a usable response: the dial or
-// the session failed, the response was wrong or broke off, or the entry gave up
-// waiting.
+// the session failed, the response was invalid or incomplete, or the entry gave
+// up waiting.
 func (t *Tracker) Failed(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.attempts[n].ended = true
 }
 
-// RevokeResult records the exit's reply to a revocation of the attempt. A reply
-// that comes later than RevokeWindow after the sending proves nothing: the exit
-// may have evicted its record of a forward that ran.
+// RevokeResult records the exit's response to a revocation of the attempt. A
+// result that arrives later than RevokeWindow after the sending is no proof of
+// "not run": the exit may have evicted its record of a forward that ran.
 func (t *Tracker) RevokeResult(n int, r RevokeResult, now crid.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -167,9 +167,10 @@
 	return t.attempts[n].progress == progressSent
 }
 
-// MayRetry reports whether another attempt is allowed. None is allowed while
-// one is in progress. A request of class repeat may then be sent again; one of
-// any other class only if every earlier attempt is proved not to have run.
+// MayRetry reports whether another attempt is allowed. None is allowed while one
+// is in progress, once a response was received or its relay has begun, or beyond
+// MaxAttempts. Otherwise a request of class repeat may be sent again; one of any
+// other class only if every earlier attempt is proved not to have run.
 func (t *Tracker) MayRetry() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -184,7 +185,7 @@
 	return t.class == crpolicy.ClassRepeat || t.disabled.proof || t.allNotRun()
 }
 
-// Outcome returns the outcome to report if the entry stops now.
+// Outcome returns the outcome to report if no more attempts are made.
 func (t *Tracker) Outcome() Outcome {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/crforward/tracker_test.go
+++ b/core/crforward/tracker_test.go
@@ -9,9 +9,8 @@
 	"camphorroad/core/crpolicy"
 )
 
-// An attempt breaks off at each step of a forward. A caller that receives "not
-// run" will send the request again, so the entry needs proof for that outcome,
-// and the same proof to retry a request of class once.
+// An attempt ends at each step. Without proof of "not run", a report of it to the
+// caller, or a retry of a request of class once, may run the request twice.
 func TestTrackerAfterAttempt(t *testing.T) {
 	sent := func(tr *Tracker) { tr.Sent(tr.Begin(), opened) }
 	revoked := func(v RevokeResult, delay time.Duration) func(tr *Tracker) {
