--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -226,7 +226,7 @@
 		if ex.Response.Fault == crhop.FaultRequestBody {
 			return false
 		}
-		s.wrongResponse = ex.Response.Fault == crhop.FaultWrong
+		s.wrongResponse = ex.Response.Fault == crhop.FaultWrongResponse
 		target.Load().RecordFailure()
 		s.observe(target, outcomeOf(ex.Response.Fault), took)
 	}
@@ -235,7 +235,7 @@
 
 func outcomeOf(f crhop.Fault) Outcome {
 	switch f {
-	case crhop.FaultWrong:
+	case crhop.FaultWrongResponse:
 		return OutcomeWrong
 	case crhop.FaultTimeout:
 		return OutcomeStalled
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -236,8 +236,8 @@
 		r.observe(crhop.FaultUpstreamFailed, resp.StatusCode)
 		return failure(crhop.FaultUpstreamFailed, "the upstream gave no final status")
 	case !r.echoMatches(resp):
-		r.observe(crhop.FaultWrong, resp.StatusCode)
-		return failure(crhop.FaultWrong, "the answer is not this request's")
+		r.observe(crhop.FaultWrongResponse, resp.StatusCode)
+		return failure(crhop.FaultWrongResponse, "the answer is not this request's")
 	case closeDelimited(resp):
 		r.observe(crhop.FaultUpstreamFailed, resp.StatusCode)
 		return failure(crhop.FaultUpstreamFailed, "the answer has neither length nor chunks")
--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -79,7 +79,7 @@
 const (
 	FaultUpstreamFailed Fault = iota + 1 // the connection failed, or the response was malformed
 	FaultTimeout                         // the deadline passed
-	FaultWrong                           // the response belongs to another request
+	FaultWrongResponse                           // the response belongs to another request
 	FaultConnectFailed                   // the upstream accepted no connection; nothing ran
 	FaultRequestBody                     // the request body was truncated; not a failure of the target
 	FaultNotReady                        // the exit has no policy for the target yet; nothing ran
