--- a/io/crwire/crwire.go
+++ b/io/crwire/crwire.go
@@ -1,9 +1,9 @@
-// Package crwire encodes what daemons send each other, in CBOR: length-prefixed
+// Package crwire encodes the messages between daemons in CBOR: length-prefixed
 // frames on a stream ([Writer], [Reader]), and control messages with their kind
 // ([Registry]).
 //
-// io/crhop and io/crexit use the frames for forwards, io/crpeer the messages for the
-// reducers. io/crtrace encodes the messages of traces with a Registry too.
+// io/crhop and io/crexit use the frames for forwards, io/crpeer the control messages
+// for the reducers. io/crtrace encodes the messages of traces with a Registry too.
 //
 // # Usage
 //
@@ -35,7 +35,7 @@
 // faulty peer cannot make a daemon allocate memory without bound.
 const MaxFrame = 1 << 20
 
-// abortMark is sent in place of a frame's length.
+// abortMark is sent in place of a frame's length by Writer.Abort.
 const abortMark = MaxFrame + 1
 
 // Errors of the codec.
@@ -46,7 +46,7 @@
 	ErrUnknownKind = errors.New("unknown message kind")
 	// ErrTruncated means that a stream ended before its end mark.
 	ErrTruncated = errors.New("stream ended before its end mark")
-	// ErrAborted means that the sender failed to read the body that it was sending.
+	// ErrAborted means that the sender could not read the rest of the body.
 	ErrAborted = errors.New("sender failed to read the body")
 )
 
@@ -109,15 +109,16 @@
 
 const bufferSize = 4 << 10
 
-// Buffers are pooled: they would be most of the memory that a forward allocates.
+// Buffers are pooled: without that they would be most of the memory that a forward
+// allocates.
 var (
-	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
-	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
+	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
+	readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
 )
 
 // NewWriter returns a Writer to w with a pooled buffer.
 func NewWriter(w io.Writer) *Writer {
-	buf := writers.Get().(*bufio.Writer)
+	buf := writerPool.Get().(*bufio.Writer)
 	buf.Reset(w)
 	return &Writer{w: buf}
 }
@@ -125,7 +126,7 @@
 // Release returns the buffer to the pool. The Writer must not be used afterwards.
 func (w *Writer) Release() {
 	w.w.Reset(nil)
-	writers.Put(w.w)
+	writerPool.Put(w.w)
 	w.w = nil
 }
 
@@ -147,7 +148,7 @@
 	if len(b) == 0 {
 		return nil
 	}
-	if err := w.length(len(b)); err != nil {
+	if err := w.writeLength(len(b)); err != nil {
 		return err
 	}
 	_, err := w.w.Write(b)
@@ -157,7 +158,7 @@
 // End writes the end mark and flushes. A stream that ends without it is truncated, and
 // its reader must not treat the content as complete.
 func (w *Writer) End() error {
-	if err := w.length(0); err != nil {
+	if err := w.writeLength(0); err != nil {
 		return err
 	}
 	return w.w.Flush()
@@ -167,7 +168,7 @@
 // A reset of the stream would also discard what the receiver has not read yet, and the
 // receiver could not distinguish a failed source from a failed connection.
 func (w *Writer) Abort() error {
-	if err := w.length(abortMark); err != nil {
+	if err := w.writeLength(abortMark); err != nil {
 		return err
 	}
 	return w.w.Flush()
@@ -176,7 +177,7 @@
 // Flush sends the buffered bytes.
 func (w *Writer) Flush() error { return w.w.Flush() }
 
-func (w *Writer) length(n int) error {
+func (w *Writer) writeLength(n int) error {
 	var b [binary.MaxVarintLen64]byte
 	_, err := w.w.Write(b[:binary.PutUvarint(b[:], uint64(n))])
 	return err
@@ -184,14 +185,14 @@
 
 // Reader reads frames.
 type Reader struct {
-	r    *bufio.Reader
-	left uint64 // of the current chunk, for Read
-	done bool
+	r         *bufio.Reader
+	remaining uint64 // bytes of the current chunk that Read has not returned
+	done      bool
 }
 
 // NewReader returns a Reader of r with a pooled buffer.
 func NewReader(r io.Reader) *Reader {
-	buf := readers.Get().(*bufio.Reader)
+	buf := readerPool.Get().(*bufio.Reader)
 	buf.Reset(r)
 	return &Reader{r: buf}
 }
@@ -200,25 +201,25 @@
 // in use by another goroutine, which would read bytes of another request.
 func (r *Reader) Release() {
 	r.r.Reset(nil)
-	readers.Put(r.r)
+	readerPool.Put(r.r)
 	r.r = nil
 }
 
 // Kind reads the first byte of a stream, its kind.
 func (r *Reader) Kind() (byte, error) {
 	k, err := r.r.ReadByte()
-	return k, truncated(err)
+	return k, asTruncated(err)
 }
 
 // Value reads one frame into v.
 func (r *Reader) Value(v any) error {
-	n, err := r.length()
+	n, err := r.readLength()
 	if err != nil {
 		return err
 	}
-	b, err := r.frame(int(n))
+	b, err := r.readFrame(int(n))
 	if err != nil {
-		return truncated(err)
+		return asTruncated(err)
 	}
 	if err := cbor.Unmarshal(b, v); err != nil {
 		return fmt.Errorf("decode frame: %w", err)
@@ -226,9 +227,9 @@
 	return nil
 }
 
-// frame returns the next n bytes, which are valid until the next read. Nearly all heads
-// fit the buffer and need no allocation, as the decoder keeps none of the bytes.
-func (r *Reader) frame(n int) ([]byte, error) {
+// readFrame returns the next n bytes, which are valid until the next read. Nearly all heads
+// fit in the buffer and need no allocation, as the decoder keeps none of the bytes.
+func (r *Reader) readFrame(n int) ([]byte, error) {
 	if n <= r.r.Size() {
 		b, err := r.r.Peek(n)
 		if err != nil {
@@ -248,8 +249,8 @@
 	if r.done {
 		return 0, io.EOF
 	}
-	if r.left == 0 {
-		n, err := r.length()
+	if r.remaining == 0 {
+		n, err := r.readLength()
 		if err != nil {
 			return 0, err
 		}
@@ -257,17 +258,17 @@
 			r.done = true
 			return 0, io.EOF
 		}
-		r.left = n
+		r.remaining = n
 	}
-	if uint64(len(p)) > r.left {
-		p = p[:r.left]
+	if uint64(len(p)) > r.remaining {
+		p = p[:r.remaining]
 	}
 	n, err := r.r.Read(p)
-	r.left -= uint64(n)
+	r.remaining -= uint64(n)
 	if n > 0 {
 		return n, nil
 	}
-	return 0, truncated(err)
+	return 0, asTruncated(err)
 }
 
 // Buffered reports whether a read would return buffered bytes without waiting.
@@ -276,10 +277,10 @@
 // Done reports whether the end mark has been read.
 func (r *Reader) Done() bool { return r.done }
 
-func (r *Reader) length() (uint64, error) {
+func (r *Reader) readLength() (uint64, error) {
 	n, err := binary.ReadUvarint(r.r)
 	if err != nil {
-		return 0, truncated(err)
+		return 0, asTruncated(err)
 	}
 	if n == abortMark {
 		return 0, ErrAborted
@@ -290,7 +291,8 @@
 	return n, nil
 }
 
-func truncated(err error) error {
+// asTruncated returns ErrTruncated for an end of the stream, and other errors as they are.
+func asTruncated(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return ErrTruncated
 	}
