--- a/io/crhop/client.go
+++ b/io/crhop/client.go
@@ -39,7 +39,7 @@
 	return &Client{transport: transport, ids: make(map[*crpeer.Session]crforward.SessionID)}
 }
 
-// Handle identifies a forward for a later revoke.
+// Handle identifies a forward that was sent, for its revocation.
 type Handle struct {
 	session   *crpeer.Session
 	sessionID crforward.SessionID
@@ -85,19 +85,19 @@
 func (c *Client) sessionID(s *crpeer.Session) crforward.SessionID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, ok := c.ids[s]
+	id, ok := c.ids[s]
 	if ok {
-		return n
+		return id
 	}
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // documented never to fail
-	n = crforward.SessionID(binary.BigEndian.Uint64(b[:]))
-	c.ids[s] = n
-	context.AfterFunc(s.Context(), func() { c.forget(s) })
-	return n
+	id = crforward.SessionID(binary.BigEndian.Uint64(b[:]))
+	c.ids[s] = id
+	context.AfterFunc(s.Context(), func() { c.removeSessionID(s) })
+	return id
 }
 
-func (c *Client) forget(s *crpeer.Session) {
+func (c *Client) removeSessionID(s *crpeer.Session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.ids, s)
@@ -115,9 +115,9 @@
 		return nil, err
 	}
 	// An exit that has responded early stops reading, and writes fail although
-	// there is a response. So write errors are ignored, and only the read decides.
-	// The write side stays open until the response body is closed: its end tells
-	// the exit that the response was delivered.
+	// there is a response. So write errors are ignored, and only a failed read
+	// fails the exchange. The write side stays open until the response body is
+	// closed: its end signals to the exit that the response was delivered.
 	if body == nil {
 		_ = w.End()
 		w.Release()
@@ -141,8 +141,8 @@
 	return stream.Close()
 }
 
-// sendBody ends with the stream: cancelling the stream fails the write, and the caller's
-// connection ends the read.
+// sendBody writes the request body until its end. It needs no stop signal: its write
+// fails when the stream is cancelled, and its read when the caller's connection ends.
 func sendBody(stream *quic.Stream, w *crwire.Writer, body io.Reader) {
 	defer w.Release()
 	if err := CopyChunks(w, body); err != nil {
@@ -158,7 +158,7 @@
 var copyBufferPool = sync.Pool{New: func() any { b := make([]byte, copyBufferSize); return &b }}
 
 // CopyChunks sends body as chunks and flushes each, so that the bytes of a slow source
-// are not delayed. It does not send the end marker.
+// are not delayed. It does not send the end mark.
 func CopyChunks(w *crwire.Writer, body io.Reader) error {
 	buf := copyBufferPool.Get().(*[]byte)
 	defer copyBufferPool.Put(buf)
@@ -179,7 +179,7 @@
 	}
 }
 
-// responseBody is for one goroutine.
+// responseBody is the body of an Exchange. It is not safe for concurrent use.
 type responseBody struct {
 	reader *crwire.Reader
 	close  func()
@@ -204,8 +204,9 @@
 	return nil
 }
 
-// Revoke requests that the exit revoke a forward, over the session in which it was sent. The
-// result is unknown if that session has ended or no response arrives in time.
+// Revoke sends the revocation of a forward to the exit, over the session in which the
+// forward was sent. The result is RevokeResultUnknown if that session has ended or no
+// response arrives in time.
 func (c *Client) Revoke(ctx context.Context, h *Handle) crforward.RevokeResult {
 	stream, err := h.session.OpenStream()
 	if err != nil {
@@ -241,6 +242,6 @@
 	return resp.Result, err
 }
 
-// RevokeTimeout bounds the wait for the response to a revoke. It is short, because the
+// RevokeTimeout bounds the wait for the response to a revocation. It is short, because the
 // caller's response waits for it.
 const RevokeTimeout = 150 * time.Millisecond
--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -2,7 +2,7 @@
 // the exit of io/crexit on another daemon, and its client. Each request has its own
 // stream, so that responses cannot be mixed up or reordered.
 //
-// The entry sends a kind byte, a [Forward] and the chunks of the body with an end marker
+// The entry sends a kind byte, a [Forward] and the chunks of the body with an end mark
 // on the stream, and the exit sends a [Response] and its body. A [Revoke] has its own
 // stream in the same session. The daemon of io/crmesh uses io/croffer instead.
 //
@@ -65,8 +65,8 @@
 const (
 	// KindResponse carries the upstream's response.
 	KindResponse Kind = iota + 1
-	// KindRefusal means that the exit did not run the request; NotRun says
-	// whether that is proven.
+	// KindRefusal means that the exit refused the request; NotRun is set if
+	// that proves that the request did not run.
 	KindRefusal
 	// KindFailure means that the request was started and got no valid response.
 	KindFailure
@@ -79,11 +79,11 @@
 const (
 	FaultUpstreamFailed Fault = iota + 1 // the connection failed, or the response was malformed
 	FaultTimeout                         // the deadline passed
-	FaultWrongResponse                           // the response belongs to another request
+	FaultWrongResponse                   // the response belongs to another request
 	FaultConnectFailed                   // the upstream accepted no connection; nothing ran
 	FaultRequestBody                     // the request body was truncated; not a failure of the target
 	FaultNotReady                        // the exit has no policy for the target yet; nothing ran
-	FaultShed                            // the target sheds every request, so the exit holds off; nothing ran
+	FaultShed                            // the target answers only with overload responses, so the exit refuses; nothing ran
 )
 
 // Response is the head of the exit's response.
@@ -97,17 +97,18 @@
 	Reason       string              `cbor:"w"`
 	RetryAfter   time.Duration       `cbor:"a"`
 	InFlight     int64               `cbor:"l"` // requests at the target, as counted by the exit
-	RenewSession bool                `cbor:"e"` // further forwards need a new session
+	RenewSession bool                `cbor:"e"` // the entry should send its next forwards over a new session
 }
 
-// Revoke queries whether a forward was started and, if not, prevents it from ever starting.
+// Revoke is a revocation: it queries whether a forward was started and, if not, prevents
+// it from ever starting.
 type Revoke struct {
 	Session crforward.SessionID `cbor:"x"`
 	ID      crid.Request        `cbor:"i"`
 	Target  crid.Target         `cbor:"t"`
 }
 
-// RevokeResponse is the response to a Revoke.
+// RevokeResponse is the exit's response to a Revoke.
 type RevokeResponse struct {
 	Result crforward.RevokeResult `cbor:"v"`
 }
