--- a/core/craccount/overflow.go
+++ b/core/craccount/overflow.go
@@ -14,9 +14,9 @@
 
 // SpentTokens states how long ago, at least, tokens were spent when the report was sent.
 type SpentTokens struct {
-	_     struct{} `cbor:",toarray"`
-	Count int      // tokens
-	Age   int      // milliseconds, by the entry daemon's clock
+	_         struct{} `cbor:",toarray"`
+	Count     int      // tokens
+	AgeMillis int      // milliseconds, by the entry daemon's clock
 }
 
 // spend is a number of spent tokens and the latest instant at which one of them was spent.
@@ -97,7 +97,7 @@
 	for _, sp := range g.spends {
 		age := s.now.Sub(sp.at.Add(maxClockAge))
 		if age >= minSpentAge {
-			all = append(all, SpentTokens{Count: sp.count, Age: int(age.Milliseconds())})
+			all = append(all, SpentTokens{Count: sp.count, AgeMillis: int(age.Milliseconds())})
 		}
 	}
 	g.spends = nil
@@ -109,7 +109,7 @@
 func (sh *share) credit(spent []SpentTokens, reported int, reading func(age int) time.Duration, keepOverflows bool) {
 	total := 0
 	for _, sp := range spent {
-		if sp.Count < 0 || sp.Age < 0 {
+		if sp.Count < 0 || sp.AgeMillis < 0 {
 			return
 		}
 		total += sp.Count
@@ -119,6 +119,6 @@
 	}
 	for _, sp := range spent {
 		limit := time.Duration(float64(sp.Count) / sh.rate * float64(time.Second))
-		sh.balance += sh.rate * sh.overflows.reclaim(reading(sp.Age), limit, keepOverflows).Seconds()
+		sh.balance += sh.rate * sh.overflows.reclaim(reading(sp.AgeMillis), limit, keepOverflows).Seconds()
 	}
 }
--- a/core/craccount/overflow_test.go
+++ b/core/craccount/overflow_test.go
@@ -35,7 +35,7 @@
 			}
 			report := func(at crid.Instant, item GrantItem) float64 {
 				usage := spentUsage(item, 10)
-				usage.Spent = []SpentTokens{{Count: 10, Age: c.age}}
+				usage.Spent = []SpentTokens{{Count: 10, AgeMillis: c.age}}
 				for range 2 {
 					o.advance(at)
 					o.applyUsage("e", []GrantUsage{usage})
@@ -45,7 +45,7 @@
 			g.Expect(report(ms(4100), one)).To(BeNumerically("~", c.first, 0.01))
 			g.Expect(report(ms(4100), two)).To(BeNumerically("~", c.both, 0.01))
 			usage := spentUsage(o.request(ms(4100), 1), 1)
-			usage.Spent = []SpentTokens{{Count: 5, Age: 1000}}
+			usage.Spent = []SpentTokens{{Count: 5, AgeMillis: 1000}}
 			before := o.owner.shares[shareKey{acct, 0}].balance
 			o.applyUsage("e", []GrantUsage{usage})
 			g.Expect(o.owner.shares[shareKey{acct, 0}].balance).To(Equal(before), "more ages than tokens")
@@ -67,6 +67,6 @@
 	e := newTestState("e", mutations{})
 	e.now = ms(160)
 	held := &heldGrant{spends: []spend{{3, ms(60)}, {1, ms(140)}}}
-	g.Expect(e.spentAges(held)).To(Equal([]SpentTokens{{Count: 3, Age: int((100*time.Millisecond - maxClockAge).Milliseconds())}}))
+	g.Expect(e.spentAges(held)).To(Equal([]SpentTokens{{Count: 3, AgeMillis: int((100*time.Millisecond - maxClockAge).Milliseconds())}}))
 	g.Expect(held.spends).To(BeEmpty())
 }
