--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -104,8 +104,8 @@
 	return deposits, reports
 }
 
-// A Grant is lost. Without its expiry the owner's room is lost for good; with an early expiry
-// the tokens are spent twice if the Grant arrives after all.
+// A Grant is lost. If it never expired, its tokens could not be refilled; if it expired too early,
+// they would be spent twice when the Grant arrives after all.
 func TestLostGrantBecomesRoomOnlyOnceExpired(t *testing.T) {
 	g := NewWithT(t)
 	x := ownerWithLease(mutations{})
@@ -129,8 +129,8 @@
 	g.Expect(lateTokens(mutations{noClockMargin: true})).To(BeNumerically(">", 0))
 }
 
-// The network repeats a Grant, or delivers it after its tokens have expired. Added again, they
-// are spent twice and the account exceeds its limit.
+// The network repeats a Grant, or delivers it after its tokens have expired. If its tokens were
+// added again, they would be spent twice and the account would exceed its limit.
 func TestGrantIsAddedOnceAndBeforeExpiry(t *testing.T) {
 	g := NewWithT(t)
 	e, seq := entryWithRequest(g, ms(100))
@@ -316,7 +316,7 @@
 // burst and not one token more.
 func TestRacingDaemonsShareOneBurst(t *testing.T) {
 	g := NewWithT(t)
-	w := newNet(3, 3, DefaultParams(), crpolicy.Account{Name: acct, Rate: 1, Burst: 20})
+	w := newTestNet(3, 3, DefaultParams(), crpolicy.Account{Name: acct, Rate: 1, Burst: 20})
 	w.run(30 * time.Second)
 	admitted := 0
 	for range 100 {
@@ -332,7 +332,7 @@
 // elsewhere run short. The tokens are recalled and granted to the other entry daemon.
 func TestUnusedTokensAreRecalled(t *testing.T) {
 	g := NewWithT(t)
-	w := newNet(3, 3, DefaultParams(), crpolicy.Account{Name: acct, Rate: 0.01, Burst: 5})
+	w := newTestNet(3, 3, DefaultParams(), crpolicy.Account{Name: acct, Rate: 0.01, Burst: 5})
 	w.run(600 * time.Second)
 	for range 5 {
 		w.nodes[0].pool.Take(acct, w.clock(w.nodes[0]))
--- a/core/craccount/bench_test.go
+++ b/core/craccount/bench_test.go
@@ -48,7 +48,7 @@
 		s.now = 2
 		for i := range accounts {
 			name := crid.Account(fmt.Sprintf("account%05d", i))
-			a := s.openAccount(name)
+			a := s.getOrCreateAccount(name)
 			a.sources, a.sourcesValid = make([]source, s.params.MaxShares), true
 			for share := range s.params.MaxShares {
 				item := GrantItem{Account: name, Share: share, ID: uint64(i*s.params.MaxShares + share), Tokens: 1}
--- a/core/craccount/chaos_test.go
+++ b/core/craccount/chaos_test.go
@@ -32,10 +32,10 @@
 	}
 }
 
-// takeAndGiveUp sends requests whose callers give up at once, so that the entry daemon is left
-// with tokens that nobody spends.
+// takeAndGiveUp sends requests whose callers do not wait, so that the entry daemon receives tokens
+// that nobody spends.
 func (w *testNet) takeAndGiveUp(nd *node, callers int) {
-	if nd.dead || w.now < nd.paused {
+	if nd.killed || w.now < nd.pausedUntil {
 		return
 	}
 	for range callers {
@@ -57,7 +57,7 @@
 	}
 }
 
-func (w *testNet) pause(nd *node, d time.Duration) { nd.paused = max(nd.paused, w.now+d) }
+func (w *testNet) pause(nd *node, d time.Duration) { nd.pausedUntil = max(nd.pausedUntil, w.now+d) }
 
 // changeList activates a list without the node with index skip, if there is one.
 func (w *testNet) changeList(skip int) {
@@ -106,7 +106,7 @@
 	const steps = 60
 	params := DefaultParams()
 	params.mutations = mutations
-	w := newNet(seed, 5, params, chaosAccounts()...)
+	w := newTestNet(seed, 5, params, chaosAccounts()...)
 	for step := 0; step < steps && w.maxExcess() < 0.5; step++ {
 		d := time.Duration(w.rng.Int64N(int64(1500 * time.Millisecond)))
 		if w.rng.IntN(4) == 0 {
@@ -163,7 +163,7 @@
 // list changes, network faults and bursts.
 func TestBoundStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newNet(rapid.Uint64().Draw(t, "seed"), 4, DefaultParams(), chaosAccounts()...)
+		w := newTestNet(rapid.Uint64().Draw(t, "seed"), 4, DefaultParams(), chaosAccounts()...)
 		pick := func(t *rapid.T) *node { return w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")] }
 		millis := func(t *rapid.T, most int) time.Duration {
 			return time.Duration(rapid.IntRange(1, most).Draw(t, "ms")) * time.Millisecond
@@ -201,7 +201,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			w := newNet(11, 5, DefaultParams(), chaosAccounts()...)
+			w := newTestNet(11, 5, DefaultParams(), chaosAccounts()...)
 			bound := w.oracles["ample"]
 			bound.rate, bound.burst = 100*(1+clockError), 80+1e-6
 			if name == "other shares" {
--- a/core/craccount/config.go
+++ b/core/craccount/config.go
@@ -3,7 +3,7 @@
 import "camphorroad/core/crpolicy"
 
 // handleConfig applies changed limits. When the number of an account's shares changes, its
-// shares start empty, and refill only once the grants of the former shares have expired.
+// shares start empty, and refill only once the grants of the previous shares have expired.
 func (s *State) handleConfig(snap *crpolicy.Snapshot) {
 	old := s.snap
 	s.snap = snap
@@ -25,11 +25,13 @@
 	}
 	for key, sh := range s.owner.shares {
 		before, _ := old.Account(key.account)
-		s.resize(key, sh, before, s.limits(key.account))
+		s.resizeOrDrop(key, sh, before, s.limits(key.account))
 	}
 }
 
-func (s *State) resize(key shareKey, sh *share, before, after crpolicy.Account) {
+// resizeOrDrop applies a changed limit to an owned share. It drops the share when the number of
+// the account's shares changes or the burst is less than a token.
+func (s *State) resizeOrDrop(key shareKey, sh *share, before, after crpolicy.Account) {
 	members := len(s.activeMembers().names)
 	count := s.params.shareCount(members, after)
 	if after.Burst < 1 || count != s.params.shareCount(members, before) {
--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -5,12 +5,12 @@
 // daemon selected by rendezvous hashing over the active instance list. Only the owner refills the
 // share. Entry daemons, where requests arrive, request tokens from the owners ahead of demand.
 // Tokens are moved and never copied: the owner subtracts tokens from its balance before it sends a
-// grant, and the entry daemon adds a grant once. The tokens of a lost grant become room at the
-// owner when the grant has expired. docs/design/03-account-rate.md proves that no window w sees
-// more than burst + rate*w admissions.
+// grant, and the entry daemon adds a grant once. The owner may refill the tokens of a lost grant
+// when the grant has expired. docs/design/03-account-rate.md proves that at most burst + rate*w
+// requests are admitted in any window of length w.
 //
-// Owners refill only under a membership lease ([crmember.Lease]). The refill clock counts the time
-// spent with one.
+// Owners refill only under a membership lease ([crmember.Lease]). The refill clock, by which they
+// refill, advances only while this daemon holds one.
 //
 // [State] is the reducer of both roles, owner and entry daemon, and part of core/crdaemon.
 // [TokenPool] is the concurrency-safe side that request goroutines take tokens from. Package
@@ -101,8 +101,8 @@
 
 // ownerLifetime is how long an owner counts an unreported grant as spendable. It exceeds the
 // entry daemon's Lifetime by the drift of both clocks. If it were shorter, the owner would
-// refill room whose tokens can still be spent, and a window w would see more than
-// burst + rate*w admissions.
+// refill room whose tokens can still be spent, and more than burst + rate*w requests would be
+// admitted in a window of length w.
 func (p Params) ownerLifetime() time.Duration {
 	if p.mutations.noClockMargin {
 		return p.Lifetime
@@ -113,16 +113,16 @@
 // State is the reducer of account tokens, for the roles of owner and entry daemon. It is
 // not safe for concurrent use.
 type State struct {
-	params     Params
-	self       crid.Daemon
-	inc        crid.Incarnation
-	now        crid.Instant
-	snap       *crpolicy.Snapshot
-	lease      crmember.Lease // without its Members and Over
-	members    memberSet      // of the last known list
-	peers      map[crid.Daemon]crmember.Peer
-	reportedAt map[int]crid.Instant
-	stopping   bool
+	params          Params
+	self            crid.Daemon
+	inc             crid.Incarnation
+	now             crid.Instant
+	snap            *crpolicy.Snapshot
+	lease           crmember.Lease // without Members and JointLists
+	members         memberSet      // of the last known list
+	peers           map[crid.Daemon]crmember.Peer
+	eventReportedAt map[int]crid.Instant // by event number, for reportLimited
+	stopping        bool
 
 	owner ownerRole
 	entry entryRole
@@ -132,11 +132,11 @@
 // New returns a reducer that waits for [crevent.Started].
 func New(params Params) *State {
 	return &State{
-		params:     params,
-		peers:      map[crid.Daemon]crmember.Peer{},
-		reportedAt: map[int]crid.Instant{},
-		owner:      newOwnerRole(),
-		entry:      newEntryRole(),
+		params:          params,
+		peers:           map[crid.Daemon]crmember.Peer{},
+		eventReportedAt: map[int]crid.Instant{},
+		owner:           newOwnerRole(),
+		entry:           newEntryRole(),
 	}
 }
 
@@ -195,7 +195,8 @@
 	return a
 }
 
-// stop returns the prefetched tokens. Requests that still arrive obtain tokens of their own.
+// stop returns the prefetched tokens. Afterwards tokens are requested only for requests that
+// arrive.
 // As an owner, this daemon grants tokens as long as it runs. What it has not granted by then is
 // lost, since its successor accepts no balance from it.
 func (s *State) stop() {
--- a/core/craccount/election_test.go
+++ b/core/craccount/election_test.go
@@ -26,14 +26,14 @@
 
 // moved returns the fraction of accounts whose owner differs between two lists, and the largest
 // fraction that one daemon owns under the first list.
-func (e ownerFunc) moved(accounts int, before, after []crid.Daemon) (moved, largest float64) {
+func (f ownerFunc) moved(accounts int, before, after []crid.Daemon) (moved, largest float64) {
 	owned := make(map[crid.Daemon]int)
 	changed := 0
 	for i := range accounts {
 		account := crid.Account(fmt.Sprintf("account-%06d", i))
-		owner := e(account, before)
+		owner := f(account, before)
 		owned[owner]++
-		if e(account, after) != owner {
+		if f(account, after) != owner {
 			changed++
 		}
 	}
@@ -56,8 +56,8 @@
 	leaving := map[string]int{"the first": 0, "one in the middle": daemons / 2}
 	for where, i := range leaving {
 		after := slices.Delete(slices.Clone(before), i, i+1)
-		for name, e := range ownerFuncs {
-			moved, largest := e.moved(accounts, before, after)
+		for name, f := range ownerFuncs {
+			moved, largest := f.moved(accounts, before, after)
 			t.Logf("%s leaves: by %s %.2f %% of shares move, the daemon with the most shares owns %.2f %%", where, name, 100*moved, 100*largest)
 		}
 		moved, largest := ownerFuncs["rendezvous"].moved(accounts, before, after)
--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -38,20 +38,20 @@
 
 // account is the state of an account in use at this entry daemon.
 type account struct {
-	name           crid.Account
-	demand         float64 // requests per second
-	recentRequests int     // since demand was last updated
-	coldRequests   int     // that wait for a first token
-	held           int     // tokens in the pool
-	nextSource     int
-	demandAt       crid.Instant
-	usedAt         crid.Instant
-	exhaustedAt    crid.Instant
-	reportedAt     crid.Instant
-	contendedUntil crid.Instant // few tokens are prefetched until then, since an owner ran short
-	noSpareUntil   crid.Instant // no spare token is requested until then
-	sources        []source
-	sourcesValid   bool
+	name                 crid.Account
+	demand               float64 // requests per second
+	recentRequests       int     // since demand was last updated
+	coldRequests         int     // that wait for a first token
+	held                 int     // tokens in the pool
+	nextSource           int
+	demandAt             crid.Instant
+	usedAt               crid.Instant
+	exhaustionNotedAt    crid.Instant // when the pool was last notified that the account is exhausted
+	exhaustionReportedAt crid.Instant // when EventExhausted was last reported
+	contendedUntil       crid.Instant // few tokens are prefetched until then, since an owner ran short
+	noSpareUntil         crid.Instant // no spare token is requested until then
+	sources              []source
+	sourcesValid         bool
 }
 
 // pending is the number of tokens requested and not yet answered.
@@ -107,14 +107,14 @@
 	return seq
 }
 
-// openAccount returns an account's state. It creates a missing one, and drops the least
+// getOrCreateAccount returns an account's state. It creates a missing one, and drops the least
 // recently used account when there are MaxActive of them.
-func (s *State) openAccount(name crid.Account) *account {
+func (s *State) getOrCreateAccount(name crid.Account) *account {
 	if a, ok := s.entry.accounts[name]; ok {
 		return a
 	}
 	if len(s.entry.accountOrder) >= s.params.MaxActive {
-		s.forgetLeastRecent()
+		s.forgetLeastRecentlyUsed()
 	}
 	a := &account{name: name, demandAt: s.now, usedAt: s.now, nextSource: s.firstShare(name)}
 	s.entry.accounts[name] = a
@@ -122,12 +122,13 @@
 	return a
 }
 
-// firstShare spreads the first token requests of the daemons over an account's shares.
+// firstShare returns the share from which this daemon requests an account's first tokens. It
+// differs between daemons, so that their first requests are spread over the shares.
 func (s *State) firstShare(name crid.Account) int {
 	return int(xxhash.Sum64String(string(s.self)+string(name)) % uint64(max(1, s.params.MaxShares)))
 }
 
-func (s *State) forgetLeastRecent() {
+func (s *State) forgetLeastRecentlyUsed() {
 	oldest := s.entry.accountOrder[0]
 	for _, name := range s.entry.accountOrder {
 		if s.entry.accounts[name].usedAt.Before(s.entry.accounts[oldest].usedAt) {
@@ -168,7 +169,7 @@
 	a.sources = sources
 }
 
-// handleUsage counts tokens and requests, and requests more tokens where needed.
+// handleUsage updates the counts of tokens and requests, and sends token requests where needed.
 func (s *State) handleUsage(usage []UsageDelta) {
 	var touched []*account
 	for _, u := range usage {
@@ -179,7 +180,7 @@
 		if requests == 0 {
 			continue
 		}
-		a := s.openAccount(u.Account)
+		a := s.getOrCreateAccount(u.Account)
 		a.recentRequests += requests
 		a.coldRequests += u.Cold
 		a.usedAt = s.now
@@ -190,8 +191,8 @@
 	}
 }
 
-// prefetchTime is the time for whose demand tokens are held. While the owners are short it is
-// reduced, since tokens prefetched at one entry daemon are missing for present requests at another.
+// prefetchTime is how far ahead of the demand tokens are held. It is reduced while the owners are
+// short, since requests at other entry daemons may need the tokens at once.
 func (s *State) prefetchTime(a *account) time.Duration {
 	if s.now.Before(a.contendedUntil) {
 		return min(contendedPrefetch, s.params.PrefetchTime)
@@ -220,8 +221,8 @@
 	return 0
 }
 
-// requestMissing requests the tokens that are missing. An owner that ran short is skipped
-// for a while: it keeps the request in a queue and sends tokens as they are refilled.
+// requestMissing requests the tokens that are missing. It skips an owner that ran short for a
+// while: the owner keeps the request in a queue and sends tokens as they are refilled.
 func (s *State) requestMissing(a *account) {
 	s.resolveSources(a)
 	pending := a.pending()
@@ -291,14 +292,14 @@
 
 // noteExhausted makes the pool refuse requests at once, since no owner has a token.
 func (s *State) noteExhausted(a *account, pending int) {
-	if a.held > 0 || pending > 0 || (a.coldRequests == 0 && s.now.Sub(a.exhaustedAt) < exhaustedInterval) {
+	if a.held > 0 || pending > 0 || (a.coldRequests == 0 && s.now.Sub(a.exhaustionNotedAt) < exhaustedInterval) {
 		return
 	}
-	a.exhaustedAt = s.now
+	a.exhaustionNotedAt = s.now
 	a.coldRequests = 0
 	s.emit(Deposit{Account: a.name, ExhaustedUntil: s.exhaustedUntil(a), RetryAfter: s.retryAfter(a)})
-	if a.reportedAt == 0 || s.now.Sub(a.reportedAt) >= exhaustedReportInterval {
-		a.reportedAt = s.now
+	if a.exhaustionReportedAt == 0 || s.now.Sub(a.exhaustionReportedAt) >= exhaustedReportInterval {
+		a.exhaustionReportedAt = s.now
 		s.report(EventExhausted, "account", string(a.name))
 	}
 }
--- a/core/craccount/events.go
+++ b/core/craccount/events.go
@@ -23,11 +23,11 @@
 
 // reportLimited reports an event unless its number was reported within logInterval.
 func (s *State) reportLimited(number int, name, value string) {
-	last, ok := s.reportedAt[number]
+	last, ok := s.eventReportedAt[number]
 	if ok && s.now.Sub(last) < logInterval {
 		return
 	}
-	s.reportedAt[number] = s.now
+	s.eventReportedAt[number] = s.now
 	s.report(number, name, value)
 }
 
--- a/core/craccount/grant.go
+++ b/core/craccount/grant.go
@@ -12,7 +12,7 @@
 // handleGrant adds granted tokens to the pool. A Grant is valid only as the answer to a
 // TokenRequest that this incarnation sent less than a lifetime ago. Its tokens expire one
 // lifetime after that request was sent, by this daemon's clock. If they expired a lifetime
-// after arrival, a Grant delayed in a queue or a paused process would be spent after its owner
+// after arrival, a Grant delayed in a queue or in a paused process could be spent after its owner
 // had refilled its room.
 func (s *State) handleGrant(from crid.Daemon, g Grant) {
 	sent, known := s.entry.sent[g.Seq]
@@ -48,7 +48,7 @@
 }
 
 // addGrant adds a grant once. Duplicates arrive within the lifetime of the request, and the
-// grant is remembered for longer than that.
+// grant is kept for longer than that.
 func (s *State) addGrant(key GrantKey, item GrantItem, expiresAt crid.Instant) {
 	if _, dup := s.entry.grants[key]; dup && !s.params.mutations.noDedup {
 		return
--- a/core/craccount/heldgrant.go
+++ b/core/craccount/heldgrant.go
@@ -8,7 +8,7 @@
 
 const (
 	deferBurstFactor = 5           // reports are deferred when the burst is at least this multiple of the refill in a ReportInterval
-	grantRetention   = time.Second // expired grants are remembered for late usage counts
+	grantRetention   = time.Second // how long expired grants are kept for late usage counts
 )
 
 // heldGrant is a grant that this entry daemon has received.
--- a/core/craccount/leave.go
+++ b/core/craccount/leave.go
@@ -7,7 +7,8 @@
 	"camphorroad/core/crmember"
 )
 
-// handlePeers records to which peers requests can be sent, and prefetches from owners that begin to leave.
+// handlePeers records to which peers requests can be sent, and prefetches from owners that begin
+// to leave.
 func (s *State) handlePeers(ev crmember.PeersChanged) {
 	var leaving []crid.Daemon
 	for _, p := range ev.Peers {
@@ -27,7 +28,7 @@
 
 // prefetchFrom requests tokens from an owner that is leaving, for one lifetime of this entry
 // daemon's demand on its share. The owner's balance is lost with it, and its successor starts
-// empty and waits a lifetime before it refills. The owner stays until its requests are done,
+// empty and waits a lifetime before it refills. The owner runs until its requests are done,
 // which takes longer than the answer.
 func (s *State) prefetchFrom(leaving crid.Daemon) {
 	if s.stopping {
--- a/core/craccount/measure_test.go
+++ b/core/craccount/measure_test.go
@@ -53,16 +53,16 @@
 	}
 }
 
-func (b *idealBucket) wrongful() int { return max(0, b.ideal-b.admitted) }
+func (b *idealBucket) wrongfulRefusals() int { return max(0, b.ideal-b.admitted) }
 
 type results struct {
-	offered, wrongful int
-	others            int // wrongful, without the account that surges
-	worst             float64
-	messages, bytes   float64 // per second, whole fleet
-	waited            float64 // fraction of requests
-	wait              time.Duration
-	maxExcess         float64
+	offered, wrongfulRefusals int     // refused, although a single bucket would have admitted them
+	wrongfulElsewhere         int     // wrongful refusals, without the account that surges
+	worst                     float64 // least fraction of its ideal admissions that an account got
+	messages, bytes           float64 // per second, whole fleet
+	waited                    float64 // fraction of requests
+	wait                      time.Duration
+	maxExcess                 float64
 }
 
 type scenario struct {
@@ -84,12 +84,12 @@
 		}
 	}
 	params.MaxShares = max(1, shares)
-	w := newNet(seed, fleetSize, params, accounts...)
+	w := newTestNet(seed, fleetSize, params, accounts...)
 	for _, nd := range w.nodes {
 		nd.split = NewLocalSplit(fleetSize, w.limit)
 	}
 	buckets := map[crid.Account]*idealBucket{}
-	victim := ownerOf(accounts[len(accounts)-1], w.members, params)
+	lostDaemon := ownerOf(accounts[len(accounts)-1], w.members, params)
 	for i, a := range accounts {
 		b := &idealBucket{limit: a, level: a.Burst, at: warmUp}
 		buckets[a.Name] = b
@@ -119,11 +119,11 @@
 	w.measure = shares > 0
 	w.at(5*time.Second, func() {
 		if sc.leaveOne {
-			w.stopPlanned(victim)
-			w.at(time.Second, func() { w.failDaemon(victim) })
+			w.stopPlanned(lostDaemon)
+			w.at(time.Second, func() { w.failDaemon(lostDaemon) })
 		}
 		if sc.loseOne {
-			w.failDaemon(victim)
+			w.failDaemon(lostDaemon)
 		}
 	})
 	w.run(measuredTime)
@@ -135,7 +135,7 @@
 }
 
 // stopPlanned stops a daemon as planned: it notifies its peers, and accepts requests for 300 ms
-// more, as the daemon does.
+// more, as a real daemon does.
 func (w *testNet) stopPlanned(name crid.Daemon) {
 	for _, nd := range w.nodes {
 		if nd.name == name {
@@ -165,13 +165,13 @@
 	return a
 }
 
-// pickEntry selects a live entry daemon: callers move to another address at once.
+// pickEntry selects an entry daemon that accepts requests: callers move to another address at once.
 func (w *testNet) pickEntry(sc scenario, account int) int {
 	i := account % fleetSize
 	if !sc.oneEntry {
 		i = w.rng.IntN(fleetSize)
 	}
-	for w.nodes[i].dead || w.nodes[i].closed {
+	for w.nodes[i].killed || w.nodes[i].closed {
 		i = (i + 1) % fleetSize
 	}
 	return i
@@ -187,23 +187,23 @@
 }
 
 func (w *testNet) collect(buckets map[crid.Account]*idealBucket) results {
-	f := results{worst: 1}
+	r := results{worst: 1}
 	for name, b := range buckets {
-		f.offered += b.offered
-		f.wrongful += b.wrongful()
+		r.offered += b.offered
+		r.wrongfulRefusals += b.wrongfulRefusals()
 		if name != surgingAccount {
-			f.others += b.wrongful()
+			r.wrongfulElsewhere += b.wrongfulRefusals()
 		}
-		f.worst = min(f.worst, float64(b.admitted)/float64(b.ideal))
-		f.maxExcess = max(f.maxExcess, w.oracles[name].maxExcess)
+		r.worst = min(r.worst, float64(b.admitted)/float64(b.ideal))
+		r.maxExcess = max(r.maxExcess, w.oracles[name].maxExcess)
 	}
-	f.messages = float64(w.messages) / measuredTime.Seconds()
-	f.bytes = float64(w.bytes) / measuredTime.Seconds()
-	f.waited = float64(w.waited) / float64(f.offered)
+	r.messages = float64(w.messages) / measuredTime.Seconds()
+	r.bytes = float64(w.bytes) / measuredTime.Seconds()
+	r.waited = float64(w.waited) / float64(r.offered)
 	if w.waited > 0 {
-		f.wait = w.waitSum / time.Duration(w.waited)
+		r.wait = w.waitSum / time.Duration(w.waited)
 	}
-	return f
+	return r
 }
 
 // runSeeds adds up the runs of five seeds; worst is the mean of the runs.
@@ -211,16 +211,16 @@
 	const seeds = 5
 	var sum results
 	for seed := range uint64(seeds) {
-		f := runScenario(seed+1, shares, sc)
-		sum.offered += f.offered
-		sum.wrongful += f.wrongful
-		sum.others += f.others
-		sum.worst += f.worst / seeds
-		sum.messages += f.messages / seeds
-		sum.bytes += f.bytes / seeds
-		sum.waited += f.waited / seeds
-		sum.wait += f.wait / seeds
-		sum.maxExcess = max(sum.maxExcess, f.maxExcess)
+		r := runScenario(seed+1, shares, sc)
+		sum.offered += r.offered
+		sum.wrongfulRefusals += r.wrongfulRefusals
+		sum.wrongfulElsewhere += r.wrongfulElsewhere
+		sum.worst += r.worst / seeds
+		sum.messages += r.messages / seeds
+		sum.bytes += r.bytes / seeds
+		sum.waited += r.waited / seeds
+		sum.wait += r.wait / seeds
+		sum.maxExcess = max(sum.maxExcess, r.maxExcess)
 	}
 	return sum
 }
@@ -248,17 +248,17 @@
 }
 
 func benchmarkSeeds(b *testing.B, shares int, sc scenario) {
-	var f results
+	var r results
 	for b.Loop() {
-		f = runSeeds(shares, sc)
+		r = runSeeds(shares, sc)
 	}
 	b.ReportMetric(0, "ns/op")
-	b.ReportMetric(100*float64(f.wrongful)/float64(f.offered), "%wrongful")
-	b.ReportMetric(100*float64(f.others)/float64(f.offered), "%others")
-	b.ReportMetric(100*f.worst, "%worst")
-	b.ReportMetric(f.messages, "msg/s")
-	b.ReportMetric(f.bytes, "B/s")
-	b.ReportMetric(100*f.waited, "%waited")
-	b.ReportMetric(float64(f.wait.Microseconds()), "us-wait")
-	b.ReportMetric(f.maxExcess, "over")
+	b.ReportMetric(100*float64(r.wrongfulRefusals)/float64(r.offered), "%wrongful")
+	b.ReportMetric(100*float64(r.wrongfulElsewhere)/float64(r.offered), "%others")
+	b.ReportMetric(100*r.worst, "%worst")
+	b.ReportMetric(r.messages, "msg/s")
+	b.ReportMetric(r.bytes, "B/s")
+	b.ReportMetric(100*r.waited, "%waited")
+	b.ReportMetric(float64(r.wait.Microseconds()), "us-wait")
+	b.ReportMetric(r.maxExcess, "over")
 }
--- a/core/craccount/net_test.go
+++ b/core/craccount/net_test.go
@@ -59,12 +59,12 @@
 	inc          crid.Incarnation
 	skew         float64
 	offset       time.Duration
-	paused       time.Duration // until
-	dead         bool
+	pausedUntil  time.Duration
+	killed       bool
 	leaving      bool
 	closed       bool // accepts no more requests
 	coldRequests []coldRequest
-	knownRev     crid.Revision // newest list it received in a handover
+	receivedRev  crid.Revision // newest list that it received in a handover
 	split        *LocalSplit   // the baseline policy of this daemon
 }
 
@@ -79,7 +79,7 @@
 	snap          *crpolicy.Snapshot
 	rev           crid.Revision
 	members       []crid.Daemon
-	over          []crmember.Membership // the active list and those that follow it
+	jointLists    []crmember.Membership // the lists from the active one to the newest
 	leaseUntil    time.Duration         // leases of lists before the newest end by then
 	handoverUntil time.Duration         // the handover lasts at least until then
 	lossRate      float64
@@ -94,7 +94,7 @@
 	reports       map[int]int
 }
 
-func newNet(seed uint64, n int, params Params, accounts ...crpolicy.Account) *testNet {
+func newTestNet(seed uint64, n int, params Params, accounts ...crpolicy.Account) *testNet {
 	w := &testNet{
 		rng:     rand.New(rand.NewPCG(seed, 1)),
 		params:  params,
@@ -112,7 +112,7 @@
 		w.nodes = append(w.nodes, nd)
 		w.members = append(w.members, nd.name)
 	}
-	w.over = []crmember.Membership{{Rev: w.rev, Members: w.members}}
+	w.jointLists = []crmember.Membership{{Rev: w.rev, Members: w.members}}
 	for _, nd := range w.nodes {
 		w.start(nd)
 	}
@@ -126,7 +126,7 @@
 }
 
 func (w *testNet) at(d time.Duration, do func()) {
-	i, _ := slices.BinarySearchFunc(w.queue, w.now+d+1, func(j scheduledCall, at time.Duration) int { return cmp.Compare(j.at, at) })
+	i, _ := slices.BinarySearchFunc(w.queue, w.now+d+1, func(c scheduledCall, at time.Duration) int { return cmp.Compare(c.at, at) })
 	w.queue = slices.Insert(w.queue, i, scheduledCall{at: w.now + d, do: do})
 }
 
@@ -156,7 +156,7 @@
 func (w *testNet) start(nd *node) {
 	nd.inc = crid.Incarnation(w.rng.Uint64() | 1)
 	nd.state, nd.pool, nd.coldRequests = New(w.params), NewTokenPool(), nil
-	nd.paused, nd.dead, nd.leaving = 0, false, false
+	nd.pausedUntil, nd.killed, nd.leaving = 0, false, false
 	now := w.clock(nd)
 	w.step(nd, crevent.Started{Now: now, Self: nd.name, Incarnation: nd.inc})
 	w.step(nd, crconfig.Applied{Now: now, Snapshot: w.snap})
@@ -165,52 +165,52 @@
 }
 
 func (w *testNet) kill(nd *node) {
-	nd.dead = true
+	nd.killed = true
 	w.at(time.Second, w.sendPeers)
 }
 
 func (w *testNet) sendPeers() {
 	var peers []crmember.Peer
 	for _, nd := range w.nodes {
-		peers = append(peers, crmember.Peer{Daemon: nd.name, Incarnation: nd.inc, Reachable: !nd.dead, Leaving: nd.leaving})
+		peers = append(peers, crmember.Peer{Daemon: nd.name, Incarnation: nd.inc, Reachable: !nd.killed, Leaving: nd.leaving})
 	}
 	for _, nd := range w.nodes {
 		w.deliver(nd, func() { w.step(nd, crmember.PeersChanged{Now: w.clock(nd), Peers: peers}) })
 	}
 }
 
-// deliver runs do at a node once it is not paused. A dead node receives nothing.
+// deliver runs do at a node once it is not paused. A killed node receives nothing.
 func (w *testNet) deliver(nd *node, do func()) {
 	inc := nd.inc
-	if w.now < nd.paused {
-		w.at(nd.paused-w.now, func() { w.deliver(nd, do) })
+	if w.now < nd.pausedUntil {
+		w.at(nd.pausedUntil-w.now, func() { w.deliver(nd, do) })
 		return
 	}
-	if !nd.dead && nd.state != nil && nd.inc == inc {
+	if !nd.killed && nd.state != nil && nd.inc == inc {
 		do()
 	}
 }
 
 // beginHandover begins the handover to a list.
 func (w *testNet) beginHandover(list []crid.Daemon, duration time.Duration) {
-	rev := w.over[len(w.over)-1].Rev + 1
-	w.over = append(w.over, crmember.Membership{Rev: rev, Members: list})
+	rev := w.jointLists[len(w.jointLists)-1].Rev + 1
+	w.jointLists = append(w.jointLists, crmember.Membership{Rev: rev, Members: list})
 	w.handoverUntil = w.now + duration
 }
 
 // renewLeases renews the leases; their time counts from now, whenever the event arrives.
 func (w *testNet) renewLeases() {
-	if newest := w.over[len(w.over)-1]; len(w.over) > 1 && w.now > w.leaseUntil && w.now > w.handoverUntil {
+	if newest := w.jointLists[len(w.jointLists)-1]; len(w.jointLists) > 1 && w.now > w.leaseUntil && w.now > w.handoverUntil {
 		w.members, w.rev = newest.Members, newest.Rev
-		w.over = w.over[len(w.over)-1:]
+		w.jointLists = w.jointLists[len(w.jointLists)-1:]
 	}
-	if len(w.over) > 1 {
-		w.bridgeHandover()
+	if len(w.jointLists) > 1 {
+		w.renewJointLeases()
 		return
 	}
 	w.leaseUntil = w.now + leaseTime + leaseTime/50
 	for _, nd := range w.nodes {
-		ev := crmember.Lease{Members: w.members, JointLists: w.over}
+		ev := crmember.Lease{Members: w.members, JointLists: w.jointLists}
 		if slices.Contains(w.members, nd.name) {
 			ev.Active, ev.Until = w.rev, w.clock(nd).Add(leaseTime)
 		}
@@ -218,26 +218,26 @@
 	}
 }
 
-// bridgeHandover extends some leases during a handover, as crmember does, for what all lists
-// that the daemon knows assign to it. A daemon that does not know the newest list delays its
-// activation.
-func (w *testNet) bridgeHandover() {
+// renewJointLeases renews some leases during a handover, as crmember does, for the shares that all
+// lists received by the daemon assign to it. A daemon that has not received the newest list delays
+// its activation.
+func (w *testNet) renewJointLeases() {
 	for _, nd := range w.nodes {
 		if w.now > w.handoverUntil || w.rng.IntN(12) == 0 {
-			nd.knownRev = w.over[len(w.over)-1].Rev
+			nd.receivedRev = w.jointLists[len(w.jointLists)-1].Rev
 		}
-		over := slices.DeleteFunc(slices.Clone(w.over), func(m crmember.Membership) bool {
-			return m.Rev > max(nd.knownRev, w.over[0].Rev)
+		received := slices.DeleteFunc(slices.Clone(w.jointLists), func(m crmember.Membership) bool {
+			return m.Rev > max(nd.receivedRev, w.jointLists[0].Rev)
 		})
-		listed := !slices.ContainsFunc(over, func(m crmember.Membership) bool { return !slices.Contains(m.Members, nd.name) })
+		listed := !slices.ContainsFunc(received, func(m crmember.Membership) bool { return !slices.Contains(m.Members, nd.name) })
 		if w.rng.IntN(3) == 0 || !listed {
 			w.sendLease(nd, crmember.Lease{})
 			continue
 		}
-		if len(over) < len(w.over) {
+		if len(received) < len(w.jointLists) {
 			w.leaseUntil = w.now + leaseTime + leaseTime/50
 		}
-		w.sendLease(nd, crmember.Lease{JointUntil: w.clock(nd).Add(leaseTime), JointLists: over})
+		w.sendLease(nd, crmember.Lease{JointUntil: w.clock(nd).Add(leaseTime), JointLists: received})
 	}
 }
 
@@ -249,7 +249,7 @@
 }
 
 func (w *testNet) tick(nd *node) {
-	if nd.dead || w.now < nd.paused {
+	if nd.killed || w.now < nd.pausedUntil {
 		return
 	}
 	now := w.clock(nd)
@@ -321,7 +321,7 @@
 
 // request sends one request to a node; done receives whether it was admitted.
 func (w *testNet) request(nd *node, account crid.Account, done func(bool)) {
-	if nd.dead || w.now < nd.paused {
+	if nd.killed || w.now < nd.pausedUntil {
 		return
 	}
 	d := nd.pool.Take(account, w.clock(nd))
@@ -353,7 +353,7 @@
 
 // retry lets waiting requests take deposited tokens.
 func (w *testNet) retry(nd *node) {
-	if nd.dead || w.now < nd.paused {
+	if nd.killed || w.now < nd.pausedUntil {
 		return
 	}
 	colds := nd.coldRequests
--- a/core/craccount/outbox.go
+++ b/core/craccount/outbox.go
@@ -35,7 +35,7 @@
 	o.grants = append(o.grants, Grant{ToInc: inc, Seq: seq, Items: []GrantItem{item}})
 }
 
-// requestTo returns the pending message to an owner.
+// requestTo returns the pending message to an owner. It creates a missing one.
 func (o *outbox) requestTo(owner crid.Daemon) *TokenRequest {
 	for i := range o.owners {
 		if o.owners[i] == owner {
--- a/core/craccount/overflow.go
+++ b/core/craccount/overflow.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	maxOverflows = 16                    // overflows that a share remembers
+	maxOverflows = 16                    // kept for one share
 	minSpentAge  = 20 * time.Millisecond // spent tokens younger than this are reported without an age
 )
 
@@ -51,17 +51,17 @@
 	}
 }
 
-// reclaim removes up to a given time of the overflows that lie after an instant of the refill
-// clock, earliest first, and returns how much it removed. If the same time counted for two
-// reports, tokens beyond the rate would result.
-func (o *overflows) reclaim(after, limit time.Duration, keep bool) time.Duration {
+// reclaim removes overflows after a reading of the refill clock, earliest first and up to limit,
+// and returns the time that it removed. If the same time counted for two reports, the share would
+// be refilled above its rate. With keepOverflows nothing is removed, so that tests can show this.
+func (o *overflows) reclaim(after, limit time.Duration, keepOverflows bool) time.Duration {
 	var got time.Duration
 	var rest []overflow
 	for _, ov := range o.all {
 		begin := max(ov.from, after)
 		part := max(0, min(ov.to-begin, limit-got))
 		got += part
-		if part == 0 || keep {
+		if part == 0 || keepOverflows {
 			rest = append(rest, ov)
 			continue
 		}
@@ -80,9 +80,9 @@
 // given the age in a report that has just arrived. The time in transit only makes the token older.
 // Readings before the end of a gap in the lease cannot be compared, so the end of the last gap
 // is the earliest result.
-func (s *State) refillClockAt(age int) time.Duration {
-	age = min(age, int(s.params.Lifetime.Milliseconds())) // no grant is older
-	elapsed := time.Duration(float64(age) * (1 - s.params.Drift) * float64(time.Millisecond))
+func (s *State) refillClockAt(ageMillis int) time.Duration {
+	ageMillis = min(ageMillis, int(s.params.Lifetime.Milliseconds())) // no grant is older
+	elapsed := time.Duration(float64(ageMillis) * (1 - s.params.Drift) * float64(time.Millisecond))
 	if s.params.mutations.creditWholeLifetime {
 		elapsed = s.params.Lifetime
 	}
@@ -106,7 +106,7 @@
 
 // credit refills for the time in which reported tokens occupied room although they were spent.
 // It credits no more tokens than were spent, and no time twice.
-func (sh *share) credit(spent []SpentTokens, reported int, reading func(age int) time.Duration, keepOverflows bool) {
+func (sh *share) credit(spent []SpentTokens, reported int, refillClockAt func(ageMillis int) time.Duration, keepOverflows bool) {
 	total := 0
 	for _, sp := range spent {
 		if sp.Count < 0 || sp.AgeMillis < 0 {
@@ -119,6 +119,6 @@
 	}
 	for _, sp := range spent {
 		limit := time.Duration(float64(sp.Count) / sh.rate * float64(time.Second))
-		sh.balance += sh.rate * sh.overflows.reclaim(reading(sp.AgeMillis), limit, keepOverflows).Seconds()
+		sh.balance += sh.rate * sh.overflows.reclaim(refillClockAt(sp.AgeMillis), limit, keepOverflows).Seconds()
 	}
 }
--- a/core/craccount/overflow_test.go
+++ b/core/craccount/overflow_test.go
@@ -9,9 +9,9 @@
 	"camphorroad/core/crid"
 )
 
-// An account near its full burst spends tokens, and the owner receives the report 100 ms later. Without
-// credit for that time the account is refused within its burst at the next surge; credited for
-// each of two reports, for a repeated one or over a pause, it gets too much.
+// An account near its full burst spends tokens, and the owner receives the report 100 ms later.
+// Without credit for that time the account is refused within its burst at the next surge. If the time
+// is credited for two reports or for a repeated one, or includes a lease gap, it gets too much.
 func TestReportDelayIsCreditedOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		mutations   mutations
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -13,7 +13,7 @@
 	maxQueueTime   = 400 * time.Millisecond // an unmet request waits at most this long for tokens
 	recallInterval = 200 * time.Millisecond // between two recalls for one share
 	sweepInterval  = 10 * time.Second       // between two removals of idle shares
-	maxEpochs      = 8                      // epochs remembered, for shares that are not in use yet
+	maxEpochs      = 8                      // epochs kept, for shares that are not in use yet
 )
 
 type shareKey struct {
@@ -43,7 +43,7 @@
 	busy           []shareKey // shares with grants or waiters
 	isBusy         map[shareKey]bool
 	limitChangedAt map[crid.Account]time.Duration // on the refill clock
-	nextID         uint64
+	lastGrantID    uint64
 	sweptAt        crid.Instant
 }
 
@@ -56,9 +56,9 @@
 	}
 }
 
-// advance moves the refill clock over the time up to now that a lease covers. The lease of a
-// process that was paused has expired when it resumes. If the pause counted, its tokens
-// would add to those of the daemon that took over the shares.
+// advance moves the refill clock forward by the time up to now that a lease covers. The lease of
+// a process that was paused has expired when it resumes. If the pause counted, the tokens refilled
+// for it would add to those of the daemon that took over the shares.
 func (s *State) advance(now crid.Instant) {
 	end := min(now, s.lease.Until)
 	if s.params.mutations.refillWithoutLease && s.owner.active != 0 {
@@ -124,6 +124,7 @@
 	}
 }
 
+// dropUnowned drops the shares that this daemon does not own, or has owned only since now.
 func (s *State) dropUnowned() {
 	for key := range s.owner.shares {
 		since, ok := s.ownedSince(key)
@@ -198,10 +199,10 @@
 	return owners[key.share] == s.self
 }
 
-// share returns an owned share, refilled up to now, or nil when this daemon does not own it.
-// A share without requests since this daemon became its owner would have filled from empty for
-// all that time, so that creating it late makes no difference.
-func (s *State) share(key shareKey) *share {
+// getOrCreateShare returns an owned share, refilled up to now, or nil when this daemon does not
+// own it. A share without requests since this daemon became its owner would have filled from empty
+// for all that time, so that creating it late makes no difference.
+func (s *State) getOrCreateShare(key shareKey) *share {
 	if sh, ok := s.owner.shares[key]; ok {
 		sh.refill(s.owner.refillClock)
 		return sh
@@ -223,9 +224,9 @@
 	return sh
 }
 
-// refillsFrom is when a share that this daemon owns since the given reading begins to refill.
-// The previous owner's grants, up to the whole burst, can be spent for one more lifetime.
-// Tokens refilled in that time would add to them.
+// refillsFrom is the reading at which a share that this daemon owns since a given reading begins
+// to refill. The previous owner's grants, up to the whole burst, can be spent for one more
+// lifetime. Tokens refilled in that time would add to them.
 func (s *State) refillsFrom(account crid.Account, since time.Duration) time.Duration {
 	from := since
 	if !s.params.mutations.noTakeoverDelay {
@@ -234,7 +235,7 @@
 	return max(from, s.owner.limitChangedAt[account])
 }
 
-// handleTokenRequest applies the usage that a request reports, and grants what tokens there are.
+// handleTokenRequest applies the usage that a request reports, and grants the available tokens.
 func (s *State) handleTokenRequest(from crid.Daemon, req TokenRequest) {
 	s.applyUsage(from, req.Usage)
 	for _, item := range req.Items {
@@ -261,7 +262,7 @@
 	if !s.hasLease() {
 		return nil
 	}
-	sh := s.share(key)
+	sh := s.getOrCreateShare(key)
 	if sh == nil {
 		s.reportLimited(EventNotOwner, "account", string(key.account))
 	}
@@ -305,8 +306,8 @@
 			item.Contended = len(sh.waiters) > 1
 		}
 		if n > 0 {
-			s.owner.nextID++
-			item.ID = s.owner.nextID
+			s.owner.lastGrantID++
+			item.ID = s.owner.lastGrantID
 			sh.grant(item.ID, w.from, n, s.now.Add(s.params.ownerLifetime()))
 			item.Remaining = int(sh.balance)
 		}
@@ -318,8 +319,8 @@
 	sh.prune(s.now)
 }
 
-// recall requests that the daemons that hold tokens of the share, and request none, return
-// what they do not need at once.
+// recall sends a recall to each daemon that holds tokens of the share and does not wait for more.
+// The daemon then returns the tokens that it does not need at once.
 func (s *State) recall(key shareKey, sh *share) {
 	if sh.recalledAt != 0 && s.now.Sub(sh.recalledAt) < recallInterval {
 		return
@@ -372,7 +373,8 @@
 	s.sweep()
 }
 
-// sweep drops shares that hold no more than a newly created one would.
+// sweep drops shares that hold no more than a newly created one would. It also drops the time of
+// a limit change once a whole burst could be refilled since.
 func (s *State) sweep() {
 	if s.now.Sub(s.owner.sweptAt) < sweepInterval {
 		return
--- a/core/craccount/refillsall_test.go
+++ b/core/craccount/refillsall_test.go
@@ -8,8 +8,8 @@
 	"camphorroad/core/crevent"
 )
 
-// In a rolling replacement the next daemon stops once the last one is ready. If that came before
-// the new process refills, several daemons' shares would be unavailable at once, and callers
+// In a rolling replacement the next daemon stops once the last one is ready. If a process were ready
+// before it refills, several daemons' shares would be unavailable at once, and callers would be
 // refused within their rate.
 func TestRefillsAllSharesAgreesWithGrants(t *testing.T) {
 	g := NewWithT(t)
--- a/core/craccount/rendezvous.go
+++ b/core/craccount/rendezvous.go
@@ -40,11 +40,11 @@
 }
 
 func newMemberSet(members []crid.Daemon) memberSet {
-	r := memberSet{names: slices.Clone(members), hashes: make([]uint64, len(members))}
+	m := memberSet{names: slices.Clone(members), hashes: make([]uint64, len(members))}
 	for i, d := range members {
-		r.hashes[i] = xxhash.Sum64String(string(d))
+		m.hashes[i] = xxhash.Sum64String(string(d))
 	}
-	return r
+	return m
 }
 
 // shareOwners selects the owner of each share by rendezvous hashing: when the list changes,
@@ -61,16 +61,16 @@
 
 // highest returns the member with the highest score that is not in taken. Of equal scores the
 // first name wins, since members are sorted.
-func (r memberSet) highest(seed uint64, taken []crid.Daemon) crid.Daemon {
+func (m memberSet) highest(seed uint64, taken []crid.Daemon) crid.Daemon {
 	var best crid.Daemon
 	var bestScore uint64
-	for i, hash := range r.hashes {
+	for i, hash := range m.hashes {
 		score := mix(seed ^ hash)
 		if best != "" && score <= bestScore {
 			continue
 		}
-		if !slices.Contains(taken, r.names[i]) {
-			best, bestScore = r.names[i], score
+		if !slices.Contains(taken, m.names[i]) {
+			best, bestScore = m.names[i], score
 		}
 	}
 	return best
--- a/core/craccount/requests_test.go
+++ b/core/craccount/requests_test.go
@@ -10,7 +10,7 @@
 	"camphorroad/core/crmember"
 )
 
-// An account exceeds its rate, and tokens prefetched at one entry daemon are missing for callers
+// An account exceeds its rate. Tokens prefetched at one entry daemon are then missing for callers
 // elsewhere, who are refused within the rate. Prefetch is therefore reduced while other daemons
 // wait; an account at a single entry daemon keeps its full prefetch.
 func TestPrefetchIsReducedUnderContention(t *testing.T) {
@@ -31,10 +31,10 @@
 	}
 }
 
-// Entry daemons draw more from one share than from another. If the full share does not get
-// the first request, its refill overflows, and less of the burst is left when an owner is lost or callers
-// surge. An owner without a recent answer may be full again.
-func TestFullestOwnerIsAskedFirst(t *testing.T) {
+// Entry daemons take more from one share than from another. If the fullest share did not get the
+// first request, its refill would overflow, and less of the burst would be left when an owner is
+// lost or demand surges. An owner without a recent answer may be full again.
+func TestFullestOwnerGetsFirstRequest(t *testing.T) {
 	g := NewWithT(t)
 	e := newTestState("e", mutations{})
 	e.now = ms(10000)
--- a/core/craccount/share.go
+++ b/core/craccount/share.go
@@ -34,10 +34,10 @@
 // share is one share of an account at its owner: a token bucket whose level is the balance
 // plus all tokens that may still be spent elsewhere.
 //
-// Its invariant is balance + outstanding <= burst. Before any change that makes room, the
-// bucket is refilled up to now with the room there was. Otherwise the time before a spend would
-// be refilled into the room that the spend made, and a window w could see
-// burst + rate*(w + that time).
+// Its invariant is balance + outstanding <= burst. The difference is its room, the tokens that may
+// be refilled. Before any change that makes room, the bucket is refilled up to now with the room
+// there was. Otherwise the time before a spend would be refilled into the room that the spend made,
+// and burst + rate*(w + that time) requests could be admitted in a window of length w.
 type share struct {
 	rate        float64 // tokens per second
 	burst       float64
@@ -52,19 +52,19 @@
 	overflows   overflows
 }
 
-// refill adds the tokens accrued up to the reading m of the refill clock.
-func (sh *share) refill(m time.Duration) {
-	if m <= sh.refilledTo {
+// refill adds the tokens accrued up to a reading of the refill clock.
+func (sh *share) refill(reading time.Duration) {
+	if reading <= sh.refilledTo {
 		return
 	}
-	accrued := sh.rate * (m - sh.refilledTo).Seconds()
+	accrued := sh.rate * (reading - sh.refilledTo).Seconds()
 	from := sh.refilledTo
-	sh.refilledTo = m
+	sh.refilledTo = reading
 	room := sh.burst - sh.balance - float64(sh.outstanding)
 	added := math.Max(0, math.Min(accrued, room))
 	sh.balance += added
 	if added < accrued {
-		sh.overflows.add(max(from, m-time.Duration((accrued-added)/sh.rate*float64(time.Second))), m)
+		sh.overflows.add(max(from, reading-time.Duration((accrued-added)/sh.rate*float64(time.Second))), reading)
 	}
 }
 
@@ -178,7 +178,8 @@
 	})
 }
 
-// idle reports whether the share may be dropped: created again later, it holds no more than now.
+// idle reports whether the share may be dropped: one created again later holds no more than this
+// one does now.
 func (sh *share) idle() bool {
 	full := sh.balance >= sh.burst
 	return full && len(sh.grants) == 0 && len(sh.waiters) == 0
--- a/core/craccount/split.go
+++ b/core/craccount/split.go
@@ -9,8 +9,8 @@
 )
 
 // LocalSplit is the baseline policy: each of n daemons enforces 1/n of an account's rate and
-// burst without any messages. It exceeds the limit when daemons disagree on n, and refuses
-// callers within the limit when they enter unevenly.
+// burst without any messages. It exceeds the limit when n is not the same at all daemons, and
+// refuses callers within the limit when they enter unevenly.
 type LocalSplit struct {
 	mu      sync.Mutex
 	n       float64
--- a/core/craccount/tokenpool.go
+++ b/core/craccount/tokenpool.go
@@ -30,8 +30,8 @@
 	Admitted Outcome = iota + 1
 	// Refused means that the account is known to be exhausted.
 	Refused
-	// Cold means that no token is available and no request has been sent to the owners yet. The caller
-	// may wait once for their answer.
+	// Cold means that no token is available and the account is not known to be exhausted. The caller
+	// may wait once for the owners' answer.
 	Cold
 )
 
@@ -68,9 +68,9 @@
 	mu             sync.Mutex
 	dirty          bool // the next Drain visits it
 	grants         []pooledGrant
-	refused        int
-	cold           int
-	takenAfterWait int
+	refused        int // requests since the last Drain
+	cold           int // requests since the last Drain
+	takenAfterWait int // tokens since the last Drain
 	exhaustedUntil crid.Instant
 	retryAfter     time.Duration
 	wake           chan struct{} // closed by the next Deposit; nil: no request waits
@@ -293,8 +293,8 @@
 	}
 }
 
-// Withdraw carries out the [Withdraw] effect. The tokens leave the pool before the reducer
-// learns of them, so that none is both spent and returned.
+// Withdraw carries out the [Withdraw] effect. The tokens leave the pool before they are reported
+// to the reducer, so that none is both spent and returned.
 func (p *TokenPool) Withdraw(d Withdraw) {
 	ap := p.find(d.Account)
 	if ap == nil {
