--- a/core/crquota/crquota.go
+++ b/core/crquota/crquota.go
@@ -2,7 +2,7 @@
 // core/crmesh and io/crmesh. Package craccount enforces them for core/crdaemon, where several
 // owners share an account's limit and entry daemons hold tokens ahead of demand.
 //
-// Each account has one owner among the live daemons, selected by rendezvous hashing. The owner
+// Each account has one owner among the reachable daemons, selected by rendezvous hashing. The owner
 // keeps the account's token bucket, and an entry daemon requests a token from it for every
 // request. When the owner does not answer, the entry daemon uses a fallback bucket of its own:
 // the account's rate divided by the number of daemons.
@@ -14,8 +14,8 @@
 // # Usage
 //
 //	owner := crquota.Owner(account, daemons)
-//	ok, wait := ownerLimiter.Take(now, account, rate*crquota.RateFraction(reachable, size), burst)
-//	ok, wait = fallbackLimiter.Take(now, account, rate, burst, size)
+//	ok, wait := ownerLimiter.Take(now, account, rate*crquota.RateFraction(reachable, fleetSize), burst)
+//	ok, wait = fallbackLimiter.Take(now, account, rate, burst, fleetSize)
 package crquota
 
 import (
@@ -28,8 +28,8 @@
 	"camphorroad/core/crid"
 )
 
-// startFraction is the fraction of the burst that a new bucket holds. A new owner does not know
-// how many tokens its predecessor granted: a full bucket would grant the burst twice, and an
+// startFraction is the fraction of the burst that a new bucket holds. A new owner has no record of
+// the tokens that its predecessor granted: a full bucket would grant the burst twice, and an
 // empty one would refuse callers within their rate.
 const startFraction = 0.5
 
@@ -51,9 +51,9 @@
 	return best
 }
 
-// Relay returns the daemon to request an account's tokens through when the daemons in without
-// do not answer: the owner that the account would have without them. It returns an empty name
-// when there are no others.
+// Relay returns the daemon through which to request an account's tokens when the daemons without
+// do not answer: the owner that the account would have if they were not in the fleet. It returns
+// an empty name when there are no other daemons.
 func Relay(a crid.Account, daemons []crid.Daemon, without ...crid.Daemon) crid.Daemon {
 	others := make([]crid.Daemon, 0, len(daemons))
 	for _, d := range daemons {
@@ -64,19 +64,19 @@
 	return Owner(a, others)
 }
 
-// partitionSlack is how far the sides of a partition may exceed the rate together. With it a
-// tenth of the daemons may be dead without an account losing any of its rate. Accounts may
-// exceed their rate by a quarter; the rest is for buckets that start again.
+// partitionSlack is the most that the sides of a partition together grant, as a multiple of the
+// rate. With it a tenth of the daemons may be down without an account losing any of its rate.
+// Accounts may exceed their rate by a quarter; the rest is for buckets that start again.
 const partitionSlack = 1.1
 
 // RateFraction returns the fraction of an account's rate that its owner grants, given the number
 // of daemons that the owner can reach, itself included, and the size of the fleet. Without it
 // each half of a partitioned fleet would grant the whole rate.
-func RateFraction(reachable, size int) float64 {
-	if size <= 0 {
+func RateFraction(reachable, fleetSize int) float64 {
+	if fleetSize <= 0 {
 		return 1
 	}
-	return min(1, partitionSlack*float64(reachable)/float64(size))
+	return min(1, partitionSlack*float64(reachable)/float64(fleetSize))
 }
 
 // bucket is the token bucket of an account.
@@ -144,7 +144,7 @@
 func (l *OwnerLimiter) Take(now crid.Instant, a crid.Account, rate, burst float64) (ok bool, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	size := max(burst, 1)
-	b := l.buckets.bucket(now, a, func() float64 { return max(size*startFraction, 1) })
-	return b.take(now, rate, size)
+	capacity := max(burst, 1)
+	b := l.buckets.bucket(now, a, func() float64 { return max(capacity*startFraction, 1) })
+	return b.take(now, rate, capacity)
 }
--- a/core/crquota/decide.go
+++ b/core/crquota/decide.go
@@ -9,9 +9,9 @@
 const (
 	// FromCaller is a request of a caller at this daemon.
 	FromCaller Origin = iota + 1
-	// FromPeer is a request of a peer that considers this daemon the owner.
+	// FromPeer is a request of a peer that selected this daemon as the owner.
 	FromPeer
-	// ToRelay is a request to be relayed, of a peer that cannot reach the owner itself.
+	// ToRelay is a request of a peer that cannot reach the owner itself. It is to be relayed.
 	ToRelay
 	// FromRelay is a request that a peer forwards for another one. It is not forwarded again.
 	FromRelay
@@ -29,11 +29,11 @@
 // that should be present. Reachable are those of them whose heartbeats this daemon receives, or
 // expects soon.
 //
-// A partition between two daemons leaves both alive. If the next owner took the place of the first
-// one because it could not reach it, both would grant the whole rate to the daemons that reach
-// them, and the account would get 1.5 times its limit. A daemon that owns an account only because
-// it cannot reach another therefore first queries a third daemon, which may reach the first owner. It
-// grants the token itself only if that fails.
+// When the network between two daemons fails, both keep running. If the next owner granted tokens
+// because it could not reach the first one, both would grant the whole rate to the daemons that
+// reach them, and the account would get 1.5 times its limit. A daemon that owns an account only
+// because it cannot reach another therefore first sends the request to a third daemon, which may
+// reach the first owner. It grants the token itself only if that fails.
 func Decide(a crid.Account, members, reachable []crid.Daemon, self crid.Daemon, origin Origin) Action {
 	owner := Owner(a, reachable)
 	if owner != self && owner != "" {
--- a/core/crquota/partition_test.go
+++ b/core/crquota/partition_test.go
@@ -35,16 +35,16 @@
 	}
 }
 
-// One of ten daemons is dead. The accounts' rates must not change.
-func TestDeadDaemonDoesNotReduceRates(t *testing.T) {
+// One of ten daemons is down. The accounts' rates must not change.
+func TestDaemonThatIsDownDoesNotReduceRates(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(crquota.RateFraction(10, 10)).To(gomega.Equal(1.0))
 	g.Expect(crquota.RateFraction(20, 22)).To(gomega.Equal(1.0))
 	g.Expect(crquota.RateFraction(11, 22)).To(gomega.BeNumerically("~", 0.55))
 }
 
-// The owner of a small account dies in a fleet of a hundred. A token in each fallback bucket would
-// be ten times the burst, again and again after idle times.
+// The owner of a small account fails in a fleet of a hundred. A token in each fallback bucket would
+// be ten times the burst, and again after each idle time.
 func TestFallbackBucketsOfLargeFleetStayWithinRate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const rate, burst, size = 10.0, 10.0, 100
@@ -139,9 +139,9 @@
 	return ok, true
 }
 
-// Some paths between live daemons are cut, among them the one from the account's owner to the next
-// owner. An account that sends far above its rate at all daemons must get its rate once, not once
-// from each of the two.
+// Some paths between running daemons are cut, among them the one from the account's owner to the
+// next owner. An account that sends far above its rate at all daemons must get its rate once, not
+// once from each of the two.
 func TestAccountHasOneOwnerDespiteCutPaths(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const rate, burst, span = 100.0, 100.0, 5
@@ -189,7 +189,7 @@
 	action := crquota.Decide("survey", members, reachable, next, crquota.FromCaller)
 	g.Expect(action.To).NotTo(gomega.BeElementOf(owner, next))
 	g.Expect(action.Grant).To(gomega.BeTrue())
-	back := crquota.Decide("survey", members, reachable, action.To, action.Origin)
-	g.Expect(back).To(gomega.Equal(crquota.Action{To: next, Origin: crquota.FromRelay}))
-	g.Expect(crquota.Decide("survey", members, reachable, next, back.Origin)).To(gomega.Equal(crquota.Action{Grant: true}))
+	relayed := crquota.Decide("survey", members, reachable, action.To, action.Origin)
+	g.Expect(relayed).To(gomega.Equal(crquota.Action{To: next, Origin: crquota.FromRelay}))
+	g.Expect(crquota.Decide("survey", members, reachable, next, relayed.Origin)).To(gomega.Equal(crquota.Action{Grant: true}))
 }
