--- a/core/crbudget/crbudget.go
+++ b/core/crbudget/crbudget.go
@@ -1,6 +1,6 @@
-// Package crbudget implements a retry budget: it limits the attempts that send a request to a
-// further target. It is used by io/cringress, where requests enter. Package craccount and package crquota limit the
-// callers' requests themselves.
+// Package crbudget implements a retry budget: it limits retries, the attempts that send a request
+// to a further target. It is used by io/cringress, where requests enter. Packages craccount and
+// crquota limit the callers' requests themselves.
 //
 // The limit holds for the whole fleet: in any window, a fraction of a service's requests plus a
 // slack. Each daemon enforces its own part without messages: the fraction of the requests that
@@ -11,7 +11,7 @@
 //
 //	b := crbudget.New(crbudget.Params{Ratio: 0.2, Slack: 56, Window: 10 * time.Second})
 //	b.RecordRequest(now, service)
-//	if b.Spend(now, service, daemons, 1) { ... }
+//	if b.Spend(now, service, fleetSize, 1) { ... }
 package crbudget
 
 import (
@@ -23,13 +23,13 @@
 
 // safetyFactor is the fraction of the fleet's limit that is used. The rest covers the calls that
 // retried requests make: they are charged where they enter, by an estimated fraction, and when they
-// alone exceed a daemon's part, the other daemons do not know.
+// alone exceed a daemon's part, the other daemons do not reduce their retries.
 const safetyFactor = 0.6
 
 // Params are the limit of the fleet.
 type Params struct {
-	Ratio  float64 // further attempts per request
-	Slack  float64 // further attempts in a window in addition, by the whole fleet
+	Ratio  float64 // retries per request
+	Slack  float64 // retries of the whole fleet in a window, in addition to Ratio
 	Window time.Duration
 }
 
@@ -40,7 +40,7 @@
 	windows map[crid.Service]*window
 }
 
-// New returns a budget from which nothing is spent.
+// New returns a budget from which nothing has been spent.
 func New(p Params) *Budget {
 	return &Budget{params: p, windows: make(map[crid.Service]*window)}
 }
@@ -52,38 +52,38 @@
 	b.window(s).add(now, b.params.Window, 1, 0)
 }
 
-// Affords reports whether the budget covers one more attempt of the given cost.
-func (b *Budget) Affords(now crid.Instant, s crid.Service, daemons int, cost float64) bool {
+// Affords reports whether the budget covers one more retry of the given cost.
+func (b *Budget) Affords(now crid.Instant, s crid.Service, fleetSize int, cost float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.affords(now, s, daemons, cost)
+	return b.affords(now, s, fleetSize, cost)
 }
 
-func (b *Budget) affords(now crid.Instant, s crid.Service, daemons int, cost float64) bool {
-	spent, allowed := b.balance(now, s, daemons)
+func (b *Budget) affords(now crid.Instant, s crid.Service, fleetSize int, cost float64) bool {
+	spent, allowed := b.balance(now, s, fleetSize)
 	return spent+cost <= allowed
 }
 
 // Balance returns what was spent of this daemon's part in the window that ends now, and the part.
-func (b *Budget) Balance(now crid.Instant, s crid.Service, daemons int) (spent, allowed float64) {
+func (b *Budget) Balance(now crid.Instant, s crid.Service, fleetSize int) (spent, allowed float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.balance(now, s, daemons)
+	return b.balance(now, s, fleetSize)
 }
 
-func (b *Budget) balance(now crid.Instant, s crid.Service, daemons int) (spent, allowed float64) {
+func (b *Budget) balance(now crid.Instant, s crid.Service, fleetSize int) (spent, allowed float64) {
 	w := b.window(s)
 	w.add(now, b.params.Window, 0, 0)
-	slack := b.params.Slack / float64(max(daemons, 1))
+	slack := b.params.Slack / float64(max(fleetSize, 1))
 	return w.spent(), safetyFactor * (b.params.Ratio*w.requests() + slack)
 }
 
-// Spend takes the cost of one more attempt, or returns false when the budget does not cover it.
-// The cost is the number of requests that may arrive because of the attempt.
-func (b *Budget) Spend(now crid.Instant, s crid.Service, daemons int, cost float64) bool {
+// Spend takes the cost of one more retry, or returns false when the budget does not cover it.
+// The cost is the number of requests that may arrive because of the retry.
+func (b *Budget) Spend(now crid.Instant, s crid.Service, fleetSize int, cost float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.affords(now, s, daemons, cost) {
+	if !b.affords(now, s, fleetSize, cost) {
 		return false
 	}
 	b.window(s).add(now, b.params.Window, 0, cost)
@@ -98,7 +98,7 @@
 	b.window(s).add(now, b.params.Window, 0, cost)
 }
 
-// Refund returns the cost of an attempt that did not reach a target.
+// Refund returns the cost of a retry that did not reach a target.
 func (b *Budget) Refund(now crid.Instant, s crid.Service, cost float64) {
 	b.Charge(now, s, -cost)
 }
@@ -112,7 +112,7 @@
 	return w
 }
 
-// intervals is the number of parts of a window, which slides by one part at a time.
+// intervals is the number of intervals of a window, which slides by one interval at a time.
 const intervals = 10
 
 type interval struct {
@@ -120,7 +120,7 @@
 	requests, cost float64
 }
 
-// window sums the last [intervals] parts of a sliding window.
+// window sums the requests and the cost in the intervals of a sliding window.
 type window struct {
 	current int64
 	ring    [intervals]interval
