--- a/core/craccount/account_test.go
+++ b/core/craccount/account_test.go
@@ -119,8 +119,8 @@
 // the owner refills while the entry daemon can still spend.
 func TestOwnerExpiryAllowsForClockDrift(t *testing.T) {
 	g := NewWithT(t)
-	lateTokens := func(f mutations) int {
-		x := ownerWithLease(f)
+	lateTokens := func(m mutations) int {
+		x := ownerWithLease(m)
 		g.Expect(x.request(ms(3000), 20).Tokens).To(Equal(20))
 		x.Step(crevent.Tick{Now: ms(5000)})
 		return x.request(ms(5040), 20).Tokens
@@ -241,8 +241,8 @@
 // own, it would refill while the previous owner's grants can be spent.
 func TestHandoverTimeDoesNotCountForNewOwner(t *testing.T) {
 	g := NewWithT(t)
-	tokens := func(f mutations) int {
-		y := newTestState("y", f)
+	tokens := func(m mutations) int {
+		y := newTestState("y", m)
 		y.giveLease(1, 0, 5000, "x")
 		y.handOver(5000, 15000, "x", "y")
 		y.giveLease(2, 15000, 60000, "y")
@@ -256,8 +256,8 @@
 // refilled counted as the previous owner, both would fill the bucket.
 func TestQuickOwnerSwapsDoNotRefillTwice(t *testing.T) {
 	g := NewWithT(t)
-	tokens := func(f mutations) int {
-		x, y := newTestState("x", f), newTestState("y", f)
+	tokens := func(m mutations) int {
+		x, y := newTestState("x", m), newTestState("y", m)
 		y.giveLease(1, 0, 5000, "y")
 		x.giveLease(2, 5000, 6300, "x")
 		y.giveLease(3, 6300, 6400, "y")
--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -119,7 +119,7 @@
 	now             crid.Instant
 	snap            *crpolicy.Snapshot
 	lease           crmember.Lease // without Members and JointLists
-	members         memberSet      // of the last known list
+	members         memberSet      // of the last active list received
 	peers           map[crid.Daemon]crmember.Peer
 	eventReportedAt map[int]crid.Instant // by event number, for reportLimited
 	stopping        bool
--- a/core/craccount/entry.go
+++ b/core/craccount/entry.go
@@ -146,7 +146,7 @@
 	s.emit(Forget{Account: name})
 }
 
-// resolveSources finds the owners of an account's shares under the last known list.
+// resolveSources finds the owners of an account's shares under the last active list that was received.
 func (s *State) resolveSources(a *account) {
 	if a.sourcesValid {
 		return
--- a/core/craccount/owner.go
+++ b/core/craccount/owner.go
@@ -27,7 +27,7 @@
 	rev      crid.Revision
 	members  memberSet
 	start    time.Duration
-	handover bool // known from a handover, and not active here yet
+	handover bool // received in a handover, and not active here yet
 }
 
 // ownerRole is the state of the owner, which refills shares.
@@ -248,7 +248,7 @@
 		sh.enqueue(waiter{from: from, inc: req.Inc, seq: req.Seq, want: item.Want, waitForRest: item.WaitForRest, until: s.now.Add(maxQueueTime)})
 		sh.usedAt = s.now
 		s.markBusy(key)
-		s.serve(key, sh)
+		s.grantToWaiters(key, sh)
 	}
 }
 
@@ -286,8 +286,9 @@
 	}
 }
 
-// serve divides the balance among the waiters. It recalls unused tokens when that is not enough.
-func (s *State) serve(key shareKey, sh *share) {
+// grantToWaiters divides the balance among the waiters. It recalls unused tokens when that is not
+// enough.
+func (s *State) grantToWaiters(key shareKey, sh *share) {
 	sh.expire(s.now)
 	sh.prune(s.now)
 	unmet := false
@@ -361,7 +362,7 @@
 		sh.refill(s.owner.refillClock)
 		sh.expire(s.now)
 		if s.hasLease() {
-			s.serve(key, sh)
+			s.grantToWaiters(key, sh)
 		}
 		if len(sh.grants)+len(sh.waiters) == 0 {
 			delete(s.owner.isBusy, key)
