--- a/core/crinstance/crinstance.go
+++ b/core/crinstance/crinstance.go
@@ -1,9 +1,9 @@
 // Package crinstance defines the platform's list of instances: the daemons of the fleet,
-// their addresses and domains, the targets beside them, and which of them are leaving.
+// their addresses and domains, the targets that they serve, and which of them are leaving.
 //
-// A [List] is immutable under its revision. Daemons may hold lists of different
-// revisions for any time. core/crmember decides which list is active. A daemon that reads
-// target records from the store uses core/crregistry instead.
+// A [List] with a given revision never changes. Daemons may hold lists of different
+// revisions for any length of time. core/crmember decides which list is active. A daemon
+// that reads target records from the store uses core/crregistry instead.
 //
 // # Usage
 //
@@ -18,7 +18,7 @@
 	"camphorroad/core/crid"
 )
 
-// Target is one upstream beside an instance.
+// Target is one upstream that an instance serves.
 type Target struct {
 	Name    crid.Target  `cbor:"n" json:"name"`
 	Service crid.Service `cbor:"s" json:"service"`
@@ -66,7 +66,7 @@
 // Len returns the number of instances.
 func (l List) Len() int { return len(l.instances) }
 
-// Instances returns a copy, sorted by daemon.
+// Instances returns a copy of the instances, sorted by daemon.
 func (l List) Instances() []Instance { return slices.Clone(l.instances) }
 
 // Find returns the instance of a daemon.
@@ -98,6 +98,6 @@
 // At implements crevent.Event.
 func (e ListUpdated) At() crid.Instant { return e.Now }
 
-// EffectName implements crevent.Effect. A reducer that gets a list from a peer emits
-// ListUpdated to its siblings.
+// EffectName implements crevent.Effect. A reducer that receives a list from a peer emits
+// ListUpdated to its sibling reducers.
 func (ListUpdated) EffectName() string { return "listed" }
--- a/core/crregistry/crregistry.go
+++ b/core/crregistry/crregistry.go
@@ -30,7 +30,7 @@
 	Domain        crid.Domain
 	Slots         int
 	Leaving       bool
-	Warmup        time.Duration // how long the target is still slow after its start
+	Warmup        time.Duration // remaining duration of its slow start
 	StartedMillis int64         `cbor:"Born" json:"Born"` // Unix milliseconds of its start, by its own clock; zero: not known
 }
 
@@ -38,7 +38,7 @@
 type Change struct {
 	Key      string
 	Revision crid.Revision
-	Record   *Record // nil: removed, or unreadable and so without a target
+	Record   *Record // nil: removed, or unreadable; either way the key has no target
 }
 
 type entry struct {
@@ -68,13 +68,13 @@
 
 // LatestChange returns the revision of the latest change of a record. A list read from the
 // store usually has a later revision, since other parts of the store change too. Peers
-// that know the same changes have the same records.
+// with the same latest change have the same records.
 func (g *Registry) LatestChange() crid.Revision { return g.latestChange }
 
-// MarkStoreUnavailable notes that the store cannot be read.
+// MarkStoreUnavailable records that the store cannot be read.
 func (g *Registry) MarkStoreUnavailable() { g.storeUnavailable = true }
 
-// MarkStoreAvailable notes that the store can be read again.
+// MarkStoreAvailable records that the store can be read again.
 func (g *Registry) MarkStoreAvailable(now crid.Instant) {
 	if !g.storeUnavailable {
 		return
@@ -137,8 +137,8 @@
 	delete(g.records, key)
 }
 
-// Sweep drops the records that are missing at the end of the grace period, and reports
-// whether there were any.
+// Sweep removes the records that are still missing at the end of the grace period, and
+// reports whether there were any.
 func (g *Registry) Sweep(now crid.Instant) bool {
 	if g.inGrace(now) {
 		return false
@@ -148,8 +148,8 @@
 	return len(g.records) != before
 }
 
-// Records returns the records sorted by target. If two have one address, only the later
-// one counts: the address was reassigned, and the other target is gone.
+// Records returns the records sorted by target. If two have the same address, only the
+// later one counts: the address was reassigned, and the other target is gone.
 func (g *Registry) Records() []Record {
 	latest := make(map[string]*entry, len(g.records))
 	for _, e := range g.records {
@@ -165,6 +165,8 @@
 	return out
 }
 
+// newer reports whether a is the later record of an address. A record that is not leaving
+// is later than a leaving one.
 func newer(a, b *entry) bool {
 	if a.record.Leaving != b.record.Leaving {
 		return b.record.Leaving
--- a/core/crregistry/crregistry_test.go
+++ b/core/crregistry/crregistry_test.go
@@ -23,16 +23,16 @@
 	return crregistry.Change{Key: "servers/" + string(r.Target), Revision: revision, Record: r}
 }
 
-func names(g *crregistry.Registry) []string {
+func names(reg *crregistry.Registry) []string {
 	out := []string{}
-	for _, r := range g.Records() {
+	for _, r := range reg.Records() {
 		out = append(out, string(r.Target))
 	}
 	return out
 }
 
-// The record of a target that has left must go at once, or new requests sent there are
-// lost.
+// The record of a target that has left is removed. If it stayed in use, new requests would
+// be sent there and lost.
 func TestRemovedRecordIsDropped(t *testing.T) {
 	g := gomega.NewWithT(t)
 	reg := crregistry.New(grace)
@@ -106,8 +106,8 @@
 	g.Expect(reg.Records()[0].Leaving).To(gomega.BeTrue())
 }
 
-// A target's record is overwritten with an unreadable one. It names no target any more, and
-// all other records stay.
+// A target's record is overwritten with an unreadable one. That target is removed, and all
+// other records stay.
 func TestUnreadableRecordNamesNoTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	reg := crregistry.New(grace)
