--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -247,7 +247,7 @@
 		Size:           1,
 		Confirmed:      1,
 		Reachable:      1,
-		Silent:         make(map[crid.Daemon]bool),
+		Unresponsive:         make(map[crid.Daemon]bool),
 		Stopping:       s.stopping,
 		Readers:        s.readers(),
 		StoreReaders:   s.storeReaders(),
@@ -277,7 +277,7 @@
 			v.Reachable++
 		}
 		if p.silent {
-			v.Silent[d] = true
+			v.Unresponsive[d] = true
 		}
 		if p.heartbeat.Stopping {
 			continue
--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -158,7 +158,7 @@
 	g.Expect(v.Live).To(gomega.Equal([]crid.Daemon{"10.0.0.1", "10.0.0.3"}))
 	g.Expect(views(s.Step(crevent.Tick{Now: start.Add(1100 * time.Millisecond)}))).To(gomega.BeEmpty())
 	v = views(s.Step(crevent.Tick{Now: start.Add(1300 * time.Millisecond)}))[0]
-	g.Expect(v.Silent).To(gomega.HaveKey(crid.Daemon("10.0.0.3")))
+	g.Expect(v.Unresponsive).To(gomega.HaveKey(crid.Daemon("10.0.0.3")))
 	g.Expect(v.Live).To(gomega.Equal([]crid.Daemon{"10.0.0.1"}))
 }
 
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -165,7 +165,7 @@
 	Readers        []crid.Daemon      // daemons of the own domain that read the store for it
 	ReadersPending bool               `cbor:"Coming" json:"Coming"`   // the first heartbeat of a peer of the own domain is still expected, or there are no records
 	StoreReaders   int                `cbor:"Lookers" json:"Lookers"` // daemons of the whole fleet that read the store
-	Silent         map[crid.Daemon]bool
+	Unresponsive         map[crid.Daemon]bool `cbor:"Silent" json:"Silent"`
 	Stopping       bool
 }
 
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -228,12 +228,12 @@
 	g.Expect(s.Step(crmesh.TokenRequestUnanswered{Now: start.Add(100 * time.Millisecond), Peer: "10.0.0.2"})).To(gomega.BeEmpty())
 	v := views(s.Step(crmesh.TokenRequestUnanswered{Now: start.Add(1200 * time.Millisecond), Peer: "10.0.0.2"}))
 	g.Expect(v).To(gomega.HaveLen(1))
-	g.Expect(v[0].Silent).To(gomega.HaveKey(crid.Daemon("10.0.0.2")))
+	g.Expect(v[0].Unresponsive).To(gomega.HaveKey(crid.Daemon("10.0.0.2")))
 	for _, later := range views(s.Step(crevent.Tick{Now: start.Add(1300 * time.Millisecond)})) {
-		g.Expect(later.Silent).To(gomega.HaveKey(crid.Daemon("10.0.0.2")), "it stays silent")
+		g.Expect(later.Unresponsive).To(gomega.HaveKey(crid.Daemon("10.0.0.2")), "it stays silent")
 	}
 	v = views(s.Step(crmesh.HeartbeatReceived{Now: start.Add(1400 * time.Millisecond), From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}}))
-	g.Expect(v[0].Silent).To(gomega.BeEmpty())
+	g.Expect(v[0].Unresponsive).To(gomega.BeEmpty())
 }
 
 // The path to an owner is cut for token requests but not for heartbeats. Other daemons
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -283,7 +283,7 @@
 	}
 	v := d.loop.view.Load()
 	out := dump{
-		Daemons: v.Live, Silent: slices.Sorted(maps.Keys(v.Silent)), Targets: v.Targets, Own: d.exit.LoadReport(), Open: d.entry.InFlight(),
+		Daemons: v.Live, Silent: slices.Sorted(maps.Keys(v.Unresponsive)), Targets: v.Targets, Own: d.exit.LoadReport(), Open: d.entry.InFlight(),
 	}
 	if v.Plan != nil {
 		out.Plan = v.Plan.Label()
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -193,11 +193,11 @@
 	if !slices.Equal(before.Readers, v.Readers) {
 		d.log.Event(crlog.ReadersChanged, crlog.Fields{"readers": joinDaemons(v.Readers)})
 	}
-	if len(v.Silent) > len(before.Silent) {
-		d.log.Event(crlog.PeerSilent, crlog.Fields{"peers": joinKeys(v.Silent)})
+	if len(v.Unresponsive) > len(before.Unresponsive) {
+		d.log.Event(crlog.PeerSilent, crlog.Fields{"peers": joinKeys(v.Unresponsive)})
 	}
-	if len(v.Silent) < len(before.Silent) {
-		d.log.Event(crlog.PeerRecovered, crlog.Fields{"silent": joinKeys(v.Silent)})
+	if len(v.Unresponsive) < len(before.Unresponsive) {
+		d.log.Event(crlog.PeerRecovered, crlog.Fields{"silent": joinKeys(v.Unresponsive)})
 	}
 }
 
--- a/io/crmesh/meters.go
+++ b/io/crmesh/meters.go
@@ -60,7 +60,7 @@
 		"target.slots":                           func() int64 { return int64(d.exit.LoadReport().Slots) },
 		"target.sick.percent":                    func() int64 { return int64(d.exit.LoadReport().UnhealthyProb * 100) },
 		"requests.open":                          d.entry.InFlight,
-		"peers.silent":                           func() int64 { return int64(len(d.loop.view.Load().Silent)) },
+		"peers.silent":                           func() int64 { return int64(len(d.loop.view.Load().Unresponsive)) },
 		"peers.alive":                            func() int64 { return int64(len(d.loop.view.Load().Live) - 1) },
 		"plan.version":                           d.planVersion,
 		"store.calls.total":                      d.feed.StoreCalls,
