--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -169,8 +169,8 @@
 	Stopping       bool
 }
 
-// TokenStep returns what a daemon with this view does about a token of an account.
-func (v *View) TokenStep(a crid.Account, self crid.Daemon, by crquota.Origin) crquota.Action {
+// TokenAction returns what a daemon with this view does about a token of an account.
+func (v *View) TokenAction(a crid.Account, self crid.Daemon, by crquota.Origin) crquota.Action {
 	return crquota.Decide(a, v.Members, v.Owners, self, by)
 }
 
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -330,7 +330,7 @@
 	v := views(s.Step(crmesh.HeartbeatReceived{Now: start, From: c.names[0], Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}}))
 	for n := range 20 {
 		a := crid.Account("account-" + strconv.Itoa(n))
-		step := v[len(v)-1].TokenStep(a, restarted, crquota.FromCaller)
+		step := v[len(v)-1].TokenAction(a, restarted, crquota.FromCaller)
 		if owner := crquota.Owner(a, c.names); owner != restarted {
 			g.Expect(step).To(gomega.Equal(crquota.Action{To: owner, Origin: crquota.FromPeer}))
 		} else {
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -40,7 +40,7 @@
 // decide returns how a token request for an account is handled: granted here, or sent
 // on.
 func (m *ownerLimiter) decide(name crid.Account, by crquota.Origin) crquota.Action {
-	return m.loop.view.Load().TokenStep(name, m.self, by)
+	return m.loop.view.Load().TokenAction(name, m.self, by)
 }
 
 // answer takes a token for a peer. handled is false if another daemon has to be queried.
