--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -26,8 +26,8 @@
 	RecordRevision   crid.Revision // latest change of the records; zero: none read
 }
 
-// TargetStatus returns the target's part of the heartbeat.
-func (b Heartbeat) TargetStatus() crplace.LoadReport {
+// LoadReport returns the target's part of the heartbeat.
+func (b Heartbeat) LoadReport() crplace.LoadReport {
 	return crplace.LoadReport{
 		Load:          b.Load,
 		Slots:         b.Slots,
