--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -204,7 +204,7 @@
 	s.trackNewer(ev.Now, p)
 	effects := make([]crevent.Effect, 0, 3)
 	if ev.Heartbeat.Target != "" {
-		effects = append(effects, UpdateTarget{Target: ev.Heartbeat.Target, Status: ev.Heartbeat.LoadReport()})
+		effects = append(effects, UpdateTarget{Target: ev.Heartbeat.Target, Report: ev.Heartbeat.LoadReport()})
 	}
 	if changed {
 		effects = append(effects, s.publishView(ev.Now))
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -127,7 +127,7 @@
 	// UpdateTarget passes the state of a peer's target to target selection.
 	UpdateTarget struct {
 		Target crid.Target
-		Status crplace.LoadReport `cbor:"Told" json:"Told"`
+		Report crplace.LoadReport `cbor:"Told" json:"Told"`
 	}
 	// Pull fetches plan and records from a peer.
 	Pull struct{ From crid.Daemon }
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -104,7 +104,7 @@
 		case crmesh.SendHeartbeats:
 			d.channel.SendHeartbeat(eff.To, d.heartbeat(eff))
 		case crmesh.UpdateTarget:
-			d.balancer.Report(eff.Target, eff.Status)
+			d.balancer.Report(eff.Target, eff.Report)
 		case crmesh.Pull:
 			go d.pull(ctx, eff.From)
 		case crmesh.RenewWatches:
