--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -17,7 +17,7 @@
 	Target           crid.Target // empty: not known
 	Load             int         // requests running and waiting
 	Slots            int
-	Sick             uint8         // failure probability, of 255
+	UnhealthyProb255             uint8         // failure probability, of 255
 	TypicalMillis    int64         // typical duration of a request; zero: not known
 	Closed           bool          // the target accepts nothing now
 	Stopping         bool          // the daemon is about to end
@@ -31,7 +31,7 @@
 	return crplace.LoadReport{
 		Load:          b.Load,
 		Slots:         b.Slots,
-		UnhealthyProb: float64(b.Sick) / 255,
+		UnhealthyProb: float64(b.UnhealthyProb255) / 255,
 		Typical:       time.Duration(b.TypicalMillis) * time.Millisecond,
 		Closed:        b.Closed,
 	}
