--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -4,8 +4,9 @@
 // store does not deliver.
 //
 // [State] is a reducer that io/crmesh runs. It reads no clock and does no I/O, and
-// one goroutine owns it. Traffic reads an immutable [View]. Unlike core/crmember, it
-// needs no quorum: it gives no lease, and peers may hold different views for a while.
+// one goroutine owns it. The code that handles requests reads an immutable [View].
+// Unlike core/crmember, it needs no quorum: it gives no lease, and peers may hold
+// different views for a while.
 //
 // # Usage
 //
@@ -27,41 +28,44 @@
 )
 
 const (
-	// missedUntilSilent is the number of heartbeats after whose absence a peer counts
-	// as silent. One may be lost, and two in a row rarely are.
-	missedUntilSilent = 3
-	// peerRetention is how long a peer that no record names is kept without a heartbeat.
+	// maxMissedHeartbeats is the number of missed heartbeats after which a peer counts
+	// as unresponsive. One may be lost, and two in a row rarely are.
+	maxMissedHeartbeats = 3
+	// peerRetention is how long a peer that no record and no seed names is kept without a
+	// heartbeat.
 	peerRetention = 20 * time.Second
 	// pullDelay is how long a daemon waits after a peer has named a newer plan or
-	// record before it pulls it. The store usually delivers it sooner, batched over half
-	// a second, and the pull is saved.
+	// record before it pulls it. The store batches changes over half a second, so that it
+	// usually delivers them before the end of the delay and no pull is needed.
 	pullDelay = 600 * time.Millisecond
 	// pullInterval is the minimum time between two pulls.
 	pullInterval = 400 * time.Millisecond
-	// renewInterval is the minimum time between two renewals of the watches. Each costs
-	// a reader two calls of the store.
+	// renewInterval is the minimum time between two renewals of the watches. Each renewal
+	// costs a reader two calls to the store.
 	renewInterval = time.Second
 	// urgentInterval is the minimum time between two urgent heartbeats. Otherwise a
 	// target whose health flaps would cost a heartbeat to every peer for each response.
 	urgentInterval = 50 * time.Millisecond
-	// idleIntervalPerPeer is the minimum time between heartbeats, for each peer of the
-	// fleet, to peers of other domains without a recent offer. Otherwise each daemon
-	// would send a heartbeat a second to all others, which in a fleet of hundreds is nine
-	// tenths of all bytes between domains. Such a peer learns the rest with its next offer.
+	// idleIntervalPerPeer, multiplied by the number of peers, is the minimum time between
+	// heartbeats to a peer of another domain that has made no recent offer. Otherwise each
+	// daemon would send a heartbeat a second to all others, which in a fleet of hundreds is
+	// nine tenths of all bytes between domains. Such a peer gets the rest of the state with
+	// its next offer.
 	idleIntervalPerPeer = 25 * time.Millisecond
-	// shortIdleIntervalPerPeer applies instead as long as the product is at most
-	// maxShortIdleInterval. It saves these heartbeats in a fleet of a hundred as well,
-	// where the failure of a daemon is still detected within three of them.
+	// shortIdleIntervalPerPeer is used instead, up to a product of maxShortIdleInterval. It
+	// reduces these heartbeats in a fleet of a hundred as well, where the failure of a
+	// daemon is still detected within three of them.
 	shortIdleIntervalPerPeer = 60 * time.Millisecond
 	maxShortIdleInterval     = 7500 * time.Millisecond
-	// interestDuration is how long a peer that made an offer counts as interested.
+	// interestDuration is how long a peer that made an offer counts as interested in the
+	// state of this daemon's target.
 	interestDuration = 10 * time.Second
 	// maxUrgentToAll is the number of peers above which urgent heartbeats go only to the
 	// own domain and to interested peers. Target states change 20 times a second in a
 	// fleet of 300.
 	maxUrgentToAll = 40
-	// minIntervalPerPeer is the minimum time between heartbeats, for each peer, so that
-	// a daemon of a large fleet sends no more than 250 a second.
+	// minIntervalPerPeer, multiplied by the number of peers, is the minimum time between
+	// heartbeats to one peer. So a daemon of a large fleet sends no more than 250 a second.
 	minIntervalPerPeer = 4 * time.Millisecond
 )
 
@@ -83,7 +87,7 @@
 	plan             *crplan.Plan
 	registry         *crregistry.Registry
 	hasRecords       bool
-	storeUnavailable bool // the store does not answer this daemon
+	storeUnavailable bool // this daemon's own calls to the store fail
 	peers            map[crid.Daemon]*peer
 	lastPull         crid.Instant
 	pullCount        int
@@ -93,7 +97,7 @@
 	stopping         bool
 }
 
-// New returns the state of a daemon that knows only its seeds.
+// New returns the state of a daemon whose only peers are its seeds.
 func New(p Params) *State {
 	s := &State{params: p, registry: crregistry.New(p.RecordGrace), peers: make(map[crid.Daemon]*peer)}
 	for _, d := range p.Seeds {
@@ -185,8 +189,8 @@
 	return []crevent.Effect{s.publishView(now)}
 }
 
-// DaemonOf returns the daemon beside the target with an address. A daemon is named
-// by the address of its machine.
+// DaemonOf returns the daemon on the machine of the target with the given address. A
+// daemon is named by the address of its machine.
 func DaemonOf(address string) crid.Daemon {
 	host, _, _ := strings.Cut(address, ":")
 	return crid.Daemon(host)
@@ -198,9 +202,9 @@
 		p = &peer{}
 		s.peers[ev.From] = p
 	}
-	changed := p.lastHeard == 0 || p.silent || !sameStatus(p.heartbeat, ev.Heartbeat)
-	newlyUnavailable := p.lastHeard != 0 && ev.Heartbeat.StoreUnavailable && !p.heartbeat.StoreUnavailable
-	p.lastHeard, p.heartbeat, p.silent, p.overdue, p.unresponsive = ev.Now, ev.Heartbeat, false, false, false
+	changed := p.lastReceived == 0 || p.unresponsive || !sameRole(p.heartbeat, ev.Heartbeat)
+	newlyUnavailable := p.lastReceived != 0 && ev.Heartbeat.StoreUnavailable && !p.heartbeat.StoreUnavailable
+	p.lastReceived, p.heartbeat, p.unresponsive, p.overdue, p.requestsUnanswered = ev.Now, ev.Heartbeat, false, false, false
 	s.trackNewer(ev.Now, p)
 	effects := make([]crevent.Effect, 0, 3)
 	if ev.Heartbeat.Target != "" {
@@ -218,7 +222,7 @@
 func (s *State) tick(now crid.Instant) []crevent.Effect {
 	changed := s.registry.Sweep(now)
 	for d, p := range s.peers {
-		if !p.known && (p.lastHeard == 0 || now.Sub(p.lastHeard) > peerRetention) {
+		if !p.known && (p.lastReceived == 0 || now.Sub(p.lastReceived) > peerRetention) {
 			delete(s.peers, d)
 			changed = true
 			continue
@@ -226,9 +230,9 @@
 		if p.knownSince == 0 {
 			p.knownSince = now // a seed
 		}
-		silent, overdue := p.unresponsive || s.missesHeartbeats(now, p), s.isOverdue(now, p)
-		if silent != p.silent || overdue != p.overdue {
-			p.silent, p.overdue = silent, overdue
+		unresponsive, overdue := p.requestsUnanswered || s.missesHeartbeats(now, p), s.isOverdue(now, p)
+		if unresponsive != p.unresponsive || overdue != p.overdue {
+			p.unresponsive, p.overdue = unresponsive, overdue
 			changed = true
 		}
 	}
@@ -247,7 +251,7 @@
 		Size:           1,
 		Confirmed:      1,
 		Reachable:      1,
-		Unresponsive:         make(map[crid.Daemon]bool),
+		Unresponsive:   make(map[crid.Daemon]bool),
 		Stopping:       s.stopping,
 		Readers:        s.readers(),
 		StoreReaders:   s.storeReaders(),
@@ -273,16 +277,16 @@
 		if s.isMember(p) {
 			v.Confirmed++
 		}
-		if s.isMember(p) && !p.silent && !p.overdue {
+		if s.isMember(p) && !p.unresponsive && !p.overdue {
 			v.Reachable++
 		}
-		if p.silent {
+		if p.unresponsive {
 			v.Unresponsive[d] = true
 		}
 		if p.heartbeat.Stopping {
 			continue
 		}
-		if p.lastHeard != 0 && !p.silent {
+		if p.lastReceived != 0 && !p.unresponsive {
 			v.Live = append(v.Live, d)
 		}
 		if p.mayBeUp() {
@@ -292,8 +296,8 @@
 			v.Members = append(v.Members, d)
 		}
 	}
-	// Peers take over the accounts of a stopping daemon. If it went on as their owner,
-	// each stopping daemon would hand out their rate once more to its own callers.
+	// Peers take over the accounts of a stopping daemon. If it remained their owner,
+	// each stopping daemon would grant their rate once more to its own callers.
 	if !s.stopping || len(v.Live) == 0 {
 		v.Live = append(v.Live, s.params.Self)
 		v.Owners = append(v.Owners, s.params.Self)
--- a/core/crmesh/crmesh_test.go
+++ b/core/crmesh/crmesh_test.go
@@ -135,8 +135,8 @@
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(800 * time.Millisecond)}))).To(gomega.Equal([]crid.Daemon{"10.0.0.3"}))
 }
 
-// Every change reaches the daemons a few milliseconds apart. If each daemon that learns
-// of it first by a heartbeat pulled it, each change would cost a full copy.
+// Every change reaches the daemons a few milliseconds apart. If each daemon that a
+// heartbeat reaches before the change pulled it, each change would cost a full copy.
 func TestNoPullIfTheStoreCatchesUp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
@@ -148,9 +148,9 @@
 	g.Expect(pulls(s.Step(crevent.Tick{Now: start.Add(time.Second)}))).To(gomega.BeEmpty())
 }
 
-// A peer's machine fails. Its target must not be offered requests until its record
-// expires.
-func TestPeerWithoutHeartbeatsIsSilent(t *testing.T) {
+// A peer's machine fails, and its target's record expires only later. No requests must be
+// offered to the target in between.
+func TestPeerWithoutHeartbeatsIsUnresponsive(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	s.Step(recordsListed())
@@ -176,8 +176,8 @@
 	g.Expect(count["10.0.0.2"]).To(gomega.Equal(10), "another domain")
 }
 
-// A target becomes unhealthy between two heartbeats. If the peers learned that late, each of
-// them would lose a request there.
+// A target becomes unhealthy between two heartbeats. If this were sent only with the next
+// one, each peer would lose a request there.
 func TestTargetChangeSendsUrgentHeartbeats(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
@@ -188,8 +188,8 @@
 	g.Expect(heartbeats(s.Step(crevent.Tick{Now: start.Add(120 * time.Millisecond)}))).To(gomega.HaveLen(3), "the deferred heartbeats")
 }
 
-// A process that starts during an outage of the store knows only its seeds, and gets
-// plan and records through them.
+// A process that starts during an outage of the store has only its seeds as peers, and
+// pulls plan and records from them.
 func TestNewDaemonPullsFromSeeds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
@@ -232,20 +232,20 @@
 	return s, count[offeringPeer], count[idlePeer]
 }
 
-// Heartbeats from all to all grow with the square of the fleet, and bytes between domains
-// are expensive. In a large fleet only peers that offer requests get them often.
+// Heartbeats between all pairs grow with the square of the fleet's size, and bytes between
+// domains are expensive. In a large fleet only peers that offer requests get them often.
 func TestLargeFleetSendsOftenOnlyToOfferingRemotePeers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s, offering, idle := remoteHeartbeats(300)
 	g.Expect(offering).To(gomega.BeNumerically(">=", 23))
 	g.Expect(idle).To(gomega.BeNumerically("<=", 5))
-	g.Expect(idle).To(gomega.BeNumerically(">=", 4), "or the peer counts this daemon as silent")
+	g.Expect(idle).To(gomega.BeNumerically(">=", 4), "or the peer counts this daemon as unresponsive")
 	urgent := heartbeats(s.Step(crmesh.TargetChanged{Now: start.Add(30050 * time.Millisecond)}))
 	g.Expect(urgent).To(gomega.ContainElement(crid.Daemon(offeringPeer)))
 	g.Expect(urgent).NotTo(gomega.ContainElement(crid.Daemon(idlePeer)))
 }
 
-// Heartbeats must not use up the processor of a daemon in a large fleet.
+// Without a limit, heartbeats would use up a daemon's processor in a large fleet.
 func TestHeartbeatRateOfLargeFleetIsBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
@@ -331,5 +331,5 @@
 	_, offering, idle := remoteHeartbeats(100)
 	g.Expect(offering).To(gomega.BeNumerically(">=", 23))
 	g.Expect(idle).To(gomega.BeNumerically("<=", 6))
-	g.Expect(idle).To(gomega.BeNumerically(">=", 4), "or the peer counts this daemon as silent")
+	g.Expect(idle).To(gomega.BeNumerically(">=", 4), "or the peer counts this daemon as unresponsive")
 }
--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -15,25 +15,25 @@
 	_                struct{} `cbor:",toarray"`
 	Incarnation      uint64
 	Target           crid.Target // empty: not known
-	Load             int         // requests running and waiting
+	Load             int         // running and waiting requests
 	Slots            int
-	UnhealthyProb255             uint8         // failure probability, of 255
+	UnhealthyProb255 uint8         // probability that a request fails, in units of 1/255
 	TypicalMillis    int64         // typical duration of a request; zero: not known
-	Closed           bool          // the target accepts nothing now
-	Stopping         bool          // the daemon is about to end
-	StoreUnavailable bool          // the store does not answer the daemon
+	Closed           bool          // the target accepts no requests now
+	Stopping         bool          // the daemon is shutting down
+	StoreUnavailable bool          // the daemon's own calls to the store fail
 	PlanVersion      uint64        // plan in force
 	RecordRevision   crid.Revision // latest change of the records; zero: none read
 }
 
-// LoadReport returns the target's part of the heartbeat.
-func (b Heartbeat) LoadReport() crplace.LoadReport {
+// LoadReport returns the state of the target in the heartbeat.
+func (h Heartbeat) LoadReport() crplace.LoadReport {
 	return crplace.LoadReport{
-		Load:          b.Load,
-		Slots:         b.Slots,
-		UnhealthyProb: float64(b.UnhealthyProb255) / 255,
-		Typical:       time.Duration(b.TypicalMillis) * time.Millisecond,
-		Closed:        b.Closed,
+		Load:          h.Load,
+		Slots:         h.Slots,
+		UnhealthyProb: float64(h.UnhealthyProb255) / 255,
+		Typical:       time.Duration(h.TypicalMillis) * time.Millisecond,
+		Closed:        h.Closed,
 	}
 }
 
@@ -60,7 +60,7 @@
 	// StoreUnavailable reports that the store cannot be read.
 	StoreUnavailable struct {
 		Now             crid.Instant
-		ReportedByPeers bool // by peers that read it; this daemon has not tried itself
+		ReportedByPeers bool // peers that read the store report it; this daemon has not tried itself
 	}
 	// StoreAvailable reports that the store can be read again.
 	StoreAvailable struct{ Now crid.Instant }
@@ -70,7 +70,7 @@
 		From      crid.Daemon
 		Heartbeat Heartbeat
 	}
-	// OfferReceived reports that a peer has offered a request.
+	// OfferReceived reports that a peer has offered a request to this daemon's target.
 	OfferReceived struct {
 		Now  crid.Instant
 		From crid.Daemon
@@ -114,7 +114,7 @@
 
 // Effects.
 type (
-	// PublishView publishes a new view to traffic.
+	// PublishView replaces the view that the code handling requests reads.
 	PublishView struct{ View *View }
 	// SendHeartbeats sends a heartbeat to peers. The I/O layer fills in the target's state.
 	SendHeartbeats struct {
@@ -131,7 +131,7 @@
 	}
 	// Pull fetches plan and records from a peer.
 	Pull struct{ From crid.Daemon }
-	// RenewWatches replaces the watches on the store, which may have stopped delivering.
+	// RenewWatches replaces the watches on the store, which may no longer deliver changes.
 	RenewWatches struct{}
 )
 
@@ -150,33 +150,33 @@
 // EffectName implements crevent.Effect.
 func (RenewWatches) EffectName() string { return "renew" }
 
-// View is an immutable snapshot of the state for traffic.
+// View is an immutable snapshot of the state for the code that handles requests.
 type View struct {
 	Plan           *crplan.Plan // nil: none yet
 	HasRecords     bool         `cbor:"Listed" json:"Listed"` // the records have been read
 	Targets        map[crid.Service][]crplace.Candidate
-	OwnRecord      *crregistry.Record `cbor:"Own" json:"Own"`         // record of this daemon's target; nil: none
-	Live           []crid.Daemon      `cbor:"Daemons" json:"Daemons"` // this daemon and the peers that are up, without stopping ones
-	Owners         []crid.Daemon      // Live, and recorded peers whose first heartbeat may still come
-	Members        []crid.Daemon      // Owners, and recorded peers without heartbeats
-	Size           int                // daemons of the fleet, up or not, and seeds
-	Confirmed      int                `cbor:"Known" json:"Known"` // Size without seeds that no record names and that send no heartbeats
-	Reachable      int                `cbor:"Heard" json:"Heard"` // Confirmed without peers that are silent or whose first heartbeat is overdue
-	Readers        []crid.Daemon      // daemons of the own domain that read the store for it
-	ReadersPending bool               `cbor:"Coming" json:"Coming"`   // the first heartbeat of a peer of the own domain is still expected, or there are no records
-	StoreReaders   int                `cbor:"Lookers" json:"Lookers"` // daemons of the whole fleet that read the store
-	Unresponsive         map[crid.Daemon]bool `cbor:"Silent" json:"Silent"`
+	OwnRecord      *crregistry.Record   `cbor:"Own" json:"Own"`         // record of this daemon's target; nil: none
+	Live           []crid.Daemon        `cbor:"Daemons" json:"Daemons"` // this daemon and the peers that are up, without stopping ones
+	Owners         []crid.Daemon        // Live, and recorded peers whose first heartbeat may still come
+	Members        []crid.Daemon        // Owners, and recorded peers without heartbeats
+	Size           int                  // daemons of the fleet, up or not, and seeds
+	Confirmed      int                  `cbor:"Known" json:"Known"` // Size without seeds that no record names and that send no heartbeats
+	Reachable      int                  `cbor:"Heard" json:"Heard"` // Confirmed without peers that are unresponsive or whose first heartbeat is overdue
+	Readers        []crid.Daemon        // daemons of the own domain that read the store for it
+	ReadersPending bool                 `cbor:"Coming" json:"Coming"`   // the first heartbeat of a peer of the own domain is still expected, or there are no records
+	StoreReaders   int                  `cbor:"Lookers" json:"Lookers"` // daemons of the whole fleet that read the store
+	Unresponsive   map[crid.Daemon]bool `cbor:"Silent" json:"Silent"`
 	Stopping       bool
 }
 
-// TokenAction returns what a daemon with this view does about a token of an account.
-func (v *View) TokenAction(a crid.Account, self crid.Daemon, by crquota.Origin) crquota.Action {
-	return crquota.Decide(a, v.Members, v.Owners, self, by)
+// TokenAction returns how a daemon with this view handles a token request for an account.
+func (v *View) TokenAction(a crid.Account, self crid.Daemon, origin crquota.Origin) crquota.Action {
+	return crquota.Decide(a, v.Members, v.Owners, self, origin)
 }
 
-// RateShare returns the part of an account's rate that this daemon hands out as its
-// owner. A daemon that receives no heartbeat may be one of many that have just started, each of
-// which would hand out the whole rate to its own callers.
+// RateShare returns the fraction of an account's rate that this daemon grants as its
+// owner. A daemon that receives no heartbeats may be one of many that have just started,
+// each of which would grant the whole rate to its own callers.
 func (v *View) RateShare() float64 {
 	if len(v.Live) <= 1 {
 		return crquota.RateFraction(1, v.Confirmed)
--- a/core/crmesh/peer.go
+++ b/core/crmesh/peer.go
@@ -10,37 +10,38 @@
 	"camphorroad/core/crid"
 )
 
-// peer is the state that a daemon keeps for another one.
+// peer is the state that a daemon holds for another one.
 type peer struct {
-	lastHeard       crid.Instant // zero: never
-	heartbeat       Heartbeat
-	known           bool         // a record or a seed names it
-	hasRecord       bool         // a record names it
-	domain          crid.Domain  // empty: not known
-	lastSent        crid.Instant // the last heartbeat to it
-	lastOffer       crid.Instant // its last offer; zero: none
-	aheadSince      crid.Instant // since when it is known to be newer; zero: it is not
-	version         uint64       // newest plan that it named at aheadSince
-	revision        crid.Revision
-	silent          bool
-	unansweredSince crid.Instant // since when it answers no token requests; zero: it answers
-	knownSince      crid.Instant // when it became known
-	unresponsive    bool         // silent because it answers no token requests
-	overdue         bool         // no heartbeat received, for as long as makes other peers silent
-}
-
-// trackNewer notes a plan or records of a peer that this daemon lacks, until the store
-// or a pull delivers them.
+	lastReceived       crid.Instant // when its latest heartbeat arrived; zero: none yet
+	heartbeat          Heartbeat
+	known              bool         // named by a record or as a seed
+	hasRecord          bool         // named by a record
+	domain             crid.Domain  // empty: not known
+	lastSent           crid.Instant // when the latest heartbeat was sent to it
+	lastOffer          crid.Instant // when its latest offer arrived; zero: none
+	newerSince         crid.Instant // when it reported a plan or records that this daemon lacks; zero: it did not
+	newerPlanVersion   uint64       // plan version that it reported at newerSince
+	newerRevision      crid.Revision
+	unresponsive       bool
+	unansweredSince    crid.Instant // when it first left a token request unanswered after its latest heartbeat; zero: never
+	knownSince         crid.Instant // when it became known
+	requestsUnanswered bool         // unresponsive because it answers no token requests
+	overdue            bool         // its first heartbeat has not arrived within the time after which other peers count as unresponsive
+}
+
+// trackNewer records that a peer has a plan or records that this daemon lacks, until the
+// store or a pull delivers them.
 func (s *State) trackNewer(now crid.Instant, p *peer) {
-	if p.aheadSince != 0 && s.lacks(p.version, p.revision) {
+	if p.newerSince != 0 && s.lacks(p.newerPlanVersion, p.newerRevision) {
 		return
 	}
-	p.aheadSince = 0
+	p.newerSince = 0
 	if s.lacks(p.heartbeat.PlanVersion, p.heartbeat.RecordRevision) {
-		p.aheadSince, p.version, p.revision = now, p.heartbeat.PlanVersion, p.heartbeat.RecordRevision
+		p.newerSince, p.newerPlanVersion, p.newerRevision = now, p.heartbeat.PlanVersion, p.heartbeat.RecordRevision
 	}
 }
 
+// lacks reports whether this daemon lacks a plan version or a revision of the records.
 func (s *State) lacks(version uint64, revision crid.Revision) bool {
 	return (version > 0 && (s.plan == nil || version > s.plan.Version())) ||
 		(revision > 0 && (!s.hasRecords || revision > s.registry.Revision()))
@@ -56,7 +57,7 @@
 	}
 	var best crid.Daemon
 	for d, p := range s.peers {
-		if p.silent || p.aheadSince == 0 || now.Sub(p.aheadSince) < pullDelay || !s.lacks(p.version, p.revision) {
+		if p.unresponsive || p.newerSince == 0 || now.Sub(p.newerSince) < pullDelay || !s.lacks(p.newerPlanVersion, p.newerRevision) {
 			continue
 		}
 		if best == "" || s.pullsBefore(d, best) {
@@ -71,8 +72,8 @@
 	return append(s.renewWatches(now), Pull{From: best})
 }
 
-// renewWatches renews this daemon's watches when they seem to have stopped delivering:
-// a peer reports the store as unavailable, or knows a change that they should have
+// renewWatches renews this daemon's watches when they probably no longer deliver changes:
+// a peer reports the store as unavailable, or has a change that they should have
 // delivered. Otherwise each watch would detect that only at the end of its wait.
 func (s *State) renewWatches(now crid.Instant) []crevent.Effect {
 	if s.lastRenewal != 0 && now.Sub(s.lastRenewal) < renewInterval {
@@ -95,55 +96,55 @@
 // A peer without any heartbeat so far may just have started; a request to it shows
 // whether it is up.
 func (s *State) missesHeartbeats(now crid.Instant, p *peer) bool {
-	if p.lastHeard == 0 {
+	if p.lastReceived == 0 {
 		return false
 	}
-	return now.Sub(p.lastHeard) > missedUntilSilent*s.idleInterval(p)
+	return now.Sub(p.lastReceived) > maxMissedHeartbeats*s.idleInterval(p)
 }
 
 // unansweredTimeout is how long a peer may leave token requests unanswered, without a
-// heartbeat, before it counts as silent. Peers of other domains send a heartbeat every
-// two seconds in a fleet of a hundred. Three missed ones are six seconds in which each
-// request of its accounts would wait in vain and get a part of the rate only.
+// heartbeat, before it counts as unresponsive. Peers of other domains send a heartbeat
+// every two seconds in a fleet of a hundred. Three missed ones take six seconds, in which
+// each request of its accounts would wait without an answer and get only a part of the rate.
 const unansweredTimeout = time.Second
 
-// handleUnanswered marks a peer as silent that has answered no token request and sent no
-// heartbeat for a while.
+// handleUnanswered marks a peer as unresponsive that has answered no token request and
+// sent no heartbeat for unansweredTimeout.
 func (s *State) handleUnanswered(ev TokenRequestUnanswered) []crevent.Effect {
 	p := s.peers[ev.Peer]
-	if p == nil || p.silent || p.lastHeard == 0 {
+	if p == nil || p.unresponsive || p.lastReceived == 0 {
 		return nil
 	}
-	if p.unansweredSince == 0 || p.lastHeard > p.unansweredSince {
+	if p.unansweredSince == 0 || p.lastReceived > p.unansweredSince {
 		p.unansweredSince = ev.Now
 		return nil
 	}
 	if ev.Now.Sub(p.unansweredSince) < unansweredTimeout {
 		return nil
 	}
-	p.silent, p.unresponsive = true, true
+	p.unresponsive, p.requestsUnanswered = true, true
 	return []crevent.Effect{s.publishView(ev.Now)}
 }
 
 // isMember reports whether a peer is known to be part of the fleet. A seed without a
-// record may be a machine that is gone, unless its heartbeats arrive.
+// record may be a machine that no longer exists, unless its heartbeats arrive.
 func (s *State) isMember(p *peer) bool {
-	return p.known && (p.hasRecord || !s.hasRecords || (p.lastHeard != 0 && !p.silent))
+	return p.known && (p.hasRecord || !s.hasRecords || (p.lastReceived != 0 && !p.unresponsive))
 }
 
-// mayBeUp reports whether a peer is heard, or a record names it and its first heartbeat
-// may still come. Otherwise a daemon that has just started would consider itself the
-// owner of accounts whose owner it has not heard yet.
+// mayBeUp reports whether a peer's heartbeats arrive, or a record names it and its first
+// heartbeat is not overdue. Without the latter, a daemon that has just started would act
+// as the owner of accounts whose owner has not sent it a heartbeat yet.
 func (p *peer) mayBeUp() bool {
-	if p.lastHeard == 0 {
+	if p.lastReceived == 0 {
 		return p.hasRecord && !p.overdue
 	}
-	return !p.silent
+	return !p.unresponsive
 }
 
 // isOverdue reports whether the first heartbeat of a peer is overdue.
 func (s *State) isOverdue(now crid.Instant, p *peer) bool {
-	return p.lastHeard == 0 && now.Sub(p.knownSince) > missedUntilSilent*s.idleInterval(p)
+	return p.lastReceived == 0 && now.Sub(p.knownSince) > maxMissedHeartbeats*s.idleInterval(p)
 }
 
 func (s *State) sameDomain(p *peer) bool { return p.domain == s.params.Domain }
@@ -174,8 +175,8 @@
 // minInterval bounds the processor time that heartbeats take in a large fleet.
 func (s *State) minInterval() time.Duration { return minIntervalPerPeer * time.Duration(len(s.peers)) }
 
-// dueHeartbeats returns the heartbeats that are due, and all urgent ones after a change
-// of the target.
+// dueHeartbeats returns the heartbeats that are due. After a change of the target's or
+// the store's state these include the urgent ones.
 func (s *State) dueHeartbeats(now crid.Instant) []crevent.Effect {
 	urgent := s.urgentPending && now.Sub(s.lastUrgent) >= urgentInterval
 	if urgent {
--- a/core/crmesh/reader.go
+++ b/core/crmesh/reader.go
@@ -13,16 +13,16 @@
 // readersPerDomain is the number of daemons of a domain that read the store, for
 // themselves and for the others there. The store counts each call and its rate limit
 // does not grow with the fleet, while bytes within a domain cost nothing. With a single
-// reader, its failure would be noticed only by the next missed heartbeat.
+// reader, its failure would be detected only by missing heartbeats.
 const readersPerDomain = 2
 
 // readerSalt fixes the order of the readers, which is the same at all daemons.
 const readerSalt = "reader"
 
 // readers returns the daemons of the own domain that read the store: the first by rank
-// that the store answers, or the first of all in an outage for all. All daemons of a
-// domain that receive heartbeats of the same peers agree on them. Where they differ for a moment, a
-// daemon that is queried and is no reader answers that it is none.
+// among those that can reach it, or among all of them if none can. The daemons of a
+// domain that receive heartbeats of the same peers agree on the readers. While they
+// differ, a daemon that is queried though it is no reader answers that it is none.
 func (s *State) readers() []crid.Daemon {
 	var available, unavailable []crid.Daemon
 	add := func(d crid.Daemon, storeUnavailable bool) {
@@ -36,7 +36,7 @@
 		add(s.params.Self, s.storeUnavailable)
 	}
 	for d, p := range s.peers {
-		if s.sameDomain(p) && p.known && p.lastHeard != 0 && !p.silent && !p.heartbeat.Stopping && p.heartbeat.RecordRevision > 0 {
+		if s.sameDomain(p) && p.known && p.lastReceived != 0 && !p.unresponsive && !p.heartbeat.Stopping && p.heartbeat.RecordRevision > 0 {
 			add(d, p.heartbeat.StoreUnavailable)
 		}
 	}
@@ -49,8 +49,8 @@
 	return available[:min(len(available), readersPerDomain)]
 }
 
-// setStoreUnavailable notes whether the store answers this daemon. It tells the peers
-// at once, which then read through others.
+// setStoreUnavailable records whether this daemon's own calls to the store fail. A change
+// is sent to the peers at once, which then use other readers.
 func (s *State) setStoreUnavailable(now crid.Instant, unavailable bool) []crevent.Effect {
 	if s.storeUnavailable == unavailable {
 		return nil
@@ -59,8 +59,9 @@
 	return append(s.dueHeartbeats(now), s.publishView(now))
 }
 
-// sameStatus reports whether two heartbeats of a peer agree about its role in the fleet.
-func sameStatus(a, b Heartbeat) bool {
+// sameRole reports whether two heartbeats of a peer agree on what determines its role in
+// the view: whether it is stopping, can reach the store, and has records.
+func sameRole(a, b Heartbeat) bool {
 	return a.Stopping == b.Stopping && a.StoreUnavailable == b.StoreUnavailable && (a.RecordRevision > 0) == (b.RecordRevision > 0)
 }
 
@@ -83,15 +84,16 @@
 	return n
 }
 
-// readersPending reports whether a peer of the own domain, which may read the store for
-// this daemon, is still to be heard for the first time. That may also be so without any
-// record: the targets of a starting fleet register shortly after its daemons.
+// readersPending reports whether the first heartbeat of a peer of the own domain, which
+// may read the store for this daemon, is still expected. It also reports true
+// while there are no records: the targets of a starting fleet register shortly after its
+// daemons.
 func (s *State) readersPending() bool {
 	if len(s.registry.Records()) == 0 {
 		return true
 	}
 	for _, p := range s.peers {
-		if s.sameDomain(p) && p.known && p.lastHeard == 0 && !p.overdue {
+		if s.sameDomain(p) && p.known && p.lastReceived == 0 && !p.overdue {
 			return true
 		}
 	}
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -22,13 +22,13 @@
 	names  []crid.Daemon
 	states map[crid.Daemon]*crmesh.State
 	view   map[crid.Daemon]*crmesh.View
-	dead   map[crid.Daemon]bool
+	failed map[crid.Daemon]bool
 	params map[crid.Daemon]crmesh.Params
 	list   crmesh.RecordsListed
 }
 
 func newCluster(n int) *cluster {
-	c := &cluster{states: make(map[crid.Daemon]*crmesh.State), view: make(map[crid.Daemon]*crmesh.View), dead: make(map[crid.Daemon]bool), params: make(map[crid.Daemon]crmesh.Params)}
+	c := &cluster{states: make(map[crid.Daemon]*crmesh.State), view: make(map[crid.Daemon]*crmesh.View), failed: make(map[crid.Daemon]bool), params: make(map[crid.Daemon]crmesh.Params)}
 	ev := crmesh.RecordsListed{Now: start, Revision: 5}
 	for i := range n {
 		address := fmt.Sprintf("10.0.1.%d:80", i)
@@ -55,7 +55,7 @@
 			c.view[d] = eff.View
 		case crmesh.SendHeartbeats:
 			for _, to := range eff.To {
-				if !c.dead[to] && !c.dead[d] {
+				if !c.failed[to] && !c.failed[d] {
 					c.step(to, crmesh.HeartbeatReceived{Now: ev.At(), From: d, Heartbeat: crmesh.Heartbeat{
 						Incarnation: 1, Stopping: eff.Stopping, StoreUnavailable: eff.StoreUnavailable, RecordRevision: eff.RecordRevision,
 					}})
@@ -68,7 +68,7 @@
 func (c *cluster) run(from crid.Instant, d time.Duration) crid.Instant {
 	for end := from.Add(d); from < end; from = from.Add(100 * time.Millisecond) {
 		for _, name := range c.names {
-			if !c.dead[name] {
+			if !c.failed[name] {
 				c.step(name, crevent.Tick{Now: from})
 			}
 		}
@@ -90,14 +90,14 @@
 	g.Expect(c.view[c.names[0]].Readers).NotTo(gomega.ContainElement(gomega.BeElementOf(c.view[c.names[1]].Readers)))
 }
 
-// A reader fails. The daemons that read through it would get no more changes; within two
-// seconds of missing heartbeats all have another reader.
-func TestSilentReaderIsReplaced(t *testing.T) {
+// A reader fails. The daemons that read through it would get no more changes. All have
+// another reader after two seconds without its heartbeats.
+func TestUnresponsiveReaderIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newCluster(12)
 	now := c.run(start, time.Second)
 	failed := c.view[c.names[0]].Readers[0]
-	c.dead[failed] = true
+	c.failed[failed] = true
 	c.run(now, 2*time.Second)
 	for i, d := range c.names {
 		if i%2 == 0 && d != failed {
@@ -131,8 +131,8 @@
 	g.Expect(v[len(v)-1].Readers).To(gomega.BeEmpty())
 }
 
-// The store rejects one reader and serves its neighbours. Another daemon of the domain
-// has to take its place, or the others learn of changes late.
+// The store rejects one reader and serves the other daemons. Unless another daemon of the
+// domain replaces it, those that read through it receive changes late.
 func TestReaderWithoutStoreIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newCluster(12)
@@ -151,10 +151,9 @@
 	g.Expect(c.view[c.names[0]].Readers).To(gomega.ContainElement(rejected))
 }
 
-// A daemon learns from its readers that the store is unavailable. If it reported that to others
-// without an attempt of its own, all daemons of a domain would, and none would take the
-// readers' place.
-func TestStoreIsUnavailableOnlyByOwnCalls(t *testing.T) {
+// The readers report to a daemon that the store is unavailable. If it passed that on without
+// an attempt of its own, all daemons of a domain would, and none would replace the readers.
+func TestStoreIsReportedUnavailableOnlyAfterOwnCalls(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newCluster(12)
 	now := c.run(start, time.Second)
@@ -167,7 +166,7 @@
 	g.Expect(heartbeats(c.states[follower].Step(crmesh.StoreUnavailable{Now: now, ReportedByPeers: true}))).To(gomega.BeEmpty())
 }
 
-// In a full outage of the store, two daemons of a domain go on trying for the others.
+// In a full outage of the store, two daemons of a domain go on calling it for the others.
 func TestReadersStayInFullStoreOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newCluster(12)
@@ -196,7 +195,7 @@
 	}
 }
 
-// The last daemon of all keeps the accounts until it ends.
+// The last daemon of the fleet stops. It stays the owner of the accounts until it ends.
 func TestLastStoppingDaemonKeepsAccounts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := views(crmesh.New(params()).Step(crevent.Stopping{Now: start}))
@@ -204,7 +203,7 @@
 }
 
 // Peers of other domains send their first heartbeat within two seconds in a fleet of a
-// hundred. If they counted as unreachable until then, each restart would hold the accounts
+// hundred. If they counted as unreachable until then, each restart would limit the accounts
 // of the daemon to a part of their rate.
 func TestNewDaemonCountsPeersBeforeTheirFirstHeartbeat(t *testing.T) {
 	g := gomega.NewWithT(t)
@@ -214,13 +213,13 @@
 	for at := time.Duration(0); at < 10*time.Second; at += 100 * time.Millisecond {
 		v = append(v, views(s.Step(crevent.Tick{Now: start.Add(at)}))...)
 	}
-	g.Expect(v[len(v)-1].Reachable).To(gomega.Equal(1), "they were never heard")
+	g.Expect(v[len(v)-1].Reachable).To(gomega.Equal(1), "no peer has sent a heartbeat")
 }
 
 // The owner of some accounts loses power. Peers of other domains would miss its heartbeats
-// only after six seconds in a fleet of a hundred, and hold its accounts to a part of their
+// only after six seconds in a fleet of a hundred, and limit its accounts to a part of their
 // rate until then. Unanswered token requests show the failure sooner.
-func TestPeerWithUnansweredRequestsIsSilentSoon(t *testing.T) {
+func TestPeerWithUnansweredRequestsIsUnresponsiveSoon(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	s.Step(recordsListed())
@@ -230,15 +229,15 @@
 	g.Expect(v).To(gomega.HaveLen(1))
 	g.Expect(v[0].Unresponsive).To(gomega.HaveKey(crid.Daemon("10.0.0.2")))
 	for _, later := range views(s.Step(crevent.Tick{Now: start.Add(1300 * time.Millisecond)})) {
-		g.Expect(later.Unresponsive).To(gomega.HaveKey(crid.Daemon("10.0.0.2")), "it stays silent")
+		g.Expect(later.Unresponsive).To(gomega.HaveKey(crid.Daemon("10.0.0.2")), "it stays unresponsive")
 	}
 	v = views(s.Step(crmesh.HeartbeatReceived{Now: start.Add(1400 * time.Millisecond), From: "10.0.0.2", Heartbeat: crmesh.Heartbeat{Incarnation: 1, RecordRevision: 5}}))
 	g.Expect(v[0].Unresponsive).To(gomega.BeEmpty())
 }
 
 // The path to an owner is cut for token requests but not for heartbeats. Other daemons
-// reach the owner; if it counted as silent, its accounts would have two owners.
-func TestPeerWithHeartbeatsIsNotSilent(t *testing.T) {
+// reach the owner; if it counted as unresponsive, its accounts would have two owners.
+func TestPeerWithHeartbeatsIsNotUnresponsive(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	s.Step(recordsListed())
@@ -248,9 +247,9 @@
 	}
 }
 
-// Seeds may name machines that are gone. Three of them in a small fleet would hold
-// accounts to half of their rate for ever.
-func TestDeadSeedsAreNotMembers(t *testing.T) {
+// Seeds may name machines that no longer exist. If they counted as members, three of them
+// in a small fleet would limit accounts to half of their rate permanently.
+func TestUnreachableSeedsAreNotMembers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := params()
 	p.Seeds = []crid.Daemon{"10.0.9.1", "10.0.9.2", "10.0.9.3"}
@@ -263,8 +262,8 @@
 }
 
 // All machines of a domain start at one time. Until their heartbeats arrive, each would
-// read the store itself, although two readers are enough a moment later. A daemon that is
-// alone in its domain must not wait.
+// read the store itself, although two readers are enough a moment later. The only daemon
+// of a domain must not wait.
 func TestReadersPending(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(crmesh.Params{Self: "10.0.0.1", Domain: "a", LocalInterval: time.Second, RemoteInterval: time.Second})
@@ -293,8 +292,9 @@
 	g.Expect(v.ReadersPending).To(gomega.BeFalse())
 }
 
-// The store has dropped all watches, and each daemon would detect it only at the end of its own wait.
-func TestWatchesAreRenewedWhenPeerLosesStore(t *testing.T) {
+// The store has dropped all watches. Each daemon would detect it only at the end of its own
+// wait, unless a peer that detects it first reports it.
+func TestWatchesAreRenewedWhenPeerReportsStoreUnavailable(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
 	s.Step(recordsListed())
@@ -309,7 +309,8 @@
 	g.Expect(renewalsAfter(2300*time.Millisecond, true)).To(gomega.BeZero(), "not again at once")
 }
 
-// A peer holds a plan that this daemon's own watch should have delivered long ago.
+// A peer holds a plan that this daemon's own watch should have delivered long ago. Unless
+// the watch is renewed, it would deliver nothing until the end of its wait.
 func TestPullRenewsWatches(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
@@ -319,7 +320,8 @@
 	g.Expect(renewals(s.Step(crevent.Tick{Now: start.Add(700 * time.Millisecond)}))).To(gomega.Equal(1))
 }
 
-// A daemon that has just started must not grant tokens of accounts whose owner has sent it no heartbeat yet.
+// A daemon has just started, and the owner of an account has sent it no heartbeat yet. If
+// it granted the account's tokens itself, the account would get more than its rate.
 func TestNewDaemonTreatsRecordedPeersAsOwners(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newCluster(6)
@@ -342,10 +344,11 @@
 	for at := time.Duration(0); at < 10*time.Second; at += 100 * time.Millisecond {
 		v = append(v, views(s.Step(crevent.Tick{Now: start.Add(at)}))...)
 	}
-	g.Expect(v[len(v)-1].Owners).To(gomega.Equal([]crid.Daemon{restarted}), "they were never heard")
+	g.Expect(v[len(v)-1].Owners).To(gomega.Equal([]crid.Daemon{restarted}), "no peer has sent a heartbeat")
 }
 
-// Daemons that start at one time must not each hand out the whole rate of the accounts to their own callers.
+// Daemons start at the same time, and none has received a heartbeat yet. If each granted
+// the whole rate to its own callers, accounts would get a multiple of it.
 func TestIsolatedDaemonsShareTheRate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newCluster(6)
