--- a/core/crmember/bench_test.go
+++ b/core/crmember/bench_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// newVoter starts a voter of n daemons, which gets a lease once it is answered.
+// newVoter starts one of the voters of a list of n daemons, already recovered. It gets a
+// lease once its heartbeats are answered.
 func newVoter(n int) (*cluster, *node) {
 	c := newCluster(0, 1)
 	list := newList(1_000_000, daemonNames(n)...)
@@ -40,9 +41,9 @@
 	return c, node
 }
 
-// BenchmarkSecond measures a second of a daemon that only sends heartbeats, each of
-// which is answered: ticks at the rate of the I/O layer, and the notices about peers to
-// the other reducers and the traffic side.
+// BenchmarkSecond measures a second of a daemon that sends heartbeats, each of which is
+// answered, with ticks at the rate of the I/O layer. It also counts the PeersChanged
+// notices, each of which costs its receivers time as well.
 func BenchmarkSecond(b *testing.B) {
 	for _, n := range []int{25, 1000, 5500} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) { benchSecond(b, n) })
@@ -63,7 +64,7 @@
 }
 
 // runSecond runs a second in which each heartbeat is answered, and returns the
-// notices about peers.
+// PeersChanged notices.
 func runSecond(c *cluster, node *node) (notices []PeersChanged) {
 	const tick = 50 * time.Millisecond
 	s := node.state
@@ -81,7 +82,8 @@
 	return notices
 }
 
-// deliverReply delivers the peer's answer to a heartbeat.
+// deliverReply delivers the peer's reply to a heartbeat, and returns the PeersChanged
+// notices.
 func deliverReply(s *State, send crevent.Send, at crid.Instant) (notices []PeersChanged) {
 	heartbeat := send.Msg.(Heartbeat)
 	heartbeat.Echo = Echo{Incarnation: s.incarnation, Seq: s.seq}
--- a/core/crmember/cluster_test.go
+++ b/core/crmember/cluster_test.go
@@ -18,7 +18,7 @@
 	clockBase crid.Instant
 	clockRate float64
 	paused    bool
-	queue     []packet // arrived while paused
+	queue     []packet // packets that arrived while it was paused
 	lease     Lease
 	peers     map[crid.Daemon]Peer
 	sent      []crevent.Message
@@ -46,8 +46,8 @@
 	delays   map[link]time.Duration // extra delay
 	rng      *rand.Rand
 	faulty   bool     // random delay, loss and duplicates
-	disjoint []string // daemons that acted without a list in common
-	overlaps []string
+	disjoint []string // pairs of daemons that acted without a list in common
+	overlaps []string // daemons that held leases under different lists
 	starts   uint64
 }
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// start starts or restarts a daemon. Its clock rate stays.
+// start starts or restarts a daemon. A restarted one keeps its clock rate.
 func (c *cluster) start(d crid.Daemon) *node {
 	c.starts++
 	n := &node{
@@ -89,7 +89,7 @@
 	}
 }
 
-// deliverList delivers a list of the platform to a daemon.
+// deliverList delivers a list to a daemon, as if it had read it from the platform.
 func (c *cluster) deliverList(d crid.Daemon, list crinstance.List) {
 	c.step(d, crinstance.ListUpdated{Now: c.nodes[d].clock(c.now), List: list})
 }
--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -6,8 +6,11 @@
 // one, and counts as a contact from the instant at which that one was sent. A daemon
 // holds a lease under a list while a majority of the list's voters has made contact
 // within the contact timeout and holds that list as its newest. At no time do two
-// daemons hold leases under different lists; docs/design/02-standing.md gives the
-// argument and its limits.
+// daemons hold leases under different lists; docs/design/02-lease.md gives the
+// argument and its limits. A daemon that adopts a newer list has no lease during the
+// handover to it. The handover ends when a majority of the voters of each older list
+// has acknowledged the newer one for a whole [Params.ExpiryWait], or every daemon of the
+// older lists has.
 //
 // core/crdaemon runs the reducer and passes its notices to core/crconfig,
 // core/craccount and core/crhealth. core/crinstance defines the lists. core/crmesh
@@ -56,7 +59,7 @@
 	recovering       bool
 	coldStartRev     crid.Revision          // newest list at the start of a cold start
 	recoveringQuorum map[crid.Revision]bool // lists of which a majority of the voters was recovering at one moment
-	ackSince         crid.Instant           // since when this daemon acknowledges newest
+	ackSince         crid.Instant           // since when this daemon has acknowledged newest
 
 	peers      map[crid.Daemon]*peer
 	peerNames  []crid.Daemon // keys of peers, sorted
@@ -66,13 +69,13 @@
 	leaving        bool
 	seq            uint64
 	sentHeartbeats [sentRingSize]sentHeartbeat
-	lastRound      crid.Instant // latest round
-	nextRound      crid.Instant // if not idle
-	nextIdleRound  crid.Instant // if idle
+	lastRound      crid.Instant // start of the latest round of heartbeats
+	nextRound      crid.Instant // when the next round is due if not idle
+	nextIdleRound  crid.Instant // when it is due if idle
 	sample         []crid.Daemon
-	sampleUntil    crid.Instant // until which the sample is kept
-	roundNow       bool
-	broadcast      bool          // the next round goes to all peers
+	sampleUntil    crid.Instant  // until which the sample is kept
+	roundNow       bool          // a round is due at once
+	broadcast      bool          // the next round is due at once and goes to all peers
 	fullReported   crid.Revision // newest list rejected because the table was full
 
 	lease          Lease
@@ -85,7 +88,7 @@
 	listsRequestedAt crid.Instant
 }
 
-// New returns a reducer that waits for [crevent.Started].
+// New returns a reducer that ignores all events before [crevent.Started].
 func New(params Params) *State {
 	return &State{
 		params:     params,
@@ -138,8 +141,8 @@
 	s.seed = ev.Seed
 }
 
-// receive handles a message. A daemon that no held list names can neither
-// acknowledge a list nor make this daemon send anything.
+// receive handles a message. The messages of a daemon that no held list names have no
+// effect, unless this daemon holds no list yet.
 func (s *State) receive(ev crevent.Received) {
 	p := s.peers[ev.From]
 	if p == nil {
@@ -191,20 +194,20 @@
 	}
 }
 
-// updatePeer notes that a peer became reachable or unreachable. Sampled peers change
-// with every heartbeat. Their changes are reported once an interval, since in a large
-// fleet each notice costs its receivers a pass over all peers.
+// updatePeer records that a peer became reachable or unreachable. Sampled peers change
+// with every heartbeat. PeersChanged reports their changes at most once an interval,
+// since in a large fleet each notice costs its receivers a pass over all peers.
 func (s *State) updatePeer(d crid.Daemon, p *peer) {
-	alive := s.inContact(p)
-	if alive == p.reachable {
+	reachable := s.inContact(p)
+	if reachable == p.reachable {
 		return
 	}
-	p.reachable = alive
+	p.reachable = reachable
 	s.markPeerChanged(p)
 	if p.sampled || !s.lists[s.newest].hasVoter(d) {
 		return
 	}
-	if alive {
+	if reachable {
 		s.reportPeer(EventPeerReachable, d)
 		return
 	}
--- a/core/crmember/idle_test.go
+++ b/core/crmember/idle_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-// Heartbeats at the pace of a handover would cost each idle daemon three times its
+// Heartbeats at the interval of a handover would cost each idle daemon three times its
 // allowance of control traffic.
 func TestIdleFleetSendsHeartbeatsSlowly(t *testing.T) {
 	g := gomega.NewWithT(t)
@@ -26,7 +26,7 @@
 }
 
 // A link drops everything for 0.7 s while its last contact is already a second old. If
-// the peer counted as down, its targets would be avoided and its tokens unavailable.
+// the peer counted as down, its targets would be avoided and its tokens be unavailable.
 func TestShortOutageWhileIdleTakesNoPeerDown(t *testing.T) {
 	for phase := range 10 {
 		g := gomega.NewWithT(t)
--- a/core/crmember/lease.go
+++ b/core/crmember/lease.go
@@ -60,9 +60,10 @@
 // handoverDone reports whether a majority of an older list's voters has acknowledged
 // the newest one for a whole expiry wait, without a break.
 //
-// The daemon that acted under the older list may count a contact that a voter gave
-// just before it moved on, until the contact timeout. If the new lease began with
-// the acknowledgement, both daemons would act at once.
+// A daemon that acts under the older list counts its last contact with a voter, just
+// before the voter acknowledged the newest list, until the contact timeout. If a lease
+// under the newest list began with the acknowledgement, two daemons would act under
+// different lists.
 func (s *State) handoverDone(older heldList) bool {
 	wait := s.params.ExpiryWait()
 	if !s.params.enforces(guardExpiryWait) {
@@ -70,7 +71,7 @@
 	}
 	acked := 0
 	for _, d := range older.voters {
-		since, ok := s.ackTime(d)
+		since, ok := s.ackedSince(d)
 		if ok && s.now.Sub(since) >= wait {
 			acked++
 		}
@@ -78,8 +79,9 @@
 	return acked >= quorum(len(older.voters))
 }
 
-// ackTime returns since when a daemon has acknowledged the newest list.
-func (s *State) ackTime(d crid.Daemon) (crid.Instant, bool) {
+// ackedSince returns since when a daemon has acknowledged the newest list; false if it
+// does not.
+func (s *State) ackedSince(d crid.Daemon) (crid.Instant, bool) {
 	if d == s.self {
 		return s.ackSince, true
 	}
@@ -91,11 +93,12 @@
 }
 
 // allConfirmed reports whether the wait can end early: every daemon that could act
-// under an older list has moved on.
+// under an older list has acknowledged the newest one.
 //
 // Each has to confirm it by answering a heartbeat that was sent after the last of
 // them had acknowledged. Otherwise a daemon that acknowledged, restarted, and
-// recovered from peers that had not moved on could act under the older list again.
+// recovered from peers that had not yet acknowledged could act under the older list
+// again.
 func (s *State) allConfirmed(older []heldList) bool {
 	last := s.ackSince
 	var daemons []crid.Daemon
@@ -103,7 +106,7 @@
 		daemons = append(daemons, list.daemons...)
 	}
 	for _, d := range daemons {
-		since, ok := s.ackTime(d)
+		since, ok := s.ackedSince(d)
 		if !ok {
 			return false
 		}
@@ -117,9 +120,9 @@
 	})
 }
 
-// leaseUntil returns the end of the contact timeout of the newest contact with a
-// majority of the newest list's voters that acknowledge it; zero if it has passed,
-// or if a reachable peer names a newer list that has not been received yet.
+// leaseUntil returns until when this daemon is in contact with a majority of the newest
+// list's voters that acknowledge it; zero if it is not, or if a reachable peer names a
+// newer list that has not been received yet.
 func (s *State) leaseUntil() crid.Instant {
 	held := s.lists[s.newest]
 	var contacts []crid.Instant
@@ -137,8 +140,10 @@
 	return s.quorumUntil(contacts, len(held.voters))
 }
 
-// quorumUntil returns the end of the contact timeout of the newest contact that a
-// majority of so many voters gives; zero if it has passed or there is none.
+// quorumUntil returns until when this daemon is in contact with a majority of the given
+// number of voters, from the latest contact with each: the oldest of the newest contacts
+// that form a majority, plus the contact timeout. It returns zero if there are too few
+// contacts or that time has passed.
 func (s *State) quorumUntil(contacts []crid.Instant, voters int) crid.Instant {
 	need := quorum(voters)
 	if len(contacts) < need {
--- a/core/crmember/lease_test.go
+++ b/core/crmember/lease_test.go
@@ -26,12 +26,12 @@
 		without guard
 		run     func(*cluster)
 	}{
-		"delayed heartbeats":           {guardSendTime, delayedHeartbeats},
-		"resumed process":              {guardSendTime, resumedProcess},
-		"chained lists":                {guardIntermediateLists, chainedLists},
-		"forgotten acknowledgement":    {guardRecovery, forgottenAcknowledgement},
-		"handover without wait":        {guardExpiryWait, handoverWithoutWait},
-		"unconfirmed acknowledgements": {guardReconfirm, unconfirmedAcknowledgements},
+		"delayed heartbeats":              {guardSendTime, delayedHeartbeats},
+		"resumed process":                 {guardSendTime, resumedProcess},
+		"chained lists":                   {guardIntermediateLists, chainedLists},
+		"acknowledgement lost in restart": {guardRecovery, acknowledgementLostInRestart},
+		"handover without wait":           {guardExpiryWait, handoverWithoutWait},
+		"unconfirmed acknowledgements":    {guardReconfirm, unconfirmedAcknowledgements},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -50,8 +50,8 @@
 	}
 }
 
-// The heartbeats of c, d and e to a are delayed for some seconds, while all but a move
-// on to a list without a. They must not renew the lease of a when they arrive.
+// The heartbeats of c, d and e to a are delayed for some seconds, while all but a adopt a
+// list without a. They must not renew the lease of a when they arrive.
 func delayedHeartbeats(c *cluster) {
 	for _, d := range daemons("c", "d", "e") {
 		c.delays[link{d, "a"}] = 6 * time.Second
@@ -79,9 +79,9 @@
 	c.run(time.Second)
 }
 
-// List 2 becomes active with the acknowledgements of a, b and c. Then c moves on to
-// list 3 with d and e, which never received list 2 and are a majority of list 1. The
-// rest of list 2 is cut off and still acknowledges it.
+// List 2 becomes active with the acknowledgements of a, b and c. Then c adopts list 3
+// with d and e, which never received list 2. These three are a majority of list 1. The
+// daemons of list 2 are cut off from them and still acknowledge it.
 func chainedLists(c *cluster) {
 	added := daemons("x", "y", "z")
 	for _, d := range added {
@@ -105,7 +105,7 @@
 
 // The others make list 2 active while a and e are cut off. Then b restarts with list 1
 // and reaches only a and e, whose majority it would complete.
-func forgottenAcknowledgement(c *cluster) {
+func acknowledgementLostInRestart(c *cluster) {
 	c.partition(daemons("a", "e"), daemons("b", "c", "d"))
 	for _, d := range daemons("b", "c", "d") {
 		c.deliverList(d, newList(2, "b", "c", "d"))
@@ -118,7 +118,7 @@
 	c.run(5 * time.Second)
 }
 
-// All but a move on to list 2 just after they acknowledged list 1 to a.
+// All but a adopt list 2 just after they acknowledged list 1 to a.
 func handoverWithoutWait(c *cluster) {
 	c.partition(daemons("a"), daemons("b", "c", "d", "e"))
 	for _, d := range daemons("b", "c", "d", "e") {
@@ -128,7 +128,7 @@
 }
 
 // Daemon a acknowledges list 2 to e, restarts with list 1, and recovers from b, c and d,
-// which move on only then. To e it looks as if all daemons had moved on.
+// which adopt list 2 only then. By the heartbeats at e, all daemons acknowledge list 2.
 func unconfirmedAcknowledgements(c *cluster) {
 	second := newList(2, "a", "b", "c", "d", "e")
 	c.partition(daemons("a", "e"), daemons("b", "c", "d"))
@@ -162,7 +162,7 @@
 	g.Expect(c.leaseHolders()).To(gomega.HaveLen(3))
 }
 
-// After a power failure no daemon remembers any list. Requests are refused until the
+// After a power failure no daemon holds any list. Requests are refused until the expiry
 // wait is over, and served from then on.
 func TestColdStartOfAllAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
@@ -174,7 +174,7 @@
 	g.Expect(c.leaseHolders()).To(gomega.HaveLen(5))
 }
 
-// The platform is down for ten minutes, and no list comes.
+// The platform is down for ten minutes, and no list arrives.
 func TestPlatformOutageKeepsLeases(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := startedCluster(0, newList(1, "a", "b", "c"))
@@ -184,8 +184,8 @@
 	}
 }
 
-// A daemon that is cut off does not learn which keys were withdrawn. It has to refuse
-// requests within the contact timeout, while the others go on.
+// A daemon that is cut off does not receive which keys were withdrawn. It has to refuse
+// requests after the contact timeout, while the others go on.
 func TestIsolatedDaemonLosesLease(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := startedCluster(0, newList(1, "a", "b", "c"))
@@ -197,8 +197,8 @@
 	g.Expect(c.leaseHolders()).To(gomega.HaveLen(3))
 }
 
-// The platform's list lags by minutes. Until the peers know that a daemon is leaving,
-// they send it requests that it refuses.
+// The platform's list lags by minutes. If the peers had to wait for it, they would send a
+// leaving daemon requests that it refuses.
 func TestLeavingIsAnnouncedImmediately(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := startedCluster(0, newList(1, "a", "b", "c"))
@@ -213,20 +213,20 @@
 }
 
 // No daemon has a lease during a handover. It takes a few heartbeats if every daemon
-// answers, and the expiry wait if one is dead, which might be cut off and still act.
+// answers, and the expiry wait if one does not, which might be cut off and still act.
 func TestHandoverGap(t *testing.T) {
 	cases := map[string]struct {
-		dead  bool
-		bound time.Duration
+		pauseOne bool
+		bound    time.Duration
 	}{
 		"all answer": {false, time.Second},
-		"one dead":   {true, 3 * time.Second},
+		"one paused": {true, 3 * time.Second},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			c := startedCluster(0, newList(1, "a", "b", "c", "d", "e"))
-			c.nodes["e"].paused = tc.dead
+			c.nodes["e"].paused = tc.pauseOne
 			c.run(5 * time.Second)
 			c.start("f")
 			second := newList(2, "a", "b", "c", "d", "f")
@@ -244,8 +244,8 @@
 	}
 }
 
-// A daemon that is cut off reads many lists and can hand over none. Its memory must not
-// grow.
+// A daemon that is cut off reads many lists and can complete no handover. Its memory must
+// not grow without bound.
 func TestListsAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := startedCluster(0, newList(1, "a", "b", "c"))
@@ -284,8 +284,8 @@
 	g.Expect(c.overlaps).To(gomega.BeEmpty())
 }
 
-// Most voters of the new list have no voter of their own list to recover from. They must
-// not wait for ever.
+// Most voters of the new list have just started, and too few others are left to recover
+// from. They must not wait for ever.
 func TestMostVotersReplacedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := startedCluster(0, newList(1, "a", "b", "c", "d", "e"))
@@ -301,21 +301,22 @@
 	g.Expect(c.overlaps).To(gomega.BeEmpty())
 }
 
-// A daemon that no list names sends heartbeats, for example one of another fleet.
+// A daemon that no list names, for example one of another fleet, sends messages. They
+// must not change the state of this daemon.
 func TestUnknownSenderIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := startedCluster(0, newList(1, "a", "b", "c"))
 	s := c.nodes["a"].state
 	heartbeat := Heartbeat{Seq: 1, Incarnation: 9, Newest: 7, LastActive: 7}
 	for _, msg := range []crevent.Message{heartbeat, ListRequest{}, ListResponse{Lists: []ListData{{Rev: 9}}}} {
-		ev := crevent.Received{Now: s.now, From: "stranger", Msg: msg}
+		ev := crevent.Received{Now: s.now, From: "unlisted", Msg: msg}
 		g.Expect(s.Step(ev)).To(gomega.BeEmpty())
 	}
 	g.Expect(s.newest).To(gomega.Equal(crid.Revision(1)))
 }
 
-// If answers were answered, sampled pairs would add up until control traffic used up a
-// daemon's allowance.
+// If replies were answered, more and more sampled pairs would exchange heartbeats, until
+// they used up a daemon's allowance of control traffic.
 func TestHeartbeatsStayBoundedInLargeFleet(t *testing.T) {
 	g := gomega.NewWithT(t)
 	names := daemonNames(48)
@@ -337,7 +338,8 @@
 	}
 }
 
-// A faulty peer requests the lists repeatedly.
+// A faulty peer requests the lists repeatedly. Answers to all its requests would use up
+// the allowance of control traffic.
 func TestListRequestIsAnsweredOncePerInterval(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := startedCluster(0, newList(1, "a", "b", "c"))
--- a/core/crmember/list.go
+++ b/core/crmember/list.go
@@ -9,7 +9,7 @@
 	"camphorroad/core/crinstance"
 )
 
-// maxRecoveringLists bounds the lists that a recovering daemon takes from the platform.
+// maxRecoveringLists bounds the lists that a recovering daemon adds from the platform.
 const maxRecoveringLists = 4
 
 // heldList is a list that this daemon holds, with the values derived from it.
@@ -27,8 +27,8 @@
 // handleListUpdate adds a list from the platform, or defers it until the handover
 // of the lists held is complete.
 //
-// Each list held has to hand over before the newest can become active, so a newer
-// one does not help during a handover. If lists that follow each other quickly
+// Each list held has to hand over before the newest can become active, so that adding
+// a newer one would only prolong a handover. If lists that follow each other quickly
 // were added at once, each would restart the wait and the daemons would hold
 // different sets of lists; no daemon would get a lease again.
 func (s *State) handleListUpdate(list crinstance.List) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// mustDefer reports whether a list read now has to wait. A recovering daemon takes
-// a few, as it cannot hand over before it has found peers.
+// mustDefer reports whether a list received now has to wait. A recovering daemon adds
+// up to maxRecoveringLists, as it cannot complete a handover before it has recovered.
 func (s *State) mustDefer() bool {
 	if s.recovering {
 		return len(s.lists) >= maxRecoveringLists
@@ -93,7 +93,7 @@
 	s.advanceActive(s.missingActive)
 }
 
-// reportFull reports, once for each list, that the table is full. No list held can
+// reportFull reports, once for each list, that MaxLists lists are held. None of them can
 // be dropped instead: some daemon may act under it.
 func (s *State) reportFull(rev crid.Revision) {
 	if rev > s.fullReported {
@@ -115,8 +115,8 @@
 	s.roundNow = true
 }
 
-// advanceActive drops the lists before one that is known to have been active. All
-// of them had handed over for good before it became active.
+// advanceActive drops the lists older than one that is known to have been active. The
+// handover from each of them was complete before it became active.
 func (s *State) advanceActive(rev crid.Revision) {
 	if rev <= s.lastActive {
 		return
@@ -164,7 +164,7 @@
 	return slices.ContainsFunc(s.revs, func(rev crid.Revision) bool { return s.lists[rev].hasVoter(d) })
 }
 
-// applyListing sets what the newest list that names the peer states about it.
+// applyListing sets the peer's domain and leaving state from the newest list that names it.
 func (s *State) applyListing(d crid.Daemon, p *peer) {
 	for _, rev := range slices.Backward(s.revs) {
 		if in, ok := s.lists[rev].list.Find(d); ok {
@@ -229,8 +229,9 @@
 }
 
 // handleListRequest answers with the lists that the peer lacks. Lists are by far the
-// largest messages, so that a peer that sends requests without pause would use up the allowance
-// of control traffic. Correct peers send at most one an interval.
+// largest messages. If each request of a peer that sends them without pause were answered,
+// the allowance of control traffic would be used up. Correct peers send at most one an
+// interval.
 func (s *State) handleListRequest(from crid.Daemon, p *peer, m ListRequest) {
 	if p.listsSent && s.now.Sub(p.listsSentAt) < s.params.Interval/2 {
 		return
@@ -248,8 +249,8 @@
 	}
 }
 
-// handleListResponse adds the lists in order, so that a full table holds the oldest
-// ones, which have to hand over.
+// handleListResponse adds the lists in order. If they exceed MaxLists, the oldest ones,
+// which have to hand over, are held.
 func (s *State) handleListResponse(m ListResponse) {
 	if len(m.Lists) > s.params.MaxLists {
 		return
--- a/core/crmember/message.go
+++ b/core/crmember/message.go
@@ -22,7 +22,7 @@
 	Intermediate   []crid.Revision  `cbor:"h,omitempty"` // lists held between LastActive and Newest, both excluded
 	ConfigRevision uint64           `cbor:"v,omitempty"` // configuration in force
 	Leaving        bool             `cbor:"l,omitempty"`
-	Recovering     bool             `cbor:"n,omitempty"` // the sender has not recovered yet and acknowledges no list
+	Recovering     bool             `cbor:"n,omitempty"` // the sender has not recovered from a restart yet and acknowledges no list
 	Reply          bool             `cbor:"r,omitempty"` // answers a heartbeat and needs no answer itself
 	Echo           Echo             `cbor:"e"`
 }
--- a/core/crmember/params.go
+++ b/core/crmember/params.go
@@ -9,11 +9,13 @@
 	// Interval is the mean time between two heartbeats to one peer while the
 	// daemon is not idle.
 	Interval time.Duration
-	// IdleInterval is the same while the daemon is idle; zero: Interval.
+	// IdleInterval is the mean time between two heartbeats while the daemon is idle; zero:
+	// Interval.
 	IdleInterval time.Duration `cbor:"Rest" json:"Rest"`
 	// Jitter is the fraction of Interval by which a heartbeat may come early or late.
 	Jitter float64
-	// ContactTimeout is how long a contact with a peer counts.
+	// ContactTimeout is how long a contact with a peer counts, from the sending of the
+	// heartbeat that the peer echoed.
 	ContactTimeout time.Duration `cbor:"Horizon" json:"Horizon"`
 	// Drift bounds the relative error of each daemon's clock.
 	Drift float64
@@ -21,12 +23,12 @@
 	Margin time.Duration
 	// MaxVoters bounds the voters of a list.
 	MaxVoters int
-	// SampleSize is the number of other daemons that get a heartbeat each round
-	// besides the voters, in a fleet of more daemons than MaxVoters.
+	// SampleSize is the number of daemons that are sent a heartbeat each round besides
+	// the voters, in a fleet of more daemons than MaxVoters.
 	SampleSize int `cbor:"Sample" json:"Sample"`
 	// SampleDuration is how long a sample is kept; zero: for one round.
 	SampleDuration time.Duration `cbor:"SampleFor" json:"SampleFor"`
-	// MaxLists bounds the lists held at one time.
+	// MaxLists bounds the lists held at the same time.
 	MaxLists int
 
 	disabled guard // safety rules that are switched off; set by tests only
@@ -41,7 +43,7 @@
 	guardIntermediateLists                   // lists between the last active and the newest one hand over too
 	guardRecovery                            // a restarted daemon recovers before it acknowledges a list
 	guardExpiryWait                          // a handover waits until contacts under the old list have expired
-	guardReconfirm                           // the early end of that wait needs a second round
+	guardReconfirm                           // that wait ends early only after a second round of heartbeats
 )
 
 // enforces reports whether the rule is in force.
--- a/core/crmember/peer.go
+++ b/core/crmember/peer.go
@@ -5,11 +5,11 @@
 	"camphorroad/core/crid"
 )
 
-// peer is the state that this daemon keeps for another one.
+// peer is the state that this daemon holds for another one.
 type peer struct {
 	domain        crid.Domain
-	sampled       bool // voter of no list held, in a fleet where other daemons are sampled
-	listedLeaving bool
+	sampled       bool // voter of no list held, with more than MaxVoters peers
+	listedLeaving bool // the newest list that names it lists it as leaving
 
 	// Content of its latest heartbeat.
 	incarnation  crid.Incarnation
@@ -23,25 +23,26 @@
 	contacted   bool         // it has echoed a heartbeat of this daemon
 	lastContact crid.Instant // when the newest heartbeat that it echoed was sent
 	echoSeq     uint64
-	acked       bool         // it acknowledges this daemon's newest list, since ackSince
-	ackSince    crid.Instant // arrival of the first heartbeat that did
-	requestedAt crid.Instant
+	acked       bool         // it has acknowledged this daemon's newest list since ackSince
+	ackSince    crid.Instant // arrival of the first heartbeat that acknowledged it
+	requestedAt crid.Instant // latest ListRequest to it
 	requested   bool
 	listsSentAt crid.Instant // latest ListResponse to it
 	listsSent   bool
-	replyDue    bool // its latest heartbeat has not been answered
-	sentSeq     uint64
+	replyDue    bool         // its latest heartbeat has not been answered
+	sentSeq     uint64       // sequence number of the latest heartbeat to it
 	sentAt      crid.Instant // latest heartbeat to it
-	repliedAt   crid.Instant // latest answer to it outside a round
+	repliedAt   crid.Instant // latest reply to it outside a round
 	reachable   bool         // as in the latest PeersChanged
 }
 
-// sentRingSize bounds the heartbeats remembered. seqReuseWindow and the rate of
-// replies to one peer limit the sequence numbers, so that less than a hundred are
-// used within a contact timeout. The echo of a heartbeat whose slot was reused
-// counts as too late.
+// sentRingSize bounds the sequence numbers whose time of sending is recorded.
+// seqReuseWindow and the rate of replies to one peer limit the sequence numbers, so that
+// fewer than a hundred are used within a contact timeout. The echo of a heartbeat whose
+// slot was reused counts as too late.
 const sentRingSize = 256
 
+// sentHeartbeat records when a sequence number was first used.
 type sentHeartbeat struct {
 	seq uint64
 	at  crid.Instant
@@ -54,8 +55,8 @@
 }
 
 // acknowledges reports whether the peer acknowledges this daemon's newest list. A
-// peer with a newer list has moved on. A peer that has not recovered may have
-// forgotten that it had moved on.
+// peer with a newer list does not. Nor does a peer that is recovering: it may have
+// acknowledged a newer list before its restart.
 func (s *State) acknowledges(p *peer) bool {
 	if p.recovering && s.params.enforces(guardRecovery) {
 		return false
@@ -95,7 +96,7 @@
 // acceptHeartbeat rejects heartbeats older than one already received. Incarnations
 // have no order. A heartbeat of another incarnation therefore counts as a restart
 // only if it echoes a later heartbeat of this daemon. A delayed one of the former
-// incarnation cannot, and so does not bring back its leaving mark or its lists.
+// incarnation cannot, and so does not restore its leaving state or its lists.
 func (s *State) acceptHeartbeat(from crid.Daemon, p *peer, b Heartbeat, echoed bool) bool {
 	if p.incarnation == b.Incarnation {
 		return b.Seq > p.seq
@@ -117,7 +118,7 @@
 }
 
 // echoSentAt returns when the echoed heartbeat was sent; nil if this incarnation
-// did not send it, or has forgotten it.
+// did not send it, or its slot was reused.
 func (s *State) echoSentAt(e Echo) *crid.Instant {
 	slot := s.sentHeartbeats[e.Seq%sentRingSize]
 	if e.Incarnation != s.incarnation || slot.seq != e.Seq || e.Seq == 0 {
@@ -126,10 +127,10 @@
 	return &slot.at
 }
 
-// recordContact counts a contact from the sending of this daemon's heartbeat. An
-// answer may have been delayed in a queue or in a suspended process. If contact
-// counted from its arrival, the answer would renew a lease after its true end, and
-// two daemons would act under two lists.
+// recordContact counts a contact from the sending of this daemon's heartbeat. The echo
+// may have been delayed in a queue or in a suspended process. If the contact counted
+// from its arrival, it would renew a lease after its true end, and two daemons would act
+// under two lists.
 func (s *State) recordContact(p *peer, seq uint64, sentAt crid.Instant) {
 	p.contacted = true
 	p.echoSeq = max(p.echoSeq, seq)
@@ -140,7 +141,7 @@
 }
 
 // updateAck records since when the peer has acknowledged the newest list without a
-// break. A restart of the peer resets it, as the peer may have forgotten.
+// break. A restart of the peer resets it, as the peer then has no record of it.
 func (s *State) updateAck(p *peer) {
 	if !s.inContact(p) || !s.acknowledges(p) {
 		p.acked = false
--- a/core/crmember/quorum_test.go
+++ b/core/crmember/quorum_test.go
@@ -7,8 +7,8 @@
 	"github.com/onsi/gomega"
 )
 
-// One daemon of five fails. If a lease ended with the oldest contact of any peer, no
-// daemon could act, and every request would be refused because of one failed machine.
+// One daemon of five fails. If a lease ended with the oldest of the contacts with all
+// peers, no daemon could act, and one failed machine would have every request refused.
 func TestLeaseExpiryFollowsQuorumNotMinimum(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := startedCluster(0, newList(1, "a", "b", "c", "d", "e"))
--- a/core/crmember/rapid_test.go
+++ b/core/crmember/rapid_test.go
@@ -13,8 +13,9 @@
 	"camphorroad/core/crinstance"
 )
 
-// TestMain fixes the seed, so that CI repeats one run. The flags -rapid.seed and
-// -rapid.checks set another seed or number of checks.
+// TestMain fixes the seed, so that each CI run performs the same steps. The flags
+// -rapid.seed and -rapid.checks set another seed or number of checks. The steps also
+// depend on the order of the names of the actions.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "60", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -47,11 +48,11 @@
 			"readAll": m.readAll,
 			"cut":     m.cutLink,
 			"split":   m.split,
-			"defect":  m.moveDaemons,
+			"extend":  m.extendSide,
 			"slow":    m.delayLink,
 			"heal":    m.heal,
 			"pause":   func(rt *rapid.T) { c.nodes[m.pick(rt)].paused = true },
-			"wake":    func(rt *rapid.T) { c.resume(m.pick(rt)) },
+			"unpause": func(rt *rapid.T) { c.resume(m.pick(rt)) },
 			"restart": m.restart,
 			"run":     m.run,
 			"runLong": func(*rapid.T) { c.run(3 * time.Second) },
@@ -137,7 +138,7 @@
 	}
 }
 
-// split partitions the fleet in two, and one side reads a list of that side.
+// split partitions the fleet in two, and one side reads a list that names only its daemons.
 func (m *faultMachine) split(rt *rapid.T) {
 	order := rapid.Permutation(m.names).Draw(rt, "order")
 	n := rapid.IntRange(3, len(order)-1).Draw(rt, "n")
@@ -147,9 +148,9 @@
 	m.cluster.run(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
 }
 
-// moveDaemons moves daemons of the side with the newer list to the other, which may
-// then read a list of its own. One of them may restart with an earlier list.
-func (m *faultMachine) moveDaemons(rt *rapid.T) {
+// extendSide moves daemons of the side with the newer list to the other side, which may
+// then read a list that names only its daemons. One of them may restart with an earlier list.
+func (m *faultMachine) extendSide(rt *rapid.T) {
 	if len(m.left) < 2 {
 		return
 	}
--- a/core/crmember/recover.go
+++ b/core/crmember/recover.go
@@ -4,9 +4,9 @@
 
 // updateRecovery ends the period in which a new incarnation acknowledges no list.
 //
-// A restarted daemon has forgotten which lists it had acknowledged. If it read a
+// A restarted daemon has no record of the lists that it had acknowledged. If it read a
 // stale list and acknowledged that, it could complete a majority for a lease under
-// the stale list, though it had already let a newer list become active.
+// the stale list, although its earlier acknowledgement had let a newer list become active.
 func (s *State) updateRecovery() {
 	if !s.recovering || s.newest == 0 {
 		return
@@ -28,8 +28,8 @@
 }
 
 // recoveredFromPeers reports whether enough other voters of each list held have
-// answered: every majority that could include this daemon's forgotten
-// acknowledgement contains one of them. A list of which a majority of the voters is
+// answered: every majority that could include an acknowledgement from before this
+// daemon's restart contains one of them. A list of which a majority of the voters is
 // recovering is exempt, since none of them could recover from the others.
 func (s *State) recoveredFromPeers() bool {
 	if s.lastActive == 0 || s.missingActive > s.lastActive {
@@ -74,8 +74,8 @@
 }
 
 // coldStartDone reports whether a cold start is complete. By the end of the wait all
-// leases of former incarnations have expired, and peers that did not restart have
-// been heard.
+// leases of former incarnations have expired, and the heartbeats of peers that did not
+// restart have arrived.
 func (s *State) coldStartDone() bool {
 	if s.coldStartRev == 0 || s.now.Sub(s.startedAt) < s.params.ExpiryWait() {
 		return false
@@ -93,7 +93,7 @@
 	return n >= quorum(len(voters))
 }
 
-// countVoters counts the voters, without this daemon, that satisfy ok.
+// countVoters counts the voters that satisfy ok, this daemon excluded.
 func (s *State) countVoters(voters []crid.Daemon, ok func(*peer) bool) int {
 	n := 0
 	for _, d := range voters {
--- a/core/crmember/round.go
+++ b/core/crmember/round.go
@@ -7,15 +7,15 @@
 	"camphorroad/core/crid"
 )
 
-// seqReuseWindow is how long one sequence number serves for heartbeats to different
-// peers. A contact counts from the first of them, which is too early for the others
-// and so never extends a lease.
+// seqReuseWindow is how long one sequence number is used for heartbeats to different
+// peers. A contact counts from the first of them. That is too early for the others, so
+// it never makes a lease too long.
 const seqReuseWindow = 50 * time.Millisecond
 
-// sendRound sends a heartbeat to each peer that is due: the recipients of this
-// round, and peers whose heartbeat has not been answered. An answer is not answered
-// again. Otherwise each sampled pair would go on for ever, and in the end all
-// daemons would exchange heartbeats with all others.
+// sendRound sends a heartbeat to each recipient of this round, and to each peer whose
+// heartbeat has not been answered. A reply is not answered. Otherwise each sampled pair
+// would exchange replies for ever, and in the end all daemons would exchange heartbeats
+// with all others.
 func (s *State) sendRound() {
 	skip := s.idle() && !s.roundNow && !s.broadcast
 	s.lastRound = s.now
@@ -42,7 +42,8 @@
 	return !s.now.Before(s.nextRound) && !s.idle()
 }
 
-// sendHeartbeat sends one heartbeat with the current state.
+// sendHeartbeat sends one heartbeat with the current state. It uses a new sequence number
+// if the current one was already sent to this peer or is older than seqReuseWindow.
 func (s *State) sendHeartbeat(d crid.Daemon, p *peer, reply bool) {
 	if p.sentSeq == s.seq || s.now.Sub(s.sentHeartbeats[s.seq%sentRingSize].at) > seqReuseWindow {
 		s.nextSeq()
@@ -71,9 +72,9 @@
 }
 
 // replyTo answers a received heartbeat at once unless the round has answered it. If
-// answers waited for the next round of an idle daemon, they would come so late that
-// two lost packets in a row make a peer look down. A peer that sends heartbeats
-// without pause is answered at most twice an interval.
+// replies waited for the next round of an idle daemon, they would be so late that after
+// two lost packets in a row a peer would count as unreachable. A peer that sends
+// heartbeats without pause is answered at most twice an interval.
 func (s *State) replyTo(ev crevent.Event) {
 	in, ok := ev.(crevent.Received)
 	if !ok || s.params.IdleInterval == 0 || s.newest == 0 {
@@ -87,10 +88,10 @@
 	s.sendHeartbeat(in.From, p, true)
 }
 
-// idle reports whether heartbeats may go at the slower pace: this daemon holds a
-// lease, no list is being handed over here or at a voter, no voter is recovering, and
+// idle reports whether heartbeats may be sent at IdleInterval: this daemon holds a
+// lease, no handover is in progress here or at a voter, no voter is recovering, and
 // none is suspected. Voters out of contact do not count, or one failed voter would
-// keep the fleet at the faster pace.
+// keep the whole fleet at the shorter interval.
 func (s *State) idle() bool {
 	if s.params.IdleInterval == 0 || s.lease.Until == 0 || s.leaving || s.lastActive != s.newest || s.missingActive > s.lastActive {
 		return false
@@ -107,34 +108,34 @@
 	return true
 }
 
-// suspected reports that the last contact with a peer is older than it gets without
+// suspected reports that the last contact with a peer is older than it becomes without
 // packet loss: one idle interval until the peer's next heartbeat, and another since
-// its echo may be that old. The remaining contact timeout is for heartbeats at the
-// faster pace.
+// the heartbeat that it echoes may be that old. The rest of the contact timeout is for
+// heartbeats at the shorter interval.
 func (s *State) suspected(p *peer) bool {
 	const halfIntervals = 5
 	return s.now.Sub(p.lastContact) > halfIntervals*s.params.idleInterval()/2
 }
 
 // skippable reports that a peer needs no heartbeat in this round of an idle daemon:
-// it has just been answered, and sends heartbeats itself. So one end of each pair
-// sends and the other answers.
+// it has just been sent one, usually a reply to its own. So one daemon of each pair
+// sends heartbeats and the other replies.
 func (s *State) skippable(p *peer) bool {
 	const parts = 5
 	return s.inContact(p) && !s.suspected(p) && s.now.Sub(p.sentAt) < s.params.idleInterval()*(parts-1)/parts
 }
 
-// jitter returns the time to the next round. Without jitter, daemons that start at
-// one time would send their heartbeats at one time for ever.
+// jitter varies a mean interval at random by up to the fraction Jitter. Without it,
+// daemons that start at the same time would always send their heartbeats at the same time.
 func (s *State) jitter(mean time.Duration) time.Duration {
 	const steps = 1 << 20
 	offset := float64(s.hash(s.seq, 0)%steps)/steps*2 - 1
 	return time.Duration(float64(mean) * (1 + s.params.Jitter*offset))
 }
 
-// recipients returns the daemons that get a heartbeat in this round unasked: all in a
-// small fleet and once when leaving; otherwise the voters of each list held, and a
-// sample.
+// recipients returns the daemons that are sent a heartbeat in this round that is not a
+// reply: all in a small fleet and once when leaving; otherwise the voters of each list
+// held, and a sample.
 func (s *State) recipients() map[crid.Daemon]bool {
 	to := make(map[crid.Daemon]bool)
 	if len(s.peerNames) <= s.params.MaxVoters || s.broadcast {
@@ -154,9 +155,9 @@
 	return to
 }
 
-// currentSample returns the daemons that get heartbeats besides the voters. It is
-// kept for SampleDuration: each peer that is new to the sample costs a handshake,
-// and a new sample in every round costs a sixth of a core.
+// currentSample returns the daemons that are sent heartbeats besides the voters. The
+// sample is kept for SampleDuration: each peer that is new to it costs a handshake, and
+// a new sample in every round would cost a sixth of a processor core.
 func (s *State) currentSample() []crid.Daemon {
 	if s.now.Before(s.sampleUntil) {
 		return s.sample
--- a/core/crmember/sample_test.go
+++ b/core/crmember/sample_test.go
@@ -11,7 +11,7 @@
 	"camphorroad/core/crinstance"
 )
 
-// down returns the peers that a daemon considers down.
+// down returns the peers that count as down at a daemon.
 func (c *cluster) down(d crid.Daemon) []crid.Daemon {
 	var down []crid.Daemon
 	for _, p := range c.nodes[d].peers {
--- a/core/crmember/unlisted.go
+++ b/core/crmember/unlisted.go
@@ -10,8 +10,8 @@
 // A daemon that starts while the platform is down holds no list, and so no list
 // names its peers. If it ignored them it would never become ready, and a fleet that
 // is replaced step by step during a long outage would stop serving. The transport
-// has verified the sender's certificate. A daemon that holds a list queries only
-// the peers named in it.
+// has verified the sender's certificate. A daemon that holds a list requests lists only
+// from peers named in it.
 func (s *State) handleUnlisted(from crid.Daemon, msg crevent.Message) {
 	if len(s.lists) > 0 {
 		return
