--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -179,7 +179,7 @@
 	g.Expect(c.view[c.names[0]].Readers).To(gomega.Equal(before))
 }
 
-// Several daemons stop at one time and still serve their callers for seconds. Each account
+// Several daemons stop at the same time and still serve their callers for seconds. Each account
 // needs one owner for all of them. With stopping daemons as owners for their own callers,
 // an account of 15 requests a second ran 136 in 5 s.
 func TestStoppingDaemonsAgreeOnOwners(t *testing.T) {
@@ -261,7 +261,7 @@
 	g.Expect(v[len(v)-1].Confirmed).To(gomega.Equal(4))
 }
 
-// All machines of a domain start at one time. Until their heartbeats arrive, each would
+// All machines of a domain start at the same time. Until their heartbeats arrive, each would
 // read the store itself, although two readers are enough a moment later. The only daemon
 // of a domain must not wait.
 func TestReadersPending(t *testing.T) {
--- a/core/crregistry/crregistry.go
+++ b/core/crregistry/crregistry.go
@@ -149,7 +149,7 @@
 }
 
 // Records returns the records sorted by target. If two have the same address, only the
-// later one counts: the address was reassigned, and the other target is gone.
+// later one counts: the address was reassigned after the other target had ended.
 func (g *Registry) Records() []Record {
 	latest := make(map[string]*entry, len(g.records))
 	for _, e := range g.records {
