--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -120,7 +120,7 @@
 		Target:           d.exit.Target(),
 		Load:             report.Load,
 		Slots:            report.Slots,
-		UnhealthyProb255:             uint8(report.UnhealthyProb * 255),
+		UnhealthyProb255: uint8(report.UnhealthyProb * 255),
 		TypicalMillis:    report.Typical.Milliseconds(),
 		Closed:           report.Closed,
 		Stopping:         eff.Stopping,
