--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -104,7 +104,7 @@
 		case crmesh.SendHeartbeats:
 			d.channel.SendHeartbeat(eff.To, d.heartbeat(eff))
 		case crmesh.UpdateTarget:
-			d.balancer.Report(eff.Target, eff.Status)
+			d.balancer.Report(eff.Target, eff.Report)
 		case crmesh.Pull:
 			go d.pull(ctx, eff.From)
 		case crmesh.RenewWatches:
@@ -120,7 +120,7 @@
 		Target:           d.exit.Target(),
 		Load:             report.Load,
 		Slots:            report.Slots,
-		Sick:             uint8(report.UnhealthyProb * 255),
+		UnhealthyProb255: uint8(report.UnhealthyProb * 255),
 		TypicalMillis:    report.Typical.Milliseconds(),
 		Closed:           report.Closed,
 		Stopping:         eff.Stopping,
@@ -193,11 +193,11 @@
 	if !slices.Equal(before.Readers, v.Readers) {
 		d.log.Event(crlog.ReadersChanged, crlog.Fields{"readers": joinDaemons(v.Readers)})
 	}
-	if len(v.Silent) > len(before.Silent) {
-		d.log.Event(crlog.PeerSilent, crlog.Fields{"peers": joinKeys(v.Silent)})
+	if len(v.Unresponsive) > len(before.Unresponsive) {
+		d.log.Event(crlog.PeerSilent, crlog.Fields{"peers": joinKeys(v.Unresponsive)})
 	}
-	if len(v.Silent) < len(before.Silent) {
-		d.log.Event(crlog.PeerRecovered, crlog.Fields{"silent": joinKeys(v.Silent)})
+	if len(v.Unresponsive) < len(before.Unresponsive) {
+		d.log.Event(crlog.PeerRecovered, crlog.Fields{"silent": joinKeys(v.Unresponsive)})
 	}
 }
 
