--- a/core/crpace/crpace.go
+++ b/core/crpace/crpace.go
@@ -64,8 +64,8 @@
 	e.variance = (1 - w) * (e.variance + w*delta*delta)
 }
 
-// Typical returns the mean, or zero if there are too few samples.
-func (e *Estimator) Typical() time.Duration {
+// Mean returns the mean, or zero if there are too few samples.
+func (e *Estimator) Mean() time.Duration {
 	if e == nil || e.n < minSamples {
 		return 0
 	}
@@ -119,10 +119,10 @@
 // Typical returns the mean of a kind. With too few samples of the kind, it returns the
 // mean of all requests, or [DefaultServiceTime].
 func (e *Estimators) Typical(k Kind) time.Duration {
-	if t := e.kinds[k].Typical(); t > 0 {
+	if t := e.kinds[k].Mean(); t > 0 {
 		return t
 	}
-	if t := e.all.Typical(); t > 0 {
+	if t := e.all.Mean(); t > 0 {
 		return t
 	}
 	return DefaultServiceTime
@@ -142,7 +142,7 @@
 func (e *Estimators) SlowThreshold(k Kind) time.Duration { return e.kinds[k].SlowThreshold() }
 
 // Mean returns the mean of all requests, or zero if there are too few samples.
-func (e *Estimators) Mean() time.Duration { return e.all.Typical() }
+func (e *Estimators) Mean() time.Duration { return e.all.Mean() }
 
 // Kinds returns the number of kinds that are estimated separately.
 func (e *Estimators) Kinds() int { return len(e.kinds) }
--- a/core/crpace/crpace_test.go
+++ b/core/crpace/crpace_test.go
@@ -108,7 +108,7 @@
 	for i := range 40 {
 		e.Add(time.Duration(200+10*(i%10)) * time.Millisecond)
 	}
-	g.Expect(e.Typical()).To(gomega.BeNumerically("~", 245*time.Millisecond, 30*time.Millisecond))
+	g.Expect(e.Mean()).To(gomega.BeNumerically("~", 245*time.Millisecond, 30*time.Millisecond))
 	g.Expect(e.SlowThreshold()).To(gomega.BeNumerically(">", 600*time.Millisecond))
 	g.Expect(e.SlowThreshold()).To(gomega.BeNumerically("<", 1200*time.Millisecond))
 }
