--- a/core/crgate/queue.go
+++ b/core/crgate/queue.go
@@ -43,11 +43,11 @@
 	}
 	work := time.Duration(0)
 	for t := range g.running {
-		mean := g.serviceTimes.Typical(t.request.Kind)
+		mean := g.serviceTimes.Expected(t.request.Kind)
 		work += max(mean-now.Sub(t.startedAt), time.Duration(minRemainingShare*float64(mean)))
 	}
 	for _, t := range g.waiting[:ahead] {
-		work += g.serviceTimes.Typical(t.request.Kind)
+		work += g.serviceTimes.Expected(t.request.Kind)
 	}
 	return work / time.Duration(g.slots)
 }
@@ -87,7 +87,7 @@
 		if now <= t.request.LatestStart {
 			return false
 		}
-		g.refuse(t, ReasonFull, g.serviceTimes.Typical(t.request.Kind))
+		g.refuse(t, ReasonFull, g.serviceTimes.Expected(t.request.Kind))
 		return true
 	})
 }
--- a/core/crgate/timing.go
+++ b/core/crgate/timing.go
@@ -39,6 +39,6 @@
 	if most := g.serviceTimes.UpperEstimate(t.Kind); t.Objective > most && !t.Nested {
 		return now.Add(min(t.Objective, t.TimeLeft) - most)
 	}
-	need := time.Duration(minTimeShare * float64(g.serviceTimes.Typical(t.Kind)))
+	need := time.Duration(minTimeShare * float64(g.serviceTimes.Expected(t.Kind)))
 	return now.Add(max(t.TimeLeft-need-responseMargin, 0))
 }
--- a/core/crpace/crpace.go
+++ b/core/crpace/crpace.go
@@ -116,9 +116,9 @@
 	estimator.Add(took)
 }
 
-// Typical returns the mean of a kind. With too few samples of the kind, it returns the
+// Expected returns the mean of a kind. With too few samples of the kind, it returns the
 // mean of all requests, or [DefaultServiceTime].
-func (e *Estimators) Typical(k Kind) time.Duration {
+func (e *Estimators) Expected(k Kind) time.Duration {
 	if t := e.kinds[k].Mean(); t > 0 {
 		return t
 	}
@@ -129,12 +129,12 @@
 }
 
 // UpperEstimate returns the time within which about five of six requests of a kind end.
-// With too few samples of the kind, it returns [Estimators.Typical].
+// With too few samples of the kind, it returns [Estimators.Expected].
 func (e *Estimators) UpperEstimate(k Kind) time.Duration {
 	if t := e.kinds[k].UpperEstimate(); t > 0 {
 		return t
 	}
-	return e.Typical(k)
+	return e.Expected(k)
 }
 
 // SlowThreshold returns the time from which on a request of a kind is slow, or zero if
--- a/core/crpace/crpace_test.go
+++ b/core/crpace/crpace_test.go
@@ -46,9 +46,9 @@
 			}
 			e.Add(order, took)
 		}
-		g.Expect(relativeError(e.Typical(call), 130*time.Millisecond)).To(gomega.BeNumerically("<", 0.35), "seed %d", seed)
-		g.Expect(relativeError(e.Typical(read), 1300*time.Millisecond)).To(gomega.BeNumerically("<", 0.35), "seed %d", seed)
-		g.Expect(relativeError(e.Typical(order), 460*time.Millisecond)).To(gomega.BeNumerically("<", 0.35), "seed %d", seed)
+		g.Expect(relativeError(e.Expected(call), 130*time.Millisecond)).To(gomega.BeNumerically("<", 0.35), "seed %d", seed)
+		g.Expect(relativeError(e.Expected(read), 1300*time.Millisecond)).To(gomega.BeNumerically("<", 0.35), "seed %d", seed)
+		g.Expect(relativeError(e.Expected(order), 460*time.Millisecond)).To(gomega.BeNumerically("<", 0.35), "seed %d", seed)
 		g.Expect(relativeError(e.Mean(), 630*time.Millisecond)).To(gomega.BeNumerically("<", 0.5), "seed %d", seed)
 	}
 }
@@ -58,12 +58,12 @@
 func TestUnknownKindFallsBackToAllRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var e crpace.Estimators
-	g.Expect(e.Typical(call)).To(gomega.Equal(crpace.DefaultServiceTime))
+	g.Expect(e.Expected(call)).To(gomega.Equal(crpace.DefaultServiceTime))
 	for range 20 {
 		e.Add(read, time.Second)
 	}
 	e.Add(call, 100*time.Millisecond)
-	g.Expect(e.Typical(call)).To(gomega.BeNumerically("~", 957*time.Millisecond, 10*time.Millisecond))
+	g.Expect(e.Expected(call)).To(gomega.BeNumerically("~", 957*time.Millisecond, 10*time.Millisecond))
 	g.Expect(e.SlowThreshold(call)).To(gomega.BeZero())
 }
 
@@ -98,7 +98,7 @@
 		}
 	}
 	g.Expect(e.Kinds()).To(gomega.BeNumerically("<=", 64))
-	g.Expect(e.Typical(crpace.Kind{Objective: 999})).To(gomega.BeNumerically("~", time.Second, time.Millisecond))
+	g.Expect(e.Expected(crpace.Kind{Objective: 999})).To(gomega.BeNumerically("~", time.Second, time.Millisecond))
 }
 
 func TestSlowThresholdOfOneEstimator(t *testing.T) {
