--- a/core/crplace/choose.go
+++ b/core/crplace/choose.go
@@ -99,7 +99,7 @@
 			slots = s.report.Slots
 		}
 		v.utilization = float64(s.load) / float64(max(slots, 1))
-		v.avoided = now.Before(s.avoidUntil) || (req.Silent != nil && req.Silent(c.Daemon))
+		v.avoided = now.Before(s.avoidUntil) || (req.Unresponsive != nil && req.Unresponsive(c.Daemon))
 		v.score = v.utilization
 		if c.Cold {
 			v.score += coldWeight
--- a/core/crplace/crplace.go
+++ b/core/crplace/crplace.go
@@ -42,13 +42,13 @@
 
 // Request is the input to a choice, besides the state of the balancer.
 type Request struct {
-	Class   crpolicy.Class
-	Domain  crid.Domain            // of the entry
-	Tried   []crid.Target          // targets that have refused this request
-	Rand    func() float64         // random number in [0,1); called on the caller's goroutine
-	Silent  func(crid.Daemon) bool // whether no message of a daemon arrived recently
-	NoRetry bool                   // no retry is left if the target fails the request
-	Nested  bool                   // another request, which holds a slot, waits for this one
+	Class        crpolicy.Class
+	Domain       crid.Domain            // of the entry
+	Tried        []crid.Target          // targets that have refused this request
+	Rand         func() float64         // random number in [0,1); called on the caller's goroutine
+	Unresponsive func(crid.Daemon) bool // whether no message of a daemon arrived recently
+	NoRetry      bool                   // no retry is left if the target fails the request
+	Nested       bool                   // another request, which holds a slot, waits for this one
 }
 
 // firstTry reports whether the request is idempotent and has not been refused by any
--- a/io/cringress/dispatch.go
+++ b/io/cringress/dispatch.go
@@ -86,7 +86,7 @@
 	}
 	choice, ok := d.opts.Balancer.Choose(now, d.view.Targets[d.service], crplace.Request{
 		Class: d.route.Class, Domain: d.opts.Domain, Tried: d.tried, Rand: rand.Float64,
-		Silent: func(id crid.Daemon) bool { return d.view.Silent[id] }, NoRetry: !d.couldRetry(now), Nested: d.isCall(),
+		Unresponsive: func(id crid.Daemon) bool { return d.view.Silent[id] }, NoRetry: !d.couldRetry(now), Nested: d.isCall(),
 	})
 	if !ok {
 		return false
