--- a/core/crpace/crpace.go
+++ b/core/crpace/crpace.go
@@ -1,8 +1,8 @@
 // Package crpace estimates the service times of one target's requests, by their kind.
 // Package crgate uses the estimates to admit requests and to detect slow ones.
 //
-// A target serves a mixture: a call of a tenth of a second, a read of more than one
-// second, and requests that end at once. One estimate for all of them is wrong for
+// A target serves a mixture: calls that take a tenth of a second, reads that take more
+// than one second, and requests that end at once. One estimate for all of them is wrong for
 // each, and a distribution fitted to the mixture is wrong as a whole. Each kind
 // therefore has its own moving mean, which needs no assumption about the distribution.
 //
@@ -10,7 +10,7 @@
 //
 //	var e crpace.Estimators
 //	e.Add(kind, took)
-//	expected := e.Typical(kind)
+//	expected := e.Expected(kind)
 package crpace
 
 import (
@@ -21,8 +21,8 @@
 )
 
 const (
-	// smoothing is the weight of one more service time in the moving mean. It
-	// corresponds to 50 requests, about ten seconds of a target's work.
+	// smoothing is the weight of the newest service time in the moving mean. The mean
+	// then covers about 50 requests, which a target serves in about ten seconds.
 	smoothing = 0.02
 	// minSamples is the number of service times needed for a mean.
 	minSamples = 8
@@ -117,7 +117,7 @@
 }
 
 // Expected returns the mean of a kind. With too few samples of the kind, it returns the
-// mean of all requests, or [DefaultServiceTime].
+// mean of all requests, and with too few of those [DefaultServiceTime].
 func (e *Estimators) Expected(k Kind) time.Duration {
 	if t := e.kinds[k].Mean(); t > 0 {
 		return t
