--- a/core/crjudge/crjudge.go
+++ b/core/crjudge/crjudge.go
@@ -1,12 +1,12 @@
 // Package crjudge estimates whether a target is unhealthy from the responses that its
-// exit sees. Package crhealth, in contrast, compares the targets of a service with
+// exit receives. Package crhealth, in contrast, compares the targets of a service with
 // each other, by the counts of all daemons.
 //
 // The target is modeled as a hidden Markov process with two states, healthy and
 // unhealthy. Each observation updates the probability of the unhealthy state by Bayes'
-// rule; without observations the probability decays to the prior. One failure of a
-// target with a good record is thus strong evidence where many targets become
-// unhealthy, and old evidence loses its weight.
+// rule; without observations the probability decays to the prior. In a
+// fleet in which many targets become unhealthy, one failure is therefore strong evidence
+// even after many successes. Old evidence loses its weight.
 //
 // # Usage
 //
@@ -24,8 +24,8 @@
 
 const (
 	// Threshold is the probability from which on a target gets no request that may run
-	// only once. One failure of a target with a good record leads above it, and three
-	// successes in a row after one failure lead below it.
+	// only once. One failure after many successes raises the probability above it, and
+	// three successes in a row after one failure lower the probability below it.
 	Threshold = 0.35
 
 	// priorProb is the share of targets that are unhealthy at an ordinary moment. With
@@ -38,8 +38,8 @@
 	// unhealthy and healthy targets fail.
 	unhealthyFailureRate = 0.7
 	healthyFailureRate   = 0.015
-	// minProb and maxProb bound the probability, so that after a long good record a
-	// short burst of failures suffices to raise it.
+	// minProb and maxProb bound the probability, so that a short burst of failures
+	// suffices to raise it even after a long time without failures.
 	minProb = 0.004
 	maxProb = 0.985
 )
--- a/core/crjudge/crjudge_test.go
+++ b/core/crjudge/crjudge_test.go
@@ -56,8 +56,8 @@
 
 // Three in ten targets are unhealthy at any moment, for nine seconds at a time, and
 // fail 85 of 100 requests; healthy ones fail 12 in 1,000. Few once-only requests may
-// reach an unhealthy target, and few healthy targets may be excluded.
-func TestSimulatedFleetIsEstimatedWell(t *testing.T) {
+// be lost, and few healthy targets may be excluded.
+func TestFewRequestsAreLostAndFewHealthyTargetsExcluded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	var sent, lost, healthySteps, healthyExcluded int
