--- a/core/crplace/balancer.go
+++ b/core/crplace/balancer.go
@@ -10,8 +10,8 @@
 const (
 	// minAvoidance and maxAvoidance bound the time for which a target is avoided after
 	// its exit did not respond to an offer. The time doubles with each further offer
-	// without a response. A network partition lasts some seconds, and each try costs
-	// its caller the timeout of an offer.
+	// without a response. A network partition lasts some seconds, and each try
+	// delays its caller by the timeout of an offer.
 	minAvoidance = 600 * time.Millisecond
 	maxAvoidance = 2400 * time.Millisecond
 )
@@ -26,7 +26,8 @@
 	lastTrial  crid.Instant
 }
 
-// Balancer holds what one daemon knows of all targets. It is safe for concurrent use.
+// Balancer holds one daemon's data on the load and health of all targets. It is safe
+// for concurrent use.
 type Balancer struct {
 	mu     sync.Mutex
 	states map[crid.Target]*targetState
--- a/core/crplace/choose.go
+++ b/core/crplace/choose.go
@@ -17,18 +17,19 @@
 	// even although all daemons use the same reports; with fewer than all, the daemons
 	// do not choose the same target at once.
 	sampleSize = 3
-	// serviceTimeWeight is the utilization that one typical service time above that of
-	// the service counts as. A target five times as slow loses against a full one.
+	// serviceTimeWeight is the utilization added to a target's score per unit of the
+	// relative excess of its typical service time over the median of the service. A
+	// target five times as slow then scores worse than a full one.
 	serviceTimeWeight = 0.6
-	// coldWeight is the utilization that a cold target counts as, in addition to its
-	// own. For some seconds its requests take twice as long, which is as if half of
-	// its slots were taken.
+	// coldWeight is the utilization added to the score of a cold target. For some
+	// seconds its requests take twice as long, which is as if half of its slots were
+	// taken.
 	coldWeight = 0.5
-	// unhealthyWeight is the utilization that the probability of being unhealthy
-	// counts as, for a request that may not be retried: a probability of 0.1 counts as
-	// three tenths of the slots. Such a request prefers a target with a recent success
-	// to one without responses for seconds. Idempotent requests, which can be retried,
-	// test the latter.
+	// unhealthyWeight is the utilization added to the score per unit of the probability
+	// of being unhealthy: a probability of 0.1 counts as three tenths of the slots. It
+	// applies to a request that may run only once, was refused before or has no retry
+	// left. Such a request prefers a target with a recent success to one without
+	// responses for seconds. Other requests test the latter.
 	unhealthyWeight = 3.0
 	// trialShare is the maximum share of idempotent requests that try an unhealthy
 	// target. The exits limit the rate of trials of each target.
@@ -48,8 +49,8 @@
 	score         float64
 }
 
-func (v scoredCandidate) choice(trial, last bool) Choice {
-	return Choice{Candidate: v.Candidate, Trial: trial, LastResort: last, UnhealthyProb: v.unhealthyProb, Utilization: v.utilization}
+func (v scoredCandidate) choice(trial, lastResort bool) Choice {
+	return Choice{Candidate: v.Candidate, Trial: trial, LastResort: lastResort, UnhealthyProb: v.unhealthyProb, Utilization: v.utilization}
 }
 
 // Choose returns the target to offer a request to, or false if none is left.
@@ -130,7 +131,7 @@
 	return times[len(times)/2]
 }
 
-// trial picks an unhealthy target for a share of the idempotent requests. Only a
+// trial picks an unhealthy target for a share of the idempotent requests, since only a
 // request can show that a target has recovered. A request without retries left is not
 // used: it would be lost if the target is still unhealthy.
 func trial(now crid.Instant, candidates []scoredCandidate, req Request) (scoredCandidate, bool) {
@@ -148,12 +149,12 @@
 
 // overflow picks an unhealthy target with free slots for an idempotent request while
 // all healthy ones are busy. The request may succeed there, and can be retried on a
-// healthy target otherwise; the slot that it leaves free goes to a request that may
-// run only once.
+// healthy target otherwise. A slot of a healthy target stays free for a request that
+// may run only once.
 //
-// Two kinds of request do not overflow. One without retries left would usually be
-// lost. A nested call takes little of a healthy target's time, but if it fails, so
-// does its parent, which may run only once and has done most of its work.
+// Two kinds of request do not overflow. A request without retries left would usually be
+// lost. A nested call takes little of a healthy target's time, but if it fails, so does
+// its parent, which may run only once and has done most of its work.
 func overflow(candidates, healthy []scoredCandidate, req Request) (scoredCandidate, bool) {
 	if !req.firstTry() || req.NoRetry || req.Nested {
 		return scoredCandidate{}, false
@@ -182,6 +183,8 @@
 	return chosen
 }
 
+// lastResort picks the target that is least unhealthy and busy, preferably one that is
+// not avoided.
 func lastResort(candidates []scoredCandidate) Choice {
 	chosen := slices.MinFunc(candidates, func(a, b scoredCandidate) int {
 		switch {
--- a/core/crplace/crplace.go
+++ b/core/crplace/crplace.go
@@ -1,8 +1,8 @@
 // Package crplace chooses the target that a request is offered to.
 //
 // A [Balancer] holds the newest [LoadReport] of each target's exit, corrected by the
-// requests that this daemon has sent since, and whether this daemon can reach the
-// exit. The entry (io/cringress) chooses again after each refused offer. Package
+// requests that this daemon has sent since, and whether the exit responds to this
+// daemon. The entry (io/cringress) chooses again after each refused offer. Package
 // crjudge makes the health estimates in the reports. The entry of io/crentry chooses by
 // package crroute instead.
 //
@@ -60,8 +60,8 @@
 	Candidate
 	Trial         bool    // the target is unhealthy; the request tests whether it has recovered
 	LastResort    bool    // no better target is left: the exit should accept the request although the target is unhealthy
-	UnhealthyProb float64 // as known to this daemon
-	Utilization   float64 // share of the slots taken, as known to this daemon
+	UnhealthyProb float64 // by the newest report
+	Utilization   float64 // share of the slots taken, by the newest report and the requests sent since
 }
 
 // Reason returns the kind of the choice, for logs.
--- a/core/crplace/crplace_test.go
+++ b/core/crplace/crplace_test.go
@@ -14,7 +14,7 @@
 
 const start = crid.Instant(time.Hour)
 
-// sequence returns the numbers in turn.
+// sequence returns a function that returns the numbers in turn, cyclically.
 func sequence(numbers ...float64) func() float64 {
 	i := 0
 	return func() float64 {
@@ -34,12 +34,12 @@
 	return out
 }
 
-func onceOnly(float func() float64, tried ...crid.Target) crplace.Request {
-	return crplace.Request{Class: crpolicy.ClassOnce, Domain: "a", Tried: tried, Rand: float}
+func onceOnly(random func() float64, tried ...crid.Target) crplace.Request {
+	return crplace.Request{Class: crpolicy.ClassOnce, Domain: "a", Tried: tried, Rand: random}
 }
 
-func idempotent(float func() float64, tried ...crid.Target) crplace.Request {
-	return crplace.Request{Class: crpolicy.ClassRepeat, Domain: "a", Tried: tried, Rand: float}
+func idempotent(random func() float64, tried ...crid.Target) crplace.Request {
+	return crplace.Request{Class: crpolicy.ClassRepeat, Domain: "a", Tried: tried, Rand: random}
 }
 
 func TestLocalDomainIsPreferredAtLowUtilization(t *testing.T) {
@@ -54,8 +54,8 @@
 	g.Expect(c.Target).NotTo(gomega.Equal(crid.Target("t1")))
 }
 
-// However idle an unhealthy target looks, it gets no request that may run only once
-// while others are available.
+// An unhealthy target gets no request that may run only once while others are
+// available, even if it is idle and they are full.
 func TestUnhealthyTargetsGetNoOnceOnlyRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBalancer()
@@ -98,8 +98,8 @@
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
 }
 
-// Each offer to an exit behind a network partition costs its caller a timeout. Without
-// avoidance, with backoff, every request would pay it.
+// Each offer to an exit behind a network partition delays its caller by a timeout.
+// Without avoidance, with backoff, every request would be delayed.
 func TestUnresponsiveExitsAreAvoidedWithBackoff(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := crplace.NewBalancer()
@@ -187,12 +187,12 @@
 	b := crplace.NewBalancer()
 	all := candidates("a", "a")
 	b.Report("t0", crplace.LoadReport{Slots: 4, UnhealthyProb: 0.9})
-	ask := idempotent(sequence(0.1))
-	ask.NoRetry = true
-	c, _ := b.Choose(start, all, ask)
+	req := idempotent(sequence(0.1))
+	req.NoRetry = true
+	c, _ := b.Choose(start, all, req)
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
-	ask.NoRetry = false
-	c, _ = b.Choose(start, all, ask)
+	req.NoRetry = false
+	c, _ = b.Choose(start, all, req)
 	g.Expect(c.Target).To(gomega.Equal(crid.Target("t0")))
 }
 
@@ -205,10 +205,10 @@
 	all := candidates("a", "a")
 	b.Report("t0", crplace.LoadReport{Slots: 4, UnhealthyProb: 0.9})
 	b.Report("t1", crplace.LoadReport{Load: 6, Slots: 4})
-	call, bound := idempotent(sequence(0.9)), idempotent(sequence(0.9))
-	call.Nested, bound.NoRetry = true, true
-	for _, ask := range []crplace.Request{call, bound} {
-		c, _ := b.Choose(start, all, ask)
+	nested, noRetry := idempotent(sequence(0.9)), idempotent(sequence(0.9))
+	nested.Nested, noRetry.NoRetry = true, true
+	for _, req := range []crplace.Request{nested, noRetry} {
+		c, _ := b.Choose(start, all, req)
 		g.Expect(c.Target).To(gomega.Equal(crid.Target("t1")))
 	}
 	c, _ := b.Choose(start, all, idempotent(sequence(0.9)))
