--- a/core/crpace/crpace.go
+++ b/core/crpace/crpace.go
@@ -2,8 +2,8 @@
 // Package crgate uses the estimates to admit requests and to detect slow ones.
 //
 // A target serves a mixture: calls that take a tenth of a second, reads that take more
-// than one second, and requests that end at once. One estimate for all of them is wrong for
-// each, and a distribution fitted to the mixture is wrong as a whole. Each kind
+// than one second, and requests that end at once. One estimate for all of them is wrong
+// for each, and a distribution fitted to the mixture is wrong as a whole. Each kind
 // therefore has its own moving mean, which needs no assumption about the distribution.
 //
 // # Usage
