--- a/core/crhealth/arbiter.go
+++ b/core/crhealth/arbiter.go
@@ -16,7 +16,7 @@
 	incarnation crid.Incarnation
 	seq         uint64
 	lastSeen    crid.Instant
-	idle        bool // it has no traffic and therefore sends no digests
+	idle        bool // has no traffic and therefore sends no digests
 	// pending holds the pending attempts of the sender's newest digest.
 	pending map[crid.Target][]PendingCount
 }
@@ -26,11 +26,11 @@
 	window       window
 	updated      bool // evidence has arrived since the last judgement
 	finding      Finding
-	suspicion    int
+	suspicion    int // consecutive judgements that found the target unhealthy
 	ejected      bool
 	keptForFloor bool // unhealthy, but not ejected because of the floor
 	ejectedUntil crid.Instant
-	ejections    int
+	ejections    int // reduced by one per EjectionDecay without an ejection
 	unejected    bool
 	unejectedAt  crid.Instant
 	announced    bool
@@ -41,7 +41,7 @@
 type detector struct {
 	judgedAt     crid.Instant
 	lastDigestAt crid.Instant
-	deciding     bool
+	isArbiter    bool // this daemon sends verdicts, as last reported
 	records      map[crid.Target]*targetRecord
 	senders      map[crid.Daemon]*sender
 }
@@ -93,12 +93,12 @@
 
 // sendVerdict sends the current verdict to an entry, in reply to its newest digest.
 func (s *State) sendVerdict(service crid.Service, d *detector, to crid.Daemon) {
-	if !s.deciding(service) {
+	if !s.maySendVerdicts(service) {
 		return
 	}
 	src := d.senders[to]
-	s.number++
-	v := Verdict{Service: service, Incarnation: src.incarnation, Seq: src.seq, ArbiterIncarnation: s.incarnation, Number: s.number}
+	s.verdictNumber++
+	v := Verdict{Service: service, Incarnation: src.incarnation, Seq: src.seq, ArbiterIncarnation: s.incarnation, Number: s.verdictNumber}
 	for _, target := range d.ejected() {
 		r := d.records[target]
 		r.announced = true
@@ -164,10 +164,10 @@
 		d := s.detectors[service]
 		if s.arbiter(service) != s.self || s.now.Sub(d.lastDigestAt) > s.params.MaxEjectionTime {
 			delete(s.detectors, service)
-			s.reportDeciding(service, d, false)
+			s.reportArbiterRole(service, d, false)
 			continue
 		}
-		s.reportDeciding(service, d, s.deciding(service))
+		s.reportArbiterRole(service, d, s.maySendVerdicts(service))
 		if s.now.Sub(d.judgedAt) >= s.params.JudgeEvery {
 			d.judgedAt = s.now
 			s.judge(service, d)
@@ -175,13 +175,13 @@
 	}
 }
 
-func (s *State) reportDeciding(service crid.Service, d *detector, deciding bool) {
-	if deciding == d.deciding {
+func (s *State) reportArbiterRole(service crid.Service, d *detector, isArbiter bool) {
+	if isArbiter == d.isArbiter {
 		return
 	}
-	d.deciding = deciding
+	d.isArbiter = isArbiter
 	number := EventArbiterStopped
-	if deciding {
+	if isArbiter {
 		number = EventArbiterStarted
 	}
 	s.report(number, service, "", "")
@@ -192,7 +192,7 @@
 	s.prune(service, d)
 	unhealthy := s.unhealthyTargets(d)
 	changed := s.endEjections(service, d)
-	if !s.deciding(service) {
+	if !s.maySendVerdicts(service) {
 		return
 	}
 	changed = s.unejectForFloor(service, d) || changed
@@ -202,8 +202,8 @@
 	}
 }
 
-// prune removes targets that are no longer listed and senders that are silent. It
-// keeps a target whose ejection may still be in force at some entry.
+// prune removes targets that are no longer listed, and senders that have sent no digest
+// for senderTTL. It keeps a target whose ejection may still be in force at some entry.
 func (s *State) prune(service crid.Service, d *detector) {
 	for target, r := range d.records {
 		if p := s.placements[target]; (p == nil || p.service != service) && !s.maybeEjected(r) {
@@ -234,12 +234,12 @@
 		if !r.ejected || s.now.Before(r.ejectedUntil) {
 			continue
 		}
-		if probes := r.window.sum(s.now, probeWindow).groups[0]; probes.n > 0 && probes.badRate() >= 0.5 {
+		if probes := r.window.sum(s.now, probeWindow).groups[probeGroup]; probes.n > 0 && probes.badRate() >= 0.5 {
 			r.ejectedUntil = s.now.Add(s.params.BaseEjectionTime)
 			s.report(EventEjectionExtended, service, target, "")
 			continue
 		}
-		s.uneject(service, target, r, "hold-off over")
+		s.uneject(service, target, r, "ejection time over")
 		changed = true
 	}
 	return changed
@@ -255,8 +255,8 @@
 	s.report(EventUnejected, service, target, reason)
 }
 
-// unejectForFloor ends the ejections with the lowest scores when the capacity has
-// dropped too far for all of them.
+// unejectForFloor ends the ejections with the lowest scores when the remaining capacity
+// does not allow all of them.
 func (s *State) unejectForFloor(service crid.Service, d *detector) bool {
 	if !s.params.hasGuard(guardFloor) {
 		return false
@@ -297,8 +297,8 @@
 	for _, target := range unhealthy {
 		r := d.records[target]
 		alreadyCounted := s.params.hasGuard(guardMaybeEjected) && s.maybeEjected(r)
-		free := !s.isCapacity(target) || alreadyCounted
-		if s.params.hasGuard(guardFloor) && !free && s.ejectedCapacity(d) >= allowed {
+		takesNoCapacity := !s.isCapacity(target) || alreadyCounted
+		if s.params.hasGuard(guardFloor) && !takesNoCapacity && s.ejectedCapacity(d) >= allowed {
 			if !r.keptForFloor {
 				s.report(EventKeptForFloor, service, target, r.finding.Cause.String())
 			}
--- a/core/crhealth/bench_test.go
+++ b/core/crhealth/bench_test.go
@@ -61,9 +61,9 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkPeers reports the cost of a crmember.Peers event, which a daemon handles
-// several times a second, in a large fleet.
-func BenchmarkPeers(b *testing.B) {
+// BenchmarkPeersChanged reports the cost of a crmember.PeersChanged event, which a
+// daemon handles several times a second, in a large fleet.
+func BenchmarkPeersChanged(b *testing.B) {
 	const daemons, each, services = 5_500, 9, 1_800
 	s := New(DefaultParams())
 	s.Step(crevent.Started{Self: "d00000", Incarnation: 1})
--- a/core/crhealth/crhealth.go
+++ b/core/crhealth/crhealth.go
@@ -12,7 +12,7 @@
 // docs/design/05-ejection.md gives the argument.
 //
 // Package crjudge, in contrast, estimates the health of one target from the responses
-// that its own exit sees.
+// that its own exit receives.
 //
 // # Usage
 //
@@ -63,14 +63,14 @@
 	peers       map[crid.Daemon]crmember.Peer
 	lease       leaseState
 
-	entries      map[crid.Service]*entry
-	timeVarying  map[crid.Service]bool // services whose RoutingUpdate changes with time
-	detectors    map[crid.Service]*detector
-	seq          uint64
-	number       uint64
-	digestTokens float64 // bytes that digests may use now
-	refilledAt   crid.Instant
-	digestsLate  bool
+	entries       map[crid.Service]*entry
+	timeVarying   map[crid.Service]bool // services whose RoutingUpdate changes with time
+	detectors     map[crid.Service]*detector
+	digestSeq     uint64
+	verdictNumber uint64
+	digestTokens  float64 // bytes that digests may use now
+	refilledAt    crid.Instant
+	digestsLate   bool
 
 	out []crevent.Effect
 }
@@ -162,8 +162,8 @@
 	}
 }
 
-// applyPeers records who is reachable. A new incarnation of a daemon means that its
-// whole instance was replaced, so its targets are cold.
+// applyPeers records which daemons are reachable. A new incarnation of a daemon means
+// that its whole instance was replaced, so its targets are cold.
 func (s *State) applyPeers(peers []crmember.Peer) {
 	previous := s.peers
 	s.peers = make(map[crid.Daemon]crmember.Peer, len(peers))
--- a/core/crhealth/entry.go
+++ b/core/crhealth/entry.go
@@ -83,8 +83,8 @@
 	e.pending[s.Target] = s.Pending
 }
 
-// sendDigests sends the digests that are due, oldest service first, as far as the
-// token bucket allows.
+// sendDigests sends the digests that are due as far as the token bucket allows. The
+// services whose last digests are the oldest come first.
 func (s *State) sendDigests() {
 	s.refillTokens()
 	var due []crid.Service
@@ -128,12 +128,12 @@
 		return
 	}
 	e := s.entries[service]
-	s.seq++
-	d := Digest{Service: service, Incarnation: s.incarnation, Seq: s.seq, Samples: e.samples()}
+	s.digestSeq++
+	d := Digest{Service: service, Incarnation: s.incarnation, Seq: s.digestSeq, Samples: e.samples()}
 	d.Last = s.now.Add(2*s.params.DigestEvery).Sub(e.lastTrafficAt) >= s.params.IdleAfter // 2*DigestEvery, as a tick may come late
 	clear(e.unsent)
 	e.lastDigestAt = s.now
-	e.sent[s.seq%sentDigestSlots] = sentDigest{seq: s.seq, at: s.now, to: to}
+	e.sent[s.digestSeq%sentDigestSlots] = sentDigest{seq: s.digestSeq, at: s.now, to: to}
 	if to == s.self {
 		s.handleDigest(s.self, d)
 		return
@@ -172,9 +172,9 @@
 // handleVerdict puts a verdict in force until ValidFor after the digest that it
 // answers was sent.
 //
-// If the time counted from the arrival, a verdict delayed in a queue or by a paused
-// process would outlive its arbiter's term. Its ejections would add up with those of
-// the new arbiter, and the service would fall below its floor.
+// If the validity started at the arrival, a verdict delayed in a queue or by a paused
+// process would still be in force after a new arbiter has taken over. The ejections of
+// both would add up, and the service would fall below its floor.
 func (s *State) handleVerdict(from crid.Daemon, v Verdict) {
 	e := s.entries[v.Service]
 	if e == nil || v.Incarnation != s.incarnation {
@@ -184,11 +184,11 @@
 	if sent.seq != v.Seq || sent.to != from || e.hasNewer(from, v) {
 		return
 	}
-	base := sent.at
+	validFrom := sent.at
 	if !s.params.hasGuard(guardSentTime) {
-		base = s.now
+		validFrom = s.now
 	}
-	until := base.Add(s.params.ValidFor)
+	until := validFrom.Add(s.params.ValidFor)
 	if until <= s.now {
 		return
 	}
@@ -212,8 +212,9 @@
 
 // updateRoutingAfter emits the RoutingUpdates that an event causes. Weights and
 // verdicts change with time, and reachability limits what a verdict may eject. Each
-// tick and each Peers event therefore visits the services with weights or verdicts in
-// force. It skips the others, which are nearly all services of a large fleet.
+// Tick and each PeersChanged event therefore visits the services with weights or
+// verdicts in force. It skips the others, which are nearly all services of a large
+// fleet.
 func (s *State) updateRoutingAfter(ev crevent.Event) {
 	switch ev := ev.(type) {
 	case crevent.Tick, crmember.PeersChanged:
@@ -282,7 +283,7 @@
 }
 
 // enforcedEjections returns the ejections of the verdict that the floor allows in this
-// daemon's view, in descending order of score. The arbiter may not have received yet
+// daemon's view, in descending order of score. The arbiter may not yet have received
 // the list in which a target is leaving.
 func (s *State) enforcedEjections(service crid.Service, e *entry) map[crid.Target]bool {
 	if len(e.verdict.Ejected) == 0 {
--- a/core/crhealth/evaluation.go
+++ b/core/crhealth/evaluation.go
@@ -27,49 +27,49 @@
 	return v
 }
 
-func (v *evaluation) evidenceOver(span int) map[crid.Target]Evidence {
-	if v.bySpan[span] == nil {
-		v.bySpan[span] = make(map[crid.Target]Evidence, len(v.targets))
+func (v *evaluation) evidenceOver(spanIndex int) map[crid.Target]Evidence {
+	if v.bySpan[spanIndex] == nil {
+		v.bySpan[spanIndex] = make(map[crid.Target]Evidence, len(v.targets))
 		for _, target := range v.targets {
 			cold := v.state.isCold(v.state.placements[target])
-			v.bySpan[span][target] = v.detector.records[target].evidence(v.state, judgedSpans[span], cold)
+			v.bySpan[spanIndex][target] = v.detector.records[target].evidence(v.state, judgedSpans[spanIndex], cold)
 		}
 	}
-	return v.bySpan[span]
+	return v.bySpan[spanIndex]
 }
 
 // comparison returns the evidence on a target and on its peers over one span: the
 // shortest one with minAttempts on the target, or the longest one if the target is an
-// outlier for wrong responses there.
+// outlier by wrong responses there.
 //
-// All targets are compared over the same span. If each had its own, then at the moment
-// when all become slow, those with a short span would look unhealthy beside those
-// whose longer span still contains the time before.
+// The target and its peers are compared over the same span. If each had its own, then
+// at the moment when all become slow, those with a short span would look unhealthy in
+// comparison with those whose longer span still contains the time before.
 func (v *evaluation) comparison(target crid.Target) (Evidence, []Evidence) {
-	span := 0
-	for span < len(judgedSpans)-1 && v.evidenceOver(span)[target].N < minAttempts {
-		span++
+	spanIndex := 0
+	for spanIndex < len(judgedSpans)-1 && v.evidenceOver(spanIndex)[target].N < minAttempts {
+		spanIndex++
 	}
-	if long := len(judgedSpans) - 1; v.wrongStandsOut(target, long) {
-		span = long
+	if longest := len(judgedSpans) - 1; v.isOutlierByWrongResponses(target, longest) {
+		spanIndex = longest
 	}
-	return v.evidenceOver(span)[target], v.peers(target, span)
+	return v.evidenceOver(spanIndex)[target], v.peers(target, spanIndex)
 }
 
-// wrongStandsOut reports whether the target is an outlier for wrong responses over a
-// span. A healthy target gives none at all, so those of a long span may be added up: a
-// small share of wrong responses would be too rare in a short span.
-func (v *evaluation) wrongStandsOut(target crid.Target, span int) bool {
-	own := v.evidenceOver(span)[target]
-	return own.Wrong >= minWrong && judgeWrong(own, v.peers(target, span)).Cause != CauseNone
+// isOutlierByWrongResponses reports whether the target is an outlier by wrong responses
+// over a span. A healthy target gives none at all, so those of a long span may be added
+// up: a small share of wrong responses would be too rare in a short span.
+func (v *evaluation) isOutlierByWrongResponses(target crid.Target, spanIndex int) bool {
+	own := v.evidenceOver(spanIndex)[target]
+	return own.Wrong >= minWrong && judgeWrong(own, v.peers(target, spanIndex)).Cause != CauseNone
 }
 
 // peers returns the evidence on all other targets.
-func (v *evaluation) peers(target crid.Target, span int) []Evidence {
+func (v *evaluation) peers(target crid.Target, spanIndex int) []Evidence {
 	peers := make([]Evidence, 0, len(v.targets))
 	for _, name := range v.targets {
 		if name != target {
-			peers = append(peers, v.evidenceOver(span)[name])
+			peers = append(peers, v.evidenceOver(spanIndex)[name])
 		}
 	}
 	return peers
@@ -78,12 +78,12 @@
 // peersFailedRecently reports whether, in any span, the peers failed as often as the
 // target does in e.
 //
-// When a shared dependency recovers, the targets recover one after another. A daemon
-// that still avoids one of them locally has only its failures from the common outage,
-// beside peers that respond again, and the target would be ejected.
+// When a shared dependency recovers, the targets recover one after another. If daemons
+// still avoid one of them locally, its only evidence is its failures from the common
+// outage, while its peers respond again. Without this check it would be ejected.
 func (v *evaluation) peersFailedRecently(target crid.Target, e Evidence) bool {
-	for span := range judgedSpans {
-		if typical, ok := medianBadRate(v.peers(target, span)); ok && !failsMoreThan(e, typical) {
+	for spanIndex := range judgedSpans {
+		if typical, ok := medianBadRate(v.peers(target, spanIndex)); ok && !failsMoreThan(e, typical) {
 			return true
 		}
 	}
@@ -105,8 +105,8 @@
 }
 
 // confirmUnhealthy counts the consecutive judgements that found the target unhealthy
-// and reports whether they suffice. Wrong responses need only one judgement. A bad
-// report of the target itself saves one.
+// and reports whether they suffice. Wrong responses need only one judgement. If the
+// target itself reports that it is unhealthy, one fewer is needed.
 func (s *State) confirmUnhealthy(v *evaluation, target crid.Target) bool {
 	r := v.detector.records[target]
 	if !r.updated {
--- a/core/crhealth/event.go
+++ b/core/crhealth/event.go
@@ -12,7 +12,7 @@
 	EventKeptForFloor     = 402 // an unhealthy target was not ejected, because of the floor
 	EventArbiterStarted   = 403 // this daemon became the arbiter of a service
 	EventArbiterStopped   = 404 // this daemon is no longer the arbiter of a service
-	EventVerdictExpired   = 405 // no verdict came from the arbiter in time; its ejections ended here
+	EventVerdictExpired   = 405 // the arbiter's last verdict expired; its ejections ended at this daemon
 	EventEjectionExtended = 406 // an ejected target still fails its probes
 	EventDigestsLate      = 407 // the byte budget does not allow all digests in time
 )
--- a/core/crhealth/evidence.go
+++ b/core/crhealth/evidence.go
@@ -32,7 +32,7 @@
 		return e
 	}
 	bad, wrong := corroborated(c, total)
-	if !seenByMajority(c, total) {
+	if !failuresAreWidespread(c, total) {
 		bad = min(bad, maxUncorroboratedBad)
 		wrong = 0
 	}
@@ -47,10 +47,10 @@
 //
 // A caller may send requests that fail or stall on any target. If all of them counted,
 // the targets that they reach would be ejected one after another for the caller's
-// fault. The other accounts do not see these targets fail at that rate.
+// fault. For the other accounts, these targets do not fail at that rate.
 func corroborated(c *counts, total tally) (bad, wrong uint32) {
 	for i, own := range c.groups {
-		if others := total.without(own); i != 0 && others.n >= minOtherAttempts {
+		if others := total.without(own); i != probeGroup && others.n >= minOtherAttempts {
 			own.bad = min(own.bad, maxUncorroboratedBad+expectedCount(own.n, others.badRate()))
 			own.wrong = min(own.wrong, maxUncorroboratedWrong+expectedCount(own.n, others.wrongRate()))
 		}
@@ -63,23 +63,24 @@
 // expectedCount is the number of failures among n attempts at a failure rate.
 func expectedCount(n uint32, rate float64) uint32 { return uint32(float64(n) * rate) }
 
-// seenByMajority reports whether the daemons with traffic on the target see similar
-// failure rates. It compares the number of daemons that saw failures with the number
-// expected if all failures were spread evenly over the attempts; more than half must
-// have seen some.
+// failuresAreWidespread reports whether the failures are spread over the daemons with
+// traffic on the target. It compares the number of daemons with failures with the number
+// expected if all failures were spread evenly over the attempts: more than half of that
+// number must have some.
 //
-// In an asymmetric partition, some daemons get no responses from a target that serves
-// all others. They avoid it locally. An ejection would take it from all daemons.
-func seenByMajority(c *counts, total tally) bool {
+// In an asymmetric partition, some daemons receive no responses from a target that
+// serves all others. They avoid it locally. An ejection would stop its use by all
+// daemons.
+func failuresAreWidespread(c *counts, total tally) bool {
 	successRate := 1 - total.badRate()
-	expected, seen := 0.0, 0.0
+	expected, withFailures := 0.0, 0.0
 	for _, t := range c.senders {
 		expected += 1 - math.Pow(successRate, float64(t.n))
 		if t.bad > 0 {
-			seen++
+			withFailures++
 		}
 	}
-	return 2*seen > expected
+	return 2*withFailures > expected
 }
 
 // evidence returns the evidence of one span.
--- a/core/crhealth/fault_test.go
+++ b/core/crhealth/fault_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// One target is slow, wrong, failing or stalled while its health endpoint reports no
-// fault. Callers get slow or wrong responses for as long as it receives requests.
+// One target responds slowly or wrongly, fails or stalls while its health endpoint
+// reports no fault. Callers get such responses for as long as it receives requests.
 func TestUnhealthyTargetIsEjectedEverywhere(t *testing.T) {
 	for name, act := range map[string]behaviour{
 		"slow":     slowBy(5),
@@ -163,8 +163,8 @@
 	}
 }
 
-// An asymmetric partition keeps a target's responses from three of fifteen entries.
-// They avoid it locally; the other twelve can still use it.
+// In an asymmetric partition, three of fifteen entries receive no responses from a
+// target. They avoid it locally; the other twelve can still use it.
 func TestAsymmetricPartitionOfFewEntriesEjectsNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := defaultWorld(DefaultParams())
@@ -216,21 +216,21 @@
 	g.Expect(w.ejectedSomewhere()).To(gomega.BeEmpty())
 }
 
-// The arbiter dies. Its ejections must end within ValidFor at every entry, and the
+// The arbiter is paused. Its ejections must end within ValidFor at every entry, and the
 // next arbiter must detect the unhealthy target itself.
-func TestDeadArbiterIsReplaced(t *testing.T) {
+func TestPausedArbiterIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := defaultWorld(DefaultParams())
 	w.run(5 * time.Second)
 	w.behaviours[unhealthy] = endWith(ResultFailed, 1)
 	g.Expect(detect(w, unhealthy)).To(gomega.BeNumerically(">", 0))
-	dead := w.arbiter()
-	dead.paused = true
+	former := w.arbiter()
+	former.paused = true
 	w.run(2 * time.Second)
 	g.Expect(w.ejectedSomewhere()).To(gomega.BeEmpty())
 	var rest []crid.Daemon
 	for _, name := range w.names {
-		if name != dead.name {
+		if name != former.name {
 			rest = append(rest, name)
 		}
 	}
@@ -240,8 +240,8 @@
 
 	// The former arbiter resumes with a full inbox and the old list.
 	before := w.ejected[unhealthy]
-	dead.paused = false
-	dead.isolated = true
+	former.paused = false
+	former.isolated = true
 	w.run(3 * time.Second)
 	g.Expect(w.ejected[unhealthy]).To(gomega.Equal(before))
 	g.Expect(w.floorBreached()).To(gomega.BeFalse())
--- a/core/crhealth/judge.go
+++ b/core/crhealth/judge.go
@@ -13,7 +13,7 @@
 	Wrong             uint32        // wrong attempts among them
 	Responses         uint32        // attempts with a latency
 	Median            time.Duration // of the responses
-	ReportedUnhealthy bool          // the target's own health or load report is bad
+	ReportedUnhealthy bool          // the target itself reports that it is unhealthy or overloaded
 	Cold              bool          // in slow start: its latency is not judged
 
 	latency [bucketCount]uint32
@@ -70,7 +70,7 @@
 // Finding is the result of judging one target.
 type Finding struct {
 	Cause Cause
-	Score float64 // how far it stands out from its peers; a higher score is ejected first
+	Score float64 // how far the target is from its peers; a higher score is ejected first
 }
 
 // Judge compares a target with its peers of the same service.
@@ -80,16 +80,16 @@
 
 // Bounds of PeerJudge.
 const (
-	minBad          = 4 // bad attempts needed for CauseFailing
-	minWrong        = 2 // wrong responses needed for CauseWrong
-	minResponses    = 8 // responses needed for a median
-	rateMargin      = 0.05
-	slowRatio       = 1.5 // multiple of the peers' median, for a very large number of responses
-	slowNoise       = 6.0 // divided by the square root of the number of responses, and added to slowRatio
+	minBad          = 4    // bad attempts needed for CauseFailing
+	minWrong        = 2    // wrong responses needed for CauseWrong
+	minResponses    = 8    // responses needed for a median
+	rateMargin      = 0.05 // by which the share of bad attempts must exceed that of the peers, besides the noise
+	slowRatio       = 1.5  // multiple of the peers' median, for a very large number of responses
+	slowNoise       = 6.0  // divided by the square root of the number of responses, and added to slowRatio
 	minSlowExcess   = 5 * time.Millisecond
 	slowShareMargin = 0.3 // by which the target's share of slow responses must exceed that of its peers
-	madFactor       = 4
-	wrongFactor     = 5
+	madFactor       = 4   // number of median absolute deviations above the peers' median
+	wrongFactor     = 5   // multiple of the peers' median share of wrong responses
 )
 
 // PeerJudge finds a target unhealthy if it is an outlier among its peers. If all
@@ -221,7 +221,7 @@
 type FixedJudge struct {
 	Rate        float64       // share of bad attempts
 	Median      time.Duration // median latency
-	MinAttempts uint32        // below which nothing is judged
+	MinAttempts uint32        // with fewer attempts, no target is found unhealthy
 }
 
 var _ Judge = FixedJudge{}
--- a/core/crhealth/lease.go
+++ b/core/crhealth/lease.go
@@ -29,36 +29,36 @@
 
 // applyLease records the lease. Under a new list another daemon may have been the
 // arbiter meanwhile, so the wait for the expiry of its verdicts starts again. Services
-// that were this daemon's during the whole handover are exempt.
-func (s *State) applyLease(t crmember.Lease) {
+// of which this daemon was the arbiter during the whole handover are exempt.
+func (s *State) applyLease(lease crmember.Lease) {
 	st := &s.lease
-	unbroken := s.holdsLease()
-	if t.Active != 0 {
-		if t.Active != st.lastGranted.Active {
-			s.carryOverServices(unbroken)
+	uninterrupted := s.holdsLease()
+	if lease.Active != 0 {
+		if lease.Active != st.lastGranted.Active {
+			s.carryOverServices(uninterrupted)
 			st.since = s.now
 			clear(st.arbiters)
 		}
-		st.lastGranted = t
+		st.lastGranted = lease
 		st.lastGranted.JointLists = nil
 	}
-	if t.Active != 0 && s.now.Before(t.Until) {
+	if lease.Active != 0 && s.now.Before(lease.Until) {
 		s.setHandover(0, nil)
 		return
 	}
 	st.lastGranted.Until = 0
-	if unbroken && s.now.Before(t.JointUntil) {
-		s.setHandover(t.JointUntil, t.JointLists)
+	if uninterrupted && s.now.Before(lease.JointUntil) {
+		s.setHandover(lease.JointUntil, lease.JointLists)
 		return
 	}
 	s.setHandover(0, nil)
 }
 
-// setHandover continues through a handover for the services whose arbiter is this
-// daemon under every list of the handover; no other daemon can be their arbiter.
-// Otherwise each change of the list would end all ejections for the time of the
-// handover and the ExpiryWait after it, and callers would reach every unhealthy target
-// again.
+// setHandover records until when this daemon may continue during a handover, and the
+// lists of the handover. It continues for the services whose arbiter it is under every
+// one of these lists; no other daemon can be their arbiter. Otherwise each change of the
+// list would end all ejections for the time of the handover and the ExpiryWait after it,
+// and callers would reach every unhealthy target again.
 func (s *State) setHandover(until crid.Instant, lists []crmember.Membership) {
 	st := &s.lease
 	st.handoverUntil = until
@@ -69,12 +69,12 @@
 	}
 }
 
-// carryOverServices records, at the end of an uninterrupted handover, the services
-// that were this daemon's under all of its lists, and since when.
-func (s *State) carryOverServices(unbroken bool) {
+// carryOverServices records, at the end of an uninterrupted handover, the services of
+// which this daemon was the arbiter under all of its lists, and since when.
+func (s *State) carryOverServices(uninterrupted bool) {
 	st := &s.lease
 	carried := make(map[crid.Service]crid.Instant)
-	if unbroken && len(st.handoverLists) > 0 {
+	if uninterrupted && len(st.handoverLists) > 0 {
 		for service := range s.detectors {
 			if s.arbiter(service) == s.self {
 				carried[service] = s.arbiterSince(service)
@@ -146,10 +146,10 @@
 	return s.now.Before(s.lease.lastGranted.Until) || s.now.Before(s.lease.handoverUntil)
 }
 
-// deciding reports whether this daemon may send verdicts for the service. A new
+// maySendVerdicts reports whether this daemon may send verdicts for the service. A new
 // arbiter waits until all verdicts of its predecessor, and of its own previous
 // incarnation, have expired.
-func (s *State) deciding(service crid.Service) bool {
+func (s *State) maySendVerdicts(service crid.Service) bool {
 	if s.params.LocalOnly {
 		return true
 	}
--- a/core/crhealth/measure_test.go
+++ b/core/crhealth/measure_test.go
@@ -56,18 +56,18 @@
 }
 
 type measured struct {
-	detect         []time.Duration // of the runs in which all daemons ejected all unhealthy targets
+	detectionTimes []time.Duration // of the runs in which all daemons ejected all unhealthy targets
 	runs           int
 	falseEjections int // ejections of targets that were not unhealthy
 }
 
 func (m *measured) String() string {
-	if len(m.detect) == 0 {
+	if len(m.detectionTimes) == 0 {
 		return fmt.Sprintf("0/%d\t-\t-\t%d", m.runs, m.falseEjections)
 	}
-	slices.Sort(m.detect)
-	n := len(m.detect)
-	return fmt.Sprintf("%d/%d\t%v\t%v\t%d", n, m.runs, m.detect[n/2], m.detect[n-1], m.falseEjections)
+	slices.Sort(m.detectionTimes)
+	n := len(m.detectionTimes)
+	return fmt.Sprintf("%d/%d\t%v\t%v\t%d", n, m.runs, m.detectionTimes[n/2], m.detectionTimes[n-1], m.falseEjections)
 }
 
 func (m *measured) run(p Params, s shape, c measureCase, seed uint64) {
@@ -87,12 +87,12 @@
 		w.behaviours[target] = c.behaviour
 	}
 	start := w.now
-	var found time.Duration
+	var detectedAfter time.Duration
 	for w.now < start+measureLength {
 		w.advance()
-		if found == 0 && len(c.unhealthy) > 0 && !slices.ContainsFunc(c.unhealthy, func(t crid.Target) bool { return !w.ejectedEverywhere(t) }) {
-			found = w.now - start
-			m.detect = append(m.detect, found)
+		if detectedAfter == 0 && len(c.unhealthy) > 0 && !slices.ContainsFunc(c.unhealthy, func(t crid.Target) bool { return !w.ejectedEverywhere(t) }) {
+			detectedAfter = w.now - start
+			m.detectionTimes = append(m.detectionTimes, detectedAfter)
 		}
 	}
 	m.runs++
@@ -148,7 +148,8 @@
 	})
 }
 
-// BenchmarkArbiterTick is one judgement of 26 targets by an arbiter with 26 entries.
+// BenchmarkArbiterTick measures one judgement of 26 targets by an arbiter with 26
+// entries.
 func BenchmarkArbiterTick(b *testing.B) {
 	w := newWorld(DefaultParams(), 1, 26, 26, 10)
 	w.run(12 * time.Second)
--- a/core/crhealth/params.go
+++ b/core/crhealth/params.go
@@ -4,7 +4,7 @@
 
 // Params are the settings of the reducer. ValidFor, Drift and Margin must be the same
 // in the whole fleet. If an arbiter waited for less time than the verdicts of its
-// predecessor are valid, its ejections would add up with theirs.
+// predecessor are valid, the ejections of both would add up.
 type Params struct {
 	DigestEvery    time.Duration // between two digests of a service with traffic
 	JudgeEvery     time.Duration // between two judgements of a service
@@ -18,7 +18,7 @@
 	Confirmations    int           `cbor:"Confirm" json:"Confirm"`   // consecutive judgements before a slow or failing target is ejected
 	BaseEjectionTime time.Duration `cbor:"HoldBase" json:"HoldBase"` // duration of the first ejection; doubles with each further one
 	MaxEjectionTime  time.Duration `cbor:"HoldMost" json:"HoldMost"` // longest ejection
-	EjectionDecay    time.Duration `cbor:"Forgive" json:"Forgive"`   // time in good health that takes one off the count of ejections
+	EjectionDecay    time.Duration `cbor:"Forgive" json:"Forgive"`   // time without an ejection that reduces the count of ejections by one
 	SlowStart        time.Duration // from the end of an ejection to full weight
 	ColdStart        time.Duration // from a start to full weight
 
--- a/core/crhealth/pending.go
+++ b/core/crhealth/pending.go
@@ -9,7 +9,7 @@
 )
 
 // minPendingAge is the age from which on a pending attempt is reported. Younger ones
-// are no evidence for any service and would only add bytes.
+// are no evidence for any service and would only make digests larger.
 const minPendingAge = 500 * time.Millisecond
 
 // PendingCount is the number of attempts of one group of accounts that are pending at
@@ -17,7 +17,7 @@
 type PendingCount struct {
 	_     struct{} `cbor:",toarray"`
 	Group uint8
-	Age   uint8 // a latency bucket
+	Age   uint8 // index of a latency bucket
 	N     uint32
 }
 
@@ -35,26 +35,26 @@
 func (a *PendingAttempt) End() {
 	a.list.mu.Lock()
 	defer a.list.mu.Unlock()
-	delete(a.list.open, a.id)
+	delete(a.list.attempts, a.id)
 }
 
 // pendingList holds the pending attempts on one target.
 type pendingList struct {
 	mu       sync.Mutex
 	nextID   uint64
-	open     map[uint64]*PendingAttempt
+	attempts map[uint64]*PendingAttempt
 	reported bool // the last drain reported pending attempts
 }
 
 func (l *pendingList) begin(group uint8, now crid.Instant) *PendingAttempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open == nil {
-		l.open = make(map[uint64]*PendingAttempt)
+	if l.attempts == nil {
+		l.attempts = make(map[uint64]*PendingAttempt)
 	}
 	l.nextID++
 	a := &PendingAttempt{list: l, id: l.nextID, group: group, began: now}
-	l.open[a.id] = a
+	l.attempts[a.id] = a
 	return a
 }
 
@@ -62,7 +62,7 @@
 func (l *pendingList) hasAny() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.open) > 0
+	return len(l.attempts) > 0
 }
 
 // counts returns the pending attempts of at least minPendingAge, sorted. It also
@@ -72,7 +72,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var counts []PendingCount
-	for _, a := range l.open {
+	for _, a := range l.attempts {
 		if age := now.Sub(a.began); age >= minPendingAge {
 			counts = addPending(counts, PendingCount{Group: a.group, Age: uint8(bucketOf(age)), N: 1})
 		}
--- a/core/crhealth/recorder.go
+++ b/core/crhealth/recorder.go
@@ -37,23 +37,23 @@
 // Recorder counts the results of attempts. It is safe for concurrent use by traffic
 // goroutines. Record does not wait for the control goroutine.
 type Recorder struct {
-	mu    sync.RWMutex
-	cells map[crid.Target]*cell
+	mu       sync.RWMutex
+	counters map[crid.Target]*targetCounters
 }
 
-// cell holds the counters of one target since the last drain.
-type cell struct {
-	groups            [groupCount]groupCell
+// targetCounters holds the counters of one target since the last drain.
+type targetCounters struct {
+	groups            [groupCount]groupCounter
 	latency           [bucketCount]atomic.Uint32
 	reportedUnhealthy atomic.Bool
 	pending           pendingList
 	idle              int // drains without an attempt; owned by Drain
 }
 
-// groupCell packs the three counts of a group into one word, so that a drain does not
-// see a bad attempt without its attempt. Each field counts up to a million; a drain
+// groupCounter packs the three counts of a group into one word, so that a drain does not
+// read a bad attempt without its attempt. Each field counts up to a million; a drain
 // follows every 50 ms.
-type groupCell struct {
+type groupCounter struct {
 	packed atomic.Uint64
 }
 
@@ -66,9 +66,9 @@
 	oneWrong   = oneBad | 1<<wrongShift
 )
 
-func (g *groupCell) add(one uint64) { g.packed.Add(one) }
+func (g *groupCounter) add(one uint64) { g.packed.Add(one) }
 
-func (g *groupCell) swap() tally {
+func (g *groupCounter) swap() tally {
 	if g.packed.Load() == 0 {
 		return tally{}
 	}
@@ -78,7 +78,7 @@
 
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
-	return &Recorder{cells: make(map[crid.Target]*cell)}
+	return &Recorder{counters: make(map[crid.Target]*targetCounters)}
 }
 
 // Record counts one attempt. The latency counts only for ResultOK; it is measured from
@@ -88,10 +88,10 @@
 		return
 	}
 	group := groupOf(account)
-	r.withCell(target, func(c *cell) { c.count(group, result, latency) })
+	r.withCounters(target, func(c *targetCounters) { c.count(group, result, latency) })
 }
 
-func (c *cell) count(group int, result Result, latency time.Duration) {
+func (c *targetCounters) count(group int, result Result, latency time.Duration) {
 	g := &c.groups[group]
 	switch result {
 	case ResultOK:
@@ -104,27 +104,27 @@
 	}
 }
 
-// SetReportedUnhealthy records whether the target's own health or load report is bad.
-// Such reports may be late or wrong. A bad one saves one confirmation of an ejection
-// that the results call for; it has no other effect.
-func (r *Recorder) SetReportedUnhealthy(target crid.Target, bad bool) {
-	r.withCell(target, func(c *cell) { c.reportedUnhealthy.Store(bad) })
+// SetReportedUnhealthy records whether the target itself reports that it is unhealthy or
+// overloaded. The report may be late or wrong. If the results justify an ejection, a
+// report of true reduces the confirmations needed by one; it has no other effect.
+func (r *Recorder) SetReportedUnhealthy(target crid.Target, unhealthy bool) {
+	r.withCounters(target, func(c *targetCounters) { c.reportedUnhealthy.Store(unhealthy) })
 }
 
 // Begin records an attempt that has been sent and has no response yet. The caller ends
-// it at the first sign of its outcome.
+// it when its response begins or it is abandoned.
 func (r *Recorder) Begin(target crid.Target, account crid.Account, now crid.Instant) *PendingAttempt {
 	group := uint8(groupOf(account))
 	var a *PendingAttempt
-	r.withCell(target, func(c *cell) { a = c.pending.begin(group, now) })
+	r.withCounters(target, func(c *targetCounters) { a = c.pending.begin(group, now) })
 	return a
 }
 
-// withCell calls do on the cell of a target while no drain can remove the cell: what
-// is recorded in a removed cell is lost.
-func (r *Recorder) withCell(target crid.Target, do func(c *cell)) {
+// withCounters calls do on the counters of a target while no drain can remove them: what
+// is recorded in removed counters is lost.
+func (r *Recorder) withCounters(target crid.Target, do func(c *targetCounters)) {
 	r.mu.RLock()
-	if c := r.cells[target]; c != nil {
+	if c := r.counters[target]; c != nil {
 		do(c)
 		r.mu.RUnlock()
 		return
@@ -132,10 +132,10 @@
 	r.mu.RUnlock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := r.cells[target]
+	c := r.counters[target]
 	if c == nil {
-		c = &cell{}
-		r.cells[target] = c
+		c = &targetCounters{}
+		r.counters[target] = c
 	}
 	do(c)
 }
@@ -163,10 +163,10 @@
 }
 
 // snapshot copies the map, so that a drain does not block traffic.
-func (r *Recorder) snapshot() map[crid.Target]*cell {
+func (r *Recorder) snapshot() map[crid.Target]*targetCounters {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return maps.Clone(r.cells)
+	return maps.Clone(r.counters)
 }
 
 // dropIdle removes idle targets. It keeps a target with an attempt since its drain,
@@ -179,21 +179,21 @@
 	defer r.mu.Unlock()
 	var late []Sample
 	for _, target := range idle {
-		c := r.cells[target]
+		c := r.counters[target]
 		if s, reported := c.drain(target, now); reported {
 			late = append(late, s)
 			c.idle = 0
 			continue
 		}
 		if !c.pending.hasAny() {
-			delete(r.cells, target)
+			delete(r.counters, target)
 		}
 	}
 	return late
 }
 
 // drain also reports whether the sample contains anything.
-func (c *cell) drain(target crid.Target, now crid.Instant) (Sample, bool) {
+func (c *targetCounters) drain(target crid.Target, now crid.Instant) (Sample, bool) {
 	s := Sample{Target: target, ReportedUnhealthy: c.reportedUnhealthy.Load()}
 	var reported bool
 	s.Pending, reported = c.pending.counts(now)
@@ -211,11 +211,11 @@
 	return s, reported || len(s.Groups) > 0
 }
 
-// groupOf maps an account to its group. Group 0 is only for probes. All daemons use
+// groupOf maps an account to its group. probeGroup is only for probes. All daemons use
 // the same mapping, so that their counts can be added.
 func groupOf(account crid.Account) int {
 	if account == ProbeAccount {
-		return 0
+		return probeGroup
 	}
 	return 1 + int(xxhash.Sum64String(string(account))%(groupCount-1))
 }
--- a/core/crhealth/recorder_test.go
+++ b/core/crhealth/recorder_test.go
@@ -51,10 +51,10 @@
 	}
 	g := gomega.NewWithT(t)
 	g.Expect(sum.total()).To(gomega.Equal(tally{n: 40_000, bad: 20_000, wrong: 20_000}))
-	g.Expect(inconsistent).To(gomega.BeFalse(), "a drain saw a bad attempt without its attempt")
+	g.Expect(inconsistent).To(gomega.BeFalse(), "a drain read a bad attempt without its attempt")
 	r.Record("t1", ResultOK, 0, "a") // the drains may have removed the counters as idle
-	g.Expect(r.cells).To(gomega.HaveLen(1))
-	g.Expect(r.cells["t1"].pending.open).To(gomega.BeEmpty())
+	g.Expect(r.counters).To(gomega.HaveLen(1))
+	g.Expect(r.counters["t1"].pending.attempts).To(gomega.BeEmpty())
 }
 
 // If the counters of an idle target were removed while its next attempt is sent, a
@@ -63,16 +63,16 @@
 	g := gomega.NewWithT(t)
 	r := NewRecorder()
 	r.Record("t1", ResultOK, 0, "a")
-	w := r.Begin("t1", "a", 0)
+	pending := r.Begin("t1", "a", 0)
 	for range maxIdleDrains + 2 {
 		r.Drain(0)
 	}
 	g.Expect(r.Drain(crid.Instant(time.Second))).To(gomega.HaveLen(1))
-	w.End()
+	pending.End()
 	for range maxIdleDrains + 2 {
 		r.Drain(0)
 	}
-	g.Expect(r.cells).To(gomega.BeEmpty())
+	g.Expect(r.counters).To(gomega.BeEmpty())
 }
 
 // BenchmarkDigestSize reports the encoded bytes per target of a digest.
@@ -91,8 +91,8 @@
 		w.traffic(n)
 	}
 	b.ReportMetric(float64(len(encoded))/float64(len(d.Samples)), "bytes/target")
-	var back Digest
-	if err := cbor.Unmarshal(encoded, &back); err != nil || back.Service != crid.Service("booking") {
+	var decoded Digest
+	if err := cbor.Unmarshal(encoded, &decoded); err != nil || decoded.Service != crid.Service("booking") {
 		b.Fatal(err)
 	}
 }
--- a/core/crhealth/sample.go
+++ b/core/crhealth/sample.go
@@ -9,10 +9,12 @@
 )
 
 const (
-	// groupCount is the number of groups that accounts are hashed to; group 0 is for
-	// probes. Counts by group take a fixed space for any number of accounts, and still
+	// groupCount is the number of groups that accounts are hashed to, and of probeGroup.
+	// Counts by group take a fixed space for any number of accounts, and still
 	// distinguish the failures of one account from those of many.
 	groupCount = 17
+	// probeGroup is the group of the probes.
+	probeGroup = 0
 	// bucketCount is the number of latency buckets, from below bucketBase to above 30
 	// s. The bounds of a bucket differ by a factor of the square root of two.
 	bucketCount = 36
@@ -40,7 +42,7 @@
 	Target            crid.Target    `cbor:"t"`
 	Groups            []Group        `cbor:"g"`
 	Latency           []Bucket       `cbor:"l"`
-	ReportedUnhealthy bool           `cbor:"h,omitempty"` // the target's own health or load report is bad
+	ReportedUnhealthy bool           `cbor:"h,omitempty"` // the target itself reports that it is unhealthy or overloaded
 	Pending           []PendingCount `cbor:"w,omitempty"` // attempts without a response now; replaces that of the previous sample
 }
 
--- a/core/crhealth/stall.go
+++ b/core/crhealth/stall.go
@@ -16,21 +16,22 @@
 	overdueFactor = 4
 	// typicalQuantile is the quantile of the service's latency that counts as typical.
 	typicalQuantile = 0.99
-	// maxExitSilence is the time without a digest after which the daemon beside a
-	// target, and not the target, is taken for stalled.
-	maxExitSilence = 500 * time.Millisecond
+	// exitTimeout is the time without a digest after which the daemon beside a target
+	// counts as unresponsive. A stall is then attributed to the daemon, not to the
+	// target.
+	exitTimeout = 500 * time.Millisecond
 )
 
-// judgeStall finds a target stalled that gives no responses while its peers do, and on
-// which attempts of several accounts are pending for far longer than the service
+// judgeStall finds a target stalled if it gives no responses while its peers do, and
+// attempts of several accounts on it are pending for far longer than the service usually
 // takes.
 //
 // The attempts on a stalled target fill its slots and give no result until they time
 // out; after that every daemon avoids it locally. The good responses of the seconds
-// before outweigh the few failures. Without this judgement, callers would keep reaching
-// the target for those seconds.
+// before outweigh the few failures. Without judgeStall, callers would keep reaching the
+// target for those seconds.
 func (v *evaluation) judgeStall(target crid.Target) Finding {
-	if v.exitIsSilent(target) || v.responses(target, stallSpan) > 0 {
+	if v.exitIsUnresponsive(target) || v.responses(target, stallSpan) > 0 {
 		return Finding{}
 	}
 	span := v.unresponsiveSpan(target)
@@ -74,7 +75,7 @@
 // a cap for each group of accounts.
 //
 // A caller may send a few requests that take far longer than all others. Without the
-// cap they would look like a stall of the target that they reach.
+// cap, the target that they reach would be found stalled.
 func (v *evaluation) unanswered(target crid.Target, span time.Duration) uint32 {
 	limit := v.overdueLimit()
 	groups := v.detector.records[target].window.sum(v.state.now, span).groups
@@ -133,13 +134,13 @@
 	return 0
 }
 
-// exitIsSilent reports whether the daemon beside the target has stopped sending
+// exitIsUnresponsive reports whether the daemon beside the target has stopped sending
 // digests.
 //
-// While that daemon is frozen, no attempt gets through and its target looks stalled.
+// While that daemon is frozen, no attempt reaches its target, which looks stalled.
 // The membership protocol detects the frozen daemon, and the target is healthy when it
 // resumes.
-func (v *evaluation) exitIsSilent(target crid.Target) bool {
+func (v *evaluation) exitIsUnresponsive(target crid.Target) bool {
 	exit := v.detector.senders[v.state.placements[target].daemon]
-	return exit != nil && !exit.idle && v.state.now.Sub(exit.lastSeen) > maxExitSilence
+	return exit != nil && !exit.idle && v.state.now.Sub(exit.lastSeen) > exitTimeout
 }
--- a/core/crhealth/stall_test.go
+++ b/core/crhealth/stall_test.go
@@ -24,7 +24,7 @@
 }
 
 // localBalancer is a daemon's local choice of targets, by the code of crroute: by
-// load, with strikes and avoidance.
+// load, with avoidance of failing targets.
 type localBalancer struct {
 	timeout time.Duration // of one attempt
 	loads   map[crid.Target]*crroute.Load
@@ -47,7 +47,7 @@
 func (w *world) sendRequests(n *node, states map[crid.Target]TargetState) {
 	pool := n.balancer.pool(w.targets, states)
 	for i := range w.requestsPerStep {
-		now := w.now - step + step*time.Duration(i+1)/time.Duration(w.requestsPerStep)
+		now := w.now - stepLength + stepLength*time.Duration(i+1)/time.Duration(w.requestsPerStep)
 		w.endAttempts(n, now)
 		if n.idle {
 			continue
@@ -180,26 +180,26 @@
 // capacity for the same work.
 func TestLongRequestsAreNotTakenForAStall(t *testing.T) {
 	t.Parallel()
-	everywhere := func(w *world, act behaviour) {
+	setAll := func(w *world, act behaviour) {
 		for _, target := range w.targets {
 			w.behaviours[target] = act
 		}
 	}
 	for name, begin := range map[string]func(w *world, s stallShape){
 		"few long": func(w *world, s stallShape) {
-			everywhere(w, longRequests(0.02, s.timeout*6/10, "a1", "a2", "a3", "a4", "a5"))
+			setAll(w, longRequests(0.02, s.timeout*6/10, "a1", "a2", "a3", "a4", "a5"))
 		},
 		"many long": func(w *world, s stallShape) {
-			everywhere(w, longRequests(0.5, s.timeout*6/10, "a1", "a2", "a3", "a4"))
+			setAll(w, longRequests(0.5, s.timeout*6/10, "a1", "a2", "a3", "a4"))
 		},
-		"one account's stall": func(w *world, _ stallShape) { everywhere(w, longRequests(1, time.Hour, "a1")) },
-		"all stall":           func(w *world, _ stallShape) { everywhere(w, flapping(4*time.Second, endWith(ResultStalled, 1))) },
+		"one account's stall": func(w *world, _ stallShape) { setAll(w, longRequests(1, time.Hour, "a1")) },
+		"all stall":           func(w *world, _ stallShape) { setAll(w, flapping(4*time.Second, endWith(ResultStalled, 1))) },
 		"daemon frozen": func(w *world, _ stallShape) {
 			w.nodes["d03"].paused = true
-			woken := w.now + 1500*time.Millisecond
+			resumesAt := w.now + 1500*time.Millisecond
 			w.behaviours[unhealthy] = func(now time.Duration, account crid.Account, rng *rand.Rand) (Result, time.Duration) {
 				result, took := healthy(now, account, rng)
-				return result, took + max(woken-now, 0)
+				return result, took + max(resumesAt-now, 0)
 			}
 		},
 	} {
--- a/core/crhealth/world_test.go
+++ b/core/crhealth/world_test.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	step      = 50 * time.Millisecond
-	leaseTime = 2 * time.Second
-	booking   = crid.Service("booking")
+	stepLength = 50 * time.Millisecond
+	leaseTime  = 2 * time.Second
+	booking    = crid.Service("booking")
 )
 
 // node is a daemon with the real reducer and recorder and its own clock.
 type node struct {
-	name         crid.Daemon
-	state        *State
-	recorder     *Recorder
-	clockOffset  time.Duration
-	clockRate    float64
-	incarnation  uint64
-	paused       bool
-	isolated     bool // receives no lease
-	heldRevision crid.Revision
-	inbox        []delivery
-	routing      map[crid.Service]RoutingUpdate
-	idle         bool           // has no callers; only with a balancer
-	balancer     *localBalancer // nil: targets are drawn at random, and responses come at once
+	name          crid.Daemon
+	state         *State
+	recorder      *Recorder
+	clockOffset   time.Duration
+	clockRate     float64
+	incarnation   uint64
+	paused        bool
+	isolated      bool // receives no lease
+	leaseRevision crid.Revision
+	inbox         []delivery
+	routing       map[crid.Service]RoutingUpdate
+	idle          bool           // has no callers; only with a balancer
+	balancer      *localBalancer // nil: targets are drawn at random, and responses come at once
 }
 
 type delivery struct {
@@ -83,7 +83,7 @@
 	loss            float64
 	delay           time.Duration
 	partitioned     map[[2]crid.Daemon]bool
-	noResponse      map[crid.Daemon]crid.Target // the target of which an entry gets no responses
+	noResponse      map[crid.Daemon]crid.Target // the target from which an entry receives no responses
 
 	causes          map[string]int      // of the ejections
 	stalledAttempts map[crid.Target]int // attempts that occupy a slot without a response
@@ -143,7 +143,7 @@
 	n.state = New(w.params)
 	n.recorder = NewRecorder()
 	n.inbox = nil
-	n.heldRevision = 0
+	n.leaseRevision = 0
 	n.routing = make(map[crid.Service]RoutingUpdate)
 	now := n.clock(w.now)
 	policy := crpolicy.Service{Name: booking, Floor: w.floor}
@@ -194,7 +194,7 @@
 
 // advance runs one step of virtual time on all daemons.
 func (w *world) advance() {
-	w.now += step
+	w.now += stepLength
 	w.renewLeases()
 	for _, name := range w.names {
 		n := w.nodes[name]
@@ -228,8 +228,8 @@
 	n.inbox = append(later, n.inbox...)
 }
 
-// renewLeases renews the leases, and moves them to the next list once nobody holds any
-// under the previous one.
+// renewLeases renews the leases, and moves them to the next list once no daemon holds
+// one under the previous list.
 func (w *world) renewLeases() {
 	if w.nextMembers != nil && w.now >= w.switchAt {
 		w.members = w.nextMembers
@@ -246,7 +246,7 @@
 			continue
 		}
 		now := n.clock(w.now)
-		n.heldRevision = w.rev
+		n.leaseRevision = w.rev
 		w.step(n, crmember.Lease{Now: now, Active: w.rev, Members: w.members, Until: now.Add(leaseTime)})
 	}
 }
