--- a/core/crgate/timing.go
+++ b/core/crgate/timing.go
@@ -40,6 +40,6 @@
 	if upper := g.serviceTimes.UpperEstimate(t.Kind); t.Objective > upper && !t.Nested {
 		return now.Add(min(t.Objective, t.TimeLeft) - upper)
 	}
-	need := time.Duration(minTimeShare * float64(g.serviceTimes.Typical(t.Kind)))
+	need := time.Duration(minTimeShare * float64(g.serviceTimes.Expected(t.Kind)))
 	return now.Add(max(t.TimeLeft-need-responseMargin, 0))
 }
--- a/core/crpace/crpace.go
+++ b/core/crpace/crpace.go
@@ -1,16 +1,16 @@
 // Package crpace estimates the service times of one target's requests, by their kind.
 // Package crgate uses the estimates to admit requests and to detect slow ones.
 //
-// A target serves a mixture: a call of a tenth of a second, a read of more than one
-// second, and requests that end at once. One estimate for all of them is wrong for
-// each, and a distribution fitted to the mixture is wrong as a whole. Each kind
+// A target serves a mixture: calls that take a tenth of a second, reads that take more
+// than one second, and requests that end at once. One estimate for all of them is wrong
+// for each, and a distribution fitted to the mixture is wrong as a whole. Each kind
 // therefore has its own moving mean, which needs no assumption about the distribution.
 //
 // # Usage
 //
 //	var e crpace.Estimators
 //	e.Add(kind, took)
-//	expected := e.Typical(kind)
+//	expected := e.Expected(kind)
 package crpace
 
 import (
@@ -21,8 +21,8 @@
 )
 
 const (
-	// smoothing is the weight of one more service time in the moving mean. It
-	// corresponds to 50 requests, about ten seconds of a target's work.
+	// smoothing is the weight of the newest service time in the moving mean. The mean
+	// then covers about 50 requests, which a target serves in about ten seconds.
 	smoothing = 0.02
 	// minSamples is the number of service times needed for a mean.
 	minSamples = 8
@@ -64,8 +64,8 @@
 	e.variance = (1 - w) * (e.variance + w*delta*delta)
 }
 
-// Typical returns the mean, or zero if there are too few samples.
-func (e *Estimator) Typical() time.Duration {
+// Mean returns the mean, or zero if there are too few samples.
+func (e *Estimator) Mean() time.Duration {
 	if e == nil || e.n < minSamples {
 		return 0
 	}
@@ -116,25 +116,25 @@
 	estimator.Add(took)
 }
 
-// Typical returns the mean of a kind. With too few samples of the kind, it returns the
-// mean of all requests, or [DefaultServiceTime].
-func (e *Estimators) Typical(k Kind) time.Duration {
-	if t := e.kinds[k].Typical(); t > 0 {
+// Expected returns the mean of a kind. With too few samples of the kind, it returns the
+// mean of all requests, and with too few of those [DefaultServiceTime].
+func (e *Estimators) Expected(k Kind) time.Duration {
+	if t := e.kinds[k].Mean(); t > 0 {
 		return t
 	}
-	if t := e.all.Typical(); t > 0 {
+	if t := e.all.Mean(); t > 0 {
 		return t
 	}
 	return DefaultServiceTime
 }
 
 // UpperEstimate returns the time within which about five of six requests of a kind end.
-// With too few samples of the kind, it returns [Estimators.Typical].
+// With too few samples of the kind, it returns [Estimators.Expected].
 func (e *Estimators) UpperEstimate(k Kind) time.Duration {
 	if t := e.kinds[k].UpperEstimate(); t > 0 {
 		return t
 	}
-	return e.Typical(k)
+	return e.Expected(k)
 }
 
 // SlowThreshold returns the time from which on a request of a kind is slow, or zero if
@@ -142,7 +142,7 @@
 func (e *Estimators) SlowThreshold(k Kind) time.Duration { return e.kinds[k].SlowThreshold() }
 
 // Mean returns the mean of all requests, or zero if there are too few samples.
-func (e *Estimators) Mean() time.Duration { return e.all.Typical() }
+func (e *Estimators) Mean() time.Duration { return e.all.Mean() }
 
 // Kinds returns the number of kinds that are estimated separately.
 func (e *Estimators) Kinds() int { return len(e.kinds) }
