--- a/core/crhealth/arbiter.go
+++ b/core/crhealth/arbiter.go
@@ -239,7 +239,7 @@
 			s.report(EventEjectionExtended, service, target, "")
 			continue
 		}
-		s.uneject(service, target, r, "ejection time over")
+		s.uneject(service, target, r, "hold-off over")
 		changed = true
 	}
 	return changed
--- a/core/crplace/crplace.go
+++ b/core/crplace/crplace.go
@@ -35,7 +35,7 @@
 	_             struct{} `cbor:",toarray"`
 	Load          int      // requests running and queued
 	Slots         int
-	UnhealthyProb float64
+	UnhealthyProb float64       `json:"Sick"`
 	Typical       time.Duration // typical service time; zero: not known
 	Closed        bool          // accepts no requests now
 }
