--- a/lab/crpath/crpath.go
+++ b/lab/crpath/crpath.go
@@ -20,14 +20,14 @@
 	"camphorroad/lab/crload"
 )
 
-// Way is how requests reach the upstream.
-type Way string
+// Path is how requests reach the upstream.
+type Path string
 
 // The ways.
 const (
-	Straight Way = "straight" // no daemon
-	OneHop   Way = "onehop"   // the daemon beside the upstream is the entry too
-	TwoHops  Way = "twohops"  // an entry, a session, an exit
+	Straight Path = "straight" // no daemon
+	OneHop   Path = "onehop"   // the daemon beside the upstream is the entry too
+	TwoHops  Path = "twohops"  // an entry, a session, an exit
 )
 
 // Options configure a measurement.
@@ -41,7 +41,7 @@
 
 // Run is one way in one round.
 type Run struct {
-	Way    Way           `json:"way"`
+	Way    Path          `json:"way"`
 	Sent   int           `json:"sent"`
 	Failed int           `json:"failed"` // not answered, or not rightly
 	P50    time.Duration `json:"p50"`    // nanoseconds, from the planned time
@@ -120,7 +120,7 @@
 		res.Rate = opts.Part * res.Capacity
 	}
 	for range opts.Rounds {
-		for _, way := range []Way{Straight, OneHop, TwoHops} {
+		for _, way := range []Path{Straight, OneHop, TwoHops} {
 			run, err := b.run(ctx, way, res.Rate, opts.Length)
 			if err != nil {
 				return res, fmt.Errorf("%s: %w", way, err)
@@ -133,7 +133,7 @@
 
 // url is where the callers of a way send. The only target stands beside the
 // first daemon.
-func (b *bench) url(way Way) string {
+func (b *bench) url(way Path) string {
 	switch way {
 	case Straight:
 		return b.fleet.Target(0).URL()
@@ -144,7 +144,7 @@
 	return b.fleet.Daemon(1).URL()
 }
 
-func (b *bench) run(ctx context.Context, way Way, rate float64, length time.Duration) (Run, error) {
+func (b *bench) run(ctx context.Context, way Path, rate float64, length time.Duration) (Run, error) {
 	b.seed++
 	before, err := b.uses(ctx)
 	if err != nil {
@@ -182,7 +182,7 @@
 }
 
 // key is empty without a daemon: no upstream may see one.
-func (b *bench) key(way Way) string {
+func (b *bench) key(way Path) string {
 	if way == Straight {
 		return ""
 	}
--- a/lab/crpath/table.go
+++ b/lab/crpath/table.go
@@ -21,7 +21,7 @@
 func (r *Result) Rows() [][]string {
 	var rows [][]string
 	straight := r.of(Straight)
-	for _, way := range []Way{Straight, OneHop, TwoHops} {
+	for _, way := range []Path{Straight, OneHop, TwoHops} {
 		runs := r.of(way)
 		sent, failed := 0, 0
 		for _, run := range runs {
@@ -50,7 +50,7 @@
 	return rows
 }
 
-func (r *Result) of(way Way) []Run {
+func (r *Result) of(way Path) []Run {
 	var runs []Run
 	for _, run := range r.Runs {
 		if run.Way == way {
