--- a/lab/crpath/crpath.go
+++ b/lab/crpath/crpath.go
@@ -25,9 +25,9 @@
 
 // The ways.
 const (
-	Straight Path = "straight" // no daemon
-	OneHop   Path = "onehop"   // the daemon beside the upstream is the entry too
-	TwoHops  Path = "twohops"  // an entry, a session, an exit
+	Direct  Path = "straight" // no daemon
+	OneHop  Path = "onehop"   // the daemon beside the upstream is the entry too
+	TwoHops Path = "twohops"  // an entry, a session, an exit
 )
 
 // Options configure a measurement.
@@ -120,7 +120,7 @@
 		res.Rate = opts.Part * res.Capacity
 	}
 	for range opts.Rounds {
-		for _, way := range []Path{Straight, OneHop, TwoHops} {
+		for _, way := range []Path{Direct, OneHop, TwoHops} {
 			run, err := b.run(ctx, way, res.Rate, opts.Length)
 			if err != nil {
 				return res, fmt.Errorf("%s: %w", way, err)
@@ -135,7 +135,7 @@
 // first daemon.
 func (b *bench) url(way Path) string {
 	switch way {
-	case Straight:
+	case Direct:
 		return b.fleet.Target(0).URL()
 	case OneHop:
 		return b.fleet.Daemon(0).URL()
@@ -183,7 +183,7 @@
 
 // key is empty without a daemon: no upstream may see one.
 func (b *bench) key(way Path) string {
-	if way == Straight {
+	if way == Direct {
 		return ""
 	}
 	return b.account.Key()
--- a/lab/crpath/table.go
+++ b/lab/crpath/table.go
@@ -20,8 +20,8 @@
 // way of the same round.
 func (r *Result) Rows() [][]string {
 	var rows [][]string
-	straight := r.of(Straight)
-	for _, way := range []Path{Straight, OneHop, TwoHops} {
+	straight := r.of(Direct)
+	for _, way := range []Path{Direct, OneHop, TwoHops} {
 		runs := r.of(way)
 		sent, failed := 0, 0
 		for _, run := range runs {
