--- a/lab/crpath/crpath.go
+++ b/lab/crpath/crpath.go
@@ -41,7 +41,7 @@
 
 // Run is one way in one round.
 type Run struct {
-	Way    Path          `json:"way"`
+	Via    Path          `json:"way"`
 	Sent   int           `json:"sent"`
 	Failed int           `json:"failed"` // not answered, or not rightly
 	P50    time.Duration `json:"p50"`    // nanoseconds, from the planned time
@@ -164,7 +164,7 @@
 		return Run{}, err
 	}
 	line := report.Lines()[0]
-	run := Run{Way: way, Sent: line.Sent, Failed: line.Sent - line.Results[crload.Answered], P50: line.P50, P99: line.P99}
+	run := Run{Via: way, Sent: line.Sent, Failed: line.Sent - line.Results[crload.Answered], P50: line.P50, P99: line.P99}
 	run.Told = failures(report)
 	run.Exit = each(before[0], after[0], line.Sent)
 	run.Entry = each(before[1], after[1], line.Sent)
--- a/lab/crpath/table.go
+++ b/lab/crpath/table.go
@@ -53,7 +53,7 @@
 func (r *Result) of(way Path) []Run {
 	var runs []Run
 	for _, run := range r.Runs {
-		if run.Way == way {
+		if run.Via == way {
 			runs = append(runs, run)
 		}
 	}
