--- a/command/lab/path.go
+++ b/command/lab/path.go
@@ -49,7 +49,7 @@
 	_, _ = fmt.Fprintf(f.ErrOut, "closed-loop capacity of two hops: %.0f requests per second\n", result.Capacity)
 	for _, run := range result.Runs {
 		if run.Failed > 0 {
-			_, _ = fmt.Fprintf(f.ErrOut, "%s: %d of %d failed: %v\n", run.Via, run.Failed, run.Sent, run.Told)
+			_, _ = fmt.Fprintf(f.ErrOut, "%s: %d of %d failed: %v\n", run.Via, run.Failed, run.Sent, run.Failures)
 		}
 	}
 	return writeTSV(f, crpath.Header(), result.Rows())
--- a/lab/crpath/crpath.go
+++ b/lab/crpath/crpath.go
@@ -48,8 +48,8 @@
 	P99    time.Duration `json:"p99"`
 	Entry  Use           `json:"entry"` // for each request
 	Exit   Use           `json:"exit"`
-	// Told counts what the failed were told.
-	Told map[string]int `json:"told,omitempty"`
+	// Failures counts what the failed were told.
+	Failures map[string]int `json:"told,omitempty"`
 }
 
 // Use is what a daemon's process spends on a request.
@@ -165,7 +165,7 @@
 	}
 	line := report.Lines()[0]
 	run := Run{Via: way, Sent: line.Sent, Failed: line.Sent - line.Results[crload.Answered], P50: line.P50, P99: line.P99}
-	run.Told = failures(report)
+	run.Failures = failures(report)
 	run.Exit = each(before[0], after[0], line.Sent)
 	run.Entry = each(before[1], after[1], line.Sent)
 	return run, nil
