--- a/command/lab/measure.go
+++ b/command/lab/measure.go
@@ -45,8 +45,8 @@
 	runs, err := crmeasure.Run(ctx, crmeasure.Options{
 		Binary: binary, Shapes: o.shapes(), Cases: o.Case, Policies: o.Policy,
 		Seeds: o.Seeds, Length: o.Length, Plots: o.Plots,
-		Progress: func(m crmeasure.Measured) {
-			row := crmeasure.Rows([]crmeasure.Measured{m})[0]
+		Progress: func(m crmeasure.Result) {
+			row := crmeasure.Rows([]crmeasure.Result{m})[0]
 			_, _ = fmt.Fprintf(f.ErrOut, "seed %d: %s\n", m.Seed, strings.Join(row, " "))
 			if m.False > 0 || m.Refused > 0 {
 				_, _ = fmt.Fprintf(f.ErrOut, "worst: %s; refusals: %v; ejected: %s\n", m.Worst, m.Reasons, strings.Join(m.Ejected, "; "))
--- a/lab/crmeasure/crmeasure.go
+++ b/lab/crmeasure/crmeasure.go
@@ -35,7 +35,7 @@
 	Seeds    int           // runs of each, with the seeds 1 to Seeds
 	Length   time.Duration // of the load; the fault begins at a quarter of it
 	Plots    string        // directory for the timelines of each first seed; empty: none
-	Progress func(Measured)
+	Progress func(Result)
 }
 
 const (
@@ -50,7 +50,7 @@
 )
 
 // Run takes all runs that the options name, one after another.
-func Run(ctx context.Context, opts Options) ([]Measured, error) {
+func Run(ctx context.Context, opts Options) ([]Result, error) {
 	shapes, err := pick("shape", Shapes(), opts.Shapes, func(s Shape) string { return s.Name })
 	if err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 	if opts.Seeds < 1 || opts.Length < leastTime {
 		return nil, fmt.Errorf("%w: at least one seed and %v of load are needed", ErrOptions, leastTime)
 	}
-	var runs []Measured
+	var runs []Result
 	for _, s := range shapes {
 		for _, c := range cases {
 			policies := c.policies()
@@ -115,17 +115,17 @@
 	seed   uint64
 }
 
-func (o Options) run(ctx context.Context, t trial) (Measured, error) {
+func (o Options) run(ctx context.Context, t trial) (Result, error) {
 	fleet, err := crfleet.New(ctx, append(t.shape.options(), crfleet.WithBinary(o.Binary),
 		crfleet.WithSettings(t.policy.settings(t.shape)))...)
 	if err != nil {
-		return Measured{}, err
+		return Result{}, err
 	}
 	defer fleet.Close()
 	time.Sleep(settleTime)
 	rec, err := t.observe(ctx, fleet, max(o.Length, t.fault.least))
 	if err != nil {
-		return Measured{}, err
+		return Result{}, err
 	}
 	m := rec.score()
 	if o.Progress != nil {
--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -14,8 +14,8 @@
 	"camphorroad/lab/crupstream"
 )
 
-// Measured is the score of one run.
-type Measured struct {
+// Result is the score of one run.
+type Result struct {
 	Shape  string `json:"shape"`
 	Case   string `json:"case"`
 	Policy string `json:"policy"`
@@ -65,8 +65,8 @@
 	hurt = 500 * time.Millisecond
 )
 
-func (r *record) score() Measured {
-	m := Measured{
+func (r *record) score() Result {
+	m := Result{
 		Shape: r.shape.Name, Case: r.fault.Name, Policy: r.policy.Name, Seed: r.seed,
 		Sent: len(r.told),
 	}
@@ -78,7 +78,7 @@
 }
 
 // detect finds when the sick got no more work.
-func (r *record) detect(m *Measured) {
+func (r *record) detect(m *Result) {
 	if r.fault.byCallers {
 		for _, t := range r.told {
 			bad := t.Result == crload.Unknown || t.Result == crload.Cut || t.Latency > hurt
@@ -150,7 +150,7 @@
 
 // ejections reads them from the daemons' logs, and counts the healthy targets
 // that any daemon ejected.
-func (r *record) ejections(m *Measured) {
+func (r *record) ejections(m *Result) {
 	wrongly := make(map[string]bool)
 	for _, d := range r.fleet.Daemons() {
 		for line := range strings.Lines(d.Log()) {
@@ -175,7 +175,7 @@
 }
 
 // count checks what callers were told against what ran.
-func (r *record) count(m *Measured) {
+func (r *record) count(m *Result) {
 	runs := r.fleet.Runs()
 	for _, t := range r.told {
 		switch t.Result {
@@ -200,7 +200,7 @@
 }
 
 // serve scores the accounts one beside the other.
-func (r *record) serve(m *Measured) {
+func (r *record) serve(m *Result) {
 	m.Share = 1
 	m.Reasons = make(map[string]int)
 	var p99s []float64
--- a/lab/crmeasure/table.go
+++ b/lab/crmeasure/table.go
@@ -16,9 +16,9 @@
 }
 
 // Rows summarises the runs, one line for each shape, case and policy.
-func Rows(runs []Measured) [][]string {
+func Rows(runs []Result) [][]string {
 	type key struct{ shape, fault, policy string }
-	groups := make(map[key][]Measured)
+	groups := make(map[key][]Result)
 	var order []key
 	for _, m := range runs {
 		k := key{m.Shape, m.Case, m.Policy}
@@ -34,37 +34,37 @@
 	return rows
 }
 
-func cells(group []Measured) []string {
-	count := func(f func(Measured) int) string {
-		return spread(group, 0, func(m Measured) float64 { return float64(f(m)) })
+func cells(group []Result) []string {
+	count := func(f func(Result) int) string {
+		return spread(group, 0, func(m Result) float64 { return float64(f(m)) })
 	}
 	return []string{
 		strconv.Itoa(len(group)),
 		detectCell(group),
-		spread(group, 2, func(m Measured) float64 { return m.SickWork }),
-		count(func(m Measured) int { return m.False }),
-		spread(group, 4, func(m Measured) float64 { return m.Share }),
-		spread(group, 0, func(m Measured) float64 { return m.P99 }),
-		spread(group, 0, func(m Measured) float64 { return m.Median }),
-		count(func(m Measured) int { return m.Refused }),
-		count(func(m Measured) int { return m.Sent }),
-		count(func(m Measured) int { return m.Unknown }),
-		count(func(m Measured) int { return m.Cut }),
-		count(func(m Measured) int { return m.NoWord }),
-		count(func(m Measured) int { return m.Mixed }),
-		count(func(m Measured) int { return m.Twice }),
-		count(func(m Measured) int { return m.Lied }),
+		spread(group, 2, func(m Result) float64 { return m.SickWork }),
+		count(func(m Result) int { return m.False }),
+		spread(group, 4, func(m Result) float64 { return m.Share }),
+		spread(group, 0, func(m Result) float64 { return m.P99 }),
+		spread(group, 0, func(m Result) float64 { return m.Median }),
+		count(func(m Result) int { return m.Refused }),
+		count(func(m Result) int { return m.Sent }),
+		count(func(m Result) int { return m.Unknown }),
+		count(func(m Result) int { return m.Cut }),
+		count(func(m Result) int { return m.NoWord }),
+		count(func(m Result) int { return m.Mixed }),
+		count(func(m Result) int { return m.Twice }),
+		count(func(m Result) int { return m.Lied }),
 	}
 }
 
 // detectCell is "-" where nothing was to be found.
-func detectCell(group []Measured) string {
+func detectCell(group []Result) string {
 	for _, c := range Cases() {
 		if c.Name == group[0].Case && c.count == 0 && !c.byCallers {
 			return "-"
 		}
 	}
-	return spread(group, 2, func(m Measured) float64 {
+	return spread(group, 2, func(m Result) float64 {
 		if m.Detect < 0 {
 			return math.Inf(1)
 		}
@@ -72,7 +72,7 @@
 	})
 }
 
-func spread(group []Measured, digits int, f func(Measured) float64) string {
+func spread(group []Result, digits int, f func(Result) float64) string {
 	values := make([]float64, 0, len(group))
 	for _, m := range group {
 		values = append(values, f(m))
