--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -21,16 +21,16 @@
 	Policy string `json:"policy"`
 	Seed   uint64 `json:"seed"`
 
-	Detect   float64 `json:"detect"`   // seconds until the last sick target was found; below zero: one was not
-	SickWork float64 `json:"sickwork"` // work of the sick during the fault, of their fair share
-	False    int     `json:"false"`    // healthy targets ejected
-	Share    float64 `json:"share"`    // answered part of the worst-served account
-	P99      float64 `json:"p99"`      // milliseconds, of the account with the highest
-	Median   float64 `json:"median"`   // milliseconds, the median account's p99
-	Refused  int     `json:"refused"`  // though inside the account's rate
-	Limited  int     `json:"limited"`  // refusals by the account's rate, wrongful or not
-	Worst    string  `json:"worst"`    // the worst-served account, by Share
-	Sent     int     `json:"sent"`
+	DetectSeconds float64 `json:"detect"`   // seconds until the last sick target was found; below zero: one was not
+	SickWork      float64 `json:"sickwork"` // work of the sick during the fault, of their fair share
+	False         int     `json:"false"`    // healthy targets ejected
+	Share         float64 `json:"share"`    // answered part of the worst-served account
+	P99           float64 `json:"p99"`      // milliseconds, of the account with the highest
+	Median        float64 `json:"median"`   // milliseconds, the median account's p99
+	Refused       int     `json:"refused"`  // though inside the account's rate
+	Limited       int     `json:"limited"`  // refusals by the account's rate, wrongful or not
+	Worst         string  `json:"worst"`    // the worst-served account, by Share
+	Sent          int     `json:"sent"`
 
 	Reasons map[string]int `json:"reasons"` // of refusals
 	Ejected []string       `json:"ejected"` // every ejection: when after the fault, target, cause
@@ -83,7 +83,7 @@
 		for _, t := range r.told {
 			bad := t.Result == crload.Unknown || t.Result == crload.Cut || t.Latency > hurt
 			if bad && t.Planned >= r.from && t.Planned < r.to {
-				m.Detect = max(m.Detect, (t.Planned - r.from).Seconds())
+				m.DetectSeconds = max(m.DetectSeconds, (t.Planned - r.from).Seconds())
 			}
 		}
 		return
@@ -92,11 +92,11 @@
 		own, fair := r.work(target)
 		m.SickWork += inSpan(own, r.from, r.to) / max(1, inSpan(fair, r.from, r.to)) * r.peers(target) / float64(len(r.stage.sick))
 		at := r.foundAt(own, fair, r.peers(target))
-		if at < 0 || m.Detect < 0 {
-			m.Detect = -1
+		if at < 0 || m.DetectSeconds < 0 {
+			m.DetectSeconds = -1
 			continue
 		}
-		m.Detect = max(m.Detect, at)
+		m.DetectSeconds = max(m.DetectSeconds, at)
 	}
 }
 
--- a/lab/crmeasure/table.go
+++ b/lab/crmeasure/table.go
@@ -65,10 +65,10 @@
 		}
 	}
 	return spread(group, 2, func(m Result) float64 {
-		if m.Detect < 0 {
+		if m.DetectSeconds < 0 {
 			return math.Inf(1)
 		}
-		return m.Detect
+		return m.DetectSeconds
 	})
 }
 
