--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -22,7 +22,7 @@
 	Seed   uint64 `json:"seed"`
 
 	DetectSeconds float64 `json:"detect"`   // seconds until the last sick target was found; below zero: one was not
-	SickWork      float64 `json:"sickwork"` // work of the sick during the fault, of their fair share
+	UnhealthyWork float64 `json:"sickwork"` // work of the sick during the fault, of their fair share
 	False         int     `json:"false"`    // healthy targets ejected
 	Share         float64 `json:"share"`    // answered part of the worst-served account
 	P99           float64 `json:"p99"`      // milliseconds, of the account with the highest
@@ -90,7 +90,7 @@
 	}
 	for _, target := range r.stage.sick {
 		own, fair := r.work(target)
-		m.SickWork += inSpan(own, r.from, r.to) / max(1, inSpan(fair, r.from, r.to)) * r.peers(target) / float64(len(r.stage.sick))
+		m.UnhealthyWork += inSpan(own, r.from, r.to) / max(1, inSpan(fair, r.from, r.to)) * r.peers(target) / float64(len(r.stage.sick))
 		at := r.foundAt(own, fair, r.peers(target))
 		if at < 0 || m.DetectSeconds < 0 {
 			m.DetectSeconds = -1
--- a/lab/crmeasure/table.go
+++ b/lab/crmeasure/table.go
@@ -41,7 +41,7 @@
 	return []string{
 		strconv.Itoa(len(group)),
 		detectCell(group),
-		spread(group, 2, func(m Result) float64 { return m.SickWork }),
+		spread(group, 2, func(m Result) float64 { return m.UnhealthyWork }),
 		count(func(m Result) int { return m.False }),
 		spread(group, 4, func(m Result) float64 { return m.Share }),
 		spread(group, 0, func(m Result) float64 { return m.P99 }),
