--- a/lab/crmeasure/table.go
+++ b/lab/crmeasure/table.go
@@ -42,7 +42,7 @@
 		strconv.Itoa(len(group)),
 		detectCell(group),
 		spread(group, 2, func(m Result) float64 { return m.UnhealthyWork }),
-		count(func(m Result) int { return m.False }),
+		count(func(m Result) int { return m.FalseEjections }),
 		spread(group, 4, func(m Result) float64 { return m.Share }),
 		spread(group, 0, func(m Result) float64 { return m.P99 }),
 		spread(group, 0, func(m Result) float64 { return m.Median }),
