--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -24,7 +24,7 @@
 	DetectSeconds  float64 `json:"detect"`   // seconds until the last sick target was found; below zero: one was not
 	UnhealthyWork  float64 `json:"sickwork"` // work of the sick during the fault, of their fair share
 	FalseEjections int     `json:"false"`    // healthy targets ejected
-	Share          float64 `json:"share"`    // answered part of the worst-served account
+	WorstShare     float64 `json:"share"`    // answered part of the worst-served account
 	P99            float64 `json:"p99"`      // milliseconds, of the account with the highest
 	Median         float64 `json:"median"`   // milliseconds, the median account's p99
 	Refused        int     `json:"refused"`  // though inside the account's rate
@@ -201,7 +201,7 @@
 
 // serve scores the accounts one beside the other.
 func (r *record) serve(m *Result) {
-	m.Share = 1
+	m.WorstShare = 1
 	m.Reasons = make(map[string]int)
 	var p99s []float64
 	for _, a := range accounts() {
@@ -224,8 +224,8 @@
 			}
 		}
 		m.Refused += max(0, refused-(len(told)-inside))
-		if share := float64(answered) / float64(max(1, inside)); share < m.Share {
-			m.Share, m.Worst = share, a.Name
+		if share := float64(answered) / float64(max(1, inside)); share < m.WorstShare {
+			m.WorstShare, m.Worst = share, a.Name
 		}
 		p99s = append(p99s, quantile(took, 0.99))
 	}
--- a/lab/crmeasure/table.go
+++ b/lab/crmeasure/table.go
@@ -43,7 +43,7 @@
 		detectCell(group),
 		spread(group, 2, func(m Result) float64 { return m.UnhealthyWork }),
 		count(func(m Result) int { return m.FalseEjections }),
-		spread(group, 4, func(m Result) float64 { return m.Share }),
+		spread(group, 4, func(m Result) float64 { return m.WorstShare }),
 		spread(group, 0, func(m Result) float64 { return m.P99 }),
 		spread(group, 0, func(m Result) float64 { return m.Median }),
 		count(func(m Result) int { return m.Refused }),
