--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -25,7 +25,7 @@
 	UnhealthyWork  float64 `json:"sickwork"` // work of the sick during the fault, of their fair share
 	FalseEjections int     `json:"false"`    // healthy targets ejected
 	WorstShare     float64 `json:"share"`    // answered part of the worst-served account
-	P99            float64 `json:"p99"`      // milliseconds, of the account with the highest
+	WorstP99Millis float64 `json:"p99"`      // milliseconds, of the account with the highest
 	Median         float64 `json:"median"`   // milliseconds, the median account's p99
 	Refused        int     `json:"refused"`  // though inside the account's rate
 	Limited        int     `json:"limited"`  // refusals by the account's rate, wrongful or not
@@ -229,7 +229,7 @@
 		}
 		p99s = append(p99s, quantile(took, 0.99))
 	}
-	m.P99 = slices.Max(p99s)
+	m.WorstP99Millis = slices.Max(p99s)
 	m.Median = quantile(p99s, 0.5)
 }
 
--- a/lab/crmeasure/table.go
+++ b/lab/crmeasure/table.go
@@ -44,7 +44,7 @@
 		spread(group, 2, func(m Result) float64 { return m.UnhealthyWork }),
 		count(func(m Result) int { return m.FalseEjections }),
 		spread(group, 4, func(m Result) float64 { return m.WorstShare }),
-		spread(group, 0, func(m Result) float64 { return m.P99 }),
+		spread(group, 0, func(m Result) float64 { return m.WorstP99Millis }),
 		spread(group, 0, func(m Result) float64 { return m.Median }),
 		count(func(m Result) int { return m.Refused }),
 		count(func(m Result) int { return m.Sent }),
