--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -21,16 +21,16 @@
 	Policy string `json:"policy"`
 	Seed   uint64 `json:"seed"`
 
-	DetectSeconds   float64 `json:"detect"`   // seconds until the last sick target was found; below zero: one was not
-	UnhealthyWork   float64 `json:"sickwork"` // work of the sick during the fault, of their fair share
-	FalseEjections  int     `json:"false"`    // healthy targets ejected
-	WorstShare      float64 `json:"share"`    // answered part of the worst-served account
-	WorstP99Millis  float64 `json:"p99"`      // milliseconds, of the account with the highest
-	MedianP99Millis float64 `json:"median"`   // milliseconds, the median account's p99
-	Refused         int     `json:"refused"`  // though inside the account's rate
-	Limited         int     `json:"limited"`  // refusals by the account's rate, wrongful or not
-	Worst           string  `json:"worst"`    // the worst-served account, by Share
-	Sent            int     `json:"sent"`
+	DetectSeconds     float64 `json:"detect"`   // seconds until the last sick target was found; below zero: one was not
+	UnhealthyWork     float64 `json:"sickwork"` // work of the sick during the fault, of their fair share
+	FalseEjections    int     `json:"false"`    // healthy targets ejected
+	WorstShare        float64 `json:"share"`    // answered part of the worst-served account
+	WorstP99Millis    float64 `json:"p99"`      // milliseconds, of the account with the highest
+	MedianP99Millis   float64 `json:"median"`   // milliseconds, the median account's p99
+	RefusedWithinRate int     `json:"refused"`  // though inside the account's rate
+	Limited           int     `json:"limited"`  // refusals by the account's rate, wrongful or not
+	Worst             string  `json:"worst"`    // the worst-served account, by Share
+	Sent              int     `json:"sent"`
 
 	Reasons map[string]int `json:"reasons"` // of refusals
 	Ejected []string       `json:"ejected"` // every ejection: when after the fault, target, cause
@@ -223,7 +223,7 @@
 			case crload.Unknown, crload.Cut, crload.NoResponse, crload.Mismatched:
 			}
 		}
-		m.Refused += max(0, refused-(len(told)-inside))
+		m.RefusedWithinRate += max(0, refused-(len(told)-inside))
 		if share := float64(answered) / float64(max(1, inside)); share < m.WorstShare {
 			m.WorstShare, m.Worst = share, a.Name
 		}
--- a/lab/crmeasure/table.go
+++ b/lab/crmeasure/table.go
@@ -46,7 +46,7 @@
 		spread(group, 4, func(m Result) float64 { return m.WorstShare }),
 		spread(group, 0, func(m Result) float64 { return m.WorstP99Millis }),
 		spread(group, 0, func(m Result) float64 { return m.MedianP99Millis }),
-		count(func(m Result) int { return m.Refused }),
+		count(func(m Result) int { return m.RefusedWithinRate }),
 		count(func(m Result) int { return m.Sent }),
 		count(func(m Result) int { return m.Unknown }),
 		count(func(m Result) int { return m.Cut }),
