--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -28,7 +28,7 @@
 	WorstP99Millis    float64 `json:"p99"`      // milliseconds, of the account with the highest
 	MedianP99Millis   float64 `json:"median"`   // milliseconds, the median account's p99
 	RefusedWithinRate int     `json:"refused"`  // though inside the account's rate
-	Limited           int     `json:"limited"`  // refusals by the account's rate, wrongful or not
+	RateLimited       int     `json:"limited"`  // refusals by the account's rate, wrongful or not
 	Worst             string  `json:"worst"`    // the worst-served account, by Share
 	Sent              int     `json:"sent"`
 
@@ -218,7 +218,7 @@
 				refused++
 				m.Reasons[t.Reason]++
 				if t.Status == http.StatusTooManyRequests {
-					m.Limited++
+					m.RateLimited++
 				}
 			case crload.Unknown, crload.Cut, crload.NoResponse, crload.Mismatched:
 			}
