--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -29,7 +29,7 @@
 	MedianP99Millis   float64 `json:"median"`   // milliseconds, the median account's p99
 	RefusedWithinRate int     `json:"refused"`  // though inside the account's rate
 	RateLimited       int     `json:"limited"`  // refusals by the account's rate, wrongful or not
-	Worst             string  `json:"worst"`    // the worst-served account, by Share
+	WorstAccount      string  `json:"worst"`    // the worst-served account, by Share
 	Sent              int     `json:"sent"`
 
 	Reasons map[string]int `json:"reasons"` // of refusals
@@ -225,7 +225,7 @@
 		}
 		m.RefusedWithinRate += max(0, refused-(len(told)-inside))
 		if share := float64(answered) / float64(max(1, inside)); share < m.WorstShare {
-			m.WorstShare, m.Worst = share, a.Name
+			m.WorstShare, m.WorstAccount = share, a.Name
 		}
 		p99s = append(p99s, quantile(took, 0.99))
 	}
