--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -32,8 +32,8 @@
 	WorstAccount      string  `json:"worst"`    // the worst-served account, by Share
 	Sent              int     `json:"sent"`
 
-	Reasons map[string]int `json:"reasons"` // of refusals
-	Ejected []string       `json:"ejected"` // every ejection: when after the fault, target, cause
+	RefusalReasons map[string]int `json:"reasons"` // of refusals
+	Ejected        []string       `json:"ejected"` // every ejection: when after the fault, target, cause
 
 	Cut     int `json:"cut"`
 	Unknown int `json:"unknown"`
@@ -202,7 +202,7 @@
 // serve scores the accounts one beside the other.
 func (r *record) serve(m *Result) {
 	m.WorstShare = 1
-	m.Reasons = make(map[string]int)
+	m.RefusalReasons = make(map[string]int)
 	var p99s []float64
 	for _, a := range accounts() {
 		told := r.of(a.Name)
@@ -216,7 +216,7 @@
 				took = append(took, t.Latency.Seconds()*1e3)
 			case crload.NotRun:
 				refused++
-				m.Reasons[t.Reason]++
+				m.RefusalReasons[t.Reason]++
 				if t.Status == http.StatusTooManyRequests {
 					m.RateLimited++
 				}
