--- a/command/lab/measure.go
+++ b/command/lab/measure.go
@@ -49,7 +49,7 @@
 			row := crmeasure.Rows([]crmeasure.Result{m})[0]
 			_, _ = fmt.Fprintf(f.ErrOut, "seed %d: %s\n", m.Seed, strings.Join(row, " "))
 			if m.FalseEjections > 0 || m.RefusedWithinRate > 0 {
-				_, _ = fmt.Fprintf(f.ErrOut, "worst: %s; refusals: %v; ejected: %s\n", m.WorstAccount, m.RefusalReasons, strings.Join(m.Ejected, "; "))
+				_, _ = fmt.Fprintf(f.ErrOut, "worst: %s; refusals: %v; ejected: %s\n", m.WorstAccount, m.RefusalReasons, strings.Join(m.Ejections, "; "))
 			}
 		},
 	})
--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -33,7 +33,7 @@
 	Sent              int     `json:"sent"`
 
 	RefusalReasons map[string]int `json:"reasons"` // of refusals
-	Ejected        []string       `json:"ejected"` // every ejection: when after the fault, target, cause
+	Ejections      []string       `json:"ejected"` // every ejection: when after the fault, target, cause
 
 	Cut     int `json:"cut"`
 	Unknown int `json:"unknown"`
@@ -165,7 +165,7 @@
 			}
 			wrongly[e.Target] = true
 			after := e.Time.Sub(r.start) - r.from
-			m.Ejected = append(m.Ejected, fmt.Sprintf("%s: %.0fs: %s: %s", d.Name(), after.Seconds(), e.Target, e.Detail))
+			m.Ejections = append(m.Ejections, fmt.Sprintf("%s: %.0fs: %s: %s", d.Name(), after.Seconds(), e.Target, e.Detail))
 		}
 	}
 	for _, t := range r.stage.sick {
