--- a/lab/crmeasure/table.go
+++ b/lab/crmeasure/table.go
@@ -52,7 +52,7 @@
 		count(func(m Result) int { return m.Cut }),
 		count(func(m Result) int { return m.NoWord }),
 		count(func(m Result) int { return m.Mixed }),
-		count(func(m Result) int { return m.Twice }),
+		count(func(m Result) int { return m.RanTwice }),
 		count(func(m Result) int { return m.Lied }),
 	}
 }
