--- a/lab/crmeasure/table.go
+++ b/lab/crmeasure/table.go
@@ -53,7 +53,7 @@
 		count(func(m Result) int { return m.NoWord }),
 		count(func(m Result) int { return m.Mixed }),
 		count(func(m Result) int { return m.RanTwice }),
-		count(func(m Result) int { return m.Lied }),
+		count(func(m Result) int { return m.FalseNotRun }),
 	}
 }
 
