--- a/lab/crexperiment/crexperiment.go
+++ b/lab/crexperiment/crexperiment.go
@@ -75,8 +75,8 @@
 	return crpolicy.ClassRepeat
 }
 
-// Sick describes when targets are unhealthy and how often requests fail.
-type Sick struct {
+// Faults describes when targets are unhealthy and how often requests fail.
+type Faults struct {
 	Share float64  `toml:"share"` // of the time that a target is unhealthy
 	Every Duration `toml:"every"` // length of a phase; the health of a target is drawn again after it
 	Fails float64  `toml:"fails"` // share of requests that an unhealthy target fails
@@ -94,7 +94,7 @@
 	Policies []string  `toml:"policies"`
 	Services []Service `toml:"service"`
 	Kinds    []Kind    `toml:"kind"`
-	Sick     Sick      `toml:"sick"`
+	Sick     Faults    `toml:"sick"`
 }
 
 // Load reads and checks an experiment file. The error names the file, and the line and
