--- a/lab/crexperiment/crexperiment.go
+++ b/lab/crexperiment/crexperiment.go
@@ -94,7 +94,7 @@
 	Policies []string  `toml:"policies"`
 	Services []Service `toml:"service"`
 	Kinds    []Kind    `toml:"kind"`
-	Sick     Faults    `toml:"sick"`
+	Faults   Faults    `toml:"sick"`
 }
 
 // Load reads and checks an experiment file. The error names the file, and the line and
@@ -165,7 +165,7 @@
 		return errors.New("length: must be above zero")
 	case x.Domains < 1 || x.Load <= 0:
 		return errors.New("domains and load must be above zero")
-	case x.Sick.Share < 0 || x.Sick.Share >= 1 || (x.Sick.Share > 0 && x.Sick.Every <= 0):
+	case x.Faults.Share < 0 || x.Faults.Share >= 1 || (x.Faults.Share > 0 && x.Faults.Every <= 0):
 		return errors.New("sick: share must be from 0 to under 1, and every must be above zero with it")
 	}
 	return nil
--- a/lab/crexperiment/crexperiment_test.go
+++ b/lab/crexperiment/crexperiment_test.go
@@ -52,7 +52,7 @@
 func TestOverloadIsRefusedNotLate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := load(t)
-	x.Load, x.Policies, x.Seeds, x.Sick.Share = 5, []string{"product"}, []uint64{1}, 0
+	x.Load, x.Policies, x.Seeds, x.Faults.Share = 5, []string{"product"}, []uint64{1}, 0
 	r := x.Run()[0]
 	order := r.Kinds["mealorder"]
 	g.Expect(order.Asked).To(gomega.BeNumerically(">", 4000))
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -139,14 +139,14 @@
 	x, w := s.exit, s.exit.world
 	s.attempts++
 	runStart := w.now
-	if x.unhealthy && w.rng.Float64() < w.x.Sick.Fails {
+	if x.unhealthy && w.rng.Float64() < w.x.Faults.Fails {
 		if s.kind.Once {
 			w.result.OnceToSick++
 		}
 		w.after(failureDelay, func() { s.complete(runStart, false, true) })
 		return
 	}
-	ok := w.rng.Float64() >= w.x.Sick.Error
+	ok := w.rng.Float64() >= w.x.Faults.Error
 	pending := 1
 	partDone := func(success bool) {
 		pending--
--- a/lab/crexperiment/world.go
+++ b/lab/crexperiment/world.go
@@ -148,8 +148,8 @@
 		}
 	}
 	for _, x := range w.exits {
-		if w.x.Sick.Share > 0 {
-			x.startPhase(time.Duration(w.rng.Float64() * float64(w.x.Sick.Every)))
+		if w.x.Faults.Share > 0 {
+			x.startPhase(time.Duration(w.rng.Float64() * float64(w.x.Faults.Every)))
 		}
 		w.after(time.Duration(w.rng.Float64()*float64(heartbeatInterval)), x.heartbeat)
 	}
@@ -194,13 +194,13 @@
 // startPhase draws the health of the target and schedules the next draw after length.
 func (x *exit) startPhase(length time.Duration) {
 	w := x.world
-	if unhealthy := w.rng.Float64() < w.x.Sick.Share; unhealthy != x.unhealthy {
+	if unhealthy := w.rng.Float64() < w.x.Faults.Share; unhealthy != x.unhealthy {
 		if x.unhealthy && !x.detected {
 			w.result.Detection = append(w.result.Detection, w.now.Sub(x.phaseStart))
 		}
 		x.unhealthy, x.phaseStart, x.detected = unhealthy, w.now, false
 	}
-	w.after(length, func() { x.startPhase(time.Duration(w.x.Sick.Every)) })
+	w.after(length, func() { x.startPhase(time.Duration(w.x.Faults.Every)) })
 }
 
 func (x *exit) loadReport() crplace.LoadReport {
