--- a/lab/crexperiment/result.go
+++ b/lab/crexperiment/result.go
@@ -18,14 +18,14 @@
 
 // Result is the result of one simulation.
 type Result struct {
-	Policy     string            `json:"policy"`
-	Seed       uint64            `json:"seed"`
-	Load       float64           `json:"load"`
-	Kinds      map[string]*Count `json:"kinds"`
-	Detection  []time.Duration   `json:"detection"`  // per unhealthy phase; an undetected phase counts with its length
-	Mistaken   int               `json:"mistaken"`   // samples of healthy targets that half of the entries took for unhealthy
-	Well       int               `json:"well"`       // samples of healthy targets
-	OnceToSick int               `json:"oncetosick"` // once-only requests failed by unhealthy targets
+	Policy         string            `json:"policy"`
+	Seed           uint64            `json:"seed"`
+	Load           float64           `json:"load"`
+	Kinds          map[string]*Count `json:"kinds"`
+	Detection      []time.Duration   `json:"detection"`  // per unhealthy phase; an undetected phase counts with its length
+	FalsePositives int               `json:"mistaken"`   // samples of healthy targets that half of the entries took for unhealthy
+	Well           int               `json:"well"`       // samples of healthy targets
+	OnceToSick     int               `json:"oncetosick"` // once-only requests failed by unhealthy targets
 }
 
 // Row is a table row: one policy at one load, over all seeds.
@@ -88,7 +88,7 @@
 		out.Failed += r.share(func(c *Count) int { return c.Failed }) / n
 		out.OnceFailed += r.OnceToSick
 		detection = append(detection, r.Detection...)
-		falsePositives, success = falsePositives+r.Mistaken, success+r.Well
+		falsePositives, success = falsePositives+r.FalsePositives, success+r.Well
 	}
 	slices.Sort(detection)
 	out.P50, out.P95 = quantile(detection, 0.5), quantile(detection, 0.95)
--- a/lab/crexperiment/world.go
+++ b/lab/crexperiment/world.go
@@ -255,7 +255,7 @@
 	if !x.unhealthy {
 		w.result.Well++
 		if share >= falsePositiveShare {
-			w.result.Mistaken++
+			w.result.FalsePositives++
 		}
 		return
 	}
