--- a/lab/crexperiment/result.go
+++ b/lab/crexperiment/result.go
@@ -24,7 +24,7 @@
 	Kinds          map[string]*Count `json:"kinds"`
 	Detection      []time.Duration   `json:"detection"`  // per unhealthy phase; an undetected phase counts with its length
 	FalsePositives int               `json:"mistaken"`   // samples of healthy targets that half of the entries took for unhealthy
-	Well           int               `json:"well"`       // samples of healthy targets
+	HealthySamples int               `json:"well"`       // samples of healthy targets
 	OnceToSick     int               `json:"oncetosick"` // once-only requests failed by unhealthy targets
 }
 
@@ -88,7 +88,7 @@
 		out.Failed += r.share(func(c *Count) int { return c.Failed }) / n
 		out.OnceFailed += r.OnceToSick
 		detection = append(detection, r.Detection...)
-		falsePositives, success = falsePositives+r.FalsePositives, success+r.Well
+		falsePositives, success = falsePositives+r.FalsePositives, success+r.HealthySamples
 	}
 	slices.Sort(detection)
 	out.P50, out.P95 = quantile(detection, 0.5), quantile(detection, 0.95)
--- a/lab/crexperiment/world.go
+++ b/lab/crexperiment/world.go
@@ -253,7 +253,7 @@
 	}
 	share := float64(unhealthyCount) / float64(len(w.entries))
 	if !x.unhealthy {
-		w.result.Well++
+		w.result.HealthySamples++
 		if share >= falsePositiveShare {
 			w.result.FalsePositives++
 		}
