--- a/lab/crexperiment/crexperiment_test.go
+++ b/lab/crexperiment/crexperiment_test.go
@@ -55,7 +55,7 @@
 	x.Load, x.Policies, x.Seeds, x.Faults.Share = 5, []string{"product"}, []uint64{1}, 0
 	r := x.Run()[0]
 	order := r.Kinds["mealorder"]
-	g.Expect(order.Asked).To(gomega.BeNumerically(">", 4000))
+	g.Expect(order.Requests).To(gomega.BeNumerically(">", 4000))
 	g.Expect(order.InTime).To(gomega.BeNumerically(">", 4*order.Late), "%+v", order)
 	g.Expect(order.Refused).To(gomega.BeNumerically(">", 4*order.Failed), "%+v", order)
 }
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -44,7 +44,7 @@
 
 func (e *entry) start(k *Kind, deadline crid.Instant, nested bool, done func(bool)) {
 	r := &request{entry: e, kind: k, nested: nested, started: e.world.now, deadline: deadline, done: done}
-	e.world.result.Kinds[k.Name].Asked++
+	e.world.result.Kinds[k.Name].Requests++
 	e.budget.RecordRequest(e.world.now, k.Service)
 	r.next()
 }
--- a/lab/crexperiment/result.go
+++ b/lab/crexperiment/result.go
@@ -9,11 +9,11 @@
 
 // Count holds the results of the requests of a kind.
 type Count struct {
-	Asked   int `json:"asked"`
-	InTime  int `json:"intime"`
-	Late    int `json:"late"`
-	Refused int `json:"refused"` // not run
-	Failed  int `json:"failed"`  // failed, or result unknown
+	Requests int `json:"asked"`
+	InTime   int `json:"intime"`
+	Late     int `json:"late"`
+	Refused  int `json:"refused"` // not run
+	Failed   int `json:"failed"`  // failed, or result unknown
 }
 
 // Result is the result of one simulation.
@@ -48,7 +48,7 @@
 func (r Result) share(count func(*Count) int) float64 {
 	asked, n := 0, 0
 	for _, c := range r.Kinds {
-		asked += c.Asked
+		asked += c.Requests
 		n += count(c)
 	}
 	return float64(n) / float64(max(asked, 1))
