--- a/lab/crmeasure/table.go
+++ b/lab/crmeasure/table.go
@@ -50,7 +50,7 @@
 		count(func(m Result) int { return m.Sent }),
 		count(func(m Result) int { return m.Unknown }),
 		count(func(m Result) int { return m.Cut }),
-		count(func(m Result) int { return m.NoWord }),
+		count(func(m Result) int { return m.WithoutResponse }),
 		count(func(m Result) int { return m.Mixed }),
 		count(func(m Result) int { return m.RanTwice }),
 		count(func(m Result) int { return m.FalseNotRun }),
