--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -35,12 +35,12 @@
 	RefusalReasons map[string]int `json:"reasons"` // of refusals
 	Ejections      []string       `json:"ejected"` // every ejection: when after the fault, target, cause
 
-	Cut             int `json:"cut"`
-	Unknown         int `json:"unknown"`
-	WithoutResponse int `json:"noword"` // the connection failed without an answer
-	Mixed           int `json:"mixed"`
-	RanTwice        int `json:"twice"` // once-only requests that ran more than once
-	FalseNotRun     int `json:"lied"`  // told "not run", and ran
+	Cut                 int `json:"cut"`
+	Unknown             int `json:"unknown"`
+	WithoutResponse     int `json:"noword"` // the connection failed without an answer
+	MismatchedResponses int `json:"mixed"`
+	RanTwice            int `json:"twice"` // once-only requests that ran more than once
+	FalseNotRun         int `json:"lied"`  // told "not run", and ran
 }
 
 // record is all that was seen of one run.
@@ -186,7 +186,7 @@
 		case crload.NoResponse:
 			m.WithoutResponse++
 		case crload.Mismatched:
-			m.Mixed++
+			m.MismatchedResponses++
 		case crload.NotRun:
 			if runs[t.ID] > 0 {
 				m.FalseNotRun++
--- a/lab/crmeasure/table.go
+++ b/lab/crmeasure/table.go
@@ -51,7 +51,7 @@
 		count(func(m Result) int { return m.Unknown }),
 		count(func(m Result) int { return m.Cut }),
 		count(func(m Result) int { return m.WithoutResponse }),
-		count(func(m Result) int { return m.Mixed }),
+		count(func(m Result) int { return m.MismatchedResponses }),
 		count(func(m Result) int { return m.RanTwice }),
 		count(func(m Result) int { return m.FalseNotRun }),
 	}
