--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -141,7 +141,7 @@
 	runStart := w.now
 	if x.unhealthy && w.rng.Float64() < w.x.Faults.Fails {
 		if s.kind.Once {
-			w.result.OnceToSick++
+			w.result.OnceFailures++
 		}
 		w.after(failureDelay, func() { s.complete(runStart, false, true) })
 		return
--- a/lab/crexperiment/result.go
+++ b/lab/crexperiment/result.go
@@ -25,7 +25,7 @@
 	Detection      []time.Duration   `json:"detection"`  // per unhealthy phase; an undetected phase counts with its length
 	FalsePositives int               `json:"mistaken"`   // samples of healthy targets that half of the entries took for unhealthy
 	HealthySamples int               `json:"well"`       // samples of healthy targets
-	OnceToSick     int               `json:"oncetosick"` // once-only requests failed by unhealthy targets
+	OnceFailures   int               `json:"oncetosick"` // once-only requests failed by unhealthy targets
 }
 
 // Row is a table row: one policy at one load, over all seeds.
@@ -86,7 +86,7 @@
 		out.Served += r.Served() / n
 		out.InTime += r.share(func(c *Count) int { return c.InTime }) / n
 		out.Failed += r.share(func(c *Count) int { return c.Failed }) / n
-		out.OnceFailed += r.OnceToSick
+		out.OnceFailed += r.OnceFailures
 		detection = append(detection, r.Detection...)
 		falsePositives, success = falsePositives+r.FalsePositives, success+r.HealthySamples
 	}
