--- a/spec/custody.pml
+++ b/spec/custody.pml
@@ -1,101 +1,105 @@
 /*
- * Custody of tokens: the owner of one share of an account's rate, and two entries
- * that spend what the owner moves to them.
+ * Custody of tokens: the owner of one share of an account's limit, and two entry
+ * daemons that spend the tokens which the owner grants them.
  *
- * Modelled: an entry asks, the owner subtracts before it sends a grant, and keeps
- * the room of a grant reserved until the grant is surely void. A grant is void T
- * ticks after the asking, on the entry's clock, which may be a tick slow. Asks and
- * grants are lost, doubled, late; owner and entries are paused (nothing forces a
- * step of theirs, while ticks pass) and restart with empty hands.
- * Promise: all that is admitted conforms to one token bucket of CAP that gains a
- * token each tick, in every window. "level" is that bucket; no part of the system
- * reads it.
+ * Modelled: an entry sends a token request. The owner subtracts the tokens from
+ * its balance before it sends a grant, and counts them as outstanding until the
+ * entry can no longer spend them. A grant expires LIFETIME ticks after the sending
+ * of its request, on the entry's clock, which may be a tick slow. Requests and
+ * grants are lost, duplicated and delayed. Owner and entries are paused (ticks
+ * pass without a step of theirs), and restart without tokens.
+ * Property: in every window, all admitted requests conform to one token bucket of
+ * BURST tokens that gains a token in each tick. "bucket" is its level; no part of
+ * the system reads it.
  *
- * Abstracted: time is ticks; all ages saturate, so that time is not bounded. A
- * grant moves all that the owner has. An entry holds one batch. One grant to an
- * entry may be on the link, in any number of copies; a later one overwrites it. Change of owner is handover.pml's.
+ * Abstracted: time is in ticks. All ages saturate, so that the state space is
+ * finite. A grant moves the whole balance of the owner. An entry holds the tokens
+ * of one grant. One grant to an entry may be in transit, in any number of copies; a
+ * later one overwrites it. handover.pml models a change of owner.
  */
-#ifndef CAP
-#define CAP 2
+#ifndef BURST
+#define BURST 2
 #endif
-#ifndef T
-#define T 2
+#ifndef LIFETIME
+#define LIFETIME 2
 #endif
 #define ENTRIES 2
-#define SLOTS 2 /* one for each entry */
+#define GRANTS 2 /* one for each entry */
 
+/* ticks until the owner counts a grant as expired */
 #ifdef NO_MARGIN
-#define KEEP T
+#define OWNER_LIFETIME LIFETIME
 #else
-#define KEEP (T + 1)
+#define OWNER_LIFETIME (LIFETIME + 1)
 #endif
 
-byte level = CAP;        /* the promise */
-byte balance = CAP;      /* at the owner */
-byte room[KEEP + 1];     /* tokens whose room comes back in so many ticks */
-byte quiet;              /* ticks until a restarted owner may mint */
-
-bit asking[ENTRIES];     /* an ask is on the link, maybe for a second time */
-byte askAge[ENTRIES];
-bit askOld[ENTRIES];     /* it was sent in an earlier life of the entry */
-byte wallet[ENTRIES];
-byte walletAge[ENTRIES];
-
-byte grant[SLOTS];       /* tokens of a grant on the link */
-byte grantAge[SLOTS];    /* since the asking */
-bit taken[SLOTS];        /* a copy of it was taken before */
-bit old[SLOTS];          /* it answers an earlier life of the entry */
+byte bucket = BURST;                  /* the level that the property allows */
+byte balance = BURST;                 /* at the owner */
+byte outstanding[OWNER_LIFETIME + 1]; /* tokens that become room in so many ticks */
+byte takeoverDelay;                   /* ticks until a restarted owner may refill */
+
+bit requested[ENTRIES];  /* a request is in transit, possibly a duplicate */
+byte requestAge[ENTRIES];
+bit requestOld[ENTRIES]; /* an earlier incarnation of the entry sent it */
+byte held[ENTRIES];      /* tokens at the entry */
+byte heldAge[ENTRIES];
+
+byte grant[GRANTS];    /* tokens of a grant in transit */
+byte grantAge[GRANTS]; /* since the sending of its request */
+bit received[GRANTS];  /* the entry has received a copy of it */
+bit grantOld[GRANTS];  /* an earlier incarnation of the entry requested it */
 byte i;
 
-inline mint() {
-	byte held = 0;
+inline refill() {
+	byte sum = 0;
 	i = 0;
 	do
-	:: i <= KEEP -> held = held + room[i]; i++
+	:: i <= OWNER_LIFETIME -> sum = sum + outstanding[i]; i++
 	:: else -> break
 	od;
 #ifdef NO_RESERVE
-	held = 0;
+	sum = 0;
 #endif
 	if
-	:: quiet == 0 && balance + held < CAP -> balance++
+	:: takeoverDelay == 0 && balance + sum < BURST -> balance++
 	:: else
 	fi;
-	held = 0;
+	sum = 0;
 	i = 0
 }
 
 /* the owner's clock */
 inline ownerTick() {
-	room[0] = 0;
+	outstanding[0] = 0;
 	i = 0;
 	do
-	:: i < KEEP -> room[i] = room[i + 1]; i++
+	:: i < OWNER_LIFETIME -> outstanding[i] = outstanding[i + 1]; i++
 	:: else -> break
 	od;
-	room[KEEP] = 0;
-	room[0] = 0;
+	outstanding[OWNER_LIFETIME] = 0;
+	outstanding[0] = 0;
 	i = 0;
 	if
-	:: quiet > 0 -> quiet--
+	:: takeoverDelay > 0 -> takeoverDelay--
 	:: else
 	fi
 }
 
-inline older(age) {
+inline incrementAge(age) {
 	if
-	:: age < T -> age++
+	:: age < LIFETIME -> age++
 	:: else
 	fi
 }
 
-/* an entry's clock runs, or lags by a tick once in the life of what it counts */
+/* An entry's clock advances, or lags by one tick, at most once in the life of the
+ * tokens whose age it measures. */
 inline entryTick(e) {
 	if
 	:: 1 ->
-		older(askAge[e]);
-		older(walletAge[e]);
-		older(grantAge[e])
+		incrementAge(requestAge[e]);
+		incrementAge(heldAge[e]);
+		incrementAge(grantAge[e])
 	:: !lagged[e] -> lagged[e] = 1
 	fi
 }
@@ -103,139 +107,139 @@
 
 inline tick() {
 	if
-	:: level < CAP -> level++
+	:: bucket < BURST -> bucket++
 	:: else
 	fi;
 	ownerTick();
 	if
-	:: mint()
-	:: 1 -> i = 0 /* the owner sleeps */
+	:: refill()
+	:: 1 -> i = 0 /* the owner is paused */
 	fi;
 	entryTick(0);
 	entryTick(1);
-	forget(0);
-	forget(1)
+	dropExpired(0);
+	dropExpired(1)
 }
 
-/* what nobody can use any more is alike, which keeps the state space small */
-inline clear(g) {
+/* Tokens that nobody can use any more are cleared, which reduces the state space. */
+inline clearGrant(g) {
 	grant[g] = 0;
 	grantAge[g] = 0;
-	taken[g] = 0;
-	old[g] = 0
+	received[g] = 0;
+	grantOld[g] = 0
 }
 
-#if defined(NO_VOID) || defined(VOID_FROM_ARRIVAL)
+#if defined(NO_EXPIRY) || defined(EXPIRY_FROM_ARRIVAL)
 #define ACCEPTED(age) 1
 #define SPENDABLE(age) LATE_SPEND(age)
 #else
-#define ACCEPTED(age) (age < T)
-#define SPENDABLE(age) (age < T)
+#define ACCEPTED(age) (age < LIFETIME)
+#define SPENDABLE(age) (age < LIFETIME)
 #endif
-#ifdef NO_VOID
+#ifdef NO_EXPIRY
 #define LATE_SPEND(age) 1
 #else
-#define LATE_SPEND(age) (age < T)
+#define LATE_SPEND(age) (age < LIFETIME)
 #endif
 #ifdef NO_DEDUP
-#define FIRST(g) 1
+#define FIRST_COPY(g) 1
 #else
-#define FIRST(g) (!taken[g])
+#define FIRST_COPY(g) (!received[g])
 #endif
 #ifdef NO_INCARNATION
-#define SAME_LIFE(g) 1
+#define SAME_INCARNATION(g) 1
 #else
-#define SAME_LIFE(g) (!old[g])
+#define SAME_INCARNATION(g) (!grantOld[g])
 #endif
 
-inline forget(e) {
+inline dropExpired(e) {
 	if
-	:: wallet[e] > 0 && !SPENDABLE(walletAge[e]) -> wallet[e] = 0
+	:: held[e] > 0 && !SPENDABLE(heldAge[e]) -> held[e] = 0
 	:: else
 	fi;
 	if
-	:: wallet[e] == 0 -> walletAge[e] = 0
+	:: held[e] == 0 -> heldAge[e] = 0
 	:: else
 	fi;
 	if
-	:: !ACCEPTED(grantAge[e]) -> clear(e)
+	:: !ACCEPTED(grantAge[e]) -> clearGrant(e)
 	:: else
 	fi
 }
 
-inline ask(e) {
-	asking[e] = 1;
-	askAge[e] = 0;
-	askOld[e] = 0;
-	/* only when nothing older is counted may the clock lag once more */
+inline sendRequest(e) {
+	requested[e] = 1;
+	requestAge[e] = 0;
+	requestOld[e] = 0;
+	/* the clock may lag again only when it measures no older tokens */
 	if
-	:: wallet[e] == 0 && grant[e] == 0 -> lagged[e] = 0
+	:: held[e] == 0 && grant[e] == 0 -> lagged[e] = 0
 	:: else
 	fi
 }
 
-inline give(e, g) {
+inline sendGrant(e, g) {
 	grant[g] = balance;
-	grantAge[g] = askAge[e];
-	old[g] = askOld[e];
-	taken[g] = 0;
-	room[KEEP] = room[KEEP] + balance;
+	grantAge[g] = requestAge[e];
+	grantOld[g] = requestOld[e];
+	received[g] = 0;
+	outstanding[OWNER_LIFETIME] = outstanding[OWNER_LIFETIME] + balance;
 #ifndef NO_SUBTRACT
 	balance = 0
 #endif
 }
 
-inline take(e, g) {
-	wallet[e] = grant[g];
-	walletAge[e] = grantAge[g];
-#ifdef VOID_FROM_ARRIVAL
-	walletAge[e] = 0;
+inline receiveGrant(e, g) {
+	held[e] = grant[g];
+	heldAge[e] = grantAge[g];
+#ifdef EXPIRY_FROM_ARRIVAL
+	heldAge[e] = 0;
 #endif
-	taken[g] = 1
+	received[g] = 1
 }
 
 inline spend(e) {
-	assert(level > 0); /* else more is admitted than burst + rate * window */
+	assert(bucket > 0); /* fails if more than burst + rate * window is admitted */
 #ifdef WITNESS
-	assert(level > 1); /* the whole burst can be spent */
+	assert(bucket > 1); /* fails if the whole burst can be spent */
 #endif
-	level--;
-	wallet[e]--;
+	bucket--;
+	held[e]--;
 	if
-	:: wallet[e] == 0 -> walletAge[e] = 0
+	:: held[e] == 0 -> heldAge[e] = 0
 	:: else
 	fi
 }
 
 inline restartEntry(e) {
-	wallet[e] = 0;
-	walletAge[e] = 0;
-	askOld[e] = asking[e];
-	old[e] = (grant[e] > 0);
-	taken[e] = 0 /* forgotten */
+	held[e] = 0;
+	heldAge[e] = 0;
+	requestOld[e] = requested[e];
+	grantOld[e] = (grant[e] > 0);
+	received[e] = 0 /* lost with the memory of the process */
 }
 
 inline restartOwner() {
 	balance = 0;
 	i = 0;
 	do
-	:: i <= KEEP -> room[i] = 0; i++
+	:: i <= OWNER_LIFETIME -> outstanding[i] = 0; i++
 	:: else -> break
 	od;
 	i = 0;
-#ifndef NO_QUIET
-	quiet = KEEP
+#ifndef NO_TAKEOVER_DELAY
+	takeoverDelay = OWNER_LIFETIME
 #endif
 }
 
 #define STEPS(e) \
-	:: atomic { wallet[e] == 0 -> ask(e) } \
-	:: atomic { asking[e] -> asking[e] = 0; askAge[e] = 0; askOld[e] = 0 } \
-	:: atomic { wallet[e] > 0 && SPENDABLE(walletAge[e]) -> spend(e) } \
+	:: atomic { held[e] == 0 -> sendRequest(e) } \
+	:: atomic { requested[e] -> requested[e] = 0; requestAge[e] = 0; requestOld[e] = 0 } \
+	:: atomic { held[e] > 0 && SPENDABLE(heldAge[e]) -> spend(e) } \
 	:: atomic { restartEntry(e) } \
-	:: atomic { wallet[e] == 0 && grant[e] > 0 && FIRST(e) && SAME_LIFE(e) && ACCEPTED(grantAge[e]) -> take(e, e) } \
-	:: atomic { asking[e] && balance > 0 -> give(e, e) } \
-	:: atomic { grant[e] > 0 -> clear(e) }
+	:: atomic { held[e] == 0 && grant[e] > 0 && FIRST_COPY(e) && SAME_INCARNATION(e) && ACCEPTED(grantAge[e]) -> receiveGrant(e, e) } \
+	:: atomic { requested[e] && balance > 0 -> sendGrant(e, e) } \
+	:: atomic { grant[e] > 0 -> clearGrant(e) }
 
 active proctype system() {
 end:
--- a/spec/forward.pml
+++ b/spec/forward.pml
@@ -2,26 +2,28 @@
  * Forward and revocation: one request of class once, sent by an entry to an exit
  * in up to ATTEMPTS attempts.
  *
- * Modelled: sessions that the entry gives up and reopens, forwards doubled, lost
- * (a frame that is never taken), late and reordered, an exit that is paused,
- * restarts and forgets, refuses, runs and finishes, revocations over the same or
- * a later session, verdicts that come late, an exit's memory that ends.
- * Promises: the request runs at most once; a caller told "notrun" has a request
- * that never ran nor will; nothing sent before a pause of the exit starts after
- * it; nothing starts once its deadline has passed.
+ * Modelled: sessions that the entry abandons and reopens; forwards that are
+ * duplicated, lost (never received), delayed and reordered; an exit that is paused,
+ * restarts without its state, refuses, runs and finishes forwards; revocations over
+ * the same or a later session; results of revocations that come late; an exit that
+ * evicts its records of ended forwards.
+ * Properties: the request runs at most once. If the outcome for the caller is
+ * "notrun", the request has not run and never will. Nothing sent before a pause of
+ * the exit starts after it. Nothing starts once its deadline has passed.
  *
- * Abstracted: time. "expired" (the deadline passed) and "aged" (the entry's trust
- * in a verdict ended) are facts that become true at any moment. The exit forgets
+ * Abstracted: time. "expired" (the deadline has passed) and "windowEnded" (the
+ * entry's revoke window has ended) may become true at any moment. The exit evicts
  * an ended forward, and the transport drops the last copies of a forward, only
- * once it has aged: Params.Retain is above TrackerParams.Trust. Bounds on pending
- * forwards and on fences are left out; core/crforward's tests cover them. Retries
- * go to the same exit, which is the harder case.
+ * after the end of the revoke window: LedgerParams.Retention is above
+ * TrackerParams.RevokeWindow. The limits on pending forwards and on fences are left
+ * out; the tests of core/crforward cover them. Retries go to the same exit, which
+ * is the harder case.
  */
 #define ATTEMPTS 2
 #define SESSIONS 3
 #define COPIES 2
 
-/* a forward at the exit */
+/* states of a forward at the exit */
 #define NONE 0
 #define PENDING 1
 #define RUNNING 2
@@ -29,57 +31,57 @@
 #define REFUSED 4
 #define FENCED 5
 
-#define TOLD_NOTRUN 1
-#define TOLD_UNKNOWN 2
-
-byte ran;                /* at the upstream */
-byte told;               /* to the caller */
-byte sent;               /* attempts begun */
-byte session;            /* the entry's newest session */
-bit proof[ATTEMPTS];     /* the entry holds a proof that the attempt never runs */
-byte over[ATTEMPTS];     /* the session an attempt was sent over */
-byte copies[ATTEMPTS];   /* forwards on the link */
-bit asked[ATTEMPTS];     /* a revocation is on the link */
-byte askedOver[ATTEMPTS];
-bit refusal[ATTEMPTS];   /* a refusal that proves is on the link */
-bit fencedWord[ATTEMPTS];/* a verdict "fenced" is on the link */
-byte at[ATTEMPTS];       /* the forward's state at the exit */
-bit dead[SESSIONS];      /* the exit has restarted since */
-bit stale[SESSIONS];     /* the exit was paused since */
+#define OUTCOME_NOTRUN 1
+#define OUTCOME_UNKNOWN 2
+
+byte ran;                       /* runs at the upstream */
+byte outcome;                   /* reported to the caller; 0: none yet */
+byte sent;                      /* attempts sent */
+byte session;                   /* the entry's newest session */
+bit proved[ATTEMPTS];           /* the entry knows that the attempt never runs */
+byte sentOn[ATTEMPTS];          /* the session on which an attempt was sent */
+byte copies[ATTEMPTS];          /* of a forward, in transit */
+bit revoked[ATTEMPTS];          /* a revocation is in transit */
+byte revokedOn[ATTEMPTS];
+bit refusal[ATTEMPTS];          /* a refusal that proves "not run" is in transit */
+bit fencedResult[ATTEMPTS];     /* a revoke result "fenced" is in transit */
+byte state[ATTEMPTS];           /* of the forward at the exit */
+bit ended[SESSIONS];            /* the exit has restarted since its opening */
+bit stale[SESSIONS];            /* the exit was paused since its opening */
 bit expired[ATTEMPTS];
-bit seen[ATTEMPTS];      /* expired, as read at the arrival */
-bit aged[ATTEMPTS];
-bit slept[ATTEMPTS];     /* a pause came after the sending */
+bit expiredAtArrival[ATTEMPTS]; /* had expired on arrival */
+bit windowEnded[ATTEMPTS];
+bit pausedSince[ATTEMPTS];      /* the exit was paused after the sending */
 
-/* an answer goes on the link, unless nobody waits for it */
-inline answer(word, a) {
+/* puts a message in transit, unless the entry does not wait for it */
+inline respond(message, a) {
 	if
-	:: told == 0 && !proof[a] -> word = 1
+	:: outcome == 0 && !proved[a] -> message = 1
 	:: else
 	fi
 }
 
 inline refuse(a) {
-	seen[a] = 0;
-	answer(refusal[a], a);
+	expiredAtArrival[a] = 0;
+	respond(refusal[a], a);
 #ifdef NO_KEPT_REFUSAL
-	at[a] = NONE
+	state[a] = NONE
 #else
-	at[a] = REFUSED
+	state[a] = REFUSED
 #endif
 }
 
-inline arrive(a) {
+inline receive(a) {
 	copies[a]--;
 	if
-	:: at[a] == NONE -> at[a] = PENDING; seen[a] = expired[a]
-	:: at[a] == REFUSED || at[a] == FENCED -> answer(refusal[a], a)
-	:: at[a] == PENDING || at[a] == RUNNING || at[a] == FINISHED ->
+	:: state[a] == NONE -> state[a] = PENDING; expiredAtArrival[a] = expired[a]
+	:: state[a] == REFUSED || state[a] == FENCED -> respond(refusal[a], a)
+	:: state[a] == PENDING || state[a] == RUNNING || state[a] == FINISHED ->
 #ifdef NO_DEDUP
-		at[a] = PENDING
+		state[a] = PENDING
 #else
 #ifdef DUPLICATE_PROVES
-		answer(refusal[a], a)
+		respond(refusal[a], a)
 #else
 		skip
 #endif
@@ -90,58 +92,58 @@
 inline start(a) {
 	if
 #ifndef NO_PAUSE
-	:: stale[over[a]] -> refuse(a)
+	:: stale[sentOn[a]] -> refuse(a)
 #endif
-#ifdef NO_REREAD
-	:: seen[a] -> refuse(a)
+#ifdef NO_DEADLINE_RECHECK
+	:: expiredAtArrival[a] -> refuse(a)
 #else
 	:: expired[a] -> refuse(a)
 #endif
 	:: else ->
-		at[a] = RUNNING;
+		state[a] = RUNNING;
 		ran++;
 #ifdef WITNESS
-		assert(a == 0); /* a second attempt can run */
+		assert(a == 0); /* fails if a second attempt can run */
 #endif
 		assert(ran <= 1);
-		assert(told != TOLD_NOTRUN);
-		assert(!slept[a]);
+		assert(outcome != OUTCOME_NOTRUN);
+		assert(!pausedSince[a]);
 		assert(!expired[a]);
-		seen[a] = 0
+		expiredAtArrival[a] = 0
 	fi
 }
 
 inline revoke(a) {
-	asked[a] = 0;
+	revoked[a] = 0;
 	if
 #ifndef NO_SESSION
-	:: askedOver[a] != over[a] -> skip /* "unknown" */
+	:: revokedOn[a] != sentOn[a] -> skip /* "unknown" */
 #endif
 	:: else ->
 		if
-		:: at[a] == RUNNING || at[a] == FINISHED -> skip /* "started" */
-		:: at[a] == REFUSED || at[a] == FENCED -> answer(fencedWord[a], a)
-		:: at[a] == NONE || at[a] == PENDING ->
-			answer(fencedWord[a], a);
+		:: state[a] == RUNNING || state[a] == FINISHED -> skip /* "started" */
+		:: state[a] == REFUSED || state[a] == FENCED -> respond(fencedResult[a], a)
+		:: state[a] == NONE || state[a] == PENDING ->
+			respond(fencedResult[a], a);
 #ifndef NO_FENCE
-			at[a] = FENCED
+			state[a] = FENCED
 #endif
 		fi
 	fi
 }
 
-inline forgetAll(a) {
-	at[a] = NONE;
-	seen[a] = 0;
-	copies[a] = 0 /* a frame of a dead session reaches nobody */
+inline dropState(a) {
+	state[a] = NONE;
+	expiredAtArrival[a] = 0;
+	copies[a] = 0 /* frames of an ended session are not received */
 }
 
 inline restart() {
-	forgetAll(0);
-	forgetAll(1);
-	dead[0] = 1;
+	dropState(0);
+	dropState(1);
+	ended[0] = 1;
 	if
-	:: session >= 1 -> dead[1] = 1
+	:: session >= 1 -> ended[1] = 1
 	:: else
 	fi;
 	session++
@@ -155,7 +157,7 @@
 	od;
 	s = 0;
 	do
-	:: s < sent -> slept[s] = 1; s++
+	:: s < sent -> pausedSince[s] = 1; s++
 	:: else -> break
 	od;
 	s = 0
@@ -164,66 +166,66 @@
 #ifdef NO_PROOF
 #define MAY_RETRY 1
 #else
-#define MAY_RETRY (sent == 0 || proof[0])
+#define MAY_RETRY (sent == 0 || proved[0])
 #endif
-#define ALL_PROVED ((sent < 1 || proof[0]) && (sent < 2 || proof[1]))
+#define ALL_PROVED ((sent < 1 || proved[0]) && (sent < 2 || proved[1]))
 
 inline send() {
-	over[sent] = session;
+	sentOn[sent] = session;
 	copies[sent] = 1;
 	sent++
 }
 
-inline tell() {
+inline reportOutcome() {
 	if
-	:: ALL_PROVED -> told = TOLD_NOTRUN; assert(ran == 0)
-	:: else -> told = TOLD_UNKNOWN
+	:: ALL_PROVED -> outcome = OUTCOME_NOTRUN; assert(ran == 0)
+	:: else -> outcome = OUTCOME_UNKNOWN
 	fi;
-	settle(0);
-	settle(1)
+	clearMessages(0);
+	clearMessages(1)
 }
 
-/* what the entry does not look at any more is alike */
-inline settle(a) {
-	asked[a] = 0;
-	askedOver[a] = 0;
+/* Messages that the entry ignores are cleared, which reduces the state space. */
+inline clearMessages(a) {
+	revoked[a] = 0;
+	revokedOn[a] = 0;
 	refusal[a] = 0;
-	fencedWord[a] = 0
+	fencedResult[a] = 0
 }
 
 inline prove(a) {
-	proof[a] = 1;
-	settle(a)
+	proved[a] = 1;
+	clearMessages(a)
 }
 
-/* what happens to one attempt */
+/* steps of one attempt */
 #define STEPS(a) \
 	:: atomic { a < sent && copies[a] > 0 && copies[a] < COPIES -> copies[a]++ } \
-	:: atomic { a < sent && copies[a] > 0 && !dead[over[a]] -> arrive(a) } \
-	:: atomic { at[a] == PENDING -> start(a) } \
-	:: atomic { at[a] == PENDING -> refuse(a) } \
-	:: atomic { at[a] == RUNNING -> at[a] = FINISHED } \
-	:: atomic { aged[a] && (at[a] == FINISHED || at[a] == REFUSED) -> at[a] = NONE } \
-	:: atomic { !expired[a] && (copies[a] > 0 || at[a] == PENDING) -> expired[a] = 1 } \
-	:: atomic { a < sent && !aged[a] -> aged[a] = 1; copies[a] = 0 } \
-	:: atomic { a < sent && !asked[a] && !proof[a] && told == 0 && !dead[session] -> asked[a] = 1; askedOver[a] = session } \
-	:: atomic { asked[a] && !dead[askedOver[a]] -> revoke(a) } \
+	:: atomic { a < sent && copies[a] > 0 && !ended[sentOn[a]] -> receive(a) } \
+	:: atomic { state[a] == PENDING -> start(a) } \
+	:: atomic { state[a] == PENDING -> refuse(a) } \
+	:: atomic { state[a] == RUNNING -> state[a] = FINISHED } \
+	:: atomic { windowEnded[a] && (state[a] == FINISHED || state[a] == REFUSED) -> state[a] = NONE } \
+	:: atomic { !expired[a] && (copies[a] > 0 || state[a] == PENDING) -> expired[a] = 1 } \
+	:: atomic { a < sent && !windowEnded[a] -> windowEnded[a] = 1; copies[a] = 0 } \
+	:: atomic { a < sent && !revoked[a] && !proved[a] && outcome == 0 && !ended[session] -> revoked[a] = 1; revokedOn[a] = session } \
+	:: atomic { revoked[a] && !ended[revokedOn[a]] -> revoke(a) } \
 	:: atomic { refusal[a] -> prove(a) } \
-	:: atomic { fencedWord[a] && TRUSTED(a) -> prove(a) }
+	:: atomic { fencedResult[a] && IN_REVOKE_WINDOW(a) -> prove(a) }
 
-#ifdef NO_TRUST
-#define TRUSTED(a) 1
+#ifdef NO_REVOKE_WINDOW
+#define IN_REVOKE_WINDOW(a) 1
 #else
-#define TRUSTED(a) (!aged[a])
+#define IN_REVOKE_WINDOW(a) (!windowEnded[a])
 #endif
 
 active proctype system() {
 end:
 	do
-	:: atomic { told == 0 && sent < ATTEMPTS && MAY_RETRY -> send() }
-	:: atomic { told == 0 && sent > 0 -> tell() }
-	:: atomic { told == 0 && session + 1 < SESSIONS -> session++ }
-	:: atomic { session + 1 < SESSIONS && !dead[session] -> restart() }
+	:: atomic { outcome == 0 && sent < ATTEMPTS && MAY_RETRY -> send() }
+	:: atomic { outcome == 0 && sent > 0 -> reportOutcome() }
+	:: atomic { outcome == 0 && session + 1 < SESSIONS -> session++ }
+	:: atomic { session + 1 < SESSIONS && !ended[session] -> restart() }
 	:: atomic { sent > 0 && !stale[session] -> pause() }
 	STEPS(0)
 	STEPS(1)
--- a/spec/handover.pml
+++ b/spec/handover.pml
@@ -1,240 +1,242 @@
 /*
- * Handover: who may act (mint, eject) under which list of members, while lists
- * follow one another faster than every member hears of them.
+ * Handover: which daemons hold a lease (and may refill and eject), and under which
+ * list of members, while lists change faster than every member receives them.
  *
  * Five daemons and three lists of three: L0 = {a, b, x}, L1 = {a, b, y},
  * L2 = {a, b, z}; x is replaced by y, and y by z. A majority of L1, {a, y}, is
- * disjoint from a majority of L0, {b, x}. A daemon acts under its list while a
- * majority of the list has voiced that very list within a horizon H, and under a
- * newer list only after a majority of every older list since the last active one
- * has moved on, and a silence of H has passed since. A restarted member reads a
- * list that may be stale; it gives no voice for H, and then until both others of
- * the list it reads (a majority of the others) have told it theirs.
+ * disjoint from a majority of L0, {b, x}. A daemon holds a lease under its list
+ * while a majority of the list's members has acknowledged that very list within the
+ * contact timeout. It gets one under a newer list only after a majority of every
+ * older list since the last active one has moved on, and an expiry wait has passed
+ * since. A restarted member reads a list that may be stale. It acknowledges no list
+ * for a contact timeout, and then until both others of the list that it reads (a
+ * majority of the others) have sent it theirs.
  *
- * Modelled: members learn of lists in any order and late, answers are lost and
- * late, members are paused (nothing forces a step of theirs, while ticks pass)
- * and restart, RESTARTS times in all.
- * Promise: no two daemons act under different lists at one time.
+ * Modelled: members receive lists in any order and late. Heartbeats are lost and
+ * late. Members are paused (ticks pass without a step of theirs), and restart
+ * RESTARTS times in all.
+ * Property: no two daemons hold leases under different lists at one time.
  *
- * Abstracted: time is ticks, and nothing is older than H. Evidence counts from
- * the sending of the beat that was answered; the beat is sent and answered in one
- * step, which makes evidence last longest and is the harder case. Only x, y and z
- * act; a and b act on the same evidence as they do. What z needs to go on acting
- * is left out, which lets it act more. That L0, or L1, is handed over is found once,
- * by whoever it is, and then known to all, as the promise asks no more than that
- * such a finding is right. Clock drift is custody.pml's (NO_MARGIN).
+ * Abstracted: time is in ticks, and ages saturate at the contact timeout. A contact
+ * counts from the sending of the heartbeat that was echoed. The heartbeat is sent
+ * and echoed in one step, which makes a contact last longest and is the harder case.
+ * Only x, y and z hold leases; a and b could do so on the same contacts. What z needs
+ * to keep its lease is left out, which lets it keep the lease longer. The handover of
+ * L0, or of L1, is found once, by any daemon, and is then known to all, since the
+ * property requires only that such a finding is right. custody.pml models the drift
+ * of clocks (NO_MARGIN).
  */
-#ifndef H
-#define H 1
+#ifndef TIMEOUT
+#define TIMEOUT 1
 #endif
 #ifndef RESTARTS
 #define RESTARTS 2
 #endif
 
-/* members; z only acts */
+/* members; z only holds a lease */
 #define A 0
 #define B 1
 #define X 2
 #define Y 3
 #define MEMBERS 4
 
-#define KNOWS 0   /* a member that remembers what it voiced */
-#define ASKS 1    /* restarted, silent for H, asks the others */
-#define SILENT 2  /* restarted; SILENT + n has n ticks more to wait */
+#define RECOVERED 0  /* acknowledges its list */
+#define RECOVERING 1 /* restarted; has waited TIMEOUT, and recovers from the others */
+#define WAITING 2    /* restarted; WAITING + n has n ticks more to wait */
 
-byte list[MEMBERS];       /* the newest list a member knows */
-byte life[MEMBERS];
-byte heard[MEMBERS];      /* by one that asks: a bit for each other it heard */
-bit amnesic[MEMBERS];     /* has restarted at some time */
+byte list[MEMBERS];     /* the newest list that a member holds */
+byte phase[MEMBERS];
+byte contacts[MEMBERS]; /* while recovering: one bit for each other that was in contact */
+bit restarted[MEMBERS]; /* has restarted at some time */
 byte restarts = RESTARTS;
 
-byte xEv[2] = H;          /* ages: a's and b's voice for L0, at x */
-byte yEv[2] = H;          /* a's and b's voice for L1, at y */
-byte ack0[3] = H;         /* that a, b, x moved on from L0 */
-byte ack1[3] = H;         /* that a, b, y moved on from L1 */
-byte silence0 = H + 1;    /* ticks until L0 counts as handed over; H + 1: not found yet */
-byte silence1 = H + 1;
+byte xContact[2] = TIMEOUT; /* ages of a's and b's acknowledgements of L0, at x */
+byte yContact[2] = TIMEOUT; /* ages of a's and b's acknowledgements of L1, at y */
+byte ack0[3] = TIMEOUT;     /* ages of a's, b's and x's acknowledgements of a list after L0 */
+byte ack1[3] = TIMEOUT;     /* ages of a's, b's and y's acknowledgements of a list after L1 */
+byte wait0 = TIMEOUT + 1;   /* ticks until L0 counts as handed over; TIMEOUT + 1: not found yet */
+byte wait1 = TIMEOUT + 1;
 byte i;
-#ifdef EVIDENCE_FROM_ARRIVAL
-bit late[2];              /* an answer to x is still on its way */
+#ifdef CONTACT_FROM_ARRIVAL
+bit late[2]; /* the echo of x's heartbeat is in transit */
 #endif
 
-#define VOICES(m) (life[m] == KNOWS)
-#define FRESH(age) (age < H)
-#define XACTS (list[X] == 0 && VOICES(X) && (FRESH(xEv[0]) || FRESH(xEv[1])))
-#define YACTS (list[Y] == 1 && VOICES(Y) && silence0 == 0 && (FRESH(yEv[0]) || FRESH(yEv[1])))
-#ifdef NO_CHAIN
-#define ZACTS (silence1 == 0)
+#define ACKNOWLEDGES(m) (phase[m] == RECOVERED)
+#define FRESH(age) (age < TIMEOUT)
+#define X_HAS_LEASE (list[X] == 0 && ACKNOWLEDGES(X) && (FRESH(xContact[0]) || FRESH(xContact[1])))
+#define Y_HAS_LEASE (list[Y] == 1 && ACKNOWLEDGES(Y) && wait0 == 0 && (FRESH(yContact[0]) || FRESH(yContact[1])))
+#ifdef NO_INTERMEDIATE_LISTS
+#define Z_HAS_LEASE (wait1 == 0)
 #else
-#define ZACTS (silence1 == 0 && silence0 == 0)
+#define Z_HAS_LEASE (wait1 == 0 && wait0 == 0)
 #endif
 
 #ifdef NO_MAJORITY
-#define HANDED(age) (FRESH(age[0]) || FRESH(age[1]) || FRESH(age[2]))
+#define HANDED_OVER(age) (FRESH(age[0]) || FRESH(age[1]) || FRESH(age[2]))
 #else
-#define HANDED(age) (FRESH(age[0]) + FRESH(age[1]) + FRESH(age[2]) >= 2)
+#define HANDED_OVER(age) (FRESH(age[0]) + FRESH(age[1]) + FRESH(age[2]) >= 2)
 #endif
 
-#ifdef NO_SILENCE
-#define WAIT 0
+#ifdef NO_EXPIRY_WAIT
+#define EXPIRY_WAIT 0
 #else
-#define WAIT H
+#define EXPIRY_WAIT TIMEOUT
 #endif
 
-#define OLDER(age) age = (age < H -> age + 1 : H)
-#ifdef NO_ACK_HORIZON
-#define OLDER_ACK(age) skip
+#define INCREMENT_AGE(age) age = (age < TIMEOUT -> age + 1 : TIMEOUT)
+#ifdef NO_ACK_TIMEOUT
+#define INCREMENT_ACK_AGE(age) skip
 #else
-#define OLDER_ACK(age) OLDER(age)
+#define INCREMENT_ACK_AGE(age) INCREMENT_AGE(age)
 #endif
-#define DOWN(n) n = (n > 0 && n <= H -> n - 1 : n)
+#define COUNT_DOWN(n) n = (n > 0 && n <= TIMEOUT -> n - 1 : n)
 
 inline tick() {
 	i = 0;
 	do
-	:: i < 2 -> OLDER(xEv[i]); OLDER(yEv[i]); i++
+	:: i < 2 -> INCREMENT_AGE(xContact[i]); INCREMENT_AGE(yContact[i]); i++
 	:: else -> break
 	od;
 	i = 0;
 	do
-	:: i < 3 -> OLDER_ACK(ack0[i]); OLDER_ACK(ack1[i]); i++
+	:: i < 3 -> INCREMENT_ACK_AGE(ack0[i]); INCREMENT_ACK_AGE(ack1[i]); i++
 	:: else -> break
 	od;
 	i = 0;
 	do
-	:: i < MEMBERS -> life[i] = (life[i] >= SILENT -> life[i] - 1 : life[i]); i++
+	:: i < MEMBERS -> phase[i] = (phase[i] >= WAITING -> phase[i] - 1 : phase[i]); i++
 	:: else -> break
 	od;
 	i = 0;
-	DOWN(silence0);
-	DOWN(silence1)
+	COUNT_DOWN(wait0);
+	COUNT_DOWN(wait1)
 }
 
-#define NONE(age) age[0] = H; age[1] = H
+#define EXPIRE(age) age[0] = TIMEOUT; age[1] = TIMEOUT
 
-/* somebody finds that an older list is handed over */
-#define FIND(silence, ack) \
+/* a daemon finds that an older list is handed over */
+#define FIND_HANDOVER(wait, ack) \
 	if \
-	:: silence == H + 1 && HANDED(ack) -> silence = WAIT; NONE(ack); ack[2] = H \
+	:: wait == TIMEOUT + 1 && HANDED_OVER(ack) -> wait = EXPIRY_WAIT; EXPIRE(ack); ack[2] = TIMEOUT \
 	:: else \
 	fi
 
-inline check() {
-	FIND(silence0, ack0);
-	FIND(silence1, ack1);
-	/* evidence of a list that its member left is alike */
+inline checkLeases() {
+	FIND_HANDOVER(wait0, ack0);
+	FIND_HANDOVER(wait1, ack1);
+	/* contacts under a list that its member has left are cleared */
 	if
-	:: list[X] != 0 -> NONE(xEv)
+	:: list[X] != 0 -> EXPIRE(xContact)
 	:: else
 	fi;
 	if
-	:: list[Y] != 1 -> NONE(yEv)
+	:: list[Y] != 1 -> EXPIRE(yContact)
 	:: else
 	fi;
-	assert(!(XACTS && YACTS));
-	assert(!(XACTS && ZACTS));
-	assert(!(YACTS && ZACTS));
+	assert(!(X_HAS_LEASE && Y_HAS_LEASE));
+	assert(!(X_HAS_LEASE && Z_HAS_LEASE));
+	assert(!(Y_HAS_LEASE && Z_HAS_LEASE));
 #ifdef WITNESS
-	assert(!(ZACTS && amnesic[A] && amnesic[B])) /* a list can be handed over after restarts */
+	assert(!(Z_HAS_LEASE && restarted[A] && restarted[B])) /* fails if a list can be handed over after restarts */
 #endif
 }
 
 inline restart(m) {
 	restarts--;
-	amnesic[m] = 1;
-	heard[m] = 0;
+	restarted[m] = 1;
+	contacts[m] = 0;
 #ifdef NO_RECOVERY
-	life[m] = KNOWS;
+	phase[m] = RECOVERED;
 #else
-#ifdef NO_FRESH_SILENCE
-	life[m] = ASKS;
+#ifdef NO_RECOVERY_WAIT
+	phase[m] = RECOVERING;
 #else
-	life[m] = ASKS + H;
+	phase[m] = RECOVERING + TIMEOUT;
 #endif
 #endif
-	/* it reads any list that was published and has it as a member, or the next */
+	/* it reads any published list that has it as a member, or the next list */
 	if
 	:: m != Y -> list[m] = 0
 	:: list[m] = 1
 	:: m != X -> list[m] = 2
 	fi;
 	if
-	:: m == X -> NONE(xEv)
-	:: m == Y -> NONE(yEv)
+	:: m == X -> EXPIRE(xContact)
+	:: m == Y -> EXPIRE(yContact)
 	:: else
 	fi
 }
 
-/* the others of the list that m reads, in its place among them */
+/* the two other members of the list that m reads */
 #define OTHER(m) (m == A -> B : A)
 #define THIRD(m) (m == X || m == Y -> B : (list[m] == 0 -> X : Y))
 
-#define LAST(m) (m == X -> 1 : 2)
+#define LAST_LIST(m) (m == X -> 1 : 2)
 
-/* A restarted member may have left, in its earlier life, lists that it hears of
- * only now; so it asks again under each list that it takes up. */
+/* A restarted member may have moved on, in an earlier incarnation, from lists that it
+ * receives only now. So it recovers again under each list that it adopts. */
 #ifdef NO_LIST_RECOVERY
-#define REMEMBERS(m) 1
-#define TELLS(from, m) VOICES(from)
+#define STAYS_RECOVERED(m) 1
+#define UP_TO_DATE(from, m) ACKNOWLEDGES(from)
 #else
-#define REMEMBERS(m) (!amnesic[m])
-#define TELLS(from, m) (VOICES(from) && (!amnesic[from] || list[from] >= list[m]))
+#define STAYS_RECOVERED(m) (!restarted[m])
+#define UP_TO_DATE(from, m) (ACKNOWLEDGES(from) && (!restarted[from] || list[from] >= list[m]))
 #endif
 
-/* nothing follows the last list, so that there is nothing to learn */
-inline settle(m) {
+/* no list follows the last one, so its member need not recover from others */
+inline endRecovery(m) {
 	if
-	:: life[m] == ASKS && (heard[m] == 3 || list[m] == 2) -> life[m] = KNOWS; heard[m] = 0
+	:: phase[m] == RECOVERING && (contacts[m] == 3 || list[m] == 2) -> phase[m] = RECOVERED; contacts[m] = 0
 	:: else
 	fi
 }
 
 inline adopt(m, newer) {
 	list[m] = newer;
-	heard[m] = 0;
+	contacts[m] = 0;
 	if
-	:: life[m] == KNOWS && !REMEMBERS(m) -> life[m] = ASKS
+	:: phase[m] == RECOVERED && !STAYS_RECOVERED(m) -> phase[m] = RECOVERING
 	:: else
 	fi;
-	settle(m)
+	endRecovery(m)
 }
 
-inline hear(m, from, bit_) {
+inline receiveHeartbeat(m, from, mask) {
 	if
-	:: list[from] > list[m] && list[m] < LAST(m) ->
+	:: list[from] > list[m] && list[m] < LAST_LIST(m) ->
 		i = list[from];
 		if
-		:: i > LAST(m) -> i = LAST(m)
+		:: i > LAST_LIST(m) -> i = LAST_LIST(m)
 		:: else
 		fi;
 		adopt(m, i);
 		i = 0
-	:: else -> heard[m] = heard[m] | bit_; settle(m)
+	:: else -> contacts[m] = contacts[m] | mask; endRecovery(m)
 	fi
 }
 
 #define MEMBER(m) \
-	:: list[m] < LAST(m) -> adopt(m, list[m] + 1) \
+	:: list[m] < LAST_LIST(m) -> adopt(m, list[m] + 1) \
 	:: restarts > 0 -> restart(m) \
-	:: life[m] == ASKS && list[m] == 2 -> settle(m) \
-	:: life[m] == ASKS && TELLS(OTHER(m), m) -> hear(m, OTHER(m), 1) \
-	:: life[m] == ASKS && list[m] < 2 && TELLS(THIRD(m), m) -> hear(m, THIRD(m), 2)
+	:: phase[m] == RECOVERING && list[m] == 2 -> endRecovery(m) \
+	:: phase[m] == RECOVERING && UP_TO_DATE(OTHER(m), m) -> receiveHeartbeat(m, OTHER(m), 1) \
+	:: phase[m] == RECOVERING && list[m] < 2 && UP_TO_DATE(THIRD(m), m) -> receiveHeartbeat(m, THIRD(m), 2)
 
-/* a and b answer x, y and whoever asks whether a list is handed over */
-#ifdef EVIDENCE_FROM_ARRIVAL
-#define ANSWER_X(v) \
-	:: VOICES(v) && list[v] == 0 && list[X] == 0 -> late[v] = 1 \
-	:: late[v] && list[X] == 0 -> late[v] = 0; xEv[v] = 0
+/* contacts of a and b with x, with y, and with daemons that wait for a handover */
+#ifdef CONTACT_FROM_ARRIVAL
+#define CONTACT_X(v) \
+	:: ACKNOWLEDGES(v) && list[v] == 0 && list[X] == 0 -> late[v] = 1 \
+	:: late[v] && list[X] == 0 -> late[v] = 0; xContact[v] = 0
 #else
-#define ANSWER_X(v) \
-	:: VOICES(v) && list[v] == 0 && list[X] == 0 -> xEv[v] = 0
+#define CONTACT_X(v) \
+	:: ACKNOWLEDGES(v) && list[v] == 0 && list[X] == 0 -> xContact[v] = 0
 #endif
 
 #define VOTER(v) \
-	ANSWER_X(v) \
-	:: VOICES(v) && list[v] == 1 && list[Y] == 1 -> yEv[v] = 0 \
-	:: VOICES(v) && list[v] >= 1 && silence0 > H -> ack0[v] = 0 \
-	:: VOICES(v) && list[v] == 2 && silence1 > H -> ack1[v] = 0
+	CONTACT_X(v) \
+	:: ACKNOWLEDGES(v) && list[v] == 1 && list[Y] == 1 -> yContact[v] = 0 \
+	:: ACKNOWLEDGES(v) && list[v] >= 1 && wait0 > TIMEOUT -> ack0[v] = 0 \
+	:: ACKNOWLEDGES(v) && list[v] == 2 && wait1 > TIMEOUT -> ack1[v] = 0
 
 active proctype system() {
 	list[Y] = 1;
@@ -249,10 +251,10 @@
 		MEMBER(Y)
 		VOTER(A)
 		VOTER(B)
-		:: VOICES(X) && list[X] >= 1 && silence0 > H -> ack0[2] = 0
-		:: VOICES(Y) && list[Y] == 2 && silence1 > H -> ack1[2] = 0
+		:: ACKNOWLEDGES(X) && list[X] >= 1 && wait0 > TIMEOUT -> ack0[2] = 0
+		:: ACKNOWLEDGES(Y) && list[Y] == 2 && wait1 > TIMEOUT -> ack1[2] = 0
 		fi;
-		check()
+		checkLeases()
 	}
 	od
 }
--- a/spec/report.pml
+++ b/spec/report.pml
@@ -1,71 +1,73 @@
 /*
- * Late reports: the owner of one share hears some ticks later that tokens were
- * spent, and mints then for the ticks in which their room was taken in vain.
+ * Delayed usage reports: the owner of one share receives some ticks late that
+ * tokens were spent. It then refills for the ticks in which those tokens, though
+ * already spent, still took up room.
  *
- * Modelled: a tick mints a token, or is noted as without room ("spill"). The
- * entry spends tokens that were moved to it and reports how many, and how many
- * ticks ago; the report may be late, lost or doubled. The owner may sleep ticks
- * without tenure, which are neither minted nor noted.
- * Promise: as in custody.pml, all that is admitted conforms to one token bucket
- * of CAP that gains a token each tick. "level" is that bucket.
+ * Modelled: in a tick the owner adds a token, or records that there was no room
+ * ("overflow"). The entry spends tokens that were granted to it, and reports how
+ * many and how many ticks ago. The report may be delayed, lost or duplicated. The
+ * owner may have no lease for some ticks, and neither refills nor records an
+ * overflow for them.
+ * Property: as in custody.pml, all admitted requests conform to one token bucket of
+ * BURST tokens that gains a token in each tick. "bucket" is its level.
  *
- * Abstracted: tokens are never void (custody.pml has that), ages saturate at M, at
- * most M ticks are noted, and one report is on the link.
+ * Abstracted: tokens never expire (custody.pml models that), ages saturate at
+ * HISTORY, at most HISTORY ticks are recorded, and one report is in transit.
  */
-#ifndef CAP
-#define CAP 3
+#ifndef BURST
+#define BURST 3
 #endif
-#ifndef M
-#define M 3
+#ifndef HISTORY
+#define HISTORY 3
 #endif
 
-byte level = CAP;    /* the promise */
-byte balance = CAP;  /* at the owner */
-byte wallet;         /* moved to the entry and not spent */
-byte unsaid[M + 1];  /* spent so many ticks ago, and in no report yet */
-byte report[M + 1];  /* on the link; the ages are those of the sending */
-bit link;            /* a copy of the report is on the link */
-bit settled;         /* a copy of it has been taken */
-byte forgotten;      /* told in a report that was lost: the next one counts them */
-byte recount;        /* of these, in the report on the link */
-bit spill[M];        /* the tick so many ticks ago found no room */
+byte bucket = BURST;          /* the level that the property allows */
+byte balance = BURST;         /* at the owner */
+byte held;                    /* granted to the entry and not spent */
+byte unreported[HISTORY + 1]; /* spent so many ticks ago, and in no report yet */
+byte report[HISTORY + 1];     /* in transit; ages at the sending */
+bit inTransit;                /* a copy of the report is in transit */
+bit applied;                  /* the owner has applied a copy of it */
+byte lost;                    /* tokens of a lost report; the next one counts them */
+byte resent;                  /* of these, in the report in transit */
+bit overflow[HISTORY];        /* there was no room in the tick so many ticks ago */
 byte i, j, n;
 
 #define SUM(a) (a[0] + a[1] + a[2] + a[3])
-#define TAKEN (wallet + SUM(unsaid) + forgotten + (settled -> 0 : SUM(report) + recount))
+#define OUTSTANDING (held + SUM(unreported) + lost + (applied -> 0 : SUM(report) + resent))
 
-inline older() {
-	unsaid[M] = unsaid[M] + unsaid[M - 1];
-	i = M - 1;
+inline ageUnreported() {
+	unreported[HISTORY] = unreported[HISTORY] + unreported[HISTORY - 1];
+	i = HISTORY - 1;
 	do
-	:: i > 0 -> unsaid[i] = unsaid[i - 1]; i--
+	:: i > 0 -> unreported[i] = unreported[i - 1]; i--
 	:: else -> break
 	od;
-	unsaid[0] = 0
+	unreported[0] = 0
 }
 
-inline shift() {
-	i = M - 1;
+inline ageOverflows() {
+	i = HISTORY - 1;
 	do
-	:: i > 0 -> spill[i] = spill[i - 1]; i--
+	:: i > 0 -> overflow[i] = overflow[i - 1]; i--
 	:: else -> break
 	od;
-	spill[0] = 0
+	overflow[0] = 0
 }
 
-inline mint() {
-	shift();
+inline refill() {
+	ageOverflows();
 	if
-	:: balance + TAKEN < CAP -> balance++
-	:: else -> spill[0] = 1
+	:: balance + OUTSTANDING < BURST -> balance++
+	:: else -> overflow[0] = 1
 	fi
 }
 
-/* the owner has no tenure: nothing noted before the end of this time counts */
-inline sleep() {
+/* The owner has no lease: overflows recorded before the end of this time do not count. */
+inline tickWithoutLease() {
 	i = 0;
 	do
-	:: i < M -> spill[i] = 0; i++
+	:: i < HISTORY -> overflow[i] = 0; i++
 	:: else -> break
 	od;
 	i = 0
@@ -73,87 +75,88 @@
 
 inline tick() {
 	if
-	:: level < CAP -> level++
+	:: bucket < BURST -> bucket++
 	:: else
 	fi;
 	if
-	:: mint()
-	:: sleep()
+	:: refill()
+	:: tickWithoutLease()
 	fi;
-	older();
+	ageUnreported();
 	i = 0
 }
 
 inline spend() {
-	assert(level > 0); /* else more is admitted than burst + rate * window */
-	level--;
-	wallet--;
-	unsaid[0]++
+	assert(bucket > 0); /* fails if more than burst + rate * window is admitted */
+	bucket--;
+	held--;
+	unreported[0]++
 }
 
-inline say() {
+inline sendReport() {
 	i = 0;
 	do
-	:: i <= M -> report[i] = unsaid[i]; unsaid[i] = 0; i++
+	:: i <= HISTORY -> report[i] = unreported[i]; unreported[i] = 0; i++
 	:: else -> break
 	od;
 	i = 0;
-	recount = forgotten;
-	forgotten = 0;
-	link = 1;
-	settled = 0
+	resent = lost;
+	lost = 0;
+	inTransit = 1;
+	applied = 0
 }
 
-inline lose() {
+/* drops the last copy of the report */
+inline dropReport() {
 	if
-	:: !settled -> forgotten = forgotten + SUM(report) + recount
+	:: !applied -> lost = lost + SUM(report) + resent
 	:: else
 	fi;
 	i = 0;
 	do
-	:: i <= M -> report[i] = 0; i++
+	:: i <= HISTORY -> report[i] = 0; i++
 	:: else -> break
 	od;
 	i = 0;
-	recount = 0;
-	link = 0;
-	settled = 0
+	resent = 0;
+	inTransit = 0;
+	applied = 0
 }
 
-/* the tick i lies after the spending of tokens of age j */
+/* tick i is after the spending of tokens of age j */
 #ifdef NO_AGE
-#define AFTER 1
+#define AFTER_SPENDING 1
 #else
-#define AFTER (i < j)
+#define AFTER_SPENDING (i < j)
 #endif
 #ifdef NO_LIMIT
-#define LEFT 1
+#define WITHIN_LIMIT 1
 #else
-#define LEFT (n > 0)
+#define WITHIN_LIMIT (n > 0)
 #endif
 #ifdef NO_IDEMPOTENCE
-#define FIRST 1
+#define FIRST_COPY 1
 #else
-#define FIRST (!settled)
+#define FIRST_COPY (!applied)
 #endif
 
-/* mints for the ticks noted after the spending, one for each token at most */
+/* refills for overflows after the spending, with at most one token for each spent one */
 inline credit() {
-	j = M;
+	j = HISTORY;
 	do
 	:: j > 0 ->
 		n = report[j];
-		i = M;
+		i = HISTORY;
 		do
 		:: i > 0 ->
 			i--;
 			if
-			:: report[j] > 0 && spill[i] && AFTER && LEFT ->
+			:: report[j] > 0 && overflow[i] && AFTER_SPENDING && WITHIN_LIMIT ->
 #ifndef NO_CONSUME
-				spill[i] = 0;
+				overflow[i] = 0;
 #endif
 #ifdef WITNESS
-				assert(0); /* nothing is ever made good */
+				assert(0); /* fails if an overflow can be credited */
 #endif
 				balance++;
 				n = (n > 0 -> n - 1 : 0)
@@ -167,11 +170,11 @@
 	n = 0
 }
 
-inline settle() {
+inline applyReport() {
 	credit();
-	settled = 1;
+	applied = 1;
 	if
-	:: balance + TAKEN > CAP -> balance = (CAP > TAKEN -> CAP - TAKEN : 0)
+	:: balance + OUTSTANDING > BURST -> balance = (BURST > OUTSTANDING -> BURST - OUTSTANDING : 0)
 	:: else
 	fi
 }
@@ -180,10 +183,10 @@
 end:
 	do
 	:: atomic { tick() }
-	:: atomic { balance > 0 -> balance--; wallet++ }
-	:: atomic { wallet > 0 -> spend() }
-	:: atomic { !link && SUM(unsaid) + forgotten > 0 -> say() }
-	:: atomic { link && FIRST -> settle() }
-	:: atomic { link -> lose() }
+	:: atomic { balance > 0 -> balance--; held++ }
+	:: atomic { held > 0 -> spend() }
+	:: atomic { !inTransit && SUM(unreported) + lost > 0 -> sendReport() }
+	:: atomic { inTransit && FIRST_COPY -> applyReport() }
+	:: atomic { inTransit -> dropReport() }
 	od
 }
