--- a/lab/crpath/capacity.go
+++ b/lab/crpath/capacity.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// callers is how many requests are in flight while the capacity is looked for;
-// more of them raise the latency and not the throughput.
-const callers = 64
+// concurrency is the number of requests in flight while the capacity is measured. A
+// higher one raises the latency and not the throughput.
+const concurrency = 64
 
-// capacity is the throughput of two hops in a closed loop, in requests a second.
-// It is that of the whole machine, the load and other work on it included.
+// capacity measures the throughput of two hops in a closed loop, in requests per second,
+// after a warm-up. The load generator and all other processes share the machine.
 func (b *bench) capacity(ctx context.Context) (float64, error) {
-	if _, err := b.saturate(ctx, warmUp); err != nil {
+	if _, err := b.closedLoop(ctx, capacityTime); err != nil {
 		return 0, err
 	}
-	return b.saturate(ctx, warmUp)
+	return b.closedLoop(ctx, capacityTime)
 }
 
-func (b *bench) saturate(ctx context.Context, length time.Duration) (float64, error) {
+func (b *bench) closedLoop(ctx context.Context, length time.Duration) (float64, error) {
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
-	transport := &http.Transport{MaxIdleConnsPerHost: callers, DisableCompression: true}
+	transport := &http.Transport{MaxIdleConnsPerHost: concurrency, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
 	var answered atomic.Int64
 	var wg sync.WaitGroup
-	for range callers {
+	for range concurrency {
 		wg.Go(func() {
 			for ctx.Err() == nil {
 				if b.call(ctx, client) {
--- a/lab/crpath/crpath.go
+++ b/lab/crpath/crpath.go
@@ -1,7 +1,7 @@
-// Package crpath measures what the path of a request adds: the same open load
-// straight to an upstream, through the daemon beside it, and through an entry and
-// an exit daemon, in turn, in one run. The daemons are processes of their own; the
-// load and the upstream's stand-in share this one, in all three ways.
+// Package crpath measures the overhead of the daemons on the path of a request. It sends
+// the same open-loop load directly to an upstream, through the daemon beside it, and
+// through an entry and an exit daemon, in turn. Each daemon is a process of its own. The
+// load generator and the fake upstream run in this process, on all three paths.
 //
 // # Usage
 //
@@ -20,60 +20,60 @@
 	"camphorroad/lab/crload"
 )
 
-// Path is how requests reach the upstream.
+// Path is a path on which requests reach the upstream.
 type Path string
 
-// The ways.
+// The paths.
 const (
 	Direct  Path = "straight" // no daemon
-	OneHop  Path = "onehop"   // the daemon beside the upstream is the entry too
-	TwoHops Path = "twohops"  // an entry, a session, an exit
+	OneHop  Path = "onehop"   // one daemon, beside the upstream, is both entry and exit
+	TwoHops Path = "twohops"  // an entry daemon and an exit daemon
 )
 
 // Options configure a measurement.
 type Options struct {
-	Binary string        // the daemon's program
-	Rounds int           // each way is run so often, in turn
-	Length time.Duration // of the load of one way in one round
-	Part   float64       // of the path's capacity that is sent
-	Rate   float64       // requests a second in place of Part; zero: Part
+	Binary string        // daemon executable
+	Rounds int           // runs of each path, in turn
+	Length time.Duration // of the load of one run
+	Part   float64       // load, as a fraction of the capacity
+	Rate   float64       // load in requests per second; zero: Part applies
 }
 
-// Run is one way in one round.
+// Run is the result of one path in one round.
 type Run struct {
 	Via    Path          `json:"way"`
 	Sent   int           `json:"sent"`
-	Failed int           `json:"failed"` // not answered, or not rightly
+	Failed int           `json:"failed"` // without a response, or with a wrong one
 	P50    time.Duration `json:"p50"`    // nanoseconds, from the planned time
 	P99    time.Duration `json:"p99"`
-	Entry  Use           `json:"entry"` // for each request
+	Entry  Use           `json:"entry"` // per request
 	Exit   Use           `json:"exit"`
-	// Failures counts what the failed were told.
+	// Failures counts the failed requests by result, status and reason.
 	Failures map[string]int `json:"told,omitempty"`
 }
 
-// Use is what a daemon's process spends on a request.
+// Use is the cost of a request in the process of a daemon.
 type Use struct {
 	CPU    time.Duration `json:"cpu"`    // nanoseconds, user and system
-	Allocs float64       `json:"allocs"` // objects
+	Allocs float64       `json:"allocs"` // allocated objects
 }
 
-// Result is a whole measurement.
+// Result is the result of a measurement.
 type Result struct {
-	Capacity float64 `json:"capacity"` // requests a second through two hops, closed loop
-	Rate     float64 `json:"rate"`     // requests a second that were sent
+	Capacity float64 `json:"capacity"` // requests per second through two hops, closed loop
+	Rate     float64 `json:"rate"`     // requests per second sent
 	Runs     []Run   `json:"runs"`
 }
 
-// ErrNoCapacity tells that no request was answered.
-var ErrNoCapacity = errors.New("the path answers nothing")
+// ErrNoCapacity means that no request was answered while the capacity was measured.
+var ErrNoCapacity = errors.New("no request was answered while the capacity was measured")
 
 const (
-	accountRate = 1e6 // requests a second, far from being used up
-	warmUp      = 2 * time.Second
+	accountRate  = 1e6             // requests per second; high enough that the limit never refuses a request
+	capacityTime = 2 * time.Second // of the warm-up, and of the measurement of the capacity
 )
 
-// policy has room for whatever is sent: what is measured is the path.
+// policy has limits that the load does not reach, since only the path is measured.
 const policy = `
 [service]
 name = "booking"
@@ -90,14 +90,14 @@
 timeout = "5s"
 `
 
-// bench is the fleet that is measured.
+// bench is the fleet under measurement.
 type bench struct {
 	fleet   *crfleet.Fleet
 	account crfleet.Account
 	seed    uint64
 }
 
-// Measure starts the daemons, finds the capacity, and runs the ways in turn.
+// Measure starts the daemons, measures the capacity, and runs the paths in turn.
 func Measure(ctx context.Context, opts Options) (*Result, error) {
 	account := crfleet.Account{Name: "survey", Rate: accountRate, Burst: accountRate}
 	fleet, err := crfleet.New(ctx,
@@ -120,10 +120,10 @@
 		res.Rate = opts.Part * res.Capacity
 	}
 	for range opts.Rounds {
-		for _, way := range []Path{Direct, OneHop, TwoHops} {
-			run, err := b.run(ctx, way, res.Rate, opts.Length)
+		for _, path := range []Path{Direct, OneHop, TwoHops} {
+			run, err := b.run(ctx, path, res.Rate, opts.Length)
 			if err != nil {
-				return res, fmt.Errorf("%s: %w", way, err)
+				return res, fmt.Errorf("%s: %w", path, err)
 			}
 			res.Runs = append(res.Runs, run)
 		}
@@ -131,10 +131,10 @@
 	return res, nil
 }
 
-// url is where the callers of a way send. The only target stands beside the
+// url returns the address to which callers send on a path. The only target is beside the
 // first daemon.
-func (b *bench) url(way Path) string {
-	switch way {
+func (b *bench) url(path Path) string {
+	switch path {
 	case Direct:
 		return b.fleet.Target(0).URL()
 	case OneHop:
@@ -144,66 +144,67 @@
 	return b.fleet.Daemon(1).URL()
 }
 
-func (b *bench) run(ctx context.Context, way Path, rate float64, length time.Duration) (Run, error) {
+func (b *bench) run(ctx context.Context, path Path, rate float64, length time.Duration) (Run, error) {
 	b.seed++
-	before, err := b.uses(ctx)
+	before, err := b.usages(ctx)
 	if err != nil {
 		return Run{}, err
 	}
 	report, err := crload.Run(ctx, crload.Plan{
-		Seconds: length.Seconds(), Seed: b.seed, Entries: []string{b.url(way)},
+		Seconds: length.Seconds(), Seed: b.seed, Entries: []string{b.url(path)},
 		Accounts: []crload.Account{{
-			Name: b.account.Name, Key: b.key(way), Rate: rate, Calls: []crload.Call{{Method: "GET", Path: "/kits/rover-7"}},
+			Name: b.account.Name, Key: b.key(path), Rate: rate, Calls: []crload.Call{{Method: "GET", Path: "/kits/rover-7"}},
 		}},
 	})
 	if err != nil {
 		return Run{}, err
 	}
-	after, err := b.uses(ctx)
+	after, err := b.usages(ctx)
 	if err != nil {
 		return Run{}, err
 	}
 	line := report.Lines()[0]
-	run := Run{Via: way, Sent: line.Sent, Failed: line.Sent - line.Results[crload.Answered], P50: line.P50, P99: line.P99}
+	run := Run{Via: path, Sent: line.Sent, Failed: line.Sent - line.Results[crload.Answered], P50: line.P50, P99: line.P99}
 	run.Failures = failures(report)
-	run.Exit = each(before[0], after[0], line.Sent)
-	run.Entry = each(before[1], after[1], line.Sent)
+	run.Exit = perRequest(before[0], after[0], line.Sent)
+	run.Entry = perRequest(before[1], after[1], line.Sent)
 	return run, nil
 }
 
 func failures(report *crload.Report) map[string]int {
-	told := make(map[string]int)
+	counts := make(map[string]int)
 	for _, t := range report.Samples() {
 		if t.Result != crload.Answered {
-			told[strings.TrimSpace(fmt.Sprintf("%s %d %s", t.Result, t.Status, t.Reason))]++
+			counts[strings.TrimSpace(fmt.Sprintf("%s %d %s", t.Result, t.Status, t.Reason))]++
 		}
 	}
-	return told
+	return counts
 }
 
-// key is empty without a daemon: no upstream may see one.
-func (b *bench) key(way Path) string {
-	if way == Direct {
+// key returns the key that callers send. It is empty on the direct path, since an upstream
+// must not receive keys.
+func (b *bench) key(path Path) string {
+	if path == Direct {
 		return ""
 	}
 	return b.account.Key()
 }
 
-func (b *bench) uses(ctx context.Context) ([]crfleet.Usage, error) {
+func (b *bench) usages(ctx context.Context) ([]crfleet.Usage, error) {
 	var all []crfleet.Usage
 	for _, d := range b.fleet.Daemons() {
-		c, err := d.Usage(ctx)
+		usage, err := d.Usage(ctx)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, c)
+		all = append(all, usage)
 	}
 	return all, nil
 }
 
-func each(before, after crfleet.Usage, n int) Use {
+func perRequest(before, after crfleet.Usage, requests int) Use {
 	return Use{
-		CPU:    time.Duration((after.CPU - before.CPU) / float64(n) * float64(time.Second)),
-		Allocs: (after.Allocs - before.Allocs) / float64(n),
+		CPU:    time.Duration((after.CPU - before.CPU) / float64(requests) * float64(time.Second)),
+		Allocs: (after.Allocs - before.Allocs) / float64(requests),
 	}
 }
