--- a/lab/crmeasure/cases.go
+++ b/lab/crmeasure/cases.go
@@ -10,76 +10,77 @@
 	"camphorroad/lab/crupstream"
 )
 
-// Case is a fault, or none.
+// Case is a fault to inject, or none.
 type Case struct {
 	Name string
-	// beside are the baselines that decide otherwise in this case; the others
-	// would only repeat the chosen policy's run.
-	beside []string
-	least  time.Duration // of load, that the case needs
-	count  int           // sick upstreams, of the first service
-	apart  int           // last daemons at which no caller enters
-	surge  float64       // of the first account
-	lone   bool          // each account enters at one daemon only
-	// byCallers tells that the fault is between daemons, where the upstreams'
-	// logs can not show how long work was still sent into it.
+	// baselines are the baseline policies whose decisions differ in this case. The
+	// others would only repeat the run of the product's policy.
+	baselines             []string
+	minLength             time.Duration // of the load, at least
+	unhealthyCount        int           // targets of the first service at which the fault is set
+	daemonsWithoutCallers int           // number of the last daemons, to which no caller sends requests
+	surge                 float64       // factor on the rate of the first account during the fault; zero: none
+	singleEntry           bool          // all requests of an account are sent to one daemon
+	// byCallers is set for a fault between daemons. The logs of the upstreams do
+	// not show how long it affected requests, so detection is measured at callers.
 	byCallers bool
-	begin     func(ctx context.Context, s *stage) error
-	end       func(ctx context.Context, s *stage) error
+	begin     func(ctx context.Context, env *environment) error
+	end       func(ctx context.Context, env *environment) error
 }
 
-// stage is what a case acts on.
-type stage struct {
-	fleet *crfleet.Fleet
-	sick  []*crfleet.Target
+// environment is what a case acts on.
+type environment struct {
+	fleet            *crfleet.Fleet
+	unhealthyTargets []*crfleet.Target
 }
 
 const (
-	slowFactor  = 5
-	surgeFactor = 5
-	flapPeriod  = 2 * time.Second
-	replaced    = 3 // daemons of a rolling replacement
-	readyTime   = 20 * time.Second
-	rollingTime = 20 * time.Second // three replacements take longer than ten
+	slowFactor      = 5
+	surgeFactor     = 5
+	flapPeriod      = 2 * time.Second
+	replacedDaemons = 3 // daemons replaced in the case rolling
+	readyTimeout    = 20 * time.Second
+	rollingLength   = 20 * time.Second // three replacements take longer than 10 s
 )
 
-// Cases are all of them, in the order of the table.
+// Cases returns all cases, in the order of the table.
 func Cases() []Case {
 	slow := crupstream.Fault{Kind: crupstream.FaultSlow, Factor: slowFactor}
 	wrong := crupstream.Fault{Kind: crupstream.FaultWrong}
 	flap := crupstream.Fault{Kind: crupstream.FaultFlap, Factor: slowFactor, Period: flapPeriod}
 	stall := crupstream.Fault{Kind: crupstream.FaultStall}
-	ejecting := []string{roundRobin, fixedThresholds}
-	rating := []string{localSplit}
+	ejectionBaselines := []string{roundRobin, fixedThresholds}
+	rateBaselines := []string{localSplit}
 	return []Case{
-		{Name: "calm", beside: []string{fixedThresholds, localSplit}},
-		{Name: "oneentry", lone: true, beside: rating},
-		{Name: "slow", count: 1, begin: faults(slow), end: well, beside: ejecting},
-		{Name: "wrong", count: 1, begin: faults(wrong), end: well, beside: ejecting},
-		{Name: "flapping", count: 1, begin: faults(flap), end: well, beside: ejecting},
-		{Name: "stalling", count: 1, begin: faults(stall), end: well, beside: ejecting},
-		{Name: "two", count: 2, begin: faults(slow, wrong), end: well, beside: ejecting},
-		{Name: "cut", byCallers: true, begin: cut, end: heal},
-		{Name: "frozen", apart: 1, byCallers: true, begin: freeze, end: resume},
-		{Name: "platform", begin: platform(crplatform.ModeReset), end: platform(crplatform.ModeNone)},
-		{Name: "rolling", apart: replaced, begin: replace, beside: rating, least: rollingTime},
-		{Name: "surge", surge: surgeFactor, beside: rating},
+		{Name: "calm", baselines: []string{fixedThresholds, localSplit}},
+		{Name: "oneentry", singleEntry: true, baselines: rateBaselines},
+		{Name: "slow", unhealthyCount: 1, begin: setFaults(slow), end: clearFaults, baselines: ejectionBaselines},
+		{Name: "wrong", unhealthyCount: 1, begin: setFaults(wrong), end: clearFaults, baselines: ejectionBaselines},
+		{Name: "flapping", unhealthyCount: 1, begin: setFaults(flap), end: clearFaults, baselines: ejectionBaselines},
+		{Name: "stalling", unhealthyCount: 1, begin: setFaults(stall), end: clearFaults, baselines: ejectionBaselines},
+		{Name: "two", unhealthyCount: 2, begin: setFaults(slow, wrong), end: clearFaults, baselines: ejectionBaselines},
+		{Name: "cut", byCallers: true, begin: cutLink, end: healLinks},
+		{Name: "frozen", daemonsWithoutCallers: 1, byCallers: true, begin: suspendDaemon, end: resumeDaemon},
+		{Name: "platform", begin: setPlatformFault(crplatform.ModeReset), end: setPlatformFault(crplatform.ModeNone)},
+		{Name: "rolling", daemonsWithoutCallers: replacedDaemons, begin: replaceDaemons, baselines: rateBaselines, minLength: rollingLength},
+		{Name: "surge", surge: surgeFactor, baselines: rateBaselines},
 	}
 }
 
-// policies are those that show something in the case.
+// policies returns the product's policy and the baselines of the case.
 func (c Case) policies() []Policy {
 	var out []Policy
 	for _, p := range Policies() {
-		if p.Name == chosen || slices.Contains(c.beside, p.Name) {
+		if p.Name == productPolicy || slices.Contains(c.baselines, p.Name) {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// sick returns the upstreams that the case makes sick; the seed moves them.
-func (c Case) sick(f *crfleet.Fleet, seed uint64) []*crfleet.Target {
+// unhealthyTargets returns the targets that the case makes unhealthy. The seed determines
+// which ones; for frozen they are those of the last daemon.
+func (c Case) unhealthyTargets(f *crfleet.Fleet, seed uint64) []*crfleet.Target {
 	var first []*crfleet.Target
 	for _, t := range f.Targets() {
 		if t.Service() == f.Target(0).Service() {
@@ -87,7 +88,7 @@
 		}
 	}
 	var out []*crfleet.Target
-	for i := range c.count {
+	for i := range c.unhealthyCount {
 		out = append(out, first[(int(seed)+i*len(first)/2)%len(first)])
 	}
 	if c.Name == "frozen" {
@@ -97,11 +98,11 @@
 	return out
 }
 
-// cause begins and ends the fault at its times.
-func (c Case) cause(ctx context.Context, s *stage, from, to time.Time) error {
+// injectFault begins the fault at from and ends it at to.
+func (c Case) injectFault(ctx context.Context, env *environment, from, to time.Time) error {
 	for _, step := range []struct {
 		at time.Time
-		do func(context.Context, *stage) error
+		do func(context.Context, *environment) error
 	}{{from, c.begin}, {to, c.end}} {
 		if step.do == nil {
 			continue
@@ -111,61 +112,61 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if err := step.do(ctx, s); err != nil {
+		if err := step.do(ctx, env); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func faults(list ...crupstream.Fault) func(context.Context, *stage) error {
-	return func(_ context.Context, s *stage) error {
-		for i, t := range s.sick {
+func setFaults(list ...crupstream.Fault) func(context.Context, *environment) error {
+	return func(_ context.Context, env *environment) error {
+		for i, t := range env.unhealthyTargets {
 			t.SetFault(list[i])
 		}
 		return nil
 	}
 }
 
-func well(_ context.Context, s *stage) error {
-	for _, t := range s.sick {
+func clearFaults(_ context.Context, env *environment) error {
+	for _, t := range env.unhealthyTargets {
 		t.SetFault(crupstream.Fault{Kind: crupstream.FaultNone})
 	}
 	return nil
 }
 
-func cut(_ context.Context, s *stage) error {
-	s.fleet.Links().Cut(s.fleet.Daemon(0).Name(), s.fleet.Daemon(1).Name())
+func cutLink(_ context.Context, env *environment) error {
+	env.fleet.Links().Cut(env.fleet.Daemon(0).Name(), env.fleet.Daemon(1).Name())
 	return nil
 }
 
-func heal(_ context.Context, s *stage) error {
-	s.fleet.Links().HealAll()
+func healLinks(_ context.Context, env *environment) error {
+	env.fleet.Links().HealAll()
 	return nil
 }
 
-func (s *stage) last() *crfleet.Daemon {
-	daemons := s.fleet.Daemons()
+func (env *environment) lastDaemon() *crfleet.Daemon {
+	daemons := env.fleet.Daemons()
 	return daemons[len(daemons)-1]
 }
 
-func freeze(_ context.Context, s *stage) error { return s.last().Suspend() }
+func suspendDaemon(_ context.Context, env *environment) error { return env.lastDaemon().Suspend() }
 
-func resume(_ context.Context, s *stage) error { return s.last().Resume() }
+func resumeDaemon(_ context.Context, env *environment) error { return env.lastDaemon().Resume() }
 
-func platform(mode crplatform.Mode) func(context.Context, *stage) error {
-	return func(_ context.Context, s *stage) error {
-		s.fleet.Platform().SetFault(crplatform.Fault{Mode: mode})
+func setPlatformFault(mode crplatform.Mode) func(context.Context, *environment) error {
+	return func(_ context.Context, env *environment) error {
+		env.fleet.Platform().SetFault(crplatform.Fault{Mode: mode})
 		return nil
 	}
 }
 
-// replace stops the last daemons one after another and starts each anew.
-func replace(ctx context.Context, s *stage) error {
-	ctx, cancel := context.WithTimeout(ctx, replaced*readyTime)
+// replaceDaemons stops the last daemons one after another, and starts each one again.
+func replaceDaemons(ctx context.Context, env *environment) error {
+	ctx, cancel := context.WithTimeout(ctx, replacedDaemons*readyTimeout)
 	defer cancel()
-	daemons := s.fleet.Daemons()
-	for _, d := range daemons[len(daemons)-replaced:] {
+	daemons := env.fleet.Daemons()
+	for _, d := range daemons[len(daemons)-replacedDaemons:] {
 		if err := d.Stop(); err != nil {
 			return err
 		}
--- a/lab/crmeasure/crmeasure.go
+++ b/lab/crmeasure/crmeasure.go
@@ -1,11 +1,11 @@
-// Package crmeasure takes the users' four measures over real processes: it
-// starts a fleet of a deployment's shape, offers it a load, causes a fault, and
-// scores what callers were told against what ran at the upstreams.
+// Package crmeasure takes the users' four measures of a fleet of real processes. It
+// starts a fleet in the shape of a deployment, sends it a load, injects a fault, and
+// compares the responses to callers with the requests that ran at the upstreams.
 //
-// Load and fault times come from fixed seeds; the daemons decide in real time,
-// so two runs of one seed differ a little. The spread over seeds tells by how
-// much, and the tables in virtual time of core/crhealth and core/craccount are
-// the part that repeats exactly.
+// The load and the times of the fault follow from the seed. The daemons run in real
+// time, so two runs with the same seed differ a little; the spread over the seeds shows
+// by how much. The tables of core/crhealth and core/craccount are in virtual time and
+// equal in each run.
 //
 // # Usage
 //
@@ -25,46 +25,47 @@
 	"camphorroad/lab/crload"
 )
 
-// Options say what to measure; an empty list means all, of policies the chosen
-// one and in each case the baselines that decide otherwise in it.
+// Options configure the runs. An empty list means all shapes, all cases, or as policies
+// the product's one and, in each case, the baselines whose decisions differ in it.
 type Options struct {
-	Binary   string // the daemon's program
+	Binary   string // daemon executable
 	Shapes   []string
 	Cases    []string
 	Policies []string
-	Seeds    int           // runs of each, with the seeds 1 to Seeds
+	Seeds    int           // runs of each combination, with seeds 1 to Seeds
 	Length   time.Duration // of the load; the fault begins at a quarter of it
-	Plots    string        // directory for the timelines of each first seed; empty: none
+	Plots    string        // directory for plots of the runs with seed 1; empty: no plots
 	Progress func(Result)
 }
 
 const (
-	settleTime = 2 * time.Second // for buckets to fill after the fleet's start
-	leastTime  = 4 * time.Second
+	settleTime    = 2 * time.Second // until the token buckets are full after the start of the fleet
+	minLoadLength = 4 * time.Second
 )
 
 // Errors of Run.
 var (
 	ErrUnknown = errors.New("unknown name")
-	ErrOptions = errors.New("bad options")
+	ErrOptions = errors.New("invalid options")
 )
 
-// Run takes all runs that the options name, one after another.
+// Run runs all combinations that the options name, one after another. After an error it also
+// returns the results of the runs that finished before.
 func Run(ctx context.Context, opts Options) ([]Result, error) {
-	shapes, err := pick("shape", Shapes(), opts.Shapes, func(s Shape) string { return s.Name })
+	shapes, err := selectByName("shape", Shapes(), opts.Shapes, func(s Shape) string { return s.Name })
 	if err != nil {
 		return nil, err
 	}
-	cases, err := pick("case", Cases(), opts.Cases, func(c Case) string { return c.Name })
+	cases, err := selectByName("case", Cases(), opts.Cases, func(c Case) string { return c.Name })
 	if err != nil {
 		return nil, err
 	}
-	named, err := pick("policy", Policies(), opts.Policies, func(p Policy) string { return p.Name })
+	named, err := selectByName("policy", Policies(), opts.Policies, func(p Policy) string { return p.Name })
 	if err != nil {
 		return nil, err
 	}
-	if opts.Seeds < 1 || opts.Length < leastTime {
-		return nil, fmt.Errorf("%w: at least one seed and %v of load are needed", ErrOptions, leastTime)
+	if opts.Seeds < 1 || opts.Length < minLoadLength {
+		return nil, fmt.Errorf("%w: at least one seed and a load of %v are required", ErrOptions, minLoadLength)
 	}
 	var runs []Result
 	for _, s := range shapes {
@@ -75,7 +76,7 @@
 			}
 			for _, p := range policies {
 				for seed := range opts.Seeds {
-					m, err := opts.run(ctx, trial{shape: s, fault: c, policy: p, seed: uint64(seed) + 1})
+					m, err := opts.run(ctx, runConfig{shape: s, fault: c, policy: p, seed: uint64(seed) + 1})
 					if err != nil {
 						return runs, fmt.Errorf("%s, %s, %s, seed %d: %w", s.Name, c.Name, p.Name, seed+1, err)
 					}
@@ -87,7 +88,7 @@
 	return runs, nil
 }
 
-func pick[T any](kind string, all []T, names []string, nameOf func(T) string) ([]T, error) {
+func selectByName[T any](kind string, all []T, names []string, nameOf func(T) string) ([]T, error) {
 	if len(names) == 0 {
 		return all, nil
 	}
@@ -101,21 +102,21 @@
 			}
 		}
 		if !found {
-			return nil, fmt.Errorf("%w: there is no %s %q", ErrUnknown, kind, name)
+			return nil, fmt.Errorf("%w: no %s is named %q", ErrUnknown, kind, name)
 		}
 	}
 	return out, nil
 }
 
-// trial is one run.
-type trial struct {
+// runConfig is the configuration of one run.
+type runConfig struct {
 	shape  Shape
 	fault  Case
 	policy Policy
 	seed   uint64
 }
 
-func (o Options) run(ctx context.Context, t trial) (Result, error) {
+func (o Options) run(ctx context.Context, t runConfig) (Result, error) {
 	fleet, err := crfleet.New(ctx, append(t.shape.options(), crfleet.WithBinary(o.Binary),
 		crfleet.WithSettings(t.policy.settings(t.shape)))...)
 	if err != nil {
@@ -123,7 +124,7 @@
 	}
 	defer fleet.Close()
 	time.Sleep(settleTime)
-	rec, err := t.observe(ctx, fleet, max(o.Length, t.fault.least))
+	rec, err := t.observe(ctx, fleet, max(o.Length, t.fault.minLength))
 	if err != nil {
 		return Result{}, err
 	}
@@ -137,18 +138,18 @@
 	return m, nil
 }
 
-// observe offers the load and causes the fault.
-func (t trial) observe(ctx context.Context, fleet *crfleet.Fleet, length time.Duration) (*record, error) {
+// observe sends the load and injects the fault.
+func (t runConfig) observe(ctx context.Context, fleet *crfleet.Fleet, length time.Duration) (*record, error) {
 	from, to := length/4, length*3/4
-	stage := &stage{fleet: fleet, sick: t.fault.sick(fleet, t.seed)}
+	environment := &environment{fleet: fleet, unhealthyTargets: t.fault.unhealthyTargets(fleet, t.seed)}
 	plan := t.plan(fleet, length, from, to)
-	rec := &record{trial: t, plan: plan, stage: stage, fleet: fleet, from: from, to: to, start: time.Now()}
+	rec := &record{runConfig: t, plan: plan, environment: environment, fleet: fleet, from: from, to: to, start: time.Now()}
 	done := make(chan error, 1)
-	go func() { done <- t.fault.cause(ctx, stage, rec.start.Add(from), rec.start.Add(to)) }()
+	go func() { done <- t.fault.injectFault(ctx, environment, rec.start.Add(from), rec.start.Add(to)) }()
 	report, err := crload.Run(ctx, plan)
 	if err := errors.Join(err, <-done, ctx.Err()); err != nil {
 		return nil, err
 	}
-	rec.told = report.Samples()
+	rec.samples = report.Samples()
 	return rec, nil
 }
--- a/lab/crmeasure/plot.go
+++ b/lab/crmeasure/plot.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	plotBin     = 250 * time.Millisecond
-	plotWidth   = 24 * vg.Centimeter
-	plotHeight  = 18 * vg.Centimeter
-	lineWidth   = vg.Length(1.5)
-	modeFolder  = 0o755
-	perSecond   = float64(time.Second / plotBin)
-	plotPadding = 8 * vg.Millimeter
+	plotBin       = 250 * time.Millisecond
+	plotWidth     = 24 * vg.Centimeter
+	plotHeight    = 18 * vg.Centimeter
+	lineWidth     = vg.Length(1.5)
+	dirMode       = 0o755
+	binsPerSecond = float64(time.Second / plotBin)
+	plotPadding   = 8 * vg.Millimeter
 
 	legendHeight = 2 * vg.Centimeter
 )
@@ -36,10 +36,10 @@
 	colorFault    = color.Gray{Y: 120}
 )
 
-// plot draws the run's timeline: requests by outcome above, p99 below, and the
-// fault's begin and end as grey lines.
+// plot draws the run over time: requests by outcome in the upper part, p99 in the lower
+// part, and the start and the end of the fault as grey lines.
 func (r *record) plot(dir string) error {
-	if err := os.MkdirAll(dir, modeFolder); err != nil {
+	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return fmt.Errorf("plots: %w", err)
 	}
 	outcomes, err := r.outcomePlot()
@@ -74,7 +74,7 @@
 func (r *record) outcomePlot() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, %s, %s, seed %d", r.shape.Name, r.fault.Name, r.policy.Name, r.seed)
-	p.Y.Label.Text = "requests a second"
+	p.Y.Label.Text = "requests per second"
 	p.Y.Min = 0
 	for _, kind := range []struct {
 		name string
@@ -83,7 +83,7 @@
 	}{
 		{"answered", func(x crload.Result) bool { return x == crload.Answered }, colorAnswered},
 		{"refused", func(x crload.Result) bool { return x == crload.NotRun }, colorRefused},
-		{"unknown, cut, no word", func(x crload.Result) bool { return x != crload.Answered && x != crload.NotRun }, colorUnknown},
+		{"unknown, cut, no response", func(x crload.Result) bool { return x != crload.Answered && x != crload.NotRun }, colorUnknown},
 	} {
 		xys := r.binned(func(in []crload.Sample) float64 {
 			n := 0.0
@@ -92,20 +92,20 @@
 					n++
 				}
 			}
-			return n * perSecond
+			return n * binsPerSecond
 		})
 		if err := addLine(p, kind.name, xys, kind.c); err != nil {
 			return nil, err
 		}
 	}
-	p.Legend.YOffs = legendHeight // where no line is, unless much fails
+	p.Legend.YOffs = legendHeight // in an area without lines, unless many requests fail
 	return p, r.markFault(p)
 }
 
 func (r *record) latencyPlot() (*plot.Plot, error) {
 	p := plot.New()
 	p.X.Label.Text = "seconds since the start of the load"
-	p.Y.Label.Text = "p99 of answers, ms"
+	p.Y.Label.Text = "p99 of responses, ms"
 	p.Y.Min = 0
 	xys := r.binned(func(in []crload.Sample) float64 {
 		var took []float64
@@ -125,7 +125,7 @@
 // binned applies f to the requests planned in each bin.
 func (r *record) binned(f func([]crload.Sample) float64) plotter.XYs {
 	bins := make([][]crload.Sample, int(time.Duration(r.plan.Seconds*float64(time.Second))/plotBin))
-	for _, t := range r.told {
+	for _, t := range r.samples {
 		if i := int(t.Planned / plotBin); i < len(bins) {
 			bins[i] = append(bins[i], t)
 		}
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// markFault draws where the fault began and ended; calm has none.
+// markFault draws lines at the start and the end of the fault. The case calm has none.
 func (r *record) markFault(p *plot.Plot) error {
 	if r.fault.begin == nil && r.fault.surge == 0 {
 		return nil
--- a/lab/crmeasure/policy.go
+++ b/lab/crmeasure/policy.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Policy is a way of deciding, as a section of the daemons' settings.
+// Policy is a set of algorithms, as selected in the [policy] section of the daemons' settings.
 type Policy struct {
 	Name   string
 	choose string
@@ -10,18 +10,18 @@
 	rate   string
 }
 
-// The policies' names.
+// Names of the policies.
 const (
-	chosen          = "chosen"
+	productPolicy   = "chosen"
 	roundRobin      = "roundrobin"
 	fixedThresholds = "fixed"
 	localSplit      = "split"
 )
 
-// Policies are the one in service and its baselines.
+// Policies returns the product's policy and the baselines.
 func Policies() []Policy {
 	return []Policy{
-		{Name: chosen, choose: "twochoices", eject: "peers", rate: "shares"},
+		{Name: productPolicy, choose: "twochoices", eject: "peers", rate: "shares"},
 		{Name: roundRobin, choose: "roundrobin", eject: "none", rate: "shares"},
 		{Name: fixedThresholds, choose: "twochoices", eject: "fixed", rate: "shares"},
 		{Name: localSplit, choose: "twochoices", eject: "peers", rate: "split"},
--- a/lab/crmeasure/score.go
+++ b/lab/crmeasure/score.go
@@ -14,84 +14,84 @@
 	"camphorroad/lab/crupstream"
 )
 
-// Result is the score of one run.
+// Result is the result of one run.
 type Result struct {
 	Shape  string `json:"shape"`
 	Case   string `json:"case"`
 	Policy string `json:"policy"`
 	Seed   uint64 `json:"seed"`
 
-	DetectSeconds     float64 `json:"detect"`   // seconds until the last sick target was found; below zero: one was not
-	UnhealthyWork     float64 `json:"sickwork"` // work of the sick during the fault, of their fair share
-	FalseEjections    int     `json:"false"`    // healthy targets ejected
-	WorstShare        float64 `json:"share"`    // answered part of the worst-served account
-	WorstP99Millis    float64 `json:"p99"`      // milliseconds, of the account with the highest
-	MedianP99Millis   float64 `json:"median"`   // milliseconds, the median account's p99
-	RefusedWithinRate int     `json:"refused"`  // though inside the account's rate
-	RateLimited       int     `json:"limited"`  // refusals by the account's rate, wrongful or not
-	WorstAccount      string  `json:"worst"`    // the worst-served account, by Share
+	DetectSeconds     float64 `json:"detect"`   // until the last unhealthy target was detected; negative: one was not
+	UnhealthyWork     float64 `json:"sickwork"` // work of unhealthy targets during the fault, as a ratio to their fair share
+	FalseEjections    int     `json:"false"`    // number of healthy targets that were ejected
+	WorstShare        float64 `json:"share"`    // answered requests of the worst-served account, as a share of those within its rate
+	WorstP99Millis    float64 `json:"p99"`      // of the account with the highest p99
+	MedianP99Millis   float64 `json:"median"`   // median over the accounts
+	RefusedWithinRate int     `json:"refused"`  // refusals that a correct rate limit does not explain
+	RateLimited       int     `json:"limited"`  // refusals by the rate limit, wrongful or not
+	WorstAccount      string  `json:"worst"`    // the worst-served account, by WorstShare
 	Sent              int     `json:"sent"`
 
-	RefusalReasons map[string]int `json:"reasons"` // of refusals
-	Ejections      []string       `json:"ejected"` // every ejection: when after the fault, target, cause
+	RefusalReasons map[string]int `json:"reasons"` // number of refusals by reason
+	Ejections      []string       `json:"ejected"` // daemon, time since the start of the fault, target and detail of each
 
 	Cut                 int `json:"cut"`
 	Unknown             int `json:"unknown"`
-	WithoutResponse     int `json:"noword"` // the connection failed without an answer
+	WithoutResponse     int `json:"noword"` // the connection failed before a response
 	MismatchedResponses int `json:"mixed"`
-	RanTwice            int `json:"twice"` // once-only requests that ran more than once
-	FalseNotRun         int `json:"lied"`  // told "not run", and ran
+	RanTwice            int `json:"twice"` // requests of class once that ran more than once
+	FalseNotRun         int `json:"lied"`  // requests that ran, with the outcome notrun
 }
 
-// record is all that was seen of one run.
+// record holds the observations of one run.
 type record struct {
-	trial
-	plan     crload.Plan
-	stage    *stage
-	fleet    *crfleet.Fleet
-	from, to time.Duration // of the fault, after start
-	start    time.Time
-	told     []crload.Sample
+	runConfig
+	plan        crload.Plan
+	environment *environment
+	fleet       *crfleet.Fleet
+	from, to    time.Duration // of the fault, since start
+	start       time.Time
+	samples     []crload.Sample
 }
 
 const (
-	// window and step are those in which a target's work is compared with its
-	// fair share, and found is the share below which it counts as out of work.
-	window = 500 * time.Millisecond
-	step   = 50 * time.Millisecond
-	found  = 0.1
-	// hurt is the latency from which a request counts as hurt by a fault
-	// between daemons.
-	hurt = 500 * time.Millisecond
+	// A target counts as detected at the start of the first detectWindow in which it runs
+	// less than detectShare of its fair share. The windows start every detectStep.
+	detectWindow = 500 * time.Millisecond
+	detectStep   = 50 * time.Millisecond
+	detectShare  = 0.1
+	// A request with a higher latency counts as affected by a fault between daemons.
+	slowLatency = 500 * time.Millisecond
 )
 
 func (r *record) score() Result {
 	m := Result{
 		Shape: r.shape.Name, Case: r.fault.Name, Policy: r.policy.Name, Seed: r.seed,
-		Sent: len(r.told),
+		Sent: len(r.samples),
 	}
-	r.ejections(&m)
-	r.detect(&m)
-	r.count(&m)
-	r.serve(&m)
+	r.readEjections(&m)
+	r.measureDetection(&m)
+	r.countOutcomes(&m)
+	r.scoreAccounts(&m)
 	return m
 }
 
-// detect finds when the sick got no more work.
-func (r *record) detect(m *Result) {
+// measureDetection determines when the unhealthy targets got no more work, or when callers
+// saw the last affected request.
+func (r *record) measureDetection(m *Result) {
 	if r.fault.byCallers {
-		for _, t := range r.told {
-			bad := t.Result == crload.Unknown || t.Result == crload.Cut || t.Latency > hurt
-			if bad && t.Planned >= r.from && t.Planned < r.to {
+		for _, t := range r.samples {
+			affected := t.Result == crload.Unknown || t.Result == crload.Cut || t.Latency > slowLatency
+			if affected && t.Planned >= r.from && t.Planned < r.to {
 				m.DetectSeconds = max(m.DetectSeconds, (t.Planned - r.from).Seconds())
 			}
 		}
 		return
 	}
-	for _, target := range r.stage.sick {
-		own, fair := r.work(target)
-		m.UnhealthyWork += inSpan(own, r.from, r.to) / max(1, inSpan(fair, r.from, r.to)) * r.peers(target) / float64(len(r.stage.sick))
-		at := r.foundAt(own, fair, r.peers(target))
+	for _, target := range r.environment.unhealthyTargets {
+		own, all := r.runTimes(target)
+		m.UnhealthyWork += countBetween(own, r.from, r.to) / max(1, countBetween(all, r.from, r.to)) * r.targetCount(target) / float64(len(r.environment.unhealthyTargets))
+		at := r.detectionSeconds(own, all, r.targetCount(target))
 		if at < 0 || m.DetectSeconds < 0 {
 			m.DetectSeconds = -1
 			continue
@@ -100,18 +100,18 @@
 	}
 }
 
-// work returns the times of a target's runs, and of its whole service's.
-func (r *record) work(target *crfleet.Target) (own, all []time.Duration) {
-	own = r.after(target.Log())
+// runTimes returns the times of the runs of a target, and of all targets of its service.
+func (r *record) runTimes(target *crfleet.Target) (own, all []time.Duration) {
+	own = r.sinceStart(target.Log())
 	for _, t := range r.fleet.Targets() {
 		if t.Service() == target.Service() {
-			all = append(all, r.after(t.Log())...)
+			all = append(all, r.sinceStart(t.Log())...)
 		}
 	}
 	return own, all
 }
 
-func (r *record) after(runs []crupstream.Run) []time.Duration {
+func (r *record) sinceStart(runs []crupstream.Run) []time.Duration {
 	out := make([]time.Duration, 0, len(runs))
 	for _, run := range runs {
 		out = append(out, run.At.Sub(r.start))
@@ -119,7 +119,7 @@
 	return out
 }
 
-func (r *record) peers(target *crfleet.Target) float64 {
+func (r *record) targetCount(target *crfleet.Target) float64 {
 	n := 0.0
 	for _, t := range r.fleet.Targets() {
 		if t.Service() == target.Service() {
@@ -129,18 +129,18 @@
 	return n
 }
 
-func (r *record) foundAt(own, all []time.Duration, peers float64) float64 {
-	for at := r.from; at+window <= r.to; at += step {
-		if inSpan(own, at, at+window) < found*inSpan(all, at, at+window)/peers {
+func (r *record) detectionSeconds(own, all []time.Duration, targets float64) float64 {
+	for at := r.from; at+detectWindow <= r.to; at += detectStep {
+		if countBetween(own, at, at+detectWindow) < detectShare*countBetween(all, at, at+detectWindow)/targets {
 			return (at - r.from).Seconds()
 		}
 	}
 	return -1
 }
 
-func inSpan(at []time.Duration, from, to time.Duration) float64 {
+func countBetween(times []time.Duration, from, to time.Duration) float64 {
 	n := 0.0
-	for _, t := range at {
+	for _, t := range times {
 		if t >= from && t < to {
 			n++
 		}
@@ -148,10 +148,10 @@
 	return n
 }
 
-// ejections reads them from the daemons' logs, and counts the healthy targets
+// readEjections reads the ejections from the daemons' logs, and counts the healthy targets
 // that any daemon ejected.
-func (r *record) ejections(m *Result) {
-	wrongly := make(map[string]bool)
+func (r *record) readEjections(m *Result) {
+	ejected := make(map[string]bool)
 	for _, d := range r.fleet.Daemons() {
 		for line := range strings.Lines(d.Log()) {
 			var e struct {
@@ -163,21 +163,21 @@
 			if json.Unmarshal([]byte(line), &e) != nil || e.Event != crhealth.EventEjected {
 				continue
 			}
-			wrongly[e.Target] = true
+			ejected[e.Target] = true
 			after := e.Time.Sub(r.start) - r.from
 			m.Ejections = append(m.Ejections, fmt.Sprintf("%s: %.0fs: %s: %s", d.Name(), after.Seconds(), e.Target, e.Detail))
 		}
 	}
-	for _, t := range r.stage.sick {
-		delete(wrongly, t.Name())
+	for _, t := range r.environment.unhealthyTargets {
+		delete(ejected, t.Name())
 	}
-	m.FalseEjections = len(wrongly)
+	m.FalseEjections = len(ejected)
 }
 
-// count checks what callers were told against what ran.
-func (r *record) count(m *Result) {
+// countOutcomes counts the outcomes, and compares them with the requests that ran.
+func (r *record) countOutcomes(m *Result) {
 	runs := r.fleet.Runs()
-	for _, t := range r.told {
+	for _, t := range r.samples {
 		switch t.Result {
 		case crload.Cut:
 			m.Cut++
@@ -199,17 +199,17 @@
 	}
 }
 
-// serve scores the accounts one beside the other.
-func (r *record) serve(m *Result) {
+// scoreAccounts compares the service that the accounts got.
+func (r *record) scoreAccounts(m *Result) {
 	m.WorstShare = 1
 	m.RefusalReasons = make(map[string]int)
 	var p99s []float64
 	for _, a := range accounts() {
-		told := r.of(a.Name)
-		inside := ideal(told, a)
+		samples := r.samplesOf(a.Name)
+		withinRate := idealAdmitted(samples, a)
 		answered, refused := 0, 0
 		var took []float64
-		for _, t := range told {
+		for _, t := range samples {
 			switch t.Result {
 			case crload.Answered:
 				answered++
@@ -223,8 +223,8 @@
 			case crload.Unknown, crload.Cut, crload.NoResponse, crload.Mismatched:
 			}
 		}
-		m.RefusedWithinRate += max(0, refused-(len(told)-inside))
-		if share := float64(answered) / float64(max(1, inside)); share < m.WorstShare {
+		m.RefusedWithinRate += max(0, refused-(len(samples)-withinRate))
+		if share := float64(answered) / float64(max(1, withinRate)); share < m.WorstShare {
 			m.WorstShare, m.WorstAccount = share, a.Name
 		}
 		p99s = append(p99s, quantile(took, 0.99))
@@ -233,10 +233,10 @@
 	m.MedianP99Millis = quantile(p99s, 0.5)
 }
 
-// of returns an account's requests in the order of their planned times.
-func (r *record) of(account string) []crload.Sample {
+// samplesOf returns the requests of an account in the order of their planned times.
+func (r *record) samplesOf(account string) []crload.Sample {
 	var out []crload.Sample
-	for _, t := range r.told {
+	for _, t := range r.samples {
 		if t.Account == account {
 			out = append(out, t)
 		}
@@ -245,12 +245,12 @@
 	return out
 }
 
-// ideal counts the requests that one token bucket for the whole fleet, full at
-// the start, would let pass. Counts and not single requests are compared: over
-// the rate, two right limiters pass different requests of a crowd.
-func ideal(told []crload.Sample, a crfleet.Account) int {
+// idealAdmitted counts the requests that one token bucket for the whole fleet, full at the
+// start, would admit. Only the counts are compared, not single requests: above the rate,
+// two correct rate limiters may admit different requests.
+func idealAdmitted(samples []crload.Sample, a crfleet.Account) int {
 	level, at, n := a.Burst, time.Duration(0), 0
-	for _, t := range told {
+	for _, t := range samples {
 		level = min(a.Burst, level+a.Rate*(t.Planned-at).Seconds())
 		at = t.Planned
 		if level >= 1 {
@@ -261,7 +261,7 @@
 	return n
 }
 
-// quantile sorts its argument; zero for none.
+// quantile sorts values and returns their quantile q, or zero if there are none.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/lab/crmeasure/shape.go
+++ b/lab/crmeasure/shape.go
@@ -8,55 +8,55 @@
 	"camphorroad/lab/crload"
 )
 
-// Shape is a deployment of today, scaled to one machine: an instance carries
+// Shape describes an existing deployment, scaled down to one machine: an instance has
 // several targets.
 type Shape struct {
 	Name     string
 	Daemons  int
 	Domains  []string
-	Delay    time.Duration // one way between daemons; callers have none
+	Delay    time.Duration // one-way delay between daemons; there is none for callers
 	Services []service
 }
 
-// service is one service and its share of the requests.
+// service describes a service and its share of the requests.
 type service struct {
-	name    string
-	targets int
-	floor   int
-	slots   int
-	conns   int
-	weight  int    // of its requests
-	reads   string // prefix of the route that may repeat
-	writes  string // prefix of the route that runs at most once
+	name        string
+	targets     int
+	floor       int
+	slots       int
+	conns       int
+	weight      int    // of its requests among those of all services
+	readPrefix  string // path prefix of the route of class repeat
+	writePrefix string // path prefix of the route of class once
 }
 
 const (
-	daemons     = 10
+	daemonCount = 10
 	serviceTime = 20 * time.Millisecond
-	loadFactor  = 0.7 // of each account's rate
+	loadFactor  = 0.7 // load, as a fraction of each account's rate
 	largeCount  = 3
 	smallCount  = 5
-	largeRate   = 240.0
-	smallRate   = 40.0
+	largeRate   = 240.0 // requests per second
+	smallRate   = 40.0  // requests per second
 	bodyBytes   = 200
-	readWeight  = 3 // reads for each write
+	readWeight  = 3 // reads per write
 )
 
-// Shapes are both deployments.
+// Shapes returns the shapes of both deployments.
 func Shapes() []Shape {
 	return []Shape{
 		{
-			Name: "beacon", Daemons: daemons, Domains: []string{"north", "center", "south", "east"}, Delay: 1500 * time.Microsecond,
+			Name: "beacon", Daemons: daemonCount, Domains: []string{"north", "center", "south", "east"}, Delay: 1500 * time.Microsecond,
 			Services: []service{
-				{name: "booking", targets: 15, floor: 10, slots: 5, conns: 300, weight: 6, reads: "/kits", writes: "/holds"},
-				{name: "dispatch", targets: 10, floor: 7, slots: 5, conns: 300, weight: 4, reads: "/stations", writes: "/deposits"},
+				{name: "booking", targets: 15, floor: 10, slots: 5, conns: 300, weight: 6, readPrefix: "/kits", writePrefix: "/holds"},
+				{name: "dispatch", targets: 10, floor: 7, slots: 5, conns: 300, weight: 4, readPrefix: "/stations", writePrefix: "/deposits"},
 			},
 		},
 		{
-			Name: "groupement", Daemons: daemons, Domains: []string{"dakar-1", "dakar-2", "thies"}, Delay: time.Millisecond,
+			Name: "groupement", Daemons: daemonCount, Domains: []string{"dakar-1", "dakar-2", "thies"}, Delay: time.Millisecond,
 			Services: []service{
-				{name: "portal", targets: 25, floor: 18, slots: 4, conns: 400, weight: 7, reads: "/files", writes: "/filings"},
-				{name: "ledger", targets: 5, floor: 3, slots: 4, conns: 400, weight: 3, reads: "/balances", writes: "/entries"},
+				{name: "portal", targets: 25, floor: 18, slots: 4, conns: 400, weight: 7, readPrefix: "/files", writePrefix: "/filings"},
+				{name: "ledger", targets: 5, floor: 3, slots: 4, conns: 400, weight: 3, readPrefix: "/balances", writePrefix: "/entries"},
 			},
 		},
 	}
@@ -84,10 +84,10 @@
 `
 
 func (s service) policy() string {
-	return fmt.Sprintf(policyFormat, s.name, s.floor, s.slots, s.conns, s.reads, s.writes)
+	return fmt.Sprintf(policyFormat, s.name, s.floor, s.slots, s.conns, s.readPrefix, s.writePrefix)
 }
 
-// accounts are eight, three of them large; each burst is a second's rate.
+// accounts returns the large and the small accounts. Each burst is the rate of one second.
 func accounts() []crfleet.Account {
 	var out []crfleet.Account
 	for i := range largeCount {
@@ -116,23 +116,23 @@
 	var calls []crload.Call
 	for _, svc := range s.Services {
 		calls = append(calls,
-			crload.Call{Method: "GET", Path: svc.reads + "/1", Weight: readWeight * svc.weight},
-			crload.Call{Method: "POST", Path: svc.writes, Weight: svc.weight, Bytes: bodyBytes},
+			crload.Call{Method: "GET", Path: svc.readPrefix + "/1", Weight: readWeight * svc.weight},
+			crload.Call{Method: "POST", Path: svc.writePrefix, Weight: svc.weight, Bytes: bodyBytes},
 		)
 	}
 	return calls
 }
 
-// plan is the load. No caller enters at the daemons that the case stops or
-// freezes itself: what is measured is what their leaving does to all others.
-func (t trial) plan(f *crfleet.Fleet, length, from, to time.Duration) crload.Plan {
+// plan returns the load plan. No caller sends requests to the daemons that the case stops
+// or suspends: the effect of their loss on all others is measured.
+func (t runConfig) plan(f *crfleet.Fleet, length, from, to time.Duration) crload.Plan {
 	p := crload.Plan{
 		Seconds: length.Seconds(), Seed: t.seed, Timeout: "10s",
-		Entries: f.URLs()[:t.shape.Daemons-t.fault.apart],
+		Entries: f.URLs()[:t.shape.Daemons-t.fault.daemonsWithoutCallers],
 	}
 	for i, a := range accounts() {
 		load := crload.Account{Name: a.Name, Key: a.Key(), Rate: loadFactor * a.Rate, Calls: t.shape.calls()}
-		if t.fault.lone {
+		if t.fault.singleEntry {
 			load.Entry = i + 1
 		}
 		if i == 0 && t.fault.surge > 0 {
--- a/lab/crmeasure/table.go
+++ b/lab/crmeasure/table.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Header names the columns of Rows. Each figure is the median over the seeds,
-// followed by lowest and highest where they differ.
+// Header names the columns of [Rows]. Each figure is the median over the seeds, followed
+// by the lowest and the highest one if they differ.
 func Header() []string {
 	return []string{
 		"SHAPE", "CASE", "POLICY", "RUNS", "DETECT_S", "SICKWORK", "FALSE", "WORSTSHARE", "WORSTP99MS", "MEDIANP99MS",
@@ -15,7 +15,7 @@
 	}
 }
 
-// Rows summarises the runs, one line for each shape, case and policy.
+// Rows summarizes the runs, with one row per shape, case and policy.
 func Rows(runs []Result) [][]string {
 	type key struct{ shape, fault, policy string }
 	groups := make(map[key][]Result)
@@ -57,10 +57,10 @@
 	}
 }
 
-// detectCell is "-" where nothing was to be found.
+// detectCell returns "-" for a case without a fault to detect.
 func detectCell(group []Result) string {
 	for _, c := range Cases() {
-		if c.Name == group[0].Case && c.count == 0 && !c.byCallers {
+		if c.Name == group[0].Case && c.unhealthyCount == 0 && !c.byCallers {
 			return "-"
 		}
 	}
