--- a/lab/crexperiment/crexperiment_test.go
+++ b/lab/crexperiment/crexperiment_test.go
@@ -30,8 +30,8 @@
 }
 
 // Three in ten targets are unhealthy at any moment while their health checks pass. The
-// served share must rise from no detection, to detection per entry, detection at the
-// exits, and full knowledge.
+// served share must rise from no detection to detection per entry, to detection at the
+// exits, and to complete information.
 func TestServedShareRisesWithHealthInformation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := load(t)
--- a/lab/crexperiment/policy.go
+++ b/lab/crexperiment/policy.go
@@ -39,7 +39,7 @@
 	"none": {view: func(_ *entry, _ *exit, report crplace.LoadReport) crplace.LoadReport {
 		return withUnhealthyProb(report, 0)
 	}, observe: ignoreResponse},
-	// All entries know the state and load of all targets without delay.
+	// All entries have the state and load of all targets without delay.
 	"oracle": {view: actualHealth, observe: ignoreResponse, currentState: true},
 }
 
--- a/lab/crexperiment/result.go
+++ b/lab/crexperiment/result.go
@@ -79,7 +79,7 @@
 func (x *Experiment) row(policy string, load float64, group []Result) Row {
 	out := Row{Policy: policy, Load: load}
 	var detection []time.Duration
-	falsePositives, success := 0, 0
+	falsePositives, healthySamples := 0, 0
 	n := float64(len(group))
 	for _, r := range group {
 		r.Kinds = x.withoutNested(r.Kinds)
@@ -88,11 +88,11 @@
 		out.Failed += r.share(func(c *Count) int { return c.Failed }) / n
 		out.OnceFailed += r.OnceFailures
 		detection = append(detection, r.Detection...)
-		falsePositives, success = falsePositives+r.FalsePositives, success+r.HealthySamples
+		falsePositives, healthySamples = falsePositives+r.FalsePositives, healthySamples+r.HealthySamples
 	}
 	slices.Sort(detection)
 	out.P50, out.P95 = quantile(detection, 0.5), quantile(detection, 0.95)
-	out.FalsePositive = float64(falsePositives) / float64(max(success, 1))
+	out.FalsePositive = float64(falsePositives) / float64(max(healthySamples, 1))
 	return out
 }
 
