--- a/command/lab/experiment.go
+++ b/command/lab/experiment.go
@@ -26,8 +26,8 @@
 // Help is shown with the command's flags.
 func (*ExperimentRunOptions) Help() string {
 	return `Runs the decision code of the product against simulated targets in virtual time,
-and for comparison the baselines and a fleet that knows the state of all targets
-at once. Prints the outcomes for callers and the time until unhealthy targets
+and for comparison the baselines and an oracle, which has the state of all targets
+without delay. Prints the outcomes for callers and the time until unhealthy targets
 were detected. The same seed always gives the same result.
 
 EXAMPLES
--- a/command/lab/lab_test.go
+++ b/command/lab/lab_test.go
@@ -17,7 +17,7 @@
 	"camphorroad/command/policy"
 )
 
-func TestPublishToStandIn(t *testing.T) {
+func TestPublishToFakePlatform(t *testing.T) {
 	dir := t.TempDir()
 	discard := &factory.Factory{Out: io.Discard, ErrOut: io.Discard}
 	file := "../../io/crpolicyfile/testdata/booking.toml"
--- a/command/lab/measure.go
+++ b/command/lab/measure.go
@@ -16,10 +16,10 @@
 type MeasureOptions struct {
 	Shape  []string      `placeholder:"NAME" help:"Deployment shapes: beacon, groupement; default both."`
 	Case   []string      `placeholder:"NAME" help:"Cases, for example slow; default all."`
-	Policy []string      `placeholder:"NAME" help:"Policies: chosen, roundrobin, fixed, split; default those that differ in a case."`
+	Policy []string      `placeholder:"NAME" help:"Policies: chosen, roundrobin, fixed, split; default those whose decisions differ in the case."`
 	Seeds  int           `default:"2" help:"Runs of each case and policy, with seeds from 1."`
 	Length time.Duration `default:"10s" help:"Duration of the load of each run."`
-	Plots  string        `placeholder:"DIR" help:"Plot the timelines of each first seed into DIR."`
+	Plots  string        `placeholder:"DIR" help:"Write plots of the runs with seed 1 to DIR."`
 	Binary string        `placeholder:"FILE" help:"Daemon executable; default camphorroad in the directory of this program."`
 	JSON   bool          `name:"json" help:"Print each run as JSON."`
 }
@@ -36,7 +36,7 @@
   $ camphorlab measure --policy chosen --plots plots --json`
 }
 
-// Run takes the measures. After an error it prints the runs that finished before.
+// Run runs the measurements. After an error it prints the runs that finished before.
 func (o *MeasureOptions) Run(ctx context.Context, f *factory.Factory) error {
 	binary, err := daemonBinary(o.Binary)
 	if err != nil {
--- a/command/lab/platform.go
+++ b/command/lab/platform.go
@@ -1,6 +1,6 @@
-// Package lab holds the commands of camphorlab, which cmd/camphorlab runs: they serve
-// stand-ins of the users' platform, store and upstreams, and run load, measurements,
-// simulations and fault tests against them. The packages below lab/ do the work.
+// Package lab holds the commands of camphorlab, which cmd/camphorlab runs. They serve
+// fakes of the users' platform, store and upstreams, and run load, measurements,
+// simulations and fault tests. The packages below lab/ implement them.
 package lab
 
 import (
@@ -24,7 +24,7 @@
 type PlatformOptions struct {
 	Listen string `default:"127.0.0.1:7400" placeholder:"ADDR" help:"Address to listen on."`
 	Dir    string `placeholder:"DIR" help:"Directory to publish at start: a bundle, instances.toml, or both."`
-	From   uint64 `placeholder:"REV" help:"Revision after which the first publication is numbered."`
+	From   uint64 `placeholder:"REV" help:"The first publication gets the next revision after REV."`
 }
 
 // NewPlatform returns the options for an address and a directory.
--- a/command/lab/publish.go
+++ b/command/lab/publish.go
@@ -15,11 +15,11 @@
 	"camphorroad/lab/crplatform"
 )
 
-const maxResponseBytes = 64 << 10 // of the stand-in's response
+const maxResponseBytes = 64 << 10 // of a response
 
 // PublishOptions are the options of `publish`.
 type PublishOptions struct {
-	Addr string `default:"127.0.0.1:7400" placeholder:"ADDR" help:"Address of the stand-in."`
+	Addr string `default:"127.0.0.1:7400" placeholder:"ADDR" help:"Address of the fake platform."`
 	Dir  string `required:"" placeholder:"DIR" help:"Directory with a bundle, instances.toml, or both."`
 }
 
@@ -36,7 +36,7 @@
 
 // Run publishes the content of the directory and prints the revisions.
 func (o *PublishOptions) Run(ctx context.Context, f *factory.Factory) error {
-	instances, hasList, err := crplatform.ReadInstances(o.Dir)
+	instances, hasInstances, err := crplatform.ReadInstances(o.Dir)
 	if err != nil {
 		return oops.Wrapf(err, "read the instances")
 	}
@@ -44,11 +44,11 @@
 	if err != nil {
 		return oops.Wrapf(err, "read the bundle")
 	}
-	if !hasList && !hasBundle {
+	if !hasInstances && !hasBundle {
 		return fmt.Errorf("%w: %s holds neither a bundle nor instances.toml", factory.ErrUsage, o.Dir)
 	}
 	var rows [][]string
-	if hasList {
+	if hasInstances {
 		if rows, err = o.send(ctx, rows, http.MethodPut, "instances", instances); err != nil {
 			return err
 		}
@@ -72,7 +72,7 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, oops.Wrapf(err, "publish; is the stand-in at %s running", o.Addr)
+		return nil, oops.Wrapf(err, "publish; is the fake platform at %s running", o.Addr)
 	}
 	defer resp.Body.Close()
 	reply, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
@@ -80,7 +80,7 @@
 		return nil, oops.Wrapf(err, "read the response")
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, oops.Errorf("the stand-in rejected the request: %s", bytes.TrimSpace(reply))
+		return nil, oops.Errorf("the fake platform rejected the request: %s", bytes.TrimSpace(reply))
 	}
 	var published crplatform.Published
 	if err := json.Unmarshal(reply, &published); err != nil {
--- a/command/lab/soak.go
+++ b/command/lab/soak.go
@@ -29,7 +29,7 @@
 
 // Help is shown with the command's flags.
 func (*SoakOptions) Help() string {
-	return `Runs fleets of real processes against stand-ins of the store and of targets, with
+	return `Runs fleets of real processes against fakes of the store and of targets, with
 random faults from each seed, and prints the invariants that were violated. Exits
 with 1 if there were any.
 
--- a/command/lab/stage.go
+++ b/command/lab/stage.go
@@ -19,7 +19,7 @@
 
 // Help is shown with the command's flags.
 func (*StageOptions) Help() string {
-	return `Serves stand-ins of the store and of the targets until SIGTERM or SIGINT, writes a
+	return `Serves fakes of the store and of the targets until SIGTERM or SIGINT, writes a
 settings file for each daemon, and prints a line for each machine: name, settings
 file, address for callers, address of the daemon's pages.
 
