--- a/Makefile
+++ b/Makefile
@@ -1,11 +1,11 @@
-# Entry points of the project; README.md explains each.
+# Targets for development; README.md explains each.
 GO ?= go
 GOLANGCI_VERSION = v2.15.0
 GOLANGCI = $(shell $(GO) env GOPATH)/bin/golangci-lint
 
 .PHONY: traces build test lint format spec tools demo measure bench
 
-# Without the MessagePack codec, which gin brings and no page uses.
+# nomsgpack leaves out the MessagePack codec of gin, which no page uses.
 build:
 	$(GO) build -tags nomsgpack -o bin/ ./cmd/...
 
@@ -26,18 +26,19 @@
 spec: tools
 	if test -x spec/check; then spec/check; fi
 
-# Records the traces that io/crtrace replays anew, after a meant change of a reducer.
+# Records again the traces that io/crtrace replays, after an intended change of a reducer.
 traces:
 	CAMPHORROAD_TRACES=$(CURDIR)/io/crtrace/testdata $(GO) test -count=1 ./e2e -ginkgo.focus "recorded trace"
 	$(GO) test -count=1 ./io/crtrace -update
 
-# On the users' platform, and with policy files that operators publish themselves.
+# Runs the demo on fakes of the users' platform, and the demo with policy files that
+# operators publish themselves.
 demo: build
 	script/demo-join
 	script/demo
 
-# The tables in virtual time repeat exactly; those over real processes vary by
-# the machine, and take half an hour. MEASURE takes flags of camphorlab measure.
+# The tables in virtual time are equal in each run. Those of real processes vary with
+# the machine, and take half an hour. MEASURE holds flags of camphorlab measure.
 MEASURE ?= --seeds 2 --plots plots
 measure: build
 	$(GO) test ./core/crhealth -run '^TestMeasure$$' -count 1 -v -seeds 6
