--- a/command/lab/measure.go
+++ b/command/lab/measure.go
@@ -16,10 +16,10 @@
 type MeasureOptions struct {
 	Shape  []string      `placeholder:"NAME" help:"Deployment shapes: beacon, groupement; default both."`
 	Case   []string      `placeholder:"NAME" help:"Cases, for example slow; default all."`
-	Policy []string      `placeholder:"NAME" help:"Policies: chosen, roundrobin, fixed, split; default those that differ in a case."`
+	Policy []string      `placeholder:"NAME" help:"Policies: chosen, roundrobin, fixed, split; default those whose decisions differ in the case."`
 	Seeds  int           `default:"2" help:"Runs of each case and policy, with seeds from 1."`
 	Length time.Duration `default:"10s" help:"Duration of the load of each run."`
-	Plots  string        `placeholder:"DIR" help:"Plot the timelines of each first seed into DIR."`
+	Plots  string        `placeholder:"DIR" help:"Write plots of the runs with seed 1 to DIR."`
 	Binary string        `placeholder:"FILE" help:"Daemon executable; default camphorroad in the directory of this program."`
 	JSON   bool          `name:"json" help:"Print each run as JSON."`
 }
@@ -36,7 +36,7 @@
   $ camphorlab measure --policy chosen --plots plots --json`
 }
 
-// Run takes the measures. After an error it prints the runs that finished before.
+// Run runs the measurements. After an error it prints the runs that finished before.
 func (o *MeasureOptions) Run(ctx context.Context, f *factory.Factory) error {
 	binary, err := daemonBinary(o.Binary)
 	if err != nil {
@@ -45,11 +45,11 @@
 	runs, err := crmeasure.Run(ctx, crmeasure.Options{
 		Binary: binary, Shapes: o.shapes(), Cases: o.Case, Policies: o.Policy,
 		Seeds: o.Seeds, Length: o.Length, Plots: o.Plots,
-		Progress: func(m crmeasure.Measured) {
-			row := crmeasure.Rows([]crmeasure.Measured{m})[0]
+		Progress: func(m crmeasure.Result) {
+			row := crmeasure.Rows([]crmeasure.Result{m})[0]
 			_, _ = fmt.Fprintf(f.ErrOut, "seed %d: %s\n", m.Seed, strings.Join(row, " "))
-			if m.False > 0 || m.Refused > 0 {
-				_, _ = fmt.Fprintf(f.ErrOut, "worst: %s; refusals: %v; ejected: %s\n", m.Worst, m.Reasons, strings.Join(m.Ejected, "; "))
+			if m.FalseEjections > 0 || m.RefusedWithinRate > 0 {
+				_, _ = fmt.Fprintf(f.ErrOut, "worst: %s; refusals: %v; ejected: %s\n", m.WorstAccount, m.RefusalReasons, strings.Join(m.Ejections, "; "))
 			}
 		},
 	})
--- a/lab/crexperiment/crexperiment_test.go
+++ b/lab/crexperiment/crexperiment_test.go
@@ -30,8 +30,8 @@
 }
 
 // Three in ten targets are unhealthy at any moment while their health checks pass. The
-// served share must rise from no detection, to detection per entry, detection at the
-// exits, and full knowledge.
+// served share must rise from no detection to detection per entry, to detection at the
+// exits, and to complete information.
 func TestServedShareRisesWithHealthInformation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := load(t)
@@ -52,10 +52,10 @@
 func TestOverloadIsRefusedNotLate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	x := load(t)
-	x.Load, x.Policies, x.Seeds, x.Sick.Share = 5, []string{"product"}, []uint64{1}, 0
+	x.Load, x.Policies, x.Seeds, x.Faults.Share = 5, []string{"product"}, []uint64{1}, 0
 	r := x.Run()[0]
 	order := r.Kinds["mealorder"]
-	g.Expect(order.Asked).To(gomega.BeNumerically(">", 4000))
+	g.Expect(order.Requests).To(gomega.BeNumerically(">", 4000))
 	g.Expect(order.InTime).To(gomega.BeNumerically(">", 4*order.Late), "%+v", order)
 	g.Expect(order.Refused).To(gomega.BeNumerically(">", 4*order.Failed), "%+v", order)
 }
--- a/lab/crexperiment/request.go
+++ b/lab/crexperiment/request.go
@@ -44,7 +44,7 @@
 
 func (e *entry) start(k *Kind, deadline crid.Instant, nested bool, done func(bool)) {
 	r := &request{entry: e, kind: k, nested: nested, started: e.world.now, deadline: deadline, done: done}
-	e.world.result.Kinds[k.Name].Asked++
+	e.world.result.Kinds[k.Name].Requests++
 	e.budget.RecordRequest(e.world.now, k.Service)
 	r.next()
 }
@@ -139,14 +139,14 @@
 	x, w := s.exit, s.exit.world
 	s.attempts++
 	runStart := w.now
-	if x.unhealthy && w.rng.Float64() < w.x.Sick.Fails {
+	if x.unhealthy && w.rng.Float64() < w.x.Faults.Fails {
 		if s.kind.Once {
-			w.result.OnceToSick++
+			w.result.OnceFailures++
 		}
 		w.after(failureDelay, func() { s.complete(runStart, false, true) })
 		return
 	}
-	ok := w.rng.Float64() >= w.x.Sick.Error
+	ok := w.rng.Float64() >= w.x.Faults.Error
 	pending := 1
 	partDone := func(success bool) {
 		pending--
--- a/lab/crexperiment/result.go
+++ b/lab/crexperiment/result.go
@@ -9,23 +9,23 @@
 
 // Count holds the results of the requests of a kind.
 type Count struct {
-	Asked   int `json:"asked"`
-	InTime  int `json:"intime"`
-	Late    int `json:"late"`
-	Refused int `json:"refused"` // not run
-	Failed  int `json:"failed"`  // failed, or result unknown
+	Requests int `json:"asked"`
+	InTime   int `json:"intime"`
+	Late     int `json:"late"`
+	Refused  int `json:"refused"` // not run
+	Failed   int `json:"failed"`  // failed, or result unknown
 }
 
 // Result is the result of one simulation.
 type Result struct {
-	Policy     string            `json:"policy"`
-	Seed       uint64            `json:"seed"`
-	Load       float64           `json:"load"`
-	Kinds      map[string]*Count `json:"kinds"`
-	Detection  []time.Duration   `json:"detection"`  // per unhealthy phase; an undetected phase counts with its length
-	Mistaken   int               `json:"mistaken"`   // samples of healthy targets that half of the entries took for unhealthy
-	Well       int               `json:"well"`       // samples of healthy targets
-	OnceToSick int               `json:"oncetosick"` // once-only requests failed by unhealthy targets
+	Policy         string            `json:"policy"`
+	Seed           uint64            `json:"seed"`
+	Load           float64           `json:"load"`
+	Kinds          map[string]*Count `json:"kinds"`
+	Detection      []time.Duration   `json:"detection"`  // per unhealthy phase; an undetected phase counts with its length
+	FalsePositives int               `json:"mistaken"`   // samples of healthy targets that half of the entries took for unhealthy
+	HealthySamples int               `json:"well"`       // samples of healthy targets
+	OnceFailures   int               `json:"oncetosick"` // once-only requests failed by unhealthy targets
 }
 
 // Row is a table row: one policy at one load, over all seeds.
@@ -48,7 +48,7 @@
 func (r Result) share(count func(*Count) int) float64 {
 	asked, n := 0, 0
 	for _, c := range r.Kinds {
-		asked += c.Asked
+		asked += c.Requests
 		n += count(c)
 	}
 	return float64(n) / float64(max(asked, 1))
@@ -79,20 +79,20 @@
 func (x *Experiment) row(policy string, load float64, group []Result) Row {
 	out := Row{Policy: policy, Load: load}
 	var detection []time.Duration
-	falsePositives, success := 0, 0
+	falsePositives, healthySamples := 0, 0
 	n := float64(len(group))
 	for _, r := range group {
 		r.Kinds = x.withoutNested(r.Kinds)
 		out.Served += r.Served() / n
 		out.InTime += r.share(func(c *Count) int { return c.InTime }) / n
 		out.Failed += r.share(func(c *Count) int { return c.Failed }) / n
-		out.OnceFailed += r.OnceToSick
+		out.OnceFailed += r.OnceFailures
 		detection = append(detection, r.Detection...)
-		falsePositives, success = falsePositives+r.Mistaken, success+r.Well
+		falsePositives, healthySamples = falsePositives+r.FalsePositives, healthySamples+r.HealthySamples
 	}
 	slices.Sort(detection)
 	out.P50, out.P95 = quantile(detection, 0.5), quantile(detection, 0.95)
-	out.FalsePositive = float64(falsePositives) / float64(max(success, 1))
+	out.FalsePositive = float64(falsePositives) / float64(max(healthySamples, 1))
 	return out
 }
 
