--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -131,7 +131,7 @@
 		specs = append(specs, crexit.TargetSpec{Name: crid.Target(t.Name), Service: crid.Service(t.Service), Addr: t.Addr})
 	}
 	return crexit.New(crexit.Options{
-		Targets: specs, Pulse: pulse, Clock: crclock.Now, Observe: m.observeRun, BodyIdleTimeout: cfg.Limits.BodyIdle.Duration,
+		Targets: specs, PauseDetector: pulse, Clock: crclock.Now, Observe: m.observeRun, BodyIdleTimeout: cfg.Limits.BodyIdle.Duration,
 		Hint: rec.SetReportedUnhealthy,
 		Probe: func(target crid.Target, ok bool, took time.Duration) {
 			rec.Record(target, probeResult(ok), took, crhealth.ProbeAccount)
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -106,7 +106,7 @@
 	snap := crpolicy.NewSnapshot(1, []crpolicy.Service{svc}, []crpolicy.Account{account("alpha", alphaKey), account("beta", betaKey)})
 	p.exit = crexit.New(crexit.Options{
 		Targets:         []crexit.TargetSpec{{Name: "t", Service: "s", Addr: upstream}},
-		Pulse:           crforward.NewPauseDetector(time.Hour, crclock.Now()),
+		PauseDetector:   crforward.NewPauseDetector(time.Hour, crclock.Now()),
 		Clock:           crclock.Now,
 		Observe:         p.fault,
 		BodyIdleTimeout: bodyIdle,
--- a/io/crexit/crexit.go
+++ b/io/crexit/crexit.go
@@ -6,7 +6,7 @@
 //
 // # Usage
 //
-//	x := crexit.New(crexit.Options{Targets: cfg.Targets, Pulse: pulse, Clock: crclock.Now})
+//	x := crexit.New(crexit.Options{Targets: cfg.Targets, PauseDetector: detector, Clock: crclock.Now})
 //	x.Apply(snapshot)
 //	serve := x.OpenSession(sessionCtx)                 // streams of another daemon
 //	ex := x.Run(ctx, x.LocalLedger(), forward, body)   // this daemon's own entry
@@ -38,7 +38,7 @@
 // Options configure an Exit.
 type Options struct {
 	Targets         []TargetSpec
-	Pulse           *crforward.PauseDetector
+	PauseDetector   *crforward.PauseDetector
 	Clock           func() crid.Instant
 	BodyIdleTimeout time.Duration // longest gap between two reads of an upstream's response body; zero: no limit
 	// Observe is called with the result of each run; it must not block.
@@ -83,7 +83,7 @@
 }
 
 // newLocalLedger returns a ledger for this daemon's own entry. The entry runs in
-// the same process, so a process pause stops both, and the ledger needs no pulse: a
+// the same process, so a process pause stops both, and the ledger needs no detector: a
 // request that waited through a pause is refused by its deadline.
 func (x *Exit) newLocalLedger() *crforward.Ledger {
 	return crforward.NewLedger(crforward.DefaultLedgerParams(), 0, x.opts.Clock(), nil)
@@ -181,7 +181,7 @@
 	}
 	if s.ledger == nil {
 		s.number = number
-		s.ledger = crforward.NewLedger(crforward.DefaultLedgerParams(), number, s.openedAt, s.exit.opts.Pulse)
+		s.ledger = crforward.NewLedger(crforward.DefaultLedgerParams(), number, s.openedAt, s.exit.opts.PauseDetector)
 		s.exit.track(s.ledger)
 	}
 	if s.number != number {
--- a/io/crexit/hop_test.go
+++ b/io/crexit/hop_test.go
@@ -66,9 +66,9 @@
 	g.Expect(crcert.Issue(dir, "entry", "exit")).To(gomega.Succeed())
 	pulse := crforward.NewPauseDetector(time.Hour, crclock.Now())
 	exit := crexit.New(crexit.Options{
-		Targets: []crexit.TargetSpec{{Name: "t", Service: svc.Name, Addr: strings.TrimPrefix(srv.URL, "http://")}},
-		Pulse:   pulse,
-		Clock:   crclock.Now,
+		Targets:       []crexit.TargetSpec{{Name: "t", Service: svc.Name, Addr: strings.TrimPrefix(srv.URL, "http://")}},
+		PauseDetector: pulse,
+		Clock:         crclock.Now,
 	})
 	g.Expect(exit.Apply(crpolicy.NewSnapshot(1, []crpolicy.Service{svc}, nil))).To(gomega.BeEmpty())
 	listen := func(name string) *crpeer.Transport {
--- a/io/crexit/unready_test.go
+++ b/io/crexit/unready_test.go
@@ -20,9 +20,9 @@
 func TestRefusalBeforePolicyHasUnreadyFault(t *testing.T) {
 	g := gomega.NewWithT(t)
 	exit := crexit.New(crexit.Options{
-		Targets: []crexit.TargetSpec{{Name: "t", Service: "s", Addr: "127.0.0.1:1"}},
-		Pulse:   crforward.NewPauseDetector(time.Hour, crclock.Now()),
-		Clock:   crclock.Now,
+		Targets:       []crexit.TargetSpec{{Name: "t", Service: "s", Addr: "127.0.0.1:1"}},
+		PauseDetector: crforward.NewPauseDetector(time.Hour, crclock.Now()),
+		Clock:         crclock.Now,
 	})
 	ex := exit.Run(t.Context(), exit.LocalLedger(), forward(1, crpolicy.ClassOnce), strings.NewReader(""))
 	g.Expect(ex.Response.Kind).To(gomega.Equal(crhop.KindRefusal))
--- a/io/crexit/watch_test.go
+++ b/io/crexit/watch_test.go
@@ -39,9 +39,9 @@
 	srv := httptest.NewServer(w.upstream)
 	t.Cleanup(srv.Close)
 	w.exit = crexit.New(crexit.Options{
-		Targets: []crexit.TargetSpec{{Name: "t", Service: "s", Addr: strings.TrimPrefix(srv.URL, "http://")}},
-		Pulse:   crforward.NewPauseDetector(time.Hour, crclock.Now()),
-		Clock:   crclock.Now,
+		Targets:       []crexit.TargetSpec{{Name: "t", Service: "s", Addr: strings.TrimPrefix(srv.URL, "http://")}},
+		PauseDetector: crforward.NewPauseDetector(time.Hour, crclock.Now()),
+		Clock:         crclock.Now,
 		Probe: func(_ crid.Target, ok bool, took time.Duration) {
 			w.locked(func() { w.probes = append(w.probes, ok); w.took = took })
 		},
