--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -132,7 +132,7 @@
 	}
 	return crexit.New(crexit.Options{
 		Targets: specs, PauseDetector: pulse, Clock: crclock.Now, Observe: m.observeRun, BodyIdleTimeout: cfg.Limits.BodyIdle.Duration,
-		Hint: rec.SetReportedUnhealthy,
+		ReportedUnhealthy: rec.SetReportedUnhealthy,
 		Probe: func(target crid.Target, ok bool, took time.Duration) {
 			rec.Record(target, probeResult(ok), took, crhealth.ProbeAccount)
 		},
--- a/io/crexit/crexit.go
+++ b/io/crexit/crexit.go
@@ -41,13 +41,15 @@
 	PauseDetector   *crforward.PauseDetector
 	Clock           func() crid.Instant
 	BodyIdleTimeout time.Duration // longest gap between two reads of an upstream's response body; zero: no limit
-	// Observe is called with the result of each run; it must not block.
+	// Observe is called with the result of each run. It must not block and may be nil.
 	Observe func(target crid.Target, account crid.Account, fault crhop.Fault, status int, took time.Duration)
-	// Probe is called after each known-answer probe, Hint each second with what
-	// the target's health and load pages report, and Leaving when a target starts
-	// or stops reporting that it is draining. They must not block and may be nil.
-	Probe   func(target crid.Target, ok bool, took time.Duration)
-	Hint    func(target crid.Target, bad bool)
+	// Probe is called after each known-answer probe. It must not block and may be nil.
+	Probe func(target crid.Target, ok bool, took time.Duration)
+	// ReportedUnhealthy is called each second with what the target's health and load
+	// pages report. It must not block and may be nil.
+	ReportedUnhealthy func(target crid.Target, unhealthy bool)
+	// Leaving is called when a target starts or stops reporting that it is draining. It
+	// must not block and may be nil.
 	Leaving func(target crid.Target, leaving bool)
 }
 
--- a/io/crexit/watch.go
+++ b/io/crexit/watch.go
@@ -95,8 +95,8 @@
 	}
 	leaving := healthLeaving || loadLeaving
 	w.setLeaving(leaving)
-	if w.exit.opts.Hint != nil {
-		w.exit.opts.Hint(w.target.spec.Name, (bad || full) && !leaving)
+	if w.exit.opts.ReportedUnhealthy != nil {
+		w.exit.opts.ReportedUnhealthy(w.target.spec.Name, (bad || full) && !leaving)
 	}
 }
 
--- a/io/crexit/watch_test.go
+++ b/io/crexit/watch_test.go
@@ -45,8 +45,8 @@
 		Probe: func(_ crid.Target, ok bool, took time.Duration) {
 			w.locked(func() { w.probes = append(w.probes, ok); w.took = took })
 		},
-		Hint:    func(_ crid.Target, bad bool) { w.locked(func() { w.hints = append(w.hints, bad) }) },
-		Leaving: func(_ crid.Target, l bool) { w.locked(func() { w.leaving = append(w.leaving, l) }) },
+		ReportedUnhealthy: func(_ crid.Target, bad bool) { w.locked(func() { w.hints = append(w.hints, bad) }) },
+		Leaving:           func(_ crid.Target, l bool) { w.locked(func() { w.leaving = append(w.leaving, l) }) },
 	})
 	svc := crpolicy.Service{
 		Name: "s", Slots: 2, Queue: 2, Connections: 8, HealthPath: "/health", LoadPath: "/load",
