--- a/io/crdaemon/steer.go
+++ b/io/crdaemon/steer.go
@@ -42,11 +42,11 @@
 
 // recordAttempt records the outcome of an attempt at a target. Request goroutines call
 // it.
-func (s *shell) recordAttempt(_ crid.Service, target crid.Target, account crid.Account, o crentry.Outcome, took time.Duration) {
+func (s *shell) recordAttempt(_ crid.Service, target crid.Target, account crid.Account, o crentry.AttemptOutcome, took time.Duration) {
 	s.recorder.Record(target, attemptResult(o), took, account)
 }
 
-func attemptResult(o crentry.Outcome) crhealth.Result {
+func attemptResult(o crentry.AttemptOutcome) crhealth.Result {
 	switch o {
 	case crentry.OutcomeOK:
 		return crhealth.ResultOK
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -45,17 +45,18 @@
 	Admit(ctx context.Context, account crid.Account, now crid.Instant) (ok bool, retryAfter time.Duration)
 }
 
-// Outcome is the result of one attempt on a target.
-type Outcome uint8
+// AttemptOutcome is the result of one attempt on a target. The outcome of a whole request,
+// which the caller gets, is a crforward.Outcome.
+type AttemptOutcome uint8
 
 // The outcomes of attempts, as health evidence about a target.
 const (
-	OutcomeOK          Outcome = iota + 1
-	OutcomeFailed              // 5xx response, or the connection failed
-	OutcomeWrong               // the response belongs to another request
-	OutcomeStalled             // no response in time
-	OutcomeShed                // rejected by the target or its exit because of overload
-	OutcomeUnreachable         // this daemon could not reach the exit
+	OutcomeOK          AttemptOutcome = iota + 1
+	OutcomeFailed                     // 5xx response, or the connection failed
+	OutcomeWrong                      // the response belongs to another request
+	OutcomeStalled                    // no response in time
+	OutcomeShed                       // rejected by the target or its exit because of overload
+	OutcomeUnreachable                // this daemon could not reach the exit
 )
 
 // Options configure an Entry.
@@ -65,7 +66,7 @@
 	Admitter        Admitter
 	Forwarder       Forwarder
 	Clock           func() crid.Instant
-	Observe         func(service crid.Service, target crid.Target, account crid.Account, o Outcome, took time.Duration)
+	Observe         func(service crid.Service, target crid.Target, account crid.Account, o AttemptOutcome, took time.Duration)
 	Picker          crroute.Picker[*crroute.Target] // nil: TwoChoices
 	ReplayBytes     int                             // request body bytes buffered for another attempt
 	MaxInFlight     int64                           // further requests are refused
--- a/io/crentry/path_test.go
+++ b/io/crentry/path_test.go
@@ -48,7 +48,7 @@
 	exit  *crexit.Exit
 
 	mu       sync.Mutex
-	outcomes []crentry.Outcome
+	outcomes []crentry.AttemptOutcome
 	faults   []crhop.Fault
 }
 
@@ -185,7 +185,7 @@
 	p.addr = ln.Addr().String()
 }
 
-func (p *harness) observe(_ crid.Service, _ crid.Target, _ crid.Account, o crentry.Outcome, _ time.Duration) {
+func (p *harness) observe(_ crid.Service, _ crid.Target, _ crid.Account, o crentry.AttemptOutcome, _ time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.outcomes = append(p.outcomes, o)
@@ -198,10 +198,10 @@
 }
 
 // evidence returns what the entry and the exit have reported about the target.
-func (p *harness) evidence() ([]crentry.Outcome, []crhop.Fault) {
+func (p *harness) evidence() ([]crentry.AttemptOutcome, []crhop.Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]crentry.Outcome(nil), p.outcomes...), append([]crhop.Fault(nil), p.faults...)
+	return append([]crentry.AttemptOutcome(nil), p.outcomes...), append([]crhop.Fault(nil), p.faults...)
 }
 
 // dial opens a connection as a caller and sends text.
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -233,7 +233,7 @@
 	return false
 }
 
-func outcomeOf(f crhop.Fault) Outcome {
+func outcomeOf(f crhop.Fault) AttemptOutcome {
 	switch f {
 	case crhop.FaultWrong:
 		return OutcomeWrong
@@ -304,14 +304,14 @@
 	s.tracker.RevokeResult(n, rv.Revoke(revokeCtx), s.entry.opts.Clock())
 }
 
-func lostOutcome(inTime bool) Outcome {
+func lostOutcome(inTime bool) AttemptOutcome {
 	if inTime {
 		return OutcomeUnreachable
 	}
 	return OutcomeStalled
 }
 
-func (s *activeRequest) observe(target *crroute.Target, o Outcome, took time.Duration) {
+func (s *activeRequest) observe(target *crroute.Target, o AttemptOutcome, took time.Duration) {
 	s.entry.opts.Observe(s.req.service, target.Name(), s.req.account, o, took)
 }
 
--- a/io/crentry/upstream_test.go
+++ b/io/crentry/upstream_test.go
@@ -127,7 +127,7 @@
 				p.Eventually(p.exit.InFlight, 2*time.Second).Should(gomega.BeZero())
 				p.Expect(up.requests.Load()).To(gomega.BeEquivalentTo(1))
 				if c.status == 0 || c.status == http.StatusGatewayTimeout {
-					p.Eventually(func() []crentry.Outcome { o, _ := p.evidence(); return o }).Should(gomega.ContainElement(crentry.OutcomeFailed))
+					p.Eventually(func() []crentry.AttemptOutcome { o, _ := p.evidence(); return o }).Should(gomega.ContainElement(crentry.OutcomeFailed))
 				}
 				if c.status == 0 {
 					p.Expect(got.err).To(gomega.HaveOccurred(), "%+v", got)
