--- a/io/crexit/body.go
+++ b/io/crexit/body.go
@@ -80,22 +80,22 @@
 	return err
 }
 
-// idleTimeoutBody cancels a run whose upstream sends no data for BodyIdleTimeout
-// within its response body, and reports a response that is cut off. One timer
-// serves all reads.
+// idleTimeoutBody cancels a run whose upstream sends no part of the response body for
+// BodyIdleTimeout, and reports a truncated body through Options.Observe. All reads share
+// one timer.
 type idleTimeoutBody struct {
 	io.ReadCloser
-	run      *run
-	caller   context.Context
-	timer    *time.Timer
-	timedOut atomic.Bool
+	run       *run
+	callerCtx context.Context
+	timer     *time.Timer
+	timedOut  atomic.Bool
 }
 
-func (r *run) responseBody(caller context.Context, body io.ReadCloser) io.ReadCloser {
+func (r *run) responseBody(callerCtx context.Context, body io.ReadCloser) io.ReadCloser {
 	if body == http.NoBody {
 		return body
 	}
-	b := &idleTimeoutBody{ReadCloser: body, run: r, caller: caller}
+	b := &idleTimeoutBody{ReadCloser: body, run: r, callerCtx: callerCtx}
 	if r.exit.opts.BodyIdleTimeout > 0 {
 		b.timer = time.AfterFunc(r.exit.opts.BodyIdleTimeout, b.onIdle)
 		b.timer.Stop()
@@ -118,7 +118,7 @@
 	if err == nil || errors.Is(err, io.EOF) {
 		return n, err
 	}
-	if b.caller.Err() == nil {
+	if b.callerCtx.Err() == nil {
 		b.run.observe(b.fault(), 0)
 	}
 	return n, fmt.Errorf("%w: %w", crwire.ErrAborted, err)
--- a/io/crexit/conn.go
+++ b/io/crexit/conn.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	idleConnTimeout   = 90 * time.Second
-	connectTimeout    = time.Second
-	maxResponseHeader = 64 << 10
+	idleConnTimeout        = 90 * time.Second
+	connectTimeout         = time.Second
+	maxResponseHeaderBytes = 64 << 10
 	// maxIdleConns bounds the idle connections to a target.
 	maxIdleConns = 64
 )
@@ -58,7 +58,7 @@
 		},
 		DisableCompression:     true,
 		IdleConnTimeout:        idleConnTimeout,
-		MaxResponseHeaderBytes: maxResponseHeader,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		MaxIdleConnsPerHost:    maxIdle,
 		MaxConnsPerHost:        maxConns,
 	}
--- a/io/crexit/crexit.go
+++ b/io/crexit/crexit.go
@@ -1,6 +1,6 @@
 // Package crexit is the exit side of the daemon of io/crdaemon: it accepts
 // forwards of io/crhop from entry daemons (its own included), admits them to the
-// slots of its targets and runs them on the upstreams. Once a forward was sent,
+// slots of its targets and runs them on the upstreams. Once a forward has been sent,
 // only the exit can state that it did not run. The daemon of io/crmesh has its own
 // exit, io/cregress, which serves a single target.
 //
@@ -58,7 +58,7 @@
 	opts              Options
 	targets           map[crid.Target]*target
 	draining          atomic.Bool
-	pendingDeliveries atomic.Int64 // answers to other daemons that are not known to have arrived
+	pendingDeliveries atomic.Int64 // responses to other daemons whose delivery is not confirmed
 
 	mu       sync.Mutex
 	local    *crforward.Ledger
@@ -150,13 +150,13 @@
 	return n
 }
 
-// PendingDeliveries returns the number of answers to other daemons that are not
-// known to have arrived.
+// PendingDeliveries returns the number of responses to other daemons whose delivery is
+// not confirmed.
 func (x *Exit) PendingDeliveries() int64 { return x.pendingDeliveries.Load() }
 
 // OpenSession returns the function that serves the streams of a session that
 // another daemon dialed. The session's ledger is created by its first stream, which
-// carries the session number.
+// carries the session ID.
 func (x *Exit) OpenSession(ctx context.Context) func(ctx context.Context, s *quic.Stream) {
 	s := &session{exit: x, openedAt: x.opts.Clock()}
 	context.AfterFunc(ctx, s.close)
@@ -169,24 +169,24 @@
 
 	mu     sync.Mutex
 	ledger *crforward.Ledger
-	number crforward.SessionID
+	id     crforward.SessionID
 	closed bool
 }
 
-// ledgerFor returns the session's ledger, or nil if number is not that of this
-// session: the forward belongs to another session and must not start here.
-func (s *session) ledgerFor(number crforward.SessionID) *crforward.Ledger {
+// ledgerFor returns the session's ledger. It returns nil if the session is closed, or if
+// id is that of another session, whose forwards must not start here.
+func (s *session) ledgerFor(id crforward.SessionID) *crforward.Ledger {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return nil
 	}
 	if s.ledger == nil {
-		s.number = number
-		s.ledger = crforward.NewLedger(crforward.DefaultLedgerParams(), number, s.openedAt, s.exit.opts.PauseDetector)
+		s.id = id
+		s.ledger = crforward.NewLedger(crforward.DefaultLedgerParams(), id, s.openedAt, s.exit.opts.PauseDetector)
 		s.exit.track(s.ledger)
 	}
-	if s.number != number {
+	if s.id != id {
 		return nil
 	}
 	return s.ledger
@@ -255,7 +255,7 @@
 	}
 	s.exit.pendingDeliveries.Add(1)
 	defer s.exit.pendingDeliveries.Add(-1)
-	err := writeAnswer(stream, ex)
+	err := writeResponse(stream, ex)
 	_ = ex.Body.Close() // frees the slot before the delivery, which may take long
 	if err != nil {
 		stream.CancelWrite(crhop.CodeAborted)
@@ -266,15 +266,16 @@
 }
 
 // awaitDelivery waits until the entry closes its side of the stream, which it does
-// when it has read the whole answer or given up, or until the session ends. A daemon
+// when it has read the whole response or given up, or until the session ends. A daemon
 // that stopped right after the write would lose data still in the network or in the
-// entry's buffer, and at every planned stop some callers would get truncated answers
+// entry's buffer, and at every planned stop some callers would get truncated responses
 // or an unknown outcome.
 func awaitDelivery(stream *quic.Stream) { _, _ = io.Copy(io.Discard, stream) }
 
-// writeAnswer sends the answer. If the body is cut off, it writes an abort marker,
-// so that the entry has the head and knows that the upstream failed.
-func writeAnswer(stream *quic.Stream, ex *crhop.Exchange) error {
+// writeResponse sends the response. If the body is truncated, it writes the abort mark:
+// the entry still receives the head, and can distinguish a failed upstream from a failed
+// connection.
+func writeResponse(stream *quic.Stream, ex *crhop.Exchange) error {
 	w := crwire.NewWriter(stream)
 	defer w.Release()
 	if err := w.Value(ex.Response); err != nil {
@@ -292,20 +293,20 @@
 		stream.CancelWrite(crhop.CodeCancelled)
 		return
 	}
-	verdict := crforward.RevokeResultUnknown
+	result := crforward.RevokeResultUnknown
 	if ledger := s.ledgerFor(rv.Session); ledger != nil {
-		verdict = ledger.Revoke(rv.ID, rv.Session, s.exit.opts.Clock())
+		result = ledger.Revoke(rv.ID, rv.Session, s.exit.opts.Clock())
 	}
 	w := crwire.NewWriter(stream)
 	defer w.Release()
-	if w.Value(crhop.RevokeResponse{Result: verdict}) != nil || w.End() != nil {
+	if w.Value(crhop.RevokeResponse{Result: result}) != nil || w.End() != nil {
 		stream.CancelWrite(crhop.CodeCancelled)
 		return
 	}
 	_ = stream.Close()
 }
 
-// noBody is an empty answer body.
+// noBody is an empty response body.
 var noBody = io.NopCloser(eofReader{})
 
 type eofReader struct{}
@@ -313,9 +314,9 @@
 // Read implements io.Reader.
 func (eofReader) Read([]byte) (int, error) { return 0, io.EOF }
 
-func refusal(reason string, notRun bool, retry time.Duration) *crhop.Exchange {
+func refusal(reason string, notRun bool, retryAfter time.Duration) *crhop.Exchange {
 	return &crhop.Exchange{
-		Response: crhop.Response{Kind: crhop.KindRefusal, NotRun: notRun, Reason: reason, RetryAfter: retry},
+		Response: crhop.Response{Kind: crhop.KindRefusal, NotRun: notRun, Reason: reason, RetryAfter: retryAfter},
 		Body:     noBody,
 	}
 }
--- a/io/crexit/dump.go
+++ b/io/crexit/dump.go
@@ -50,7 +50,8 @@
 	return d
 }
 
-// sessions returns the ledgers of other daemons' sessions.
+// sessions returns the ledgers of other daemons' sessions, and the previous local ledger
+// if there is one.
 func (x *Exit) sessions() []*crforward.Ledger {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/io/crexit/hop_test.go
+++ b/io/crexit/hop_test.go
@@ -30,13 +30,13 @@
 
 // hop is an entry's client and an exit in one process, connected over real sessions.
 type hop struct {
-	client *crhop.Client
-	exit   *crexit.Exit
-	peers  *crpeer.Transport
-	pulse  *crforward.PauseDetector
+	client   *crhop.Client
+	exit     *crexit.Exit
+	peers    *crpeer.Transport
+	detector *crforward.PauseDetector
 }
 
-// rawForward sends a forward unchanged, with the session number that it carries.
+// rawForward sends a forward unchanged, with the session ID that it carries.
 func rawForward(s *crpeer.Session, f *crhop.Forward) (crhop.Response, error) {
 	stream, err := s.OpenStream()
 	if err != nil {
@@ -44,9 +44,9 @@
 	}
 	defer s.ReleaseStream()
 	w := crwire.NewWriter(stream)
-	var answer crhop.Response
+	var resp crhop.Response
 	err = errors.Join(w.Kind(crhop.StreamForward), w.Value(f), w.End(), stream.Close())
-	return answer, errors.Join(err, crwire.NewReader(stream).Value(&answer))
+	return resp, errors.Join(err, crwire.NewReader(stream).Value(&resp))
 }
 
 type handler struct{ exit *crexit.Exit }
@@ -64,10 +64,10 @@
 	tb.Cleanup(srv.Close)
 	dir := tb.TempDir()
 	g.Expect(crcert.Issue(dir, "entry", "exit")).To(gomega.Succeed())
-	pulse := crforward.NewPauseDetector(time.Hour, crclock.Now())
+	detector := crforward.NewPauseDetector(time.Hour, crclock.Now())
 	exit := crexit.New(crexit.Options{
 		Targets:       []crexit.TargetSpec{{Name: "t", Service: svc.Name, Addr: strings.TrimPrefix(srv.URL, "http://")}},
-		PauseDetector: pulse,
+		PauseDetector: detector,
 		Clock:         crclock.Now,
 	})
 	g.Expect(exit.Apply(crpolicy.NewSnapshot(1, []crpolicy.Service{svc}, nil))).To(gomega.BeEmpty())
@@ -83,7 +83,7 @@
 	}
 	entry, remote := listen("entry"), listen("exit")
 	entry.SetAddrs(map[crid.Daemon]string{"exit": remote.Addr()})
-	return &hop{client: crhop.NewClient(entry), exit: exit, peers: entry, pulse: pulse}
+	return &hop{client: crhop.NewClient(entry), exit: exit, peers: entry, detector: detector}
 }
 
 var service = crpolicy.Service{Name: "s", Slots: 256, Queue: 256}
@@ -172,10 +172,9 @@
 	b.ReportMetric(float64(all[len(all)*999/1000].Microseconds()), "p999us")
 }
 
-// An exit that answers before it has read the whole request stops reading, and the
-// entry's last write fails. An entry that took this for a lost forward would return
-// 504 for a request that ran.
-func TestForwardWithEarlyAnswerSucceeds(t *testing.T) {
+// An exit that responds before it has read the whole request stops reading. An entry that
+// took its failed write for a lost forward would return 504 for a request that ran.
+func TestForwardWithEarlyResponseSucceeds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := newHop(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "a") }), service)
 	var wg sync.WaitGroup
--- a/io/crexit/unready_test.go
+++ b/io/crexit/notready_test.go
@@ -14,10 +14,9 @@
 	"camphorroad/io/crhop"
 )
 
-// A restarted daemon may get forwards before its configuration. Without a distinct
-// fault, entries would take its targets for idle and send them more requests, and
-// callers within their rate would be refused.
-func TestRefusalBeforePolicyHasUnreadyFault(t *testing.T) {
+// A restarted daemon may get forwards before its configuration. Without a distinct fault,
+// entries would prefer its seemingly idle targets and refuse callers within their rate.
+func TestRefusalBeforePolicyHasNotReadyFault(t *testing.T) {
 	g := gomega.NewWithT(t)
 	exit := crexit.New(crexit.Options{
 		Targets:       []crexit.TargetSpec{{Name: "t", Service: "s", Addr: "127.0.0.1:1"}},
--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -40,7 +40,7 @@
 	}
 	now := x.opts.Clock()
 	if f.Class != crpolicy.ClassRepeat {
-		if left := t.holdoff.Remaining(f.Account, now); left > 0 {
+		if left := t.backoff.Remaining(f.Account, now); left > 0 {
 			ex := refusal("target sheds", true, max(defaultRetryAfter, left))
 			ex.Response.Fault = crhop.FaultShed
 			return ex
@@ -74,8 +74,8 @@
 	ended        atomic.Bool
 }
 
-// end releases the run's resources. It is called after the response body, or when
-// the entry has given up; only the first call has an effect.
+// end releases the run's resources. It is called when the response body is closed; only
+// the first call has an effect.
 func (r *run) end() {
 	if r.ended.Swap(true) {
 		return
@@ -124,18 +124,18 @@
 }
 
 func queueRefusal(err error) *crhop.Exchange {
-	retry := defaultRetryAfter
+	retryAfter := defaultRetryAfter
 	var slotErr *crslot.Error
 	if errors.As(err, &slotErr) {
-		retry = max(retry, slotErr.RetryAfter())
+		retryAfter = max(retryAfter, slotErr.RetryAfter())
 	}
-	return refusal(err.Error(), true, retry)
+	return refusal(err.Error(), true, retryAfter)
 }
 
 // call sends the request to the upstream. A request provably did not run only if
 // none of it was written; otherwise the upstream may have read any part of it.
 func (r *run) call(ctx context.Context, body io.Reader) *crhop.Exchange {
-	caller := ctx
+	callerCtx := ctx
 	left := r.deadline.Sub(r.started)
 	ctx, r.cancel = context.WithCancel(ctx)
 	timer := time.AfterFunc(left, r.cancel)
@@ -149,7 +149,7 @@
 	}
 	timedOut := !timer.Stop()
 	if err != nil {
-		return r.noResponse(caller, timedOut)
+		return r.noResponse(callerCtx, timedOut)
 	}
 	if ex := r.reject(resp); ex != nil {
 		_ = resp.Body.Close()
@@ -165,16 +165,17 @@
 			Header: resp.Header,
 			Length: resp.ContentLength,
 		},
-		Body: r.responseBody(caller, resp.Body),
+		Body: r.responseBody(callerCtx, resp.Body),
 	}
 }
 
-// maxStaleConnRetries bounds the retries after idle connections that were closed.
+// maxStaleConnRetries bounds the retries of a request that was assigned closed idle
+// connections.
 const maxStaleConnRetries = 3
 
 // gotConn is called on the goroutine of RoundTrip, before the request is written. The
-// upstream may have closed a reused connection without net/http having noticed yet, and
-// a request written to it is lost.
+// upstream may have closed a reused connection before net/http has detected it, and a
+// request written to it would be lost.
 func (r *run) gotConn(info httptrace.GotConnInfo) {
 	r.conn, _ = info.Conn.(*countingConn)
 	if r.conn == nil {
@@ -208,18 +209,18 @@
 
 // recordShed records whether the target sheds load, as its response shows.
 func (r *run) recordShed(resp *http.Response) {
-	if asksForBackoff(resp) {
+	if shedsWithRetryAfter(resp) {
 		r.target.queue.Load().RecordOverload()
 	}
 	if isShedStatus(resp.StatusCode) {
-		r.target.holdoff.RecordOverload(r.forward.Account, r.exit.opts.Clock())
+		r.target.backoff.RecordOverload(r.forward.Account, r.exit.opts.Clock())
 		return
 	}
-	r.target.holdoff.RecordAccepted()
+	r.target.backoff.RecordAccepted()
 }
 
-// asksForBackoff reports whether the upstream sheds load and sets Retry-After.
-func asksForBackoff(resp *http.Response) bool {
+// shedsWithRetryAfter reports whether the upstream sheds load and sets Retry-After.
+func shedsWithRetryAfter(resp *http.Response) bool {
 	return isShedStatus(resp.StatusCode) && resp.Header.Get("Retry-After") != ""
 }
 
@@ -227,7 +228,8 @@
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-// reject returns the failure for a response that must not be forwarded, or nil.
+// reject returns the failure for a response that must not be returned to the entry, or
+// nil.
 func (r *run) reject(resp *http.Response) *crhop.Exchange {
 	switch {
 	case r.body.broken():
@@ -251,16 +253,16 @@
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Request.Method != http.MethodHead
 }
 
-func (r *run) noResponse(caller context.Context, timedOut bool) *crhop.Exchange {
+func (r *run) noResponse(callerCtx context.Context, timedOut bool) *crhop.Exchange {
 	switch {
 	case r.unsent():
 		ex := refusal("upstream takes no connection", true, defaultRetryAfter)
-		if caller.Err() == nil && !r.body.broken() {
+		if callerCtx.Err() == nil && !r.body.broken() {
 			r.observe(crhop.FaultConnectFailed, 0)
 			ex.Response.Fault = crhop.FaultConnectFailed
 		}
 		return ex
-	case r.body.broken(), caller.Err() != nil:
+	case r.body.broken(), callerCtx.Err() != nil:
 		return failure(crhop.FaultRequestBody, "the request broke off")
 	case timedOut:
 		r.observe(crhop.FaultTimeout, 0)
--- a/io/crexit/session_test.go
+++ b/io/crexit/session_test.go
@@ -30,7 +30,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	old, err := h.peers.Session(t.Context(), "exit")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	h.pulse.Tick(crclock.Now().Add(2 * time.Hour)) // simulates a pause of two hours
+	h.detector.Tick(crclock.Now().Add(2 * time.Hour)) // simulates a pause of two hours
 	ex, err := h.client.Forward(t.Context(), "exit", forward(2, crpolicy.ClassOnce), nil, func(*crhop.Handle) {})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(ex.Response.Kind).To(gomega.Equal(crhop.KindRefusal))
@@ -43,9 +43,8 @@
 	g.Expect(renewed).NotTo(gomega.BeIdenticalTo(old))
 }
 
-// A session whose ledger is full must be replaced without a refused or cut request,
-// including requests running on the old session. The same holds for the ledger of the
-// daemon's own entry.
+// A session, or the local ledger, whose records are used up must be replaced without a
+// refused or truncated request, including requests running on the old session.
 func TestSessionIsRenewedWhenLedgerIsFull(t *testing.T) {
 	g := gomega.NewWithT(t)
 	release := make(chan struct{})
@@ -104,8 +103,8 @@
 	}
 }
 
-// A forward with another session's number, such as one delayed from before a restart,
-// must not start. Later forwards of the session itself must still run.
+// A forward with another session's ID, such as one delayed from before a restart, must
+// not start. Later forwards of the session itself must still run.
 func TestForwardWithWrongSessionIsRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var runs atomic.Int64
@@ -116,10 +115,10 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	f := forward(2, crpolicy.ClassOnce)
 	f.Session = 12345
-	answer, err := rawForward(s, f)
+	resp, err := rawForward(s, f)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(answer.Kind).To(gomega.Equal(crhop.KindRefusal))
-	g.Expect(answer.NotRun).To(gomega.BeTrue())
+	g.Expect(resp.Kind).To(gomega.Equal(crhop.KindRefusal))
+	g.Expect(resp.NotRun).To(gomega.BeTrue())
 	g.Expect(runs.Load()).To(gomega.BeEquivalentTo(1))
 	_, err = h.get(3)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/io/crexit/shed_test.go
+++ b/io/crexit/shed_test.go
@@ -13,16 +13,15 @@
 	"camphorroad/io/crhop"
 )
 
-// An upstream sheds all requests. A request of class once that reaches it cannot be
-// retried elsewhere, so its caller fails. The exit must refuse such requests itself, as
-// otherwise each entry fails several callers before it avoids the target.
+// A request of class once cannot be retried after its target has shed it. If the exit sent
+// it, several callers of each entry would get an error before the entry avoids the target.
 func TestOnceRequestsAreRefusedWhileTargetSheds(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var draining atomic.Bool
+	var shedding atomic.Bool
 	var received atomic.Int64
 	h := newHop(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		received.Add(1)
-		if draining.Load() {
+		if shedding.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	}), service)
@@ -39,22 +38,22 @@
 		return ex.Response
 	}
 	g.Expect(send(crpolicy.ClassOnce).Status).To(gomega.Equal(http.StatusOK))
-	draining.Store(true)
+	shedding.Store(true)
 	for range 2 {
 		g.Expect(send(crpolicy.ClassOnce).Status).To(gomega.Equal(http.StatusServiceUnavailable))
 	}
 	received.Store(0)
 	for range 5 {
-		answer := send(crpolicy.ClassOnce)
-		g.Expect(answer.Kind).To(gomega.Equal(crhop.KindRefusal))
-		g.Expect(answer.NotRun).To(gomega.BeTrue())
-		g.Expect(answer.RetryAfter).NotTo(gomega.BeZero())
+		resp := send(crpolicy.ClassOnce)
+		g.Expect(resp.Kind).To(gomega.Equal(crhop.KindRefusal))
+		g.Expect(resp.NotRun).To(gomega.BeTrue())
+		g.Expect(resp.RetryAfter).NotTo(gomega.BeZero())
 	}
 	g.Expect(received.Load()).To(gomega.BeZero())
 	account = "another" // the upstream may shed by account and serve this one
 	g.Expect(send(crpolicy.ClassOnce).Kind).To(gomega.Equal(crhop.KindResponse))
 	g.Expect(send(crpolicy.ClassOnce).Kind).To(gomega.Equal(crhop.KindRefusal), "requests of two accounts were shed")
-	draining.Store(false)
+	shedding.Store(false)
 	g.Expect(send(crpolicy.ClassRepeat).Status).To(gomega.Equal(http.StatusOK), "a repeat request shows that the target has recovered")
 	g.Expect(send(crpolicy.ClassOnce).Status).To(gomega.Equal(http.StatusOK))
 }
--- a/io/crexit/target.go
+++ b/io/crexit/target.go
@@ -16,7 +16,7 @@
 	policy    atomic.Pointer[crpolicy.Service]
 	inflight  atomic.Int64
 	leaving   atomic.Bool // the upstream reports that it is draining
-	holdoff   crslot.OverloadBackoff
+	backoff   crslot.OverloadBackoff
 }
 
 func newTarget(spec TargetSpec) *target { return &target{spec: spec} }
--- a/io/crexit/watch.go
+++ b/io/crexit/watch.go
@@ -63,9 +63,9 @@
 }
 
 type watcher struct {
-	exit     *Exit
-	target   *target
-	reported bool // the last value passed to Options.Leaving
+	exit            *Exit
+	target          *target
+	reportedLeaving bool // the last value passed to Options.Leaving
 }
 
 func (*watcher) pollDelay() time.Duration { return pollInterval }
@@ -88,30 +88,30 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	bad, healthLeaving := w.health(ctx, svc.HealthPath)
-	full, loadLeaving := w.load(ctx, svc)
+	unhealthy, healthLeaving := w.health(ctx, svc.HealthPath)
+	overloaded, loadLeaving := w.load(ctx, svc)
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
 	leaving := healthLeaving || loadLeaving
 	w.setLeaving(leaving)
 	if w.exit.opts.ReportedUnhealthy != nil {
-		w.exit.opts.ReportedUnhealthy(w.target.spec.Name, (bad || full) && !leaving)
+		w.exit.opts.ReportedUnhealthy(w.target.spec.Name, (unhealthy || overloaded) && !leaving)
 	}
 }
 
 func (w *watcher) setLeaving(leaving bool) {
 	w.target.leaving.Store(leaving)
-	if leaving == w.reported {
+	if leaving == w.reportedLeaving {
 		return
 	}
-	w.reported = leaving
+	w.reportedLeaving = leaving
 	if w.exit.opts.Leaving != nil {
 		w.exit.opts.Leaving(w.target.spec.Name, leaving)
 	}
 }
 
-func (w *watcher) health(ctx context.Context, path string) (bad, leaving bool) {
+func (w *watcher) health(ctx context.Context, path string) (unhealthy, leaving bool) {
 	if path == "" {
 		return false, false
 	}
@@ -131,7 +131,7 @@
 	Draining bool `json:"draining"`
 }
 
-func (w *watcher) load(ctx context.Context, svc *crpolicy.Service) (full, leaving bool) {
+func (w *watcher) load(ctx context.Context, svc *crpolicy.Service) (overloaded, leaving bool) {
 	if svc.LoadPath == "" {
 		return false, false
 	}
@@ -143,13 +143,13 @@
 	return p.InFlight > overloadFactor*svc.Slots, p.Draining
 }
 
-// overloadFactor is the multiple of its slots above which the number of requests that
-// a target reports in flight makes the hint bad.
+// overloadFactor: a target whose load page reports more requests in flight than
+// overloadFactor times its slots counts as unhealthy.
 const overloadFactor = 2
 
 // probe sends a known-answer probe. A probe costs the target as much as a request and
-// so takes a slot. If no slot is free in time, probe reports nothing: there is enough
-// traffic to judge the target by.
+// so takes a slot. If no slot is free in time, probe reports nothing: the traffic then
+// shows the target's health.
 func (w *watcher) probe(ctx context.Context) {
 	svc := w.target.policy.Load()
 	queue := w.target.queue.Load()
@@ -179,7 +179,7 @@
 	body   []byte
 }
 
-// get reads at most maxBytes bytes of the body.
+// get sends a GET request and reads at most maxBytes bytes of the response body.
 func (w *watcher) get(ctx context.Context, path string, maxBytes int64) (response, error) {
 	u := &url.URL{Scheme: "http", Host: w.target.spec.Addr, Opaque: path}
 	req := (&http.Request{Method: http.MethodGet, URL: u, Host: w.target.spec.Addr, Header: http.Header{}}).WithContext(ctx)
--- a/io/crexit/watch_test.go
+++ b/io/crexit/watch_test.go
@@ -29,7 +29,7 @@
 	mu      sync.Mutex
 	probes  []bool
 	took    time.Duration
-	hints   []bool
+	reports []bool // of ReportedUnhealthy
 	leaving []bool
 }
 
@@ -45,7 +45,7 @@
 		Probe: func(_ crid.Target, ok bool, took time.Duration) {
 			w.locked(func() { w.probes = append(w.probes, ok); w.took = took })
 		},
-		ReportedUnhealthy: func(_ crid.Target, bad bool) { w.locked(func() { w.hints = append(w.hints, bad) }) },
+		ReportedUnhealthy: func(_ crid.Target, unhealthy bool) { w.locked(func() { w.reports = append(w.reports, unhealthy) }) },
 		Leaving:           func(_ crid.Target, l bool) { w.locked(func() { w.leaving = append(w.leaving, l) }) },
 	})
 	svc := crpolicy.Service{
@@ -67,6 +67,8 @@
 	f()
 }
 
+// last returns a function that returns the last value of the list: 1 for true, 0 for
+// false, -1 if the list is empty.
 func (w *watchedExit) last(list *[]bool) func() int {
 	return func() int {
 		w.mu.Lock()
@@ -81,16 +83,16 @@
 	}
 }
 
-// A target that gives wrong answers, reports to be unhealthy or hangs fails its
-// probes, and its health page gives a bad hint.
-func TestProbesAndHintsReportUnhealthyTarget(t *testing.T) {
+// A target that gives wrong responses or hangs must fail its probes. One whose health page
+// reports a failure must be reported as unhealthy.
+func TestUnhealthyTargetIsReported(t *testing.T) {
 	w := newWatchedExit(t, func(*crpolicy.Service) {})
 	w.Eventually(w.last(&w.probes)).Should(gomega.Equal(1))
-	w.Eventually(w.last(&w.hints), 2*time.Second).Should(gomega.Equal(0))
+	w.Eventually(w.last(&w.reports), 2*time.Second).Should(gomega.Equal(0))
 	w.Expect(w.took).To(gomega.BeNumerically(">=", 25*time.Millisecond))
 	w.upstream.SetFault(crupstream.Fault{Kind: crupstream.FaultWrong, Health: "sick"})
 	w.Eventually(w.last(&w.probes)).Should(gomega.Equal(0))
-	w.Eventually(w.last(&w.hints), 2*time.Second).Should(gomega.Equal(1))
+	w.Eventually(w.last(&w.reports), 2*time.Second).Should(gomega.Equal(1))
 	w.upstream.SetFault(crupstream.Fault{Kind: crupstream.FaultStall})
 	w.locked(func() { w.probes = nil })
 	w.Eventually(w.last(&w.probes), 4*time.Second).Should(gomega.Equal(0), "a probe without a response has failed")
