--- a/io/crentry/bench_test.go
+++ b/io/crentry/bench_test.go
@@ -17,10 +17,10 @@
 // and exit. CPU time is that of the whole process, caller and upstream included.
 func BenchmarkPath(b *testing.B) {
 	addr := listenHTTP(b, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") }))
-	wide := func(s *crpolicy.Service) { s.Slots, s.Queue, s.Connections = 256, 256, 0 }
+	raiseLimits := func(s *crpolicy.Service) { s.Slots, s.Queue, s.Connections = 256, 256, 0 }
 	b.Run("upstream", func(b *testing.B) { load(b, addr) })
-	b.Run("onehop", func(b *testing.B) { load(b, newHarness(&directPath{b}, addr, wide).addr) })
-	b.Run("twohops", func(b *testing.B) { load(b, newHarness(b, addr, wide).addr) })
+	b.Run("onehop", func(b *testing.B) { load(b, newHarness(&directPath{b}, addr, raiseLimits).addr) })
+	b.Run("twohops", func(b *testing.B) { load(b, newHarness(b, addr, raiseLimits).addr) })
 }
 
 func load(b *testing.B, addr string) {
@@ -32,18 +32,18 @@
 	cpu := cpuTime(b)
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
-		var mine []time.Duration
+		var local []time.Duration
 		for pb.Next() {
 			start := time.Now()
 			if err := call(b, client, addr); err != nil {
 				b.Error(err)
 				return
 			}
-			mine = append(mine, time.Since(start))
+			local = append(local, time.Since(start))
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		all = append(all, mine...)
+		all = append(all, local...)
 	})
 	used := cpuTime(b) - cpu
 	slices.Sort(all)
--- a/io/crentry/body.go
+++ b/io/crentry/body.go
@@ -27,13 +27,13 @@
 	errBodyTimeout = errors.New("request body incomplete at the deadline")
 )
 
-// lingerTimeout is how long net/http may wait for the rest of a body that nobody reads,
-// before it closes the caller's connection.
+// lingerTimeout is how long net/http may wait for the rest of a body that is not read any
+// more, before it closes the caller's connection.
 const lingerTimeout = 250 * time.Millisecond
 
 const (
 	discardTimeout  = time.Millisecond // a refusal may wait this long for the rest of a body
-	maxDiscardBytes = 64 << 10         // bytes of a refused body that are read at most
+	maxDiscardBytes = 64 << 10         // at most this much of a refused request's body is read
 )
 
 // body is a request's body. It buffers the first bytes, so that a request can be
@@ -156,7 +156,7 @@
 	}
 }
 
-// discard reads and discards the received part of a body that nobody else reads, so
+// discard reads and discards the received part of a body that has no other reader, so
 // that its connection can be kept. It waits for at most discardTimeout.
 func (b *body) discard() {
 	if b.src == nil || b.http2 || b.expect {
--- a/io/crentry/caller_test.go
+++ b/io/crentry/caller_test.go
@@ -18,9 +18,8 @@
 
 const auth = "Host: h\r\nAuthorization: Bearer " + alphaKey + "\r\n"
 
-// A malformed request, sent by a faulty client or to exploit a difference between two
-// parsers, must be refused, must not reach the upstream, and must not affect the next
-// caller.
+// A malformed request, from a faulty client or to exploit a difference between parsers, must
+// be refused, must not reach the upstream, and must not affect the next caller.
 func TestMalformedRequestsAreRefused(t *testing.T) {
 	up := newRecorder(t)
 	p := newHarness(t, up.addr())
@@ -99,7 +98,7 @@
 	p.Eventually(p.exit.InFlight).Should(gomega.BeZero())
 }
 
-// A caller that dies during its upload closes its side of the connection. The upstream
+// A caller that crashes during its upload closes its side of the connection. The upstream
 // must not take the truncated body for the whole.
 func TestTruncatedRequestBodyIsRefused(t *testing.T) {
 	up := newRecorder(t)
@@ -118,9 +117,8 @@
 	p.Eventually(p.exit.InFlight).Should(gomega.BeZero())
 }
 
-// Some clients close their half of the connection after the request and keep reading.
-// net/http cancels the request then; if the handler wrote nothing, the caller would read
-// an empty "200 OK".
+// If a client closes its half of the connection and keeps reading, net/http cancels the
+// request. If the handler then wrote nothing, the client would read an empty "200 OK".
 func TestHalfClosedCallerGetsGatewayTimeout(t *testing.T) {
 	up := newRawUpstream(t, func(_ *rawUpstream, conn net.Conn, _ *http.Request) bool {
 		_, _ = conn.Read(make([]byte, 1)) // until the exit closes
@@ -216,13 +214,12 @@
 	p.Expect(head.header.Get("Content-Length")).To(gomega.Equal("4"))
 }
 
-// If a request is refused before its body is read, net/http reaches the end of the body
-// only after the handler, panics internally and closes the connection. The refusal must
-// announce the close, or the next request on the connection gets no response.
+// If a body is read to its end only after the handler, net/http panics and closes the
+// connection. A refusal must announce the close, or the next request gets no response.
 func TestRefusalAnnouncesConnectionClose(t *testing.T) {
 	p := newHarness(t, newRecorder(t).addr())
 	const head = "POST /once HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n"
-	for body, stays := range map[string]bool{"hold": true, "ho": false} {
+	for body, keepAlive := range map[string]bool{"hold": true, "ho": false} {
 		conn := p.dial(head + body)
 		r := bufio.NewReader(conn)
 		for range 3 {
@@ -230,8 +227,8 @@
 			got := toResponse(resp, err)
 			p.Expect(got.err).NotTo(gomega.HaveOccurred(), body)
 			p.Expect(got.status).To(gomega.Equal(http.StatusUnauthorized), body)
-			p.Expect(resp.Close).To(gomega.Equal(!stays), body)
-			if !stays {
+			p.Expect(resp.Close).To(gomega.Equal(!keepAlive), body)
+			if !keepAlive {
 				break
 			}
 			time.Sleep(20 * time.Millisecond) // by then the server waits for the next request
@@ -241,9 +238,8 @@
 	}
 }
 
-// Of a request with Content-Length and chunked encoding, an intermediary may go by the
-// length and take the bytes behind the last chunk for the body. Served as a request of
-// their own they would be a smuggled request.
+// If a chunked request has a Content-Length, an intermediary may take the bytes after the
+// last chunk for its body. They must not be served as another, smuggled request.
 func TestNoRequestIsServedAfterAmbiguousBody(t *testing.T) {
 	up := newRecorder(t)
 	p := newHarness(t, up.addr())
--- a/io/crentry/cert.go
+++ b/io/crentry/cert.go
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// Config returns the TLS configuration of the server for callers, which adds its
-// protocols.
+// Config returns the TLS configuration of the server for callers. The server adds its
+// protocols to it.
 func (c *Certificate) Config() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -34,13 +34,13 @@
 	Forward(ctx context.Context, to *crroute.Target, f *crhop.Forward, body BodySource, sent func(Revoker)) (*crhop.Exchange, error)
 }
 
-// Revoker queries the exit whether a forward was started, and prevents it if not.
+// Revoker makes the exit prevent the start of a forward, or report that it was started.
 type Revoker interface {
 	Revoke(ctx context.Context) crforward.RevokeResult
 }
 
-// Admitter takes one token from an account's fleet-wide rate limit. It waits only for
-// an account that this daemon has not seen recently, and only briefly.
+// Admitter takes one token from an account's fleet-wide rate limit. It waits only for an
+// account without recent requests at this daemon, and only briefly.
 type Admitter interface {
 	Admit(ctx context.Context, account crid.Account, now crid.Instant) (ok bool, retryAfter time.Duration)
 }
@@ -61,8 +61,8 @@
 
 // Options configure an Entry.
 type Options struct {
-	View            func() *crview.View // returns nil until there is a configuration
-	Trusted         func(now crid.Instant) bool
+	View            func() *crview.View         // returns nil until there is a configuration
+	Trusted         func(now crid.Instant) bool // whether the view's keys and policy may still be used
 	Admitter        Admitter
 	Forwarder       Forwarder
 	Clock           func() crid.Instant
@@ -73,7 +73,8 @@
 	BodyIdleTimeout time.Duration                   // without progress on a request or response body
 }
 
-// Counters count requests by outcome.
+// Counters count requests by outcome, those refused for their key (Denied) or rate
+// (Limited), and retries.
 type Counters struct {
 	Answered, NotRun, Unknown, Cut, Denied, Limited, Retried atomic.Int64
 }
@@ -103,7 +104,7 @@
 // Counters returns the live counters.
 func (e *Entry) Counters() *Counters { return &e.counters }
 
-// InFlight is the number of callers' requests being served.
+// InFlight returns the number of callers' requests being served.
 func (e *Entry) InFlight() int64 { return e.inflight.Load() }
 
 // Drain makes the entry refuse new requests; those in flight continue.
--- a/io/crentry/path_test.go
+++ b/io/crentry/harness_test.go
@@ -140,7 +140,7 @@
 	return sessionForwarder{p.sessions()}
 }
 
-// directPath marks a benchmark without the second hop.
+// directPath marks a benchmark whose entry runs the exit in its own process.
 type directPath struct{ testing.TB }
 
 // localForwarder runs the exit in the entry's process, so that the entry calls the
--- a/io/crentry/header.go
+++ b/io/crentry/header.go
@@ -20,8 +20,9 @@
 	return false
 }
 
-// isFleetHeader reports whether a header is one of the fleet's. An underscore counts as a
-// dash: upstreams that read headers as environment variables do not distinguish them.
+// isFleetHeader reports whether a header has the prefix of the fleet's own headers. An
+// underscore counts as a dash: upstreams that read headers as environment variables do not
+// distinguish them.
 func isFleetHeader(name string) bool {
 	if len(name) <= len(fleetHeaderPrefix) || !strings.EqualFold(name[:len(fleetHeaderPrefix)], fleetHeaderPrefix) {
 		return false
--- a/io/crentry/idletimer.go
+++ b/io/crentry/idletimer.go
@@ -17,8 +17,9 @@
 	setDeadline func(deadline time.Time) error
 }
 
-// newIdleTimer returns an idleTimer that calls setDeadline with a deadline in the past.
-// setDeadline sets the read or write deadline of a response controller.
+// newIdleTimer returns a stopped idleTimer. When it expires, it calls setDeadline with a
+// deadline in the past. setDeadline sets the read or write deadline of a response
+// controller.
 func newIdleTimer(timeout time.Duration, setDeadline func(time.Time) error) *idleTimer {
 	t := &idleTimer{timeout: timeout, setDeadline: setDeadline}
 	t.timer = time.AfterFunc(timeout, t.fire)
--- a/io/crentry/refusal.go
+++ b/io/crentry/refusal.go
@@ -22,7 +22,7 @@
 	retryAfter time.Duration
 	outcome    crforward.Outcome // zero: not run
 	permanent  bool              // the same request would be refused again
-	close      bool
+	close      bool              // close the caller's connection after the response
 }
 
 // refusalBody is the JSON body of a refusal.
--- a/io/crentry/answer.go
+++ b/io/crentry/relay.go
@@ -43,19 +43,19 @@
 	}
 }
 
-func writeHead(w http.ResponseWriter, a *crhop.Response) {
+func writeHead(w http.ResponseWriter, resp *crhop.Response) {
 	h := w.Header()
-	listed := connectionHeaders(a.Header)
-	for name, values := range a.Header {
+	listed := connectionHeaders(resp.Header)
+	for name, values := range resp.Header {
 		if !isHopByHop(name) && !isFleetHeader(name) && !slices.Contains(listed, name) {
 			h[name] = values
 		}
 	}
-	if a.Status == http.StatusNoContent {
+	if resp.Status == http.StatusNoContent {
 		delete(h, "Content-Length") // an HTTP/2 client would wait for the body
 	}
 	h.Set(HeaderOutcome, crforward.OutcomeAnswered.String())
-	w.WriteHeader(a.Status)
+	w.WriteHeader(resp.Status)
 }
 
 const copyBufferSize = 32 << 10
@@ -100,15 +100,15 @@
 	}
 }
 
-// netHTTPBuffer is how much of a response net/http buffers before its first write to the
-// caller on HTTP/1.1. On HTTP/2 it buffers twice as much.
-const netHTTPBuffer = 2 << 10
+// netHTTPBufferSize is the number of response bytes that net/http buffers before its first
+// write to the caller on HTTP/1.1. On HTTP/2 it buffers twice as many.
+const netHTTPBufferSize = 2 << 10
 
-// newWriteTimer bounds the wait for a caller that stops reading, because the request
-// holds a slot of the target meanwhile. It returns nil for a short response, whose
-// write does not block.
+// newWriteTimer returns a timer that bounds the wait for a caller that stops reading,
+// because the request holds a slot of the target meanwhile. It returns nil for a short
+// response, whose write does not block.
 func (e *Entry) newWriteTimer(rc *http.ResponseController, length int64) *idleTimer {
-	if length >= 0 && length <= netHTTPBuffer {
+	if length >= 0 && length <= netHTTPBufferSize {
 		return nil
 	}
 	return newIdleTimer(e.opts.BodyIdleTimeout, rc.SetWriteDeadline)
@@ -121,13 +121,13 @@
 type bodyPrefix struct {
 	buf *[]byte // nil: the response has no body
 	n   int
-	err error // returned with the last bytes
+	err error // of the last read, io.EOF included
 }
 
 // read reads the first part of a body, or all of a short one.
 func (p *bodyPrefix) read(ex *crhop.Exchange) error {
 	p.buf = copyBufferPool.Get().(*[]byte)
-	short := ex.Response.Length >= 0 && ex.Response.Length <= netHTTPBuffer
+	short := ex.Response.Length >= 0 && ex.Response.Length <= netHTTPBufferSize
 	for p.err == nil && (p.n == 0 || short) && p.n < len(*p.buf) {
 		var n int
 		n, p.err = ex.Body.Read((*p.buf)[p.n:])
--- a/io/crentry/secret_test.go
+++ b/io/crentry/secret_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// A caller may forge the headers that tell an upstream the account, or list a header in
+// A caller may forge the header that names its account to an upstream, or list it in
 // Connection. An upstream that trusted it would act for another account.
 func TestForgedCallerHeadersAreRemoved(t *testing.T) {
 	up := newRecorder(t)
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -76,7 +76,7 @@
 	tried         []crid.Target
 	target        *crroute.Target // that the response came from
 	prefix        bodyPrefix      // of the response body
-	reason        string
+	reason        string          // why the last attempt failed
 	wrongResponse bool
 	endAttempt    func() // ends the attempt that the response came from
 }
@@ -207,13 +207,13 @@
 			target.Load().RecordUnreachable(now)
 			s.observe(target, OutcomeFailed, took)
 		case crhop.FaultNotReady:
-			// Its quick refusals make it look the least loaded. Unless it is
-			// avoided, it attracts the requests of the whole service, and a
-			// request with all its attempts at this daemon is refused.
+			// The exit's quick refusals make the target look the least loaded.
+			// Unless it is avoided, most requests of the service are sent to
+			// it, and one whose attempts all go to this exit is refused.
 			target.Load().RecordNotReady(now)
 			s.observe(target, OutcomeShed, took)
 		case crhop.FaultShed:
-			// As with a shed response of the target itself.
+			// Handled like a shed response of the target itself.
 			target.Load().RecordShed(now)
 			s.observe(target, OutcomeShed, took)
 		default:
@@ -278,9 +278,9 @@
 	return s.tracker.MayRetry()
 }
 
-// handleLost handles an attempt without a response. If it may have been sent, a revoke is sent
-// to the exit for a request of class once: only a revoke proves that the request did not
-// run and never will.
+// handleLost handles an attempt without a response. If a request of class once may have
+// been sent, it is revoked at the exit: only the result of a revoke can prove that the
+// request did not run and never will.
 func (s *activeRequest) handleLost(ctx context.Context, n int, target *crroute.Target, err error, inTime bool, started crid.Instant, rv Revoker) {
 	now := s.entry.opts.Clock()
 	took := now.Sub(started)
--- a/io/crentry/upstream_test.go
+++ b/io/crentry/upstream_test.go
@@ -25,7 +25,7 @@
 type rawUpstream struct {
 	net.Listener
 	conns, requests atomic.Int64
-	closed          chan struct{} // gets a value when a connection ends
+	closed          chan struct{} // receives a value when a connection ends
 }
 
 func newRawUpstream(t *testing.T, respond func(s *rawUpstream, conn net.Conn, r *http.Request) bool) *rawUpstream {
@@ -86,9 +86,8 @@
 	}
 }
 
-// Whatever a faulty upstream sends, the caller must get the whole response, an aborted
-// stream, or a refusal. A truncated response must not look complete, and as long as none
-// of it was sent, the caller must get a refusal instead of a closed connection.
+// Whatever an upstream sends, the caller must get the whole response, an aborted stream or a
+// refusal; not a closed connection as long as nothing of the response was sent.
 func TestFaultyUpstreams(t *testing.T) {
 	const stall = "stall"
 	cases := []struct {
@@ -146,9 +145,8 @@
 	}
 }
 
-// After an extra response an upstream answers each request of that connection with the
-// response to the previous one, possibly another account's. With an identity echo in the
-// policy nobody may get it, and the connection must not be used again.
+// After an extra response, each request on a connection gets the previous one's response,
+// perhaps another account's. An identity echo must detect it and close the connection.
 func TestExtraResponseReachesNoOtherCaller(t *testing.T) {
 	var mu sync.Mutex
 	before := map[net.Conn]string{}
@@ -203,9 +201,8 @@
 	}
 }
 
-// A request that finds its idle connection closed has not been sent and must be served.
-// One that is sent while the upstream closes may have been read: its outcome is unknown,
-// and it must not be sent again.
+// A request assigned a closed idle connection was not sent and must be served. One sent while
+// the upstream closes may have run: its outcome is unknown, and it must not be sent again.
 func TestClosedIdleConnectionFailsNoRequest(t *testing.T) {
 	up := newRawUpstream(t, respondWith("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine", false))
 	p := newHarness(t, up.addr())
