--- a/io/crexit/unready_test.go
+++ b/io/crexit/notready_test.go
@@ -14,15 +14,14 @@
 	"camphorroad/io/crhop"
 )
 
-// A restarted daemon may get forwards before its configuration. Without a distinct
-// fault, entries would take its targets for idle and send them more requests, and
-// callers within their rate would be refused.
-func TestRefusalBeforePolicyHasUnreadyFault(t *testing.T) {
+// A restarted daemon may get forwards before its configuration. Without a distinct fault,
+// entries would prefer its seemingly idle targets and refuse callers within their rate.
+func TestRefusalBeforePolicyHasNotReadyFault(t *testing.T) {
 	g := gomega.NewWithT(t)
 	exit := crexit.New(crexit.Options{
-		Targets: []crexit.TargetSpec{{Name: "t", Service: "s", Addr: "127.0.0.1:1"}},
-		Pulse:   crforward.NewPauseDetector(time.Hour, crclock.Now()),
-		Clock:   crclock.Now,
+		Targets:       []crexit.TargetSpec{{Name: "t", Service: "s", Addr: "127.0.0.1:1"}},
+		PauseDetector: crforward.NewPauseDetector(time.Hour, crclock.Now()),
+		Clock:         crclock.Now,
 	})
 	ex := exit.Run(t.Context(), exit.LocalLedger(), forward(1, crpolicy.ClassOnce), strings.NewReader(""))
 	g.Expect(ex.Response.Kind).To(gomega.Equal(crhop.KindRefusal))
