--- a/lab/crsoak/caller.go
+++ b/lab/crsoak/caller.go
@@ -72,18 +72,18 @@
 }
 
 // keyring holds the accounts with their valid keys, and when keys were issued and
-// revoked.
+// withdrawn.
 type keyring struct {
-	mu        sync.Mutex
-	accounts  []crstage.Account
-	owners    map[string]string
-	issuedAt  map[string]time.Time
-	revokedAt map[string]time.Time
+	mu          sync.Mutex
+	accounts    []crstage.Account
+	owners      map[string]string // account names by key
+	issuedAt    map[string]time.Time
+	withdrawnAt map[string]time.Time
 }
 
 func newKeyring(accounts []crstage.Account) *keyring {
 	k := &keyring{
-		accounts: accounts, owners: make(map[string]string), issuedAt: make(map[string]time.Time), revokedAt: make(map[string]time.Time),
+		accounts: accounts, owners: make(map[string]string), issuedAt: make(map[string]time.Time), withdrawnAt: make(map[string]time.Time),
 	}
 	for _, a := range accounts {
 		for _, key := range a.Keys {
@@ -93,14 +93,14 @@
 	return k
 }
 
-// revokedKeyShare is the share of requests with a revoked key, once there is one.
-const revokedKeyShare = 0.04
+// withdrawnKeyShare is the share of requests with a withdrawn key, once there is one.
+const withdrawnKeyShare = 0.04
 
 func (k *keyring) pick(r *rand.Rand) (name, key string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if r.Float64() < revokedKeyShare {
-		for key := range k.revokedAt {
+	if r.Float64() < withdrawnKeyShare {
+		for key := range k.withdrawnAt {
 			return k.owners[key], key
 		}
 	}
@@ -114,26 +114,26 @@
 	return append([]crstage.Account(nil), k.accounts...)
 }
 
-// rotate revokes the oldest key of account i, issues the given key in its place, and
+// rotate withdraws the oldest key of account i, issues the given key in its place, and
 // returns the updated accounts.
 func (k *keyring) rotate(i int, key string) []crstage.Account {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	at := time.Now()
 	a := &k.accounts[i]
-	k.revokedAt[a.Keys[0]] = at
+	k.withdrawnAt[a.Keys[0]] = at
 	k.issuedAt[key] = at
 	k.owners[key] = a.Name
 	a.Keys = append(append([]string(nil), a.Keys[1:]...), key)
 	return append([]crstage.Account(nil), k.accounts...)
 }
 
-// validity returns when a key was issued and revoked. A zero issuedAt means that the
-// key is valid from the start of the run; a zero revokedAt, that it was not revoked.
-func (k *keyring) validity(key string) (issuedAt, revokedAt time.Time) {
+// validity returns when a key was issued and withdrawn. A zero issuedAt means that the
+// key is valid from the start of the run; a zero withdrawnAt, that it was not withdrawn.
+func (k *keyring) validity(key string) (issuedAt, withdrawnAt time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.issuedAt[key], k.revokedAt[key]
+	return k.issuedAt[key], k.withdrawnAt[key]
 }
 
 // caller sends requests to one machine, one at a time, over one keep-alive connection
--- a/lab/crsoak/check.go
+++ b/lab/crsoak/check.go
@@ -11,19 +11,18 @@
 	"camphorroad/lab/crtarget"
 )
 
-// Limits of the promises in the operators' documentation, and the tolerances of the
-// checks.
+// Limits that the operators' documentation guarantees, and the tolerances of the checks.
 const (
-	routeTimeout   = 1500 * time.Millisecond
-	latencySlack   = 500 * time.Millisecond
-	revokeBound    = 5 * time.Second
-	applyBound     = 2 * time.Second
-	drainSlack     = 300 * time.Millisecond // for requests in flight
-	quotaWindow    = 5 * time.Second
-	quotaTolerance = 1.25
-	quotaSlack     = 20
-	recoveryTime   = 4 * time.Second
-	recoveryRatio  = 0.95
+	routeTimeout    = 1500 * time.Millisecond
+	latencySlack    = 500 * time.Millisecond
+	withdrawalBound = 5 * time.Second        // from the withdrawal of a key until no request with it runs
+	applyBound      = 2 * time.Second        // from the issue of a key until it is accepted
+	drainSlack      = 300 * time.Millisecond // for requests in flight
+	quotaWindow     = 5 * time.Second
+	quotaTolerance  = 1.25
+	quotaSlack      = 20
+	recoveryTime    = 4 * time.Second
+	recoveryRatio   = 0.95
 	// settleTime is how long a machine still counts as affected after a fault ended.
 	settleTime = 3 * time.Second
 )
@@ -43,14 +42,14 @@
 	recoveryStart   time.Time // settleTime after the last fault; zero while faults are injected
 }
 
-// violations collects one line for each violated promise.
+// violations collects one line for each violated guarantee.
 type violations struct{ list []string }
 
 func (v *violations) add(format string, args ...any) {
 	v.list = append(v.list, fmt.Sprintf(format, args...))
 }
 
-// checkInvariants checks the promises that hold during every fault.
+// checkInvariants checks the guarantees that hold during every fault.
 func (o *observations) checkInvariants(v *violations) {
 	for _, c := range o.calls {
 		o.checkResponse(v, c)
@@ -66,13 +65,13 @@
 func (o *observations) checkResponse(v *violations, c call) {
 	runs := o.runsByRequest[c.id]
 	if c.mismatch != "" {
-		v.add("mixed: %s at machine %d: %s", c.id, c.machine, c.mismatch)
+		v.add("mismatch: %s at machine %d: %s", c.id, c.machine, c.mismatch)
 	}
 	if isRejection(c.status) && len(runs) > 0 {
 		v.add("refused: %s got status %d but ran at %s", c.id, c.status, runs[0].Target)
 	}
-	issuedAt, revokedAt := o.keys.validity(c.key)
-	if (c.status == http.StatusUnauthorized || c.status == http.StatusNotFound) && issuedAt.IsZero() && revokedAt.IsZero() {
+	issuedAt, withdrawnAt := o.keys.validity(c.key)
+	if (c.status == http.StatusUnauthorized || c.status == http.StatusNotFound) && issuedAt.IsZero() && withdrawnAt.IsZero() {
 		v.add("denied: %s got status %d, but its key was valid throughout the run", c.id, c.status)
 	}
 }
@@ -102,7 +101,7 @@
 			v.add("changed: %s ran as %s %s %q", c.id, r.Method, r.URI, r.Body)
 		}
 		if want := o.machines[c.machine].service(); r.From != want {
-			v.add("from: %s entered at service %s, but its target saw service %q", c.id, want, r.From)
+			v.add("caller: %s was sent from service %s, but its target received service %q as the caller", c.id, want, r.From)
 		}
 	}
 }
@@ -196,7 +195,7 @@
 	})
 }
 
-// checkTimeBounds checks the promises that hold only on machines without a fault.
+// checkTimeBounds checks the guarantees that hold only on machines without a fault.
 func (o *observations) checkTimeBounds(v *violations) {
 	for _, c := range o.calls {
 		o.checkLatency(v, c)
@@ -214,7 +213,7 @@
 
 func (o *observations) checkLatency(v *violations, c call) {
 	if c.latency > routeTimeout+latencySlack && !o.affected(processFaults, c.machine, c.sent, c.sent.Add(c.latency)) {
-		v.add("held: %s at machine %d took %v, status %d %s", c.id, c.machine, c.latency.Round(time.Millisecond), c.status, c.err)
+		v.add("latency: %s at machine %d took %v, status %d %s", c.id, c.machine, c.latency.Round(time.Millisecond), c.status, c.err)
 	}
 }
 
@@ -228,11 +227,11 @@
 }
 
 func (o *observations) checkKeyPropagation(v *violations, c call) {
-	issuedAt, revokedAt := o.keys.validity(c.key)
-	if !revokedAt.IsZero() && c.sent.Sub(revokedAt) > revokeBound && len(o.runsByRequest[c.id]) > 0 && !o.affected(propagationFaults, c.machine, revokedAt, c.sent) {
-		v.add("withdrawn: %s ran %v after its key was revoked", c.id, c.sent.Sub(revokedAt).Round(time.Millisecond))
+	issuedAt, withdrawnAt := o.keys.validity(c.key)
+	if !withdrawnAt.IsZero() && c.sent.Sub(withdrawnAt) > withdrawalBound && len(o.runsByRequest[c.id]) > 0 && !o.affected(propagationFaults, c.machine, withdrawnAt, c.sent) {
+		v.add("withdrawn: %s ran %v after its key was withdrawn", c.id, c.sent.Sub(withdrawnAt).Round(time.Millisecond))
 	}
-	valid := !issuedAt.IsZero() && c.sent.Sub(issuedAt) > applyBound && revokedAt.IsZero()
+	valid := !issuedAt.IsZero() && c.sent.Sub(issuedAt) > applyBound && withdrawnAt.IsZero()
 	if valid && c.status == http.StatusUnauthorized && !o.affected(propagationFaults, c.machine, issuedAt, c.sent) {
 		v.add("apply: %s got status 401 %v after its key was issued", c.id, c.sent.Sub(issuedAt).Round(time.Millisecond))
 	}
@@ -273,8 +272,8 @@
 	}
 	total, served := 0, 0
 	for _, c := range o.calls {
-		_, revokedAt := o.keys.validity(c.key)
-		if c.sent.Before(o.recoveryStart) || !revokedAt.IsZero() || c.status == http.StatusTooManyRequests {
+		_, withdrawnAt := o.keys.validity(c.key)
+		if c.sent.Before(o.recoveryStart) || !withdrawnAt.IsZero() || c.status == http.StatusTooManyRequests {
 			continue
 		}
 		total++
--- a/lab/crsoak/crsoak.go
+++ b/lab/crsoak/crsoak.go
@@ -8,7 +8,7 @@
 // The faults are drawn from a seed. They follow one another and may overlap:
 // connections to peers, store and targets are delayed, reset, stalled, or blocked in
 // one direction; datagrams are dropped; processes are stopped, killed, paused and
-// restarted; targets fail in part, crash and drain; the store fails; keys are revoked.
+// restarted; targets fail in part, crash and drain; the store fails; keys are withdrawn.
 // Clock and disk faults are not injected: daemons store nothing on disk, and they
 // read a kernel clock that only an administrator can change.
 //
@@ -69,7 +69,7 @@
 // Seed returns the seed of the run.
 func (r *Report) Seed() uint64 { return r.seed }
 
-// Violations returns one line for each violated promise.
+// Violations returns one line for each violated guarantee.
 func (r *Report) Violations() []string { return slices.Clone(r.violations) }
 
 // Faults returns one line for each injected fault, in order of start time.
@@ -82,7 +82,7 @@
 	for _, status := range slices.Sorted(maps.Keys(r.statuses)) {
 		text += fmt.Sprintf(", %d: %d", status, r.statuses[status])
 	}
-	return text + fmt.Sprintf(", broken: %d", len(r.violations))
+	return text + fmt.Sprintf(", violations: %d", len(r.violations))
 }
 
 // soak is the state of one run.
@@ -107,7 +107,7 @@
 }
 
 // Run performs a run and returns its report. An error means that the run could not be
-// completed; violated promises are reported by [Report.Violations] only.
+// completed; violated guarantees are reported by [Report.Violations] only.
 func Run(ctx context.Context, opts Options) (report *Report, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -161,7 +161,7 @@
 }
 
 // run sends requests while faults are injected and for recoveryTime afterwards, and
-// then checks the promises.
+// then checks the guarantees.
 func (s *soak) run(ctx context.Context) (*Report, error) {
 	callersCtx, stopCalling := context.WithCancel(ctx)
 	defer stopCalling()
--- a/lab/crsoak/datagram.go
+++ b/lab/crsoak/datagram.go
@@ -57,14 +57,14 @@
 			continue // ICMP port unreachable from a daemon that is not running
 		}
 		sender, ok := d.addrs.machineOf(from.Addr())
-		if !ok || !d.forwards(direction{sender, to}) {
+		if !ok || !d.shouldForward(direction{sender, to}) {
 			continue
 		}
 		_, _ = d.conns[sender].WriteToUDPAddrPort(buf[:n], dest) // datagrams may be lost
 	}
 }
 
-func (d *datagramRelay) forwards(dir direction) bool {
+func (d *datagramRelay) shouldForward(dir direction) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !d.blocked[dir] && (d.lossRate == 0 || rand.Float64() >= d.lossRate)
--- a/lab/crsoak/fault.go
+++ b/lab/crsoak/fault.go
@@ -40,7 +40,8 @@
 }
 
 // faultKinds returns the names of all faults, each with the maximum number of machines
-// that it affects at a time. Zero means all machines.
+// that it affects at a time. Zero means all machines. The faults "kill" and "herd" both
+// kill processes, "hup" sends SIGHUP, and "roll" restarts a third of the daemons in turn.
 func faultKinds() map[string]int {
 	return map[string]int{
 		"term": 2, "kill": 2, "pause": 2, "hup": 3, "roll": 0, "herd": 3,
--- a/lab/crsoak/fleet.go
+++ b/lab/crsoak/fleet.go
@@ -39,7 +39,7 @@
 	return int(b[3]) - 10, b[2] == 1
 }
 
-// services is the number of services; they are assigned to the machines in turn.
+// services is the number of services; they are assigned to the machines round-robin.
 const services = 2
 
 // machine is a daemon process with its target and its relays.
@@ -141,7 +141,7 @@
 
 // writeSettings writes the daemon's settings file.
 func (m *machine) writeSettings(n int) error {
-	known, _, err := net.SplitHostPort(m.addrs.advertisedAddr(m.index, 0))
+	advertised, _, err := net.SplitHostPort(m.addrs.advertisedAddr(m.index, 0))
 	if err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 		return err
 	}
 	cfg := crstage.Settings{
-		Name: "m" + strconv.Itoa(m.index), Address: known, Listen: listen, Domain: m.domain(), Service: m.service(),
+		Name: "m" + strconv.Itoa(m.index), Address: advertised, Listen: listen, Domain: m.domain(), Service: m.service(),
 		Target: m.addrs.advertisedAddr(m.index, crstage.PortTarget), Store: m.addrs.storeAddr(m.index, crstage.PortStore),
 		Seeds: [2]string{m.addrs.advertisedAddr((m.index+1)%n, crstage.PortControl), m.addrs.advertisedAddr((m.index+2)%n, crstage.PortControl)},
 	}
--- a/lab/crsoak/relay.go
+++ b/lab/crsoak/relay.go
@@ -16,8 +16,8 @@
 	Pass      LinkMode = iota // forwards without delay
 	Delay                     // delays each write by linkDelay
 	Reset                     // resets open and new connections
-	Silent                    // keeps connections open and forwards nothing
-	OneWay                    // drops the data from the dialled side
+	Stall                     // keeps connections open and forwards nothing
+	OneWay                    // forwards data to the target and drops data from it
 	linkModes = int(OneWay) + 1
 )
 
@@ -105,8 +105,8 @@
 	wg.Wait()
 }
 
-// copy forwards data in one direction. fromTarget says that it comes from the dialled
-// side.
+// copy forwards data in one direction. fromTarget is true for the direction from the
+// dialled target.
 func (r *relay) copy(wg *sync.WaitGroup, to, from net.Conn, fromTarget bool) {
 	defer wg.Done()
 	buf := make([]byte, 32<<10)
@@ -123,14 +123,14 @@
 }
 
 // forward writes data as the mode allows and reports whether copy continues. A
-// connection that has lost data is reset when the mode changes: TCP would retransmit
+// connection whose data was dropped is reset when the mode changes: TCP would retransmit
 // lost bytes, so a stream must not continue after a gap.
 func (r *relay) forward(to net.Conn, piece []byte, fromTarget bool) bool {
-	lost := false
+	dropped := false
 	for {
 		switch mode := r.currentMode(); {
-		case mode == Silent || (mode == OneWay && fromTarget):
-			lost = true
+		case mode == Stall || (mode == OneWay && fromTarget):
+			dropped = true
 			if !r.tracked(to) {
 				return false
 			}
@@ -141,7 +141,7 @@
 		}
 		break
 	}
-	if lost {
+	if dropped {
 		reset(to)
 		return false
 	}
