--- a/lab/crfleet/call.go
+++ b/lab/crfleet/call.go
@@ -31,7 +31,7 @@
 	Path    string
 	Body    io.Reader
 	Header  http.Header
-	ID      string       // counted by [Fleet.Runs]
+	ID      string       // by which [Fleet.Runs] counts the runs; empty: not counted
 	Client  *http.Client // nil: the default client
 }
 
@@ -88,13 +88,13 @@
 }
 
 // ErrIncompleteDump reports that a state dump lacks a part that this package reads.
-var ErrIncompleteDump = errors.New("the dump lacks a part")
+var ErrIncompleteDump = errors.New("the state dump lacks a part")
 
 // State holds the parts of a daemon's state dump that tests read.
 type State struct {
 	Daemon   string
-	Standing bool
-	Revision int64
+	Standing bool  // the daemon may use its keys and policies
+	Revision int64 // of the applied configuration
 	Member   crmember.Dump
 	Config   crconfig.Dump
 	Health   crhealth.Dump
@@ -162,7 +162,7 @@
 }
 
 // fetchAdmin makes one request to the admin listener. It does not keep the
-// connection, because the daemon may be killed next.
+// connection open, because the daemon may be killed before the next request.
 func (d *Daemon) fetchAdmin(ctx context.Context, path string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, d.AdminURL()+path, nil)
 	if err != nil {
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// WaitReady waits until all daemons but the spares are ready.
+// WaitReady waits until all daemons except the spares are ready.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	for _, d := range f.daemons[:f.opts.daemons] {
 		if err := d.WaitReady(ctx); err != nil {
@@ -201,8 +201,8 @@
 	return nil
 }
 
-// WaitTokens waits until each daemon but the spares admits each account. A new fleet does not
-// refill buckets while tokens of a previous fleet might still be spent.
+// WaitTokens waits until each daemon except the spares admits each account. A new fleet
+// does not refill buckets while tokens of a previous fleet might still be spent.
 func (f *Fleet) WaitTokens(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
--- a/lab/crfleet/crfleet.go
+++ b/lab/crfleet/crfleet.go
@@ -1,7 +1,7 @@
 // Package crfleet runs a fleet on one machine for end-to-end tests and benchmarks.
-// The daemons are processes on loopback. The platform and the upstreams are
-// simulated in this process. UDP relays between the daemons can cut each direction
-// of a link separately. The package only ends processes that it started.
+// The daemons are processes on loopback. A fake platform and fake upstreams run in
+// this process. UDP relays between the daemons can cut each direction of a link
+// separately. The package only ends processes that it started.
 //
 // # Usage
 //
@@ -23,8 +23,8 @@
 //	err = d.Kill()                               // SIGKILL; then Start
 //	err = d.Stop()                               // SIGTERM; then Wait
 //	f.Links().Cut("daemon-1", "daemon-2")        // that direction only; then Heal
-//	f.Platform().SetFault(crplatform.Fault{...}) // the simulated platform
-//	f.Target(2).SetFault(crupstream.Fault{...})  // a simulated upstream
+//	f.Platform().SetFault(crplatform.Fault{...}) // the fake platform
+//	f.Target(2).SetFault(crupstream.Fault{...})  // a fake upstream
 //	rev, err := f.SetAccounts(kept)              // publishes
 //	rev = f.SetInstances(f.Instances()[:4])      // lists fewer daemons
 //	state, err := d.State(ctx)                   // the state dump
@@ -33,7 +33,7 @@
 //	f.Counts(), f.URLs(), f.Log()
 //
 // New returns once every daemon is ready and admits every account. When ctx is
-// done, the processes are killed; Close also stops the simulated servers.
+// done, the processes are killed; Close also stops the fake servers.
 package crfleet
 
 import (
@@ -91,7 +91,7 @@
 
 	mu        sync.Mutex
 	accounts  []Account
-	policies  map[string]string // TOML by service
+	policies  map[string]string // policy files in TOML, by service
 	closeOnce sync.Once
 }
 
@@ -169,7 +169,7 @@
 	return f.WaitTokens(f.ctx)
 }
 
-// Close ends all processes, waits for them to exit and stops the simulated servers.
+// Close ends all processes, waits for them to exit and stops the fake servers.
 func (f *Fleet) Close() {
 	f.closeOnce.Do(func() {
 		f.cancel()
@@ -201,7 +201,7 @@
 // Links returns the links between the daemons.
 func (f *Fleet) Links() *Links { return f.links }
 
-// Platform returns the simulated platform.
+// Platform returns the fake platform.
 func (f *Fleet) Platform() *crplatform.Platform { return f.platform }
 
 // URLs returns the base URLs of all daemons for clients.
@@ -242,7 +242,7 @@
 	return f.platform.SetInstances(instances)
 }
 
-// SetAccounts replaces the accounts and publishes.
+// SetAccounts replaces the accounts and publishes the new configuration.
 func (f *Fleet) SetAccounts(accounts ...Account) (crid.Revision, error) {
 	f.mu.Lock()
 	f.accounts = append([]Account(nil), accounts...)
@@ -250,7 +250,7 @@
 	return f.Publish()
 }
 
-// SetPolicy replaces a service's policy file and publishes.
+// SetPolicy replaces a service's policy file and publishes the new configuration.
 func (f *Fleet) SetPolicy(service, text string) (crid.Revision, error) {
 	f.mu.Lock()
 	f.policies[service] = text
--- a/lab/crfleet/links.go
+++ b/lab/crfleet/links.go
@@ -16,17 +16,17 @@
 	delay time.Duration // added to each datagram
 
 	mu    sync.Mutex
-	names map[string]string // daemon names by UDP address
-	all   map[string]*relay
-	cuts  map[[2]string]bool
+	names map[string]string  // daemon names by UDP address
+	all   map[string]*relay  // by daemon name
+	cuts  map[[2]string]bool // by sender and receiver
 }
 
 // relay forwards the datagrams to and from one daemon.
 type relay struct {
 	links  *Links
 	name   string
-	front  net.PacketConn
-	target net.Addr
+	front  net.PacketConn // at the address that the instance list gives for the daemon
+	target net.Addr       // the address on which the daemon listens
 
 	mu    sync.Mutex
 	flows map[string]*flow // by the sender's address
@@ -79,7 +79,7 @@
 	return l.all[name].front.LocalAddr().String()
 }
 
-// Cut drops all datagrams between the daemons in the direction from, to, until Heal.
+// Cut drops all datagrams that one daemon sends to the other, until Heal.
 func (l *Links) Cut(from, to string) { l.setCut(from, to, true) }
 
 // Heal ends the cut of a direction.
@@ -118,8 +118,8 @@
 
 const (
 	maxDatagramSize = 64 << 10
-	// delayQueueLen is the number of datagrams that wait in a delayed direction. Further
-	// ones are dropped, as by a switch with a full buffer.
+	// delayQueueLen is the maximum number of datagrams that wait in a delayed direction.
+	// More are dropped, as by a switch with a full buffer.
 	delayQueueLen = 1 << 14
 )
 
--- a/lab/crfleet/options.go
+++ b/lab/crfleet/options.go
@@ -10,7 +10,7 @@
 // Option configures a fleet.
 type Option func(*options)
 
-// Service is a service and the configuration of its simulated upstreams.
+// Service is a service and the configuration of its fake upstreams.
 type Service struct {
 	Name        string
 	Policy      string        // the policy file's TOML
@@ -18,14 +18,14 @@
 	Slots       int           // zero: 5
 	Queue       int           // waiting requests above which the upstream sheds load; zero: 20
 	ServiceTime time.Duration // zero: 5 ms
-	ColdStart   time.Duration // duration
+	Warmup      time.Duration // time after start with a longer service time; see crupstream.Options
 }
 
 const (
-	defaultDaemons = 5
-	defaultSlots   = 5
-	defaultQueue   = 20
-	defaultTime    = 5 * time.Millisecond
+	defaultDaemons     = 5
+	defaultSlots       = 5
+	defaultQueue       = 20
+	defaultServiceTime = 5 * time.Millisecond
 )
 
 func (s Service) targetCount(daemons int) int {
@@ -36,7 +36,7 @@
 }
 
 func (s Service) upstreamOptions(name string) crupstream.Options {
-	opts := crupstream.Options{Name: name, Slots: s.Slots, Queue: s.Queue, ServiceTime: s.ServiceTime, Warmup: s.ColdStart}
+	opts := crupstream.Options{Name: name, Slots: s.Slots, Queue: s.Queue, ServiceTime: s.ServiceTime, Warmup: s.Warmup}
 	if opts.Slots == 0 {
 		opts.Slots = defaultSlots
 	}
@@ -44,7 +44,7 @@
 		opts.Queue = defaultQueue
 	}
 	if opts.ServiceTime == 0 {
-		opts.ServiceTime = defaultTime
+		opts.ServiceTime = defaultServiceTime
 	}
 	return opts
 }
@@ -113,8 +113,8 @@
 	return func(o *options) { o.domains = append([]string(nil), names...) }
 }
 
-// WithServices replaces the default service. Targets are assigned to
-// the daemons round-robin, service by service.
+// WithServices replaces the default service. Targets are assigned to the daemons
+// round-robin, service by service.
 func WithServices(services ...Service) Option {
 	return func(o *options) { o.services = append([]Service(nil), services...) }
 }
--- a/lab/crfleet/target.go
+++ b/lab/crfleet/target.go
@@ -7,7 +7,7 @@
 	"camphorroad/lab/crupstream"
 )
 
-// Target is a simulated upstream next to a daemon.
+// Target is a fake upstream next to a daemon.
 type Target struct {
 	*crupstream.Upstream
 	name    string
--- a/lab/crfleet/cost.go
+++ b/lab/crfleet/usage.go
@@ -28,26 +28,26 @@
 // Usage returns the usage since the start of the process, from /proc and from the
 // daemon's metrics.
 func (d *Daemon) Usage(ctx context.Context) (Usage, error) {
-	var c Usage
+	var u Usage
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.PID()))
 	if err != nil {
-		return c, err
+		return u, err
 	}
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.PID()))
 	if err != nil {
-		return c, err
+		return u, err
 	}
 	metrics, err := d.fetchAdmin(ctx, "/metrics")
 	if err != nil {
-		return c, err
+		return u, err
 	}
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
-	c.CPU = (parseNumber(fields[11]) + parseNumber(fields[12])) / clockTicks
-	c.Memory = 1024 * parseNumber(strings.Fields(valueOf(status, "VmRSS:"))[0])
-	c.Sent = parseNumber(valueOf(metrics, "camphorroad_control_sent_bytes_total "))
-	c.Received = parseNumber(valueOf(metrics, "camphorroad_control_received_bytes_total "))
-	c.Allocs = parseNumber(valueOf(metrics, "camphorroad_process_allocations_total "))
-	return c, nil
+	u.CPU = (parseNumber(fields[11]) + parseNumber(fields[12])) / clockTicks
+	u.Memory = 1024 * parseNumber(strings.Fields(valueOf(status, "VmRSS:"))[0])
+	u.Sent = parseNumber(valueOf(metrics, "camphorroad_control_sent_bytes_total "))
+	u.Received = parseNumber(valueOf(metrics, "camphorroad_control_received_bytes_total "))
+	u.Allocs = parseNumber(valueOf(metrics, "camphorroad_process_allocations_total "))
+	return u, nil
 }
 
 // valueOf returns the rest of the first line that starts with name, or "0" if there
@@ -93,15 +93,15 @@
 func (f *Fleet) totalUsage(ctx context.Context) (Usage, error) {
 	var sum Usage
 	for _, d := range f.Daemons() {
-		c, err := d.Usage(ctx)
+		u, err := d.Usage(ctx)
 		if err != nil {
 			return sum, fmt.Errorf("usage of %s: %w", d.Name(), err)
 		}
-		sum.CPU += c.CPU
-		sum.Sent += c.Sent
-		sum.Received += c.Received
-		sum.Memory += c.Memory
-		sum.Allocs += c.Allocs
+		sum.CPU += u.CPU
+		sum.Sent += u.Sent
+		sum.Received += u.Received
+		sum.Memory += u.Memory
+		sum.Allocs += u.Allocs
 	}
 	return sum, nil
 }
--- a/lab/crfleet/window.go
+++ b/lab/crfleet/window.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// AdmissionTimes returns the times at which an account's requests ran at all
-// upstreams, in ascending order.
+// AdmissionTimes returns the times at which an account's requests started to run at the
+// upstreams, in ascending order. They stand for the times of admission; see [Excess].
 func (f *Fleet) AdmissionTimes(account string) []time.Time {
 	var at []time.Time
 	for _, run := range f.Log() {
@@ -20,9 +20,9 @@
 }
 
 // Excess returns the maximum over all windows of length w of the number of requests
-// minus burst + rate*w. At or below zero the account kept to its rate; without requests
-// it is -Inf. A request runs up to spread after its admission, so a window may look
-// shorter by spread than it was.
+// minus (burst + rate*w). A result of zero or less means that the account stayed within
+// its rate; without requests the result is -Inf. A request may run up to spread after its
+// admission, so the runs of a window may lie closer together by spread than its admissions.
 func Excess(times []time.Time, a Account, spread time.Duration) float64 {
 	worst := math.Inf(-1)
 	for i := range times {
