--- a/lab/crload/plan.go
+++ b/lab/crload/plan.go
@@ -1,9 +1,9 @@
 // Package crload is an open-loop load generator for running daemons: requests are sent at
 // their planned times, independent of the responses, and latency counts from the planned
-// time. A stalled fleet therefore cannot hide its latency by slowing the load down. Every
-// response is checked to be complete and to belong to its request. The command lab load,
-// the other lab packages and the end-to-end tests use it; package crexperiment simulates
-// daemons instead.
+// time. A stalled fleet therefore does not reduce the load, and its latency is measured in
+// full. Every response is checked to be complete and to belong to its request. The command
+// `camphorlab load`, other lab packages and the end-to-end tests use it; package
+// crexperiment simulates daemons instead.
 //
 // # Usage
 //
@@ -43,7 +43,7 @@
 // Surge multiplies an account's rate between two times.
 type Surge struct {
 	From   float64 `toml:"from"` // seconds from the start
-	To     float64 `toml:"to"`
+	To     float64 `toml:"to"`   // seconds from the start
 	Factor float64 `toml:"factor"`
 }
 
@@ -79,7 +79,7 @@
 	return p, nil
 }
 
-// Check returns all faults of a plan.
+// Check returns all errors in a plan.
 func (p Plan) Check() error {
 	var errs []error
 	if p.Seconds <= 0 {
--- a/lab/crload/report.go
+++ b/lab/crload/report.go
@@ -32,12 +32,12 @@
 	return r
 }
 
-func (r *Report) add(t Sample) {
+func (r *Report) add(s Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.samples = append(r.samples, t)
-	if t.Result == Answered {
-		_ = r.histograms[t.Account].RecordValue(max(minLatencyMicros, min(t.Latency.Microseconds(), maxLatencyMicros)))
+	r.samples = append(r.samples, s)
+	if s.Result == Answered {
+		_ = r.histograms[s.Account].RecordValue(max(minLatencyMicros, min(s.Latency.Microseconds(), maxLatencyMicros)))
 	}
 }
 
@@ -75,9 +75,9 @@
 		byName[a.Name] = line
 		lines = append(lines, line)
 	}
-	for _, t := range r.samples {
-		byName[t.Account].add(t)
-		total.add(t)
+	for _, s := range r.samples {
+		byName[s.Account].add(s)
+		total.add(s)
 	}
 	for _, line := range lines {
 		line.setLatencies(r.histograms[line.Account])
@@ -95,10 +95,10 @@
 	return &Line{Account: name, Results: make(map[Result]int), Statuses: make(map[int]int)}
 }
 
-func (l *Line) add(t Sample) {
+func (l *Line) add(s Sample) {
 	l.Sent++
-	l.Results[t.Result]++
-	l.Statuses[t.Status]++
+	l.Results[s.Result]++
+	l.Statuses[s.Status]++
 }
 
 func (l *Line) setLatencies(h *hdrhistogram.Histogram) {
--- a/lab/crload/run.go
+++ b/lab/crload/run.go
@@ -14,7 +14,7 @@
 	"camphorroad/lab/crupstream"
 )
 
-// Result is the result of one request, as its caller saw it.
+// Result is the result of one request, as its caller received it.
 type Result string
 
 // The results. The first four are values of the outcome header.
@@ -41,7 +41,7 @@
 	Status     int
 	Result     Result
 	Latency    time.Duration // from the planned time
-	Planned    time.Duration // send time, after the start
+	Planned    time.Duration // planned send time, after the start
 	RetryAfter bool          // the response had a Retry-After header
 	Reason     string        // body of a refusal, or the error if there was no response
 }
@@ -57,7 +57,7 @@
 
 // Run sends the load of a plan and returns the results. When ctx ends, no new requests
 // are sent. Requests in flight still wait for their response up to the plan's timeout,
-// because a request that the tool itself cancelled would count as a failure of the fleet.
+// because a request cancelled by the load generator would count as a failure of the fleet.
 func Run(ctx context.Context, plan Plan) (*Report, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
@@ -198,11 +198,11 @@
 	if outcome != Answered || resp.StatusCode >= http.StatusBadRequest {
 		return outcome
 	}
-	var answer crupstream.Response
-	if err := json.Unmarshal(body, &answer); err != nil {
+	var content crupstream.Response
+	if err := json.Unmarshal(body, &content); err != nil {
 		return Mismatched
 	}
-	if answer.ID != id || (a.Key != "" && answer.Account != a.Name) {
+	if content.ID != id || (a.Key != "" && content.Account != a.Name) {
 		return Mismatched
 	}
 	return Answered
--- a/lab/crload/run_test.go
+++ b/lab/crload/run_test.go
@@ -11,8 +11,8 @@
 	"camphorroad/lab/crupstream"
 )
 
-// If the planned time of a request is read after the next one was planned, latencies come
-// out below the service time.
+// If a request's planned time is read only after the next request has been planned, its
+// latency is below the service time.
 func TestLatencyIsNeverBelowTheServiceTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const service = 20 * time.Millisecond
