--- a/lab/crmemory/crmemory.go
+++ b/lab/crmemory/crmemory.go
@@ -1,7 +1,7 @@
 // Package crmemory measures the memory usage of a daemon process under configurations
-// and instance lists of the size that the users plan for; the lab command prints the
-// rows. The platform is simulated in this process. The other listed instances do not
-// run.
+// and instance lists of the size that the users plan for; the command `camphorlab memory`
+// prints the rows. A fake platform runs in this process. The other listed instances do
+// not run.
 //
 // # Usage
 //
@@ -26,7 +26,8 @@
 // changeCount is the number of configuration changes in the stage "ten changes".
 const changeCount = 10
 
-// Sizes of the instance list that the users plan for.
+// Numbers of domains and routes that the users plan for, and the addresses of the added
+// instances.
 const (
 	domains      = 9
 	routes       = 12_000
@@ -44,10 +45,10 @@
 // Options configure a measurement.
 type Options struct {
 	Binary    string        // the daemon's program
-	Accounts  int           // in the configuration
-	Instances int           // in the list of the stage "list"; zero: no such stage
-	Targets   int           // in that list
-	Services  int           // of those targets
+	Accounts  int           // number in the configuration
+	Instances int           // number in the list of the stage "list"; zero: no such stage
+	Targets   int           // number in that list
+	Services  int           // number of services of those targets
 	Settle    time.Duration // wait between the end of a step and its measurement
 	Env       []string      // environment of the daemon, such as GOGC=50
 	Settings  string        // TOML added to the daemon's settings
@@ -208,8 +209,8 @@
 	}
 }
 
-// publishList publishes the long instance list. Nearly none of the listed instances
-// run, so the daemon has no lease and keeps trying to connect to them.
+// publishList publishes the long instance list. Of the listed instances only this daemon
+// runs, so it has no lease and keeps trying to connect to the others.
 func (r *run) publishList(ctx context.Context) error {
 	all := r.fleet.Instances()
 	for i := len(all); i < r.opts.Instances; i++ {
@@ -228,7 +229,7 @@
 	}
 	rev := r.fleet.SetInstances(all)
 	return r.wait(ctx, func() error {
-		// A state dump of so long a list would dominate the memory usage; read the log instead.
+		// The state dump of such a long list would dominate the memory usage, so read the log.
 		if !strings.Contains(r.daemon.Log(), fmt.Sprintf(`"event":%d,"level":"info","list":"%d"`, crmember.EventListAdopted, rev)) {
 			return errNotApplied
 		}
