--- a/lab/crplatform/handler.go
+++ b/lab/crplatform/handler.go
@@ -38,7 +38,7 @@
 	mux.HandleFunc("GET /v1/watch", p.withFault(func(c *Counts) { c.Watch++ }, p.serveWatch))
 	mux.HandleFunc("GET /v1/value/{name...}", p.withFault(func(c *Counts) { c.Value++ }, p.serveValue))
 	mux.HandleFunc("GET /v1/instances", p.withFault(func(c *Counts) { c.Instances++ }, p.serveInstances))
-	mux.HandleFunc("GET /lab/counts", func(w http.ResponseWriter, _ *http.Request) { reply(w, p.Counts()) })
+	mux.HandleFunc("GET /lab/counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Counts()) })
 	mux.HandleFunc("POST /lab/publish", p.servePublish)
 	mux.HandleFunc("PUT /lab/instances", p.serveSetInstances)
 	mux.HandleFunc("PUT /lab/fault", p.serveSetFault)
@@ -83,14 +83,14 @@
 			panic(http.ErrAbortHandler) // the fault also ends waiting watches
 		}
 		if s.head.Rev != crid.Revision(after) {
-			reply(w, s.head)
+			writeJSON(w, s.head)
 			return
 		}
 		select {
 		case <-changed:
 		case <-time.After(pollInterval):
 		case <-deadline.C:
-			reply(w, s.head)
+			writeJSON(w, s.head)
 			return
 		case <-r.Context().Done():
 			return
@@ -133,12 +133,12 @@
 		}
 		page.Instances = append(page.Instances, in)
 	}
-	reply(w, page)
+	writeJSON(w, page)
 }
 
 func (p *Platform) servePublish(w http.ResponseWriter, r *http.Request) {
 	var up Upload
-	if !read(w, r, &up) {
+	if !readJSON(w, r, &up) {
 		return
 	}
 	rev, err := p.Publish(up.Manifest, up.Values)
@@ -146,27 +146,27 @@
 		http.Error(w, err.Error(), http.StatusUnprocessableEntity)
 		return
 	}
-	reply(w, Published{Rev: rev})
+	writeJSON(w, Published{Rev: rev})
 }
 
 func (p *Platform) serveSetInstances(w http.ResponseWriter, r *http.Request) {
 	var instances []crinstance.Instance
-	if !read(w, r, &instances) {
+	if !readJSON(w, r, &instances) {
 		return
 	}
-	reply(w, Published{Rev: p.SetInstances(instances)})
+	writeJSON(w, Published{Rev: p.SetInstances(instances)})
 }
 
 func (p *Platform) serveSetFault(w http.ResponseWriter, r *http.Request) {
 	var f Fault
-	if !read(w, r, &f) {
+	if !readJSON(w, r, &f) {
 		return
 	}
 	p.SetFault(f)
-	reply(w, f)
+	writeJSON(w, f)
 }
 
-func read(w http.ResponseWriter, r *http.Request, v any) bool {
+func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxUpload)).Decode(v); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
@@ -174,7 +174,7 @@
 	return true
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v) // an error means that the client has disconnected
 }
--- a/lab/crplatform/platform.go
+++ b/lab/crplatform/platform.go
@@ -41,7 +41,7 @@
 type Fault struct {
 	Mode  Mode          `json:"mode"`
 	Delay time.Duration `json:"delay"` // nanoseconds, for slow and flap
-	Back  int           `json:"back"`  // changes, for stale and flap; zero means one
+	Back  int           `json:"back"`  // number of changes to go back, for stale and flap; zero means one
 	Lag   time.Duration `json:"lag"`   // nanoseconds by which the list of instances is delayed, in every mode
 }
 
--- a/lab/crplatform/platform_test.go
+++ b/lab/crplatform/platform_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Daemons reject a page above the size limit of a response, so a large fleet would
-// never receive a new list.
+// Daemons reject a response above their size limit. If a long list were sent in one
+// response, a large fleet would never get a new list.
 func TestLongListIsReadInPages(t *testing.T) {
 	list := make([]crinstance.Instance, 5500)
 	for i := range list {
