--- a/lab/crstore/crstore.go
+++ b/lab/crstore/crstore.go
@@ -9,7 +9,7 @@
 //	s := crstore.New()
 //	server := httptest.NewServer(s)
 //	s.Put("op/config", value)
-//	s.Fail(crstore.Fault{Mode: crstore.Busy})
+//	s.SetFault(crstore.Fault{Mode: crstore.Unavailable})
 package crstore
 
 import (
@@ -62,7 +62,7 @@
 	history   []item
 	compacted uint64 // a watch after an older revision gets 410
 	revision  uint64
-	paused    bool
+	paused    bool // events are withheld from watches
 	fault     Fault
 	changed   chan struct{}
 	calls     int
@@ -117,7 +117,7 @@
 	s.paused = true
 }
 
-// Compact drops the history and ends PauseWatches. It does not wake waiting watches;
+// Compact drops the history and ends PauseWatches. It does not notify waiting watches;
 // a new watch after an older revision gets 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
@@ -175,7 +175,7 @@
 	case Unavailable:
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 	case TooManyRequests:
-		http.Error(w, "too many", http.StatusTooManyRequests)
+		http.Error(w, "too many requests", http.StatusTooManyRequests)
 	case Reset, ResetOnce:
 		panic(http.ErrAbortHandler)
 	case Hang:
@@ -224,16 +224,16 @@
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, err := strconv.ParseUint(q.Get("after"), 10, 64)
-	wait, err2 := strconv.Atoi(q.Get("wait-ms"))
-	if err != nil || err2 != nil || wait > 30000 {
-		http.Error(w, "after or wait-ms", http.StatusBadRequest)
+	wait, waitErr := strconv.Atoi(q.Get("wait-ms"))
+	if err != nil || waitErr != nil || wait > 30000 {
+		http.Error(w, "invalid after or wait-ms", http.StatusBadRequest)
 		return
 	}
 	deadline := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer deadline.Stop()
 	for {
 		s.mu.Lock()
-		events := s.since(after, q.Get("path-prefix"))
+		events := s.eventsSince(after, q.Get("path-prefix"))
 		isCompacted := after < s.compacted
 		changed, revision := s.changed, s.revision
 		s.mu.Unlock()
@@ -256,7 +256,7 @@
 	}
 }
 
-func (s *Store) since(after uint64, prefix string) []item {
+func (s *Store) eventsSince(after uint64, prefix string) []item {
 	if s.paused {
 		return nil
 	}
