--- a/lab/crtarget/crtarget.go
+++ b/lab/crtarget/crtarget.go
@@ -1,7 +1,7 @@
 // Package crtarget implements a fake of a target on the users' platform: it executes
-// requests, seals its responses, marks requests that it did not execute, and injects
-// partial failures for a share of its requests. It records every request that it
-// executed. crstage, crsoak and the tests of io/crlink and io/crmesh use it.
+// requests, adds a seal header to its responses, marks requests that it did not execute,
+// and injects partial failures for a share of its requests. It records every request that
+// it executed. crstage, crsoak and the tests of io/crlink and io/crmesh use it.
 // crupstream is the fake of an upstream that speaks the daemon's own protocol.
 //
 // # Usage
@@ -35,7 +35,7 @@
 	Shed           float64 // responds that it did not execute the request
 	Duplicate      float64 // responds twice
 	Truncate       float64 // closes the connection within the response body
-	Unsealed       float64 // omits the seal
+	Unsealed       float64 // responds without the seal header
 	CloseDelimited float64 // responds without Content-Length and closes the connection
 }
 
@@ -44,7 +44,7 @@
 	At                    time.Time
 	Target                string // ID of the target
 	ID, Method, URI, Body string
-	Account, From         string
+	Account, From         string // From is the service of the caller
 	Timeout               time.Duration
 	Header                http.Header
 }
@@ -65,7 +65,7 @@
 	runs      []Run
 	cancelled int // requests whose connection closed before they finished
 	running   int
-	peak      int
+	peak      int // maximum of running
 	conns     map[net.Conn]bool
 	wg        sync.WaitGroup
 }
@@ -106,7 +106,7 @@
 	return t.cancelled
 }
 
-// Peak returns the maximum number of concurrent requests.
+// Peak returns the maximum number of requests that ran concurrently.
 func (t *Target) Peak() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -184,7 +184,7 @@
 	switch {
 	case chance(b.Reset):
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // makes Close send a reset
+			_ = tcp.SetLinger(0) // makes serve's Close send a reset
 		}
 		return false
 	case chance(b.Error):
