--- a/lab/crupstream/crupstream.go
+++ b/lab/crupstream/crupstream.go
@@ -57,7 +57,7 @@
 	FaultError  Kind = "error"  // status 500
 	FaultFlap   Kind = "flap"   // alternates between slow and no fault, each for Period
 	FaultLie    Kind = "lie"    // slow, while health and load report a healthy, idle upstream
-	FaultLate   Kind = "late"   // executes at once, responds after Factor service times
+	FaultLate   Kind = "late"   // executes at once and responds after the service time multiplied by Factor
 	FaultRefuse Kind = "refuse" // sheds every request
 	FaultPoison Kind = "poison" // status 500 for the requests of one account
 )
@@ -65,8 +65,8 @@
 // Fault configures a fault.
 type Fault struct {
 	Kind    Kind          `json:"kind"`
-	Factor  float64       `json:"factor"`
-	Period  time.Duration `json:"period"`
+	Factor  float64       `json:"factor"`  // of the service time, for FaultSlow, FaultFlap, FaultLie and FaultLate
+	Period  time.Duration `json:"period"`  // nanoseconds, for FaultFlap
 	Health  string        `json:"health"`  // result of /health during the fault: "ok" or "sick"; empty: sick only with the error kind
 	Account string        `json:"account"` // for FaultPoison
 }
@@ -229,10 +229,10 @@
 }
 
 func (u *Upstream) serveRequest(w http.ResponseWriter, r *http.Request) {
-	n := u.inflight.Add(1)
+	inflight := u.inflight.Add(1)
 	defer u.inflight.Add(-1)
 	f := u.fault.Load()
-	if u.draining.Load() || f.Kind == FaultRefuse || n > int64(u.opts.Slots+u.opts.Queue) {
+	if u.draining.Load() || f.Kind == FaultRefuse || inflight > int64(u.opts.Slots+u.opts.Queue) {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "shedding load", http.StatusServiceUnavailable)
 		return
@@ -247,14 +247,14 @@
 	if err != nil {
 		return
 	}
-	u.record(r, n)
+	u.record(r, inflight)
 	if !u.sleep(r, u.requestTime(r, f)) {
 		return
 	}
 	u.respond(w, r, f, body)
 }
 
-func (u *Upstream) record(r *http.Request, n int64) {
+func (u *Upstream) record(r *http.Request, inflight int64) {
 	if hasClientKey(r) {
 		u.leaks.Add(1)
 	}
@@ -263,7 +263,7 @@
 	u.runs[r.Header.Get(HeaderLabID)]++
 	u.byAccount[r.Header.Get(headerAccount)]++
 	u.runLog = append(u.runLog, Run{ID: r.Header.Get(HeaderLabID), Account: r.Header.Get(headerAccount), At: time.Now()})
-	u.peak = max(u.peak, n)
+	u.peak = max(u.peak, inflight)
 }
 
 // Log returns the executed requests in the order of their start.
@@ -340,8 +340,8 @@
 	ID       string `json:"id"` // value of HeaderLabID in the request
 	Account  string `json:"account"`
 	Upstream string `json:"upstream"`
-	Length   int    `json:"length"` // bytes of the request body
-	Fill     string `json:"fill,omitempty"`
+	Length   int    `json:"length"`         // bytes of the request body
+	Fill     string `json:"fill,omitempty"` // as many bytes as the bytes parameter asks for
 }
 
 func (u *Upstream) respond(w http.ResponseWriter, r *http.Request, f *Fault, body []byte) {
@@ -349,17 +349,17 @@
 		http.Error(w, "internal error", http.StatusInternalServerError)
 		return
 	}
-	a := Response{ID: r.Header.Get(HeaderLabID), Account: r.Header.Get(headerAccount), Upstream: u.opts.Name, Length: len(body)}
+	resp := Response{ID: r.Header.Get(HeaderLabID), Account: r.Header.Get(headerAccount), Upstream: u.opts.Name, Length: len(body)}
 	echo := r.Header.Get(headerRequest)
 	if f.Kind == FaultWrong {
-		a.ID, echo = "another", "another"
+		resp.ID, echo = "another", "another"
 	}
 	if n, err := strconv.Atoi(r.URL.Query().Get("bytes")); err == nil && n > 0 {
-		a.Fill = strings.Repeat("x", n)
+		resp.Fill = strings.Repeat("x", n)
 	}
-	b, err := json.Marshal(a)
+	b, err := json.Marshal(resp)
 	if err != nil {
-		panic(fmt.Sprintf("marshal answer: %v", err))
+		panic(fmt.Sprintf("encode the response: %v", err))
 	}
 	w.Header().Set(HeaderEcho, echo)
 	w.Header().Set("Content-Type", "application/json")
@@ -369,8 +369,8 @@
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	if over, ok := millis(r, "drip"); ok {
-		u.writeSlowly(w, r, b, over)
+	if duration, ok := millis(r, "drip"); ok {
+		u.writeSlowly(w, r, b, duration)
 		return
 	}
 	_, _ = w.Write(b)
@@ -379,14 +379,14 @@
 // slowParts is the number of parts in which writeSlowly sends a response.
 const slowParts = 20
 
-func (u *Upstream) writeSlowly(w http.ResponseWriter, r *http.Request, b []byte, over time.Duration) {
+func (u *Upstream) writeSlowly(w http.ResponseWriter, r *http.Request, b []byte, duration time.Duration) {
 	rc := http.NewResponseController(w)
 	size := max(1, len(b)/slowParts)
 	for part := range slices.Chunk(b, size) {
 		if _, err := w.Write(part); err != nil || rc.Flush() != nil {
 			return
 		}
-		if !u.sleep(r, over/slowParts) {
+		if !u.sleep(r, duration/slowParts) {
 			return
 		}
 	}
