--- a/lab/crstage/crstage.go
+++ b/lab/crstage/crstage.go
@@ -54,9 +54,9 @@
 	Listen  string // host to listen on; empty: Address
 	Domain  string
 	Service string
-	Target  string
-	Seeds   [2]string
-	Store   string
+	Target  string    // address
+	Seeds   [2]string // control addresses of two peers
+	Store   string    // address
 }
 
 // TOML returns the settings as the text of a settings file.
@@ -97,7 +97,7 @@
 // Record is a target's record in the store.
 type Record struct {
 	Address string
-	Born    int // start of the target; greater after a restart
+	Born    int // number of the target's start; greater after a restart
 	Service string
 	Domain  string
 	Leaving bool
