--- a/e2e/account_test.go
+++ b/e2e/account_test.go
@@ -17,9 +17,10 @@
 
 var _ = Describe("An account's rate over the whole fleet", func() {
 	// One account sends ten times its rate through every daemon while daemons are
-	// frozen or killed and one link works in one direction only. A token minted
-	// twice would exceed the rate and fill the upstreams for other accounts.
-	It("is never exceeded in any window, through freezes, kills and cuts", func() {
+	// suspended or killed and one link works in one direction only. If a share were
+	// refilled twice, the account would exceed its rate and take the upstreams' capacity
+	// from other accounts.
+	It("is not exceeded in any window while daemons are suspended or killed and a link is cut", func() {
 		a := account("surge", 60, 60)
 		f := newFleet(5, 2*time.Millisecond, a)
 		wait := timeline(
@@ -45,7 +46,7 @@
 	// An account within its rate enters at one daemon only, as when all its callers
 	// have the same address configured. A fixed split of the rate over the daemons
 	// would refuse four of five of its requests.
-	It("is fully available to callers who enter at one daemon", func() {
+	It("is fully available to callers that all enter at one daemon", func() {
 		a := account("steady", 100, 50)
 		f := newFleet(5, 2*time.Millisecond, a)
 		time.Sleep(2 * time.Second) // a new fleet's buckets start empty and refill at the rate
@@ -79,10 +80,10 @@
 }
 
 var _ = Describe("An account's rate through long faults", func() {
-	// The daemons that mint an account's tokens are frozen for longer than the others
-	// wait for them, first two and then most of the fleet. They resume with a stale
-	// belief that they still mint. The platform is unavailable throughout.
-	It("holds while the daemons that mint are frozen beyond the horizon", func() {
+	// The daemons that refill an account's shares are suspended for longer than the
+	// contact timeout, first two and then most of the fleet. They resume with stale state,
+	// by which they still own the shares. The platform is unavailable throughout.
+	It("holds while the owners of its shares are suspended beyond the contact timeout", func() {
 		a := account("surge", 60, 60)
 		f := newFleet(5, 2*time.Millisecond, a)
 		f.Platform().SetFault(labplatform.Fault{Mode: labplatform.ModeReset})
@@ -102,7 +103,7 @@
 	})
 
 	// Instances are replaced during a surge. The list names new instances while the
-	// old ones still run, and one of the old ones is frozen when the list changes and
+	// old ones still run, and one of the old ones is suspended when the list changes and
 	// resumes after its share has a new owner.
 	It("holds while instances are replaced", func() {
 		a := account("surge", 60, 60)
@@ -127,21 +128,22 @@
 	})
 
 	// An account within its rate is spread over all daemons while another account
-	// sends eight times its own rate. The first account must be hardly affected.
-	It("is fully available to others, and to callers spread over all daemons", func() {
-		steady, loud := account("steady", 100, 50), account("loud", 60, 60)
-		f := newFleet(5, 2*time.Millisecond, steady, loud)
+	// sends eight times its own rate. At most 2% of the first one's requests may be
+	// refused.
+	It("is available to one account while another exceeds its own", func() {
+		steady, excessive := account("steady", 100, 50), account("excessive", 60, 60)
+		f := newFleet(5, 2*time.Millisecond, steady, excessive)
 		report := run(crload.Plan{
 			Seconds: 6, Seed: 14, Entries: f.URLs(),
 			Accounts: []crload.Account{
 				{Name: steady.Name, Key: steady.Key(), Rate: 80, Calls: reads},
-				{Name: loud.Name, Key: loud.Key(), Rate: 480, Calls: reads},
+				{Name: excessive.Name, Key: excessive.Key(), Rate: 480, Calls: reads},
 			},
 		})
 		line := report.Lines()[0]
 		AddReportEntry("steady", line.Results)
-		AddReportEntry("loud", report.Lines()[1].Results)
+		AddReportEntry("excessive", report.Lines()[1].Results)
 		Expect(float64(line.Results[crload.NotRun])).To(BeNumerically("<=", 0.02*float64(line.Sent)))
-		Expect(crfleet.Excess(f.AdmissionTimes(loud.Name), loud, admissionDelay)).To(BeNumerically("<=", 0))
+		Expect(crfleet.Excess(f.AdmissionTimes(excessive.Name), excessive, admissionDelay)).To(BeNumerically("<=", 0))
 	})
 })
--- a/e2e/config_test.go
+++ b/e2e/config_test.go
@@ -16,8 +16,8 @@
 const configDeadline = 9 * time.Second
 
 var _ = Describe("Configuration in force", func() {
-	// An operator withdraws a key while its callers are connected. Until every daemon
-	// refuses the key, a thief can still act as the account.
+	// An operator withdraws a stolen key while its callers are connected. Until every
+	// daemon refuses the key, the thief can send requests as the account.
 	It("stops a withdrawn key at every daemon within nine seconds", func() {
 		kept := account("kept", 1000, 1000)
 		gone := account("gone", 1000, 1000)
@@ -28,7 +28,7 @@
 		for _, d := range f.Daemons() {
 			Eventually(func() int { return d.Get(gone, "/kits/1").Status }, configDeadline, "50ms").Should(Equal(http.StatusUnauthorized), d.Name())
 		}
-		AddReportEntry("everywhere after", time.Since(start).String())
+		AddReportEntry("refused by all daemons after", time.Since(start).String())
 		for _, d := range f.Daemons() {
 			Expect(d.Get(kept, "/kits/1").Status).To(Equal(http.StatusOK))
 		}
@@ -75,25 +75,25 @@
 		}, "4s", "100ms").Should(BeTrue())
 	})
 
-	// One daemon loses both directions to all others and cannot learn whether keys
-	// were withdrawn. It must stop using its configuration and refuse at once, while
-	// the other daemons continue.
+	// One daemon loses both directions to all others and gets no withdrawals of keys.
+	// It must stop using its configuration and refuse requests at once, while the other
+	// daemons continue.
 	It("is not used by an isolated daemon", func() {
 		a := account("survey", 1000, 1000)
 		f := newFleet(5, time.Millisecond, a)
-		alone := f.Daemon(4)
+		isolated := f.Daemon(4)
 		for _, d := range f.Daemons()[:4] {
-			f.Links().CutBoth(alone.Name(), d.Name())
+			f.Links().CutBoth(isolated.Name(), d.Name())
 		}
-		Eventually(func() int { return alone.Get(a, "/kits/1").Status }, "5s", "50ms").Should(Equal(http.StatusServiceUnavailable))
-		r := alone.Get(a, "/kits/1")
+		Eventually(func() int { return isolated.Get(a, "/kits/1").Status }, "5s", "50ms").Should(Equal(http.StatusServiceUnavailable))
+		r := isolated.Get(a, "/kits/1")
 		Expect(r.Outcome).To(Equal("notrun"))
 		Expect(r.Header.Get("Retry-After")).NotTo(BeEmpty())
 		for _, d := range f.Daemons()[:4] {
 			Expect(d.Get(a, "/kits/1").Status).To(Equal(http.StatusOK), d.Name())
 		}
 		f.Links().HealAll()
-		Eventually(func() int { return alone.Get(a, "/kits/1").Status }, "10s", "100ms").Should(Equal(http.StatusOK))
+		Eventually(func() int { return isolated.Get(a, "/kits/1").Status }, "10s", "100ms").Should(Equal(http.StatusOK))
 	})
 
 	// State dumps and logs must contain no key, whatever fails.
--- a/e2e/fair_test.go
+++ b/e2e/fair_test.go
@@ -14,7 +14,7 @@
 // fairSmall is the number of small accounts beside the large one.
 const fairSmall = 4
 
-// fairPlan sends few requests for each small account and many for the large one.
+// fairPlan returns a plan with few requests for each small account and many for the large one.
 func fairPlan(f *crfleet.Fleet, seed uint64, accounts []crfleet.Account, large crload.Account) crload.Plan {
 	plan := crload.Plan{Seconds: 6, Seed: seed, Entries: f.URLs(), Accounts: []crload.Account{large}}
 	for _, a := range accounts[1:] {
@@ -23,7 +23,8 @@
 	return plan
 }
 
-// expectFair checks the worst-served small account.
+// expectFair checks that every small account is served and that the load exceeds the
+// capacity.
 func expectFair(report *crload.Report) {
 	GinkgoHelper()
 	lines := report.Lines()
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -1,6 +1,6 @@
 // Package e2e tests the users' requirements over real processes. Daemons are
-// started from this test binary, killed, frozen, restarted and partitioned, while
-// simulated upstreams count the requests that ran. Most specs check one requirement
+// started from this test binary, killed, suspended, restarted and partitioned, while
+// fake upstreams count the requests that ran. Most specs check one requirement
 // under one scripted fault; the soak specs run package lab/crsoak, which draws its
 // faults from a seed.
 package e2e_test
@@ -46,9 +46,9 @@
 	return startFleet(crfleet.WithDaemons(n), crfleet.WithServices(booking(service)), crfleet.WithAccounts(accounts...))
 }
 
-// startFleet starts a fleet and ends it with the spec. A daemon that panicked or
-// found a data race fails the spec, whatever its callers saw. A spec that fails
-// reports the warnings of all daemons.
+// startFleet starts a fleet and ends it with the spec. A panic or a data race in a
+// daemon's log fails the spec, whatever its callers got. A spec that fails reports the
+// warnings of all daemons.
 func startFleet(opts ...crfleet.Option) *crfleet.Fleet {
 	f, err := crfleet.New(context.Background(), opts...)
 	Expect(err).NotTo(HaveOccurred())
@@ -56,7 +56,7 @@
 		f.Close()
 		for _, d := range f.Daemons() {
 			if CurrentSpecReport().Failed() {
-				AddReportEntry(d.Name()+" warned", warnings(d.Log()))
+				AddReportEntry(d.Name()+" warnings", warnings(d.Log()))
 			}
 			Expect(d.Log()).NotTo(ContainSubstring("DATA RACE"), d.Name())
 			Expect(d.Log()).NotTo(ContainSubstring("panic:"), d.Name())
@@ -65,7 +65,7 @@
 	return f
 }
 
-// warnings are the lines of a daemon's log above the level of information.
+// warnings returns the lines of a daemon's log above level info.
 func warnings(log string) string {
 	var out strings.Builder
 	for line := range strings.Lines(log) {
@@ -76,12 +76,12 @@
 	return out.String()
 }
 
-// refusals counts the responses with a status by their message.
-func refusals(told []crload.Sample, status int) string {
+// refusals counts the responses with a status by method, result and message.
+func refusals(samples []crload.Sample, status int) string {
 	counts := make(map[string]int)
-	for _, t := range told {
-		if t.Status == status {
-			counts[fmt.Sprintf("%s %s %s", t.Method, t.Result, t.Reason)]++
+	for _, sample := range samples {
+		if sample.Status == status {
+			counts[fmt.Sprintf("%s %s %s", sample.Method, sample.Result, sample.Reason)]++
 		}
 	}
 	return fmt.Sprint(counts)
@@ -133,28 +133,29 @@
 	holds = []crload.Call{{Method: "POST", Path: "/holds", Bytes: 200}}
 )
 
-// expectTruthful compares the result of every caller with what ran at the upstreams.
-func expectTruthful(f *crfleet.Fleet, report *crload.Report) map[crload.Result]int {
+// expectResultsMatchRuns compares the result that every caller got with the runs at the
+// upstreams, and returns the number of requests by result.
+func expectResultsMatchRuns(f *crfleet.Fleet, report *crload.Report) map[crload.Result]int {
 	GinkgoHelper()
 	runs := f.Runs()
-	told := make(map[crload.Result]int)
-	for _, t := range report.Samples() {
-		told[t.Result]++
-		if t.Method != "GET" {
-			Expect(runs[t.ID]).To(BeNumerically("<=", 1), "%s ran more than once, its caller got %s", t.ID, t.Result)
+	results := make(map[crload.Result]int)
+	for _, sample := range report.Samples() {
+		results[sample.Result]++
+		if sample.Method != "GET" {
+			Expect(runs[sample.ID]).To(BeNumerically("<=", 1), "%s ran more than once, and its caller got %s", sample.ID, sample.Result)
 		}
-		switch t.Result {
+		switch sample.Result {
 		case crload.Answered:
-			Expect(runs[t.ID]).To(BeNumerically(">=", 1), "%s got a response and did not run", t.ID)
+			Expect(runs[sample.ID]).To(BeNumerically(">=", 1), "%s got a response but did not run", sample.ID)
 		case crload.NotRun:
-			Expect(runs[t.ID]).To(BeZero(), "%s ran, but its caller got a result of not run", t.ID)
-			Expect(t.RetryAfter).To(BeTrue(), "%s was refused without a time to retry", t.ID)
+			Expect(runs[sample.ID]).To(BeZero(), "%s ran, but its caller got \"not run\"", sample.ID)
+			Expect(sample.RetryAfter).To(BeTrue(), "%s was refused without a Retry-After header", sample.ID)
 		case crload.Unknown, crload.Cut, crload.NoResponse, crload.Mismatched:
 		}
 	}
-	Expect(told[crload.Mismatched]).To(BeZero())
+	Expect(results[crload.Mismatched]).To(BeZero())
 	for _, u := range f.Targets() {
 		Expect(u.Runs().Leaks).To(BeZero())
 	}
-	return told
+	return results
 }
--- a/e2e/health_test.go
+++ b/e2e/health_test.go
@@ -45,8 +45,8 @@
 // set that was ejected at one time over the whole fleet.
 type ejectionWatch struct {
 	mu    sync.Mutex
-	by    map[string][]string // daemon to targets
-	most  []string
+	by    map[string][]string // ejected targets by daemon
+	most  []string            // largest set of ejected targets at one time
 	err   error
 	ended chan struct{}
 }
@@ -77,8 +77,8 @@
 	w.err = err
 }
 
-// error returns the last failure to read a dump: a target that was not observed
-// must not count as not ejected.
+// error returns the last failure to read a state dump, or an error if a daemon's dump is
+// missing: a target that was not observed must not count as not ejected.
 func (w *ejectionWatch) error() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -180,21 +180,21 @@
 	})
 
 	// One upstream becomes unhealthy while its health and load pages may be wrong.
-	// Until the last daemon has detected it, some callers wait for it or get its
-	// errors, and a late hold loses a kit to another crew.
+	// Until the last daemon has ejected it, some callers wait for it or get its errors,
+	// and the kit of a late hold goes to another crew.
 	DescribeTable("stop receiving work at every daemon", func(i int, fault crupstream.Fault) {
 		t := f.Target(i)
 		t.SetFault(fault)
 		start := time.Now()
 		Eventually(func() bool { return w.ejectedByAll(t.Name()) }, detectionTimeout, "20ms").Should(BeTrue())
-		AddReportEntry("found everywhere after", time.Since(start).Round(10*time.Millisecond).String())
-		sent := 0
+		AddReportEntry("ejected by all daemons after", time.Since(start).Round(10*time.Millisecond).String())
+		ran := 0
 		for _, r := range t.Log() {
 			if r.At.After(start) {
-				sent++
+				ran++
 			}
 		}
-		AddReportEntry("sent to it meanwhile", sent)
+		AddReportEntry("requests that ran there meanwhile", ran)
 		t.SetFault(healthy)
 		Expect(len(w.maxEjected())).To(BeNumerically("<=", healthDaemons-healthFloor), "below the floor: %v", w.maxEjected())
 		must(w.error())
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -23,7 +23,8 @@
 		f := newFleet(5, 20*time.Millisecond, a)
 		stopping := f.Daemon(2)
 		stopped := timeline(2*time.Second, stopping.Stop)
-		// Callers enter at the others: callers must leave an address that stops.
+		// Callers enter at the other daemons: a caller must stop using the address of a
+		// daemon that stops.
 		entries := append(append([]string{}, f.URLs()[:2]...), f.URLs()[3:]...)
 		report := run(crload.Plan{
 			Seconds: 5, Seed: 3, Entries: entries,
@@ -36,13 +37,13 @@
 		results := report.Lines()[0].Results
 		AddReportEntry("results", results)
 		Expect(results[crload.Answered]).To(Equal(report.Lines()[0].Sent))
-		last := f.Target(2).Log()
-		Expect(last[len(last)-1].At.Sub(last[0].At)).To(BeNumerically("<", 5*time.Second))
+		runLog := f.Target(2).Log()
+		Expect(runLog[len(runLog)-1].At.Sub(runLog[0].At)).To(BeNumerically("<", 5*time.Second))
 	})
 
-	// Callers that enter at the stopping daemon get a complete response, a truthful
-	// refusal, or a refused connection; none is cut.
-	It("leaves its own callers with complete responses or truthful refusals", func() {
+	// Callers that enter at the stopping daemon get a complete response, a refusal of a
+	// request that did not run, or a refused connection; no response is cut.
+	It("gives its own callers complete responses, or refusals of requests that did not run", func() {
 		a := account("survey", 2000, 2000)
 		f := newFleet(4, 20*time.Millisecond, a)
 		stopping := f.Daemon(0)
@@ -58,16 +59,16 @@
 		AddReportEntry("results", results)
 		Expect(results[crload.Cut]).To(BeZero())
 		Expect(results[crload.Unknown]).To(BeZero())
-		for _, t := range report.Samples() {
-			if t.Result == crload.NoResponse || t.Result == crload.NotRun {
-				Expect(runs[t.ID]).To(BeZero(), "%s ran, but its caller got %s", t.ID, t.Result)
+		for _, sample := range report.Samples() {
+			if sample.Result == crload.NoResponse || sample.Result == crload.NotRun {
+				Expect(runs[sample.ID]).To(BeZero(), "%s ran, but its caller got %s", sample.ID, sample.Result)
 			}
 		}
 	})
 })
 
-// mixedCalls are quick reads and holds, and some long calls: a slow run, and a
-// response that comes in parts.
+// mixedCalls are short reads and holds, and some long calls: one with a long service
+// time, and one whose response is sent in parts.
 var mixedCalls = []crload.Call{
 	{Method: "GET", Path: "/kits/1", Weight: 3},
 	{Method: "POST", Path: "/holds", Bytes: 200, Weight: 3},
@@ -75,7 +76,7 @@
 	{Method: "GET", Path: "/kits/1?drip=300&bytes=5000"},
 }
 
-// timed reports the duration of a step.
+// timed wraps a step so that its duration is added to the report.
 func timed(name string, step func()) func() {
 	return func() {
 		start := time.Now()
@@ -91,7 +92,7 @@
 	}
 }
 
-// lastNewWork returns when a target last began a request.
+// lastNewWork returns when a target last started a request.
 func lastNewWork(t *crfleet.Target) time.Time {
 	var last time.Time
 	for _, r := range t.Log() {
@@ -107,8 +108,8 @@
 
 var _ = Describe("A leaving upstream", func() {
 	// The platform lists an instance as leaving. Requests sent to it after that may be
-	// lost when the instance goes, and requests that it still runs must finish.
-	It("gets no new work after a few seconds, and finishes what it has", func() {
+	// lost when the instance stops, and requests that it still runs must finish.
+	It("gets no new work after a few seconds, and finishes its accepted requests", func() {
 		a := account("survey", 2000, 2000)
 		f := newFleet(5, 10*time.Millisecond, a)
 		list := f.Instances()
@@ -117,14 +118,14 @@
 		wait := timeline(1500*time.Millisecond, func() { listed = time.Now() }, func() { f.SetInstances(list) })
 		report := run(leavePlan(a, 6, f.URLs()))
 		wait()
-		told := expectTruthful(f, report)
-		AddReportEntry("told", told)
+		results := expectResultsMatchRuns(f, report)
+		AddReportEntry("results", results)
 		AddReportEntry("last new work after", lastNewWork(f.Target(2)).Sub(listed).String())
 		Expect(lastNewWork(f.Target(2)).Sub(listed)).To(BeNumerically("<", newWorkTimeout))
-		Expect(told[crload.Answered]).To(Equal(len(report.Samples())))
+		Expect(results[crload.Answered]).To(Equal(len(report.Samples())))
 	})
 
-	// An upstream drains by itself, long before the list says so, and sheds new
+	// An upstream drains by itself, long before the list reports it, and sheds new
 	// requests. It responds faster than any other, so a choice by load alone would
 	// send it all holds.
 	It("that sheds by itself does not draw work to itself", func() {
@@ -134,15 +135,15 @@
 		wait := timeline(at, f.Target(2).Drain)
 		report := run(leavePlan(a, 7, f.URLs()))
 		wait()
-		late := slices.DeleteFunc(report.Samples(), func(t crload.Sample) bool { return t.Planned <= at+newWorkTimeout })
+		late := slices.DeleteFunc(report.Samples(), func(s crload.Sample) bool { return s.Planned <= at+newWorkTimeout })
 		shed := 0
-		for _, t := range late {
-			if t.Status == http.StatusServiceUnavailable {
+		for _, sample := range late {
+			if sample.Status == http.StatusServiceUnavailable {
 				shed++
 			}
 		}
 		AddReportEntry("shed after a few seconds", fmt.Sprintf("%d of %d", shed, len(late)))
-		AddReportEntry("by what they said", refusals(late, http.StatusServiceUnavailable))
+		AddReportEntry("refusals by message", refusals(late, http.StatusServiceUnavailable))
 		Expect(float64(shed)).To(BeNumerically("<=", 0.02*float64(len(late))))
 	})
 })
@@ -164,35 +165,35 @@
 		report := run(leavePlan(a, 6, f.URLs()[:3]))
 		wait()
 		Expect(stopping.Wait(withTimeout(15*time.Second))).To(Succeed(), stopping.Log)
-		told := make(map[crload.Result]int)
+		results := make(map[crload.Result]int)
 		runs := f.Runs()
-		for _, t := range report.Samples() {
-			told[t.Result]++
-			if t.Method == http.MethodPost {
-				Expect(runs[t.ID]).To(BeNumerically("<=", 1), t.ID)
+		for _, sample := range report.Samples() {
+			results[sample.Result]++
+			if sample.Method == http.MethodPost {
+				Expect(runs[sample.ID]).To(BeNumerically("<=", 1), sample.ID)
 			}
-			if t.Result == crload.NotRun {
-				Expect(runs[t.ID]).To(BeZero(), t.ID)
+			if sample.Result == crload.NotRun {
+				Expect(runs[sample.ID]).To(BeZero(), sample.ID)
 			}
 		}
-		AddReportEntry("told", told)
-		Expect(told[crload.Mismatched]).To(BeZero())
-		for _, t := range report.Samples() {
-			if t.Result == crload.Unknown {
-				AddReportEntry("unknown", fmt.Sprintf("%s %s at %s, took %s, ran %d", t.ID, t.Method, t.Planned, t.Latency, runs[t.ID]))
+		AddReportEntry("results", results)
+		Expect(results[crload.Mismatched]).To(BeZero())
+		for _, sample := range report.Samples() {
+			if sample.Result == crload.Unknown {
+				AddReportEntry("unknown", fmt.Sprintf("%s %s at %s, took %s, ran %d", sample.ID, sample.Method, sample.Planned, sample.Latency, runs[sample.ID]))
 			}
 		}
 		// Only the cut link causes unknown results, and only until it is detected.
-		for _, t := range report.Samples() {
-			if t.Planned > 3500*time.Millisecond {
-				Expect(t.Result).NotTo(Or(Equal(crload.Cut), Equal(crload.Unknown)), "%s at %s", t.ID, t.Planned)
+		for _, sample := range report.Samples() {
+			if sample.Planned > 3500*time.Millisecond {
+				Expect(sample.Result).NotTo(Or(Equal(crload.Cut), Equal(crload.Unknown)), "%s at %s", sample.ID, sample.Planned)
 			}
 		}
 	})
 
-	// In a rolling upgrade under load, callers may see only a refused connection or a
-	// truthful refusal. A daemon that cannot serve yet accepts no connection, so that
-	// callers try another at once.
+	// In a rolling upgrade under load, the only failures that callers may get are a refused
+	// connection and a refusal of a request that did not run. A daemon that cannot serve
+	// yet accepts no connection, so that callers try another at once.
 	It("of all daemons, one after the other, cuts nothing", func() {
 		a := account("survey", 2000, 2000)
 		f := newFleet(4, 10*time.Millisecond, a)
@@ -216,24 +217,24 @@
 		wait()
 		AddReportEntry("all replaced after", time.Since(start).Round(100*time.Millisecond).String())
 		runs := f.Runs()
-		told := make(map[crload.Result]int)
+		results := make(map[crload.Result]int)
 		reasons := make(map[string]int)
-		for _, t := range report.Samples() {
-			told[t.Result]++
-			if t.Method == http.MethodPost {
-				Expect(runs[t.ID]).To(BeNumerically("<=", 1), t.ID)
+		for _, sample := range report.Samples() {
+			results[sample.Result]++
+			if sample.Method == http.MethodPost {
+				Expect(runs[sample.ID]).To(BeNumerically("<=", 1), sample.ID)
 			}
-			if t.Result == crload.NotRun {
-				Expect(runs[t.ID]).To(BeZero(), t.ID)
-				reasons[t.Reason]++
+			if sample.Result == crload.NotRun {
+				Expect(runs[sample.ID]).To(BeZero(), sample.ID)
+				reasons[sample.Reason]++
 			}
 		}
-		AddReportEntry("told", told)
+		AddReportEntry("results", results)
 		AddReportEntry("refusals", reasons)
 		for reason := range reasons {
 			Expect(reason).NotTo(Or(ContainSubstring("no configuration yet"), ContainSubstring("cut off")))
 		}
-		Expect(told[crload.Mismatched] + told[crload.Unknown] + told[crload.Cut]).To(BeZero())
+		Expect(results[crload.Mismatched] + results[crload.Unknown] + results[crload.Cut]).To(BeZero())
 	})
 })
 
@@ -249,7 +250,7 @@
 			crfleet.WithAccounts(a),
 		)
 		exit, entry := f.Daemon(0), f.Daemon(1)
-		calls := &stepCalls{entry: entry, told: make(map[string]crfleet.Response)}
+		calls := &stepCalls{entry: entry, responses: make(map[string]crfleet.Response)}
 		for n := range stepSlots {
 			calls.send([]crfleet.Request{{Account: a, Method: http.MethodPost, Path: "/holds?work=500", ID: fmt.Sprintf("last-%d", n)}})
 		}
@@ -261,9 +262,9 @@
 		f.Links().Heal(exit.Name(), entry.Name())
 		calls.wg.Wait()
 		Expect(exit.Wait(withTimeout(10*time.Second))).To(Succeed(), exit.Log)
-		for id, reply := range calls.told {
-			Expect(reply.Outcome).To(Equal("answered"), "%s: %s", id, reply.Body)
-			Expect(reply.Err).NotTo(HaveOccurred(), id)
+		for id, response := range calls.responses {
+			Expect(response.Outcome).To(Equal("answered"), "%s: %s", id, response.Body)
+			Expect(response.Err).NotTo(HaveOccurred(), id)
 		}
 	})
 })
--- a/e2e/list_test.go
+++ b/e2e/list_test.go
@@ -10,10 +10,10 @@
 )
 
 var _ = Describe("A change of the list of instances", func() {
-	// No daemon mints under a list without a lost instance until the others have handed
-	// over to it. If keys were not trusted for that time either, every caller of every
-	// service would be refused for seconds, dozens of times a day.
-	It("refuses hardly any caller while the fleet hands over", func() {
+	// A new list lacks a lost instance. No daemon refills tokens under the new list until
+	// the others have handed over to it. If daemons accepted no keys for that time either,
+	// every caller of every service would be refused for seconds, dozens of times a day.
+	It("refuses at most 2% of the requests while the fleet hands over", func() {
 		a := account("survey", 400, 400)
 		f := newFleet(5, 2*time.Millisecond, a)
 		wait := timeline(
--- a/e2e/member_test.go
+++ b/e2e/member_test.go
@@ -23,36 +23,36 @@
 
 var _ = Describe("Membership", func() {
 	// A switch passes frames from one daemon to another but not back. The daemon that
-	// still receives must not count the peer as reachable: requests forwarded to it
-	// would time out.
-	It("shows a one-way cut on both sides, and its end", func() {
+	// still receives must not report the peer as reachable: requests forwarded to the
+	// peer would time out.
+	It("reports a one-way cut and its end on both sides", func() {
 		a := account("survey", 1000, 1000)
 		f := newFleet(5, time.Millisecond, a)
-		deaf, mute := f.Daemon(0), f.Daemon(1)
-		Eventually(reaches(deaf, mute), "5s", "50ms").Should(BeTrue())
-		f.Links().Cut(mute.Name(), deaf.Name())
+		receiver, sender := f.Daemon(0), f.Daemon(1)
+		Eventually(reaches(receiver, sender), "5s", "50ms").Should(BeTrue())
+		f.Links().Cut(sender.Name(), receiver.Name())
 		start := time.Now()
-		Eventually(reaches(deaf, mute), "6s", "50ms").Should(BeFalse())
-		Eventually(reaches(mute, deaf), "6s", "50ms").Should(BeFalse())
-		AddReportEntry("seen on both sides after", time.Since(start).String())
+		Eventually(reaches(receiver, sender), "6s", "50ms").Should(BeFalse())
+		Eventually(reaches(sender, receiver), "6s", "50ms").Should(BeFalse())
+		AddReportEntry("reported on both sides after", time.Since(start).String())
 		for _, d := range f.Daemons() {
 			Expect(d.Ready()).To(Succeed(), "%s: one cut link must not make a daemon unready", d.Name())
 		}
 		f.Links().HealAll()
-		Eventually(reaches(deaf, mute), "6s", "50ms").Should(BeTrue())
-		Eventually(reaches(mute, deaf), "6s", "50ms").Should(BeTrue())
+		Eventually(reaches(receiver, sender), "6s", "50ms").Should(BeTrue())
+		Eventually(reaches(sender, receiver), "6s", "50ms").Should(BeTrue())
 	})
 
 	// A daemon is stopped as planned, and the platform lists it as live for minutes
-	// more. If only the list counted, requests would be forwarded to it and refused
-	// for all that time.
-	It("announces a leaving daemon at once, before the list does", func() {
+	// more. If its peers used the list alone, they would forward requests to it, and it
+	// would refuse them for all that time.
+	It("reports a leaving daemon at once, before the list does", func() {
 		a := account("survey", 2000, 2000)
 		f := newFleet(5, 2*time.Millisecond, a)
 		time.Sleep(2 * time.Second) // a new fleet's buckets start empty and refill at the rate
 		leaving := f.Daemon(3)
-		var asked time.Time
-		stopped := timeline(1500*time.Millisecond, func() { asked = time.Now() }, leaving.Stop)
+		var stopRequested time.Time
+		stopped := timeline(1500*time.Millisecond, func() { stopRequested = time.Now() }, leaving.Stop)
 		report := run(crload.Plan{
 			Seconds: 4, Seed: 41, Entries: f.URLs()[:3],
 			Accounts: []crload.Account{{Name: a.Name, Key: a.Key(), Rate: 300, Calls: holds}},
@@ -65,19 +65,19 @@
 				last = r.At
 			}
 		}
-		told := expectTruthful(f, report)
-		AddReportEntry("told", told)
-		for _, t := range report.Samples() {
-			if t.Result == crload.NoResponse || t.Result == crload.NotRun {
-				AddReportEntry(t.ID, fmt.Sprintf("%s, status %d, at %s, took %s", t.Result, t.Status, t.Planned, t.Latency))
+		results := expectResultsMatchRuns(f, report)
+		AddReportEntry("results", results)
+		for _, sample := range report.Samples() {
+			if sample.Result == crload.NoResponse || sample.Result == crload.NotRun {
+				AddReportEntry(sample.ID, fmt.Sprintf("%s, status %d, at %s, took %s", sample.Result, sample.Status, sample.Planned, sample.Latency))
 			}
 		}
-		AddReportEntry("last new work after", last.Sub(asked).String())
-		Expect(last.Sub(asked)).To(BeNumerically("<", 2*time.Second))
-		// A refusal for the account's rate is unrelated to the leaving daemon and has the
-		// bound of the specs on rates.
-		rate := report.Lines()[0].Statuses[http.StatusTooManyRequests]
-		Expect(rate).To(BeNumerically("<=", len(report.Samples())/100))
-		Expect(told[crload.Answered]).To(Equal(len(report.Samples()) - rate))
+		AddReportEntry("last new work after", last.Sub(stopRequested).String())
+		Expect(last.Sub(stopRequested)).To(BeNumerically("<", 2*time.Second))
+		// A refusal by the account's rate limit is unrelated to the leaving daemon. The
+		// bound is that of the specs on rates.
+		refusedByRate := report.Lines()[0].Statuses[http.StatusTooManyRequests]
+		Expect(refusedByRate).To(BeNumerically("<=", len(report.Samples())/100))
+		Expect(results[crload.Answered]).To(Equal(len(report.Samples()) - refusedByRate))
 	})
 })
--- a/e2e/observe_test.go
+++ b/e2e/observe_test.go
@@ -14,10 +14,10 @@
 	"camphorroad/command/state"
 )
 
-var _ = Describe("What operators see", func() {
-	// An operator reads a daemon's metrics and state while it serves; both must
-	// reflect the latest requests.
-	It("counts requests and dumps the state by part", func() {
+var _ = Describe("The admin endpoints", func() {
+	// An operator reads a daemon's metrics and state dump while it serves requests; both
+	// must include the latest requests.
+	It("count requests and show the state by part", func() {
 		a := account("survey", 1000, 1000)
 		f := newFleet(3, time.Millisecond, a)
 		d := f.Daemon(0)
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -10,10 +10,10 @@
 )
 
 var _ = Describe("A hold that must run at most once", func() {
-	// Daemons die, freeze and lose one direction of their links while callers place
+	// Daemons are killed or suspended, or lose one direction of a link, while callers place
 	// holds. A caller that gets "not run" places the hold again; if the first one had
 	// run, the kit would be held and charged twice.
-	It("runs at most once, and never where its caller was told it did not", func() {
+	It("runs at most once, and never if its caller got the outcome notrun", func() {
 		a := account("survey", 2000, 2000)
 		f := newFleet(5, 5*time.Millisecond, a)
 		wait := timeline(
@@ -31,8 +31,8 @@
 			Accounts: []crload.Account{{Name: a.Name, Key: a.Key(), Rate: 200, Calls: holds}},
 		})
 		wait()
-		told := expectTruthful(f, report)
-		AddReportEntry("told", told)
-		Expect(told[crload.Answered]).To(BeNumerically(">", 600))
+		results := expectResultsMatchRuns(f, report)
+		AddReportEntry("results", results)
+		Expect(results[crload.Answered]).To(BeNumerically(">", 600))
 	})
 })
--- a/e2e/reload_test.go
+++ b/e2e/reload_test.go
@@ -9,11 +9,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// Expired certificates are replaced by files of the same names, and operators send
-// SIGHUP. A daemon that stopped on it, or loaded incomplete files, would cut its
-// callers.
+// Certificates that expire are replaced by files of the same names, and operators send
+// SIGHUP. A daemon that stopped on the signal, or loaded incomplete files, would cut its
+// callers' requests.
 var _ = Describe("certificates", func() {
-	It("are read again on SIGHUP, and stay as they were when the files are bad", func() {
+	It("are reloaded on SIGHUP, and stay in use when the new files are invalid", func() {
 		a := account("survey", 100, 100)
 		f := newFleet(3, time.Millisecond, a)
 		d := f.Daemon(0)
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -14,8 +14,8 @@
 	"camphorroad/lab/crsoak"
 )
 
-// soakLength is short to keep the check short; `camphorlab soak` runs longer ones
-// and new seeds.
+// soakLength is short so that CI stays short; `camphorlab soak` runs longer and with new
+// seeds.
 const soakLength = 8 * time.Second
 
 // soakNet is the second byte of the soak's loopback addresses.
@@ -24,7 +24,7 @@
 // soakSeed is a seed to run, and the reason for it.
 type soakSeed struct {
 	number uint64
-	why    string
+	reason string
 }
 
 // soakSeeds reads the seeds; lines that start with # are comments.
@@ -35,7 +35,7 @@
 	}
 	var out []soakSeed
 	for line := range strings.Lines(string(text)) {
-		number, why, ok := strings.Cut(strings.TrimSpace(line), " | ")
+		number, reason, ok := strings.Cut(strings.TrimSpace(line), " | ")
 		if !ok || strings.HasPrefix(line, "#") {
 			continue
 		}
@@ -43,17 +43,18 @@
 		if err != nil {
 			panic(fmt.Sprintf("testdata/soak.txt: invalid seed %q", number))
 		}
-		out = append(out, soakSeed{number: seed, why: why})
+		out = append(out, soakSeed{number: seed, reason: reason})
 	}
 	return out
 }
 
-// Faults come in series and overlap, while callers keep their connections open until
-// the other process has exited. Nothing runs twice, refusals are truthful, responses
-// match requests, rates hold, and a machine without a fault meets its time limits.
+// Faults follow one another and overlap, while callers keep their connections open until
+// the daemon has exited. No non-idempotent request runs twice, refused requests do not
+// run, responses match requests, rates hold, and a machine without a fault meets its
+// time limits.
 var _ = Describe("A fleet that joins through the store's records, under faults", Ordered, func() {
 	for _, seed := range soakSeeds() {
-		It(fmt.Sprintf("keeps its promises, seed %d: %s", seed.number, seed.why), func(ctx SpecContext) {
+		It(fmt.Sprintf("keeps its promises, seed %d: %s", seed.number, seed.reason), func(ctx SpecContext) {
 			binary, err := os.Executable()
 			Expect(err).NotTo(HaveOccurred())
 			report, err := crsoak.Run(ctx, crsoak.Options{
--- a/e2e/step_test.go
+++ b/e2e/step_test.go
@@ -18,20 +18,20 @@
 	"camphorroad/lab/crfleet"
 )
 
-// The step of a forward at which the fault is injected; it is the first part of
-// the request's name.
+// The steps of a forward at which a fault is injected. A step is the first part of a
+// request's ID.
 const (
-	stepLate     = "late"    // the exit has not received it
+	stepLate     = "late"    // not received by the exit yet
 	stepQueue    = "queue"   // queued at the exit for a slot
 	stepRun      = "run"     // running at the upstream
-	stepResponse = "answer"  // part of the response has been passed on
+	stepResponse = "answer"  // a part of the response has been forwarded
 	stepRequest  = "request" // the request's body is still being sent
 )
 
 const (
 	stepSlots   = 6
 	stepSettle  = 400 * time.Millisecond // time for every request to reach its step
-	stepTries   = 3                      // attempts to reach the steps
+	stepTries   = 3                      // attempts to have every request at its step
 	stepService = 20 * time.Millisecond
 	dripBytes   = 20_000
 )
@@ -83,12 +83,12 @@
 	return out
 }
 
-// stepCalls collects the replies to the callers of a spec.
+// stepCalls collects the responses that the callers of a spec get.
 type stepCalls struct {
-	entry *crfleet.Daemon
-	wg    sync.WaitGroup
-	mu    sync.Mutex
-	told  map[string]crfleet.Response
+	entry     *crfleet.Daemon
+	wg        sync.WaitGroup
+	mu        sync.Mutex
+	responses map[string]crfleet.Response // by request ID
 }
 
 func (c *stepCalls) send(requests []crfleet.Request) {
@@ -96,25 +96,25 @@
 	for _, r := range requests {
 		r.Client = client
 		c.wg.Go(func() {
-			reply := c.entry.Call(context.Background(), r)
+			response := c.entry.Call(context.Background(), r)
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.told[r.ID] = reply
+			c.responses[r.ID] = response
 		})
 	}
 }
 
 // stepFault is a fault of the table: its injection and its end.
 type stepFault struct {
-	inject   func(f *crfleet.Fleet, entry, exit *crfleet.Daemon) error
-	end      func(f *crfleet.Fleet, entry, exit *crfleet.Daemon) error
-	duration time.Duration
-	entry    bool // the entry dies: its callers get no response
+	inject     func(f *crfleet.Fleet, entry, exit *crfleet.Daemon) error
+	end        func(f *crfleet.Fleet, entry, exit *crfleet.Daemon) error
+	duration   time.Duration
+	killsEntry bool // callers may get no response
 }
 
 func noAction(*crfleet.Fleet, *crfleet.Daemon, *crfleet.Daemon) error { return nil }
 
-func freezeExit(_ *crfleet.Fleet, _, exit *crfleet.Daemon) error { return exit.Suspend() }
+func suspendExit(_ *crfleet.Fleet, _, exit *crfleet.Daemon) error { return exit.Suspend() }
 
 func resumeExit(_ *crfleet.Fleet, _, exit *crfleet.Daemon) error { return exit.Resume() }
 
@@ -141,23 +141,23 @@
 
 // stepFaults are the faults injected while holds are at every step.
 var stepFaults = map[string]stepFault{
-	"with no fault":                                       {inject: noAction, end: noAction},
-	"when the exit is killed":                             {inject: killExit, end: startExit, duration: 500 * time.Millisecond},
-	"when the exit is frozen within the deadline":         {inject: freezeExit, end: resumeExit, duration: 700 * time.Millisecond},
-	"when the exit is frozen past the deadline":           {inject: freezeExit, end: resumeExit, duration: 3 * time.Second},
-	"when the entry is killed":                            {inject: killEntry, end: noAction, entry: true},
-	"when the link to the exit is cut":                    {inject: cutForward, end: healAll, duration: 3 * time.Second},
-	"when the link back to the entry is cut":              {inject: cutReverse, end: healAll, duration: 3 * time.Second},
-	"when the link back to the entry is cut for a moment": {inject: cutReverse, end: healAll, duration: 700 * time.Millisecond},
+	"with no fault":                                    {inject: noAction, end: noAction},
+	"when the exit is killed":                          {inject: killExit, end: startExit, duration: 500 * time.Millisecond},
+	"when the exit is suspended within the deadline":   {inject: suspendExit, end: resumeExit, duration: 700 * time.Millisecond},
+	"when the exit is suspended past the deadline":     {inject: suspendExit, end: resumeExit, duration: 3 * time.Second},
+	"when the entry is killed":                         {inject: killEntry, end: noAction, killsEntry: true},
+	"when the link to the exit is cut":                 {inject: cutForward, end: healAll, duration: 3 * time.Second},
+	"when the link back to the entry is cut":           {inject: cutReverse, end: healAll, duration: 3 * time.Second},
+	"when the link back to the entry is cut for 0.7 s": {inject: cutReverse, end: healAll, duration: 700 * time.Millisecond},
 }
 
 // stepResult is the outcome of the holds under one fault.
 type stepResult struct {
-	err    error
-	before map[string]int // runs at the moment of the fault
-	after  map[string]int
-	told   map[string]crfleet.Response
-	logs   string
+	err       error
+	before    map[string]int // runs by request ID, at the moment of the fault
+	after     map[string]int // runs by request ID, at the end
+	responses map[string]crfleet.Response
+	logs      string
 }
 
 // injectAtSteps retries until all holds are at their steps when the fault is
@@ -174,7 +174,7 @@
 }
 
 // tryAtSteps brings holds to every step of their forwards to one exit, injects the
-// fault, and waits until nothing can run late any more.
+// fault, and waits until no hold can start any more.
 func tryAtSteps(fault stepFault) (r stepResult) {
 	a := account("survey", 5000, 5000)
 	f, err := crfleet.New(context.Background(),
@@ -186,9 +186,9 @@
 		return stepResult{err: err}
 	}
 	defer f.Close()
-	time.Sleep(time.Second) // a new fleet has few tokens
+	time.Sleep(time.Second) // a new fleet's buckets start empty and refill at the rate
 	exit, entry := f.Daemon(0), f.Daemon(1)
-	calls := &stepCalls{entry: entry, told: make(map[string]crfleet.Response)}
+	calls := &stepCalls{entry: entry, responses: make(map[string]crfleet.Response)}
 	calls.send(stepRequests(a, stepRun, 2))
 	calls.send(stepRequests(a, stepResponse, 2))
 	calls.send(stepRequests(a, stepRequest, 2))
@@ -199,22 +199,22 @@
 		return r
 	}
 	r.err = fault.inject(f, entry, exit)
-	if !fault.entry {
+	if !fault.killsEntry {
 		calls.send(stepRequests(a, stepLate, 4))
 	}
 	time.Sleep(fault.duration)
 	r.err = errors.Join(r.err, fault.end(f, entry, exit))
 	calls.wg.Wait()
-	// Wait for late starts at the exit before the count.
+	// A hold may start late at the exit, so wait before counting the runs.
 	time.Sleep(2 * time.Second)
-	r.after, r.told = f.Runs(), calls.told
+	r.after, r.responses = f.Runs(), calls.responses
 	for _, d := range f.Daemons() {
 		r.logs += d.Log()
 	}
 	return r
 }
 
-// A fault occurs with holds at every step of a forward to one exit. A caller that gets
+// A fault occurs while holds are at every step of a forward to one exit. A caller that gets
 // "not run" places the hold again; if it had run, the kit would be held and the deposit
 // charged twice. A caller that gets part of a response must see that it was cut.
 var _ = Describe("A hold at every step of its forward", Ordered, ContinueOnFailure, func() {
@@ -239,11 +239,11 @@
 	})
 
 	for _, name := range slices.Sorted(maps.Keys(stepFaults)) {
-		It("gets a truthful result "+name, func() {
+		It("gets a result that matches its runs "+name, func() {
 			r := results[name]
 			must(r.err)
 			Expect(misplaced(r.before)).To(BeEmpty())
-			expectTruthfulReplies(r.after, r.told, stepFaults[name].entry)
+			expectResponsesMatchRuns(r.after, r.responses, stepFaults[name].killsEntry)
 			Expect(r.logs).NotTo(Or(ContainSubstring("DATA RACE"), ContainSubstring("panic:")))
 		})
 	}
@@ -265,36 +265,38 @@
 	return names
 }
 
-func expectTruthfulReplies(runs map[string]int, told map[string]crfleet.Response, entryDies bool) {
+// expectResponsesMatchRuns compares the response that every caller got with the runs at the
+// upstreams. Callers may get no response only if the entry was killed.
+func expectResponsesMatchRuns(runs map[string]int, responses map[string]crfleet.Response, entryKilled bool) {
 	GinkgoHelper()
 	count := make(map[string]int)
-	for id, reply := range told {
+	for id, response := range responses {
 		step, _, _ := strings.Cut(id, "-")
-		outcome := reply.Outcome
+		outcome := response.Outcome
 		switch {
-		case reply.Err != nil && reply.Outcome == "":
+		case response.Err != nil && response.Outcome == "":
 			outcome = "noword"
-		case reply.Err != nil:
+		case response.Err != nil:
 			outcome = "cut"
 		}
 		count[step+" "+outcome]++
-		Expect(runs[id]).To(BeNumerically("<=", 1), "%s ran more than once, its caller got %s", id, outcome)
+		Expect(runs[id]).To(BeNumerically("<=", 1), "%s ran more than once, and its caller got %s", id, outcome)
 		switch outcome {
 		case "answered":
-			Expect(reply.Status).To(Equal(http.StatusOK), id)
-			Expect(runs[id]).To(Equal(1), "%s got a response and did not run", id)
-			Expect(string(reply.Body)).To(ContainSubstring(fmt.Sprintf("%q", id)))
-			Expect(step != stepResponse || len(reply.Body) > dripBytes).To(BeTrue(), "%s: a truncated response looks complete", id)
+			Expect(response.Status).To(Equal(http.StatusOK), id)
+			Expect(runs[id]).To(Equal(1), "%s got a response but did not run", id)
+			Expect(string(response.Body)).To(ContainSubstring(fmt.Sprintf("%q", id)))
+			Expect(step != stepResponse || len(response.Body) > dripBytes).To(BeTrue(), "%s: a truncated response looks complete", id)
 		case "notrun":
-			Expect(runs[id]).To(BeZero(), "%s ran, but its caller got a result of not run", id)
-			Expect(reply.Header.Get("Retry-After")).NotTo(BeEmpty(), id)
+			Expect(runs[id]).To(BeZero(), "%s ran, but its caller got \"not run\"", id)
+			Expect(response.Header.Get("Retry-After")).NotTo(BeEmpty(), id)
 		case "unknown", "cut":
 		case "noword":
-			Expect(entryDies).To(BeTrue(), "%s got no response: %v", id, reply.Err)
+			Expect(entryKilled).To(BeTrue(), "%s got no response: %v", id, response.Err)
 		default:
 			Fail(fmt.Sprintf("%s got the unexpected outcome %q", id, outcome))
 		}
 	}
-	AddReportEntry("told", count)
+	AddReportEntry("outcomes", count)
 	Expect(count).NotTo(BeEmpty())
 }
--- a/e2e/trace_test.go
+++ b/e2e/trace_test.go
@@ -22,8 +22,8 @@
 	"camphorroad/lab/crupstream"
 )
 
-// tracesEnv names a directory in which to keep the traces, to renew those that
-// io/crtrace replays.
+// tracesEnv is the environment variable with a directory to copy the traces to, which
+// updates those that io/crtrace replays.
 const tracesEnv = "CAMPHORROAD_TRACES"
 
 var _ = Describe("A recorded trace", func() {
@@ -56,7 +56,7 @@
 		}
 	}
 
-	// replay stops the daemon and replays what it recorded.
+	// replay stops the daemon and replays the trace that it recorded.
 	replay := func(d *crfleet.Daemon, name string) crtrace.Report {
 		must(d.Stop())
 		must(d.Wait(withTimeout(10 * time.Second)))
@@ -75,7 +75,7 @@
 		return report
 	}
 
-	It("replays exactly when nothing goes wrong", func() {
+	It("replays exactly without faults", func() {
 		f := start()
 		for range 5 {
 			f.Daemon(0).Get(a, "/kits/1")
@@ -85,9 +85,9 @@
 		Expect(report.LogEvents).NotTo(HaveKey(crmember.EventLeaseLost))
 	})
 
-	// A frozen process resumes with stale state and finds requests that its peers sent
-	// meanwhile. It must not grant a token on that state.
-	It("replays exactly when the daemon was frozen", func() {
+	// A suspended process resumes with stale state and receives requests that its peers
+	// sent meanwhile. It must not grant tokens by that state.
+	It("replays exactly when the daemon was suspended", func() {
 		f := start()
 		d := f.Daemon(0)
 		stop := call(a, f.Daemon(1), f.Daemon(2))
@@ -139,8 +139,8 @@
 		f := start()
 		stop := call(a, f.Daemons()...)
 		defer stop()
-		for _, sick := range f.Targets()[1:] {
-			sick.SetFault(crupstream.Fault{Kind: crupstream.FaultWrong})
+		for _, target := range f.Targets()[1:] {
+			target.SetFault(crupstream.Fault{Kind: crupstream.FaultWrong})
 			time.Sleep(4 * time.Second)
 		}
 		log := func() string {
--- a/e2e/withdraw_test.go
+++ b/e2e/withdraw_test.go
@@ -18,8 +18,8 @@
 	labplatform "camphorroad/lab/crplatform"
 )
 
-// withdraws is the number of accounts that the specs below withdraw, one each.
-const withdraws = 5
+// withdrawals is the number of accounts that the specs below withdraw, one each.
+const withdrawals = 5
 
 func withdrawn(i int) crfleet.Account { return account(fmt.Sprintf("gone-%d", i), 1000, 1000) }
 
@@ -30,7 +30,7 @@
 	for _, d := range daemons {
 		Eventually(func() int { return d.Get(a, "/kits/1").Status }, configDeadline, "50ms").Should(Equal(http.StatusUnauthorized), d.Name())
 	}
-	AddReportEntry("everywhere after", time.Since(start).Round(time.Millisecond).String())
+	AddReportEntry("refused by all daemons after", time.Since(start).Round(time.Millisecond).String())
 }
 
 // countServed sends requests for the account to every daemon until the returned
@@ -84,7 +84,7 @@
 	withdraw := func(i int) {
 		GinkgoHelper()
 		accounts := []crfleet.Account{kept}
-		for j := i + 1; j < withdraws; j++ {
+		for j := i + 1; j < withdrawals; j++ {
 			accounts = append(accounts, withdrawn(j))
 		}
 		_, err := f.SetAccounts(accounts...)
@@ -93,7 +93,7 @@
 
 	BeforeAll(func() {
 		accounts := []crfleet.Account{kept}
-		for i := range withdraws {
+		for i := range withdrawals {
 			accounts = append(accounts, withdrawn(i))
 		}
 		f = newFleet(5, time.Millisecond, accounts...)
@@ -107,8 +107,8 @@
 	})
 
 	// A thief of a key keeps a connection open. If keys were checked only when a
-	// connection begins, the key would work for as long as the connection.
-	It("stops on connections that are open already", func() {
+	// connection is accepted, the key would work for as long as the connection is open.
+	It("is refused also on open connections", func() {
 		gone := withdrawn(0)
 		clients := make(map[*crfleet.Daemon][]*persistentClient)
 		for _, d := range f.Daemons() {
@@ -127,9 +127,9 @@
 	})
 
 	// The daemon that polls the platform for its domain loses both directions to all
-	// others at the moment of the withdrawal. The others learn of it only when one of
-	// them takes over the polling.
-	It("stops everywhere also when a reader is isolated", func() {
+	// others at the moment of the withdrawal. The others get it only when one of them
+	// takes over the polling.
+	It("is refused everywhere also when a reader is isolated", func() {
 		var reader *crfleet.Daemon
 		for _, d := range f.Daemons() {
 			state, err := d.State(withTimeout(5 * time.Second))
@@ -155,18 +155,18 @@
 		expectRefusedEverywhere(f.Daemons(), withdrawn(1))
 	})
 
-	// A bundle that does not validate is published past the check. If it were
-	// applied, or the former one dropped for it, every caller would be refused.
-	It("stops with the next good bundle after a bad one, which changes nothing", func() {
-		bad, err := crpolicyfile.Pack(crpolicyfile.Policy{Accounts: []crpolicy.Account{{Name: "bad", Rate: -1, Burst: -1}}})
+	// An invalid bundle is published without the operators' check. If daemons applied it,
+	// or dropped the previous one because of it, every caller would be refused.
+	It("is refused after the next valid bundle, and an invalid one before it changes nothing", func() {
+		invalid, err := crpolicyfile.Pack(crpolicyfile.Policy{Accounts: []crpolicy.Account{{Name: "bad", Rate: -1, Burst: -1}}})
 		must(err)
 		var values [][]byte
-		for _, v := range bad.Values() {
+		for _, v := range invalid.Values() {
 			values = append(values, v.Data)
 		}
-		rev, err := f.Platform().Publish(bad.Manifest(), values)
+		rev, err := f.Platform().Publish(invalid.Manifest(), values)
 		must(err)
-		refused := func(d *crfleet.Daemon) func() []string {
+		rejected := func(d *crfleet.Daemon) func() []string {
 			return func() []string {
 				state, err := d.State(withTimeout(5 * time.Second))
 				must(err)
@@ -174,7 +174,7 @@
 			}
 		}
 		for _, d := range f.Daemons() {
-			Eventually(refused(d), configDeadline, "50ms").Should(ContainElement(fmt.Sprint(rev)), d.Name())
+			Eventually(rejected(d), configDeadline, "50ms").Should(ContainElement(fmt.Sprint(rev)), d.Name())
 			Expect(d.Get(kept, "/kits/1").Status).To(Equal(http.StatusOK), d.Name())
 			Expect(d.Get(withdrawn(2), "/kits/1").Status).To(Equal(http.StatusOK), d.Name())
 		}
@@ -184,7 +184,7 @@
 
 	// The platform's replicas disagree, and it alternates between the states before
 	// and after the withdrawal. A daemon without state is started meanwhile.
-	It("stays withdrawn while the platform flaps between revisions", func() {
+	It("stays withdrawn while the platform alternates between revisions", func() {
 		withdraw(3)
 		expectRefusedEverywhere(f.Daemons(), withdrawn(3))
 		f.Platform().SetFault(labplatform.Fault{Mode: labplatform.ModeFlap, Delay: 300 * time.Millisecond, Back: 1})
@@ -198,17 +198,16 @@
 	})
 
 	// A daemon's machine is suspended while a key is withdrawn, and callers with that
-	// key wait. On resume the daemon finds their requests before it learns of the
-	// withdrawal.
+	// key wait. On resume the daemon receives their requests before the withdrawal.
 	It("is not served by a daemon that was suspended during the withdrawal", func() {
-		asleep := f.Daemon(4)
-		must(asleep.Suspend())
+		suspended := f.Daemon(4)
+		must(suspended.Suspend())
 		withdraw(4)
 		expectRefusedEverywhere(f.Daemons()[:4], withdrawn(4))
 		time.Sleep(2500 * time.Millisecond)
 		var served func() int64
 		for range 4 { // several callers wait at the moment of resuming
-			before, more := served, countServed([]*crfleet.Daemon{asleep}, withdrawn(4))
+			before, more := served, countServed([]*crfleet.Daemon{suspended}, withdrawn(4))
 			served = func() int64 {
 				n := more()
 				if before != nil {
@@ -218,7 +217,7 @@
 			}
 		}
 		time.Sleep(300 * time.Millisecond)
-		must(asleep.Resume())
+		must(suspended.Resume())
 		time.Sleep(2 * time.Second)
 		Expect(served()).To(BeZero())
 		expectRefusedEverywhere(f.Daemons(), withdrawn(4))
@@ -235,11 +234,11 @@
 		start := f.Counts()
 		AddReportEntry("calls from start to ready", fmt.Sprintf("%+v, %.1f a daemon", start, float64(start.Total())/daemons))
 		time.Sleep(4 * time.Second)
-		rest := f.Counts().Total() - start.Total()
-		AddReportEntry("calls in 4 s of rest", rest)
-		// A daemon that reads for itself needs the head, the list, the manifest
-		// and two values; twice that is room for a retry of each.
+		idle := f.Counts().Total() - start.Total()
+		AddReportEntry("calls in 4 s idle", idle)
+		// A daemon that reads from the platform itself needs the head, the list, the
+		// manifest and two values; twice that leaves room for a retry of each.
 		Expect(start.Total()).To(BeNumerically("<=", 10*daemons))
-		Expect(rest).To(BeNumerically("<=", 2*daemons))
+		Expect(idle).To(BeNumerically("<=", 2*daemons))
 	})
 })
