--- a/lab/crfleet/crfleet.go
+++ b/lab/crfleet/crfleet.go
@@ -73,7 +73,7 @@
 	Burst float64
 }
 
-// Key is the account's only key.
+// Key returns the account's only key.
 func (a Account) Key() string { return "crk_test-" + a.Name }
 
 // Fleet is a running fleet. Its methods are safe for concurrent use, except that only
--- a/lab/crfleet/daemon.go
+++ b/lab/crfleet/daemon.go
@@ -122,22 +122,22 @@
 	return nil
 }
 
-// Name is the daemon's name.
+// Name returns the daemon's name.
 func (d *Daemon) Name() string { return d.name }
 
-// Domain is its failure domain.
+// Domain returns the daemon's failure domain.
 func (d *Daemon) Domain() string { return d.domain }
 
-// URL is the base URL for callers.
+// URL returns the base URL for callers.
 func (d *Daemon) URL() string { return "http://" + d.httpAddr }
 
-// AdminURL is the base URL for operators.
+// AdminURL returns the base URL of the admin listener.
 func (d *Daemon) AdminURL() string { return "http://" + d.adminAddr }
 
 // Targets returns the upstreams next to the daemon.
 func (d *Daemon) Targets() []*Target { return append([]*Target(nil), d.targets...) }
 
-// Log returns the standard error output of all its processes.
+// Log returns the standard error output of all processes of the daemon.
 func (d *Daemon) Log() string { return d.log.String() }
 
 // Start starts a process of the daemon. The previous one must have exited.
@@ -184,13 +184,13 @@
 // Resume continues a suspended process.
 func (d *Daemon) Resume() error { return d.signal(syscall.SIGCONT) }
 
-// PID is the process ID.
+// PID returns the ID of the process started last.
 func (d *Daemon) PID() int { return d.cmd.Process.Pid }
 
 // Reload sends SIGHUP, on which the daemon reloads its certificates.
 func (d *Daemon) Reload() error { return d.signal(syscall.SIGHUP) }
 
-// CertFile is the path of the daemon's peer certificate.
+// CertFile returns the path of the daemon's peer certificate.
 func (d *Daemon) CertFile() string { return filepath.Join(d.fleet.dir, d.name+".pem") }
 
 // Wait waits for the exit of the process. It returns nil for exit code 0.
--- a/lab/crfleet/target.go
+++ b/lab/crfleet/target.go
@@ -21,16 +21,16 @@
 	return &Target{Upstream: up, name: name, service: s.Name, daemon: daemon, server: httptest.NewServer(up)}
 }
 
-// Name is the target's name.
+// Name returns the target's name.
 func (t *Target) Name() string { return t.name }
 
-// Service is the name of the target's service.
+// Service returns the name of the target's service.
 func (t *Target) Service() string { return t.service }
 
-// Daemon is the name of the daemon next to the target.
+// Daemon returns the name of the daemon next to the target.
 func (t *Target) Daemon() string { return t.daemon }
 
-// URL is the base URL of the upstream itself, for requests that bypass the daemons.
+// URL returns the base URL of the upstream itself, for requests that bypass the daemons.
 func (t *Target) URL() string { return t.server.URL }
 
 func (t *Target) addr() string { return strings.TrimPrefix(t.server.URL, "http://") }
