--- a/lab/crsoak/fleet.go
+++ b/lab/crsoak/fleet.go
@@ -81,7 +81,7 @@
 	mu              sync.Mutex
 	pastRuns        []crtarget.Run // of closed targets
 	closed          map[*crtarget.Target]bool
-	unexpectedExits []string // exits of processes that were not requested
+	unexpectedExits []string // processes that exited without being stopped
 }
 
 func newFleet(ctx context.Context, opts Options) (*fleet, error) {
