--- a/lab/crmemory/crmemory.go
+++ b/lab/crmemory/crmemory.go
@@ -65,12 +65,12 @@
 
 // run is the state of a measurement.
 type run struct {
-	opts        Options
-	fleet       *crfleet.Fleet
-	daemon      *crfleet.Daemon
-	policy      crpolicyfile.Policy
-	nextAccount int // index of the account changed last
-	rows        []Row
+	opts           Options
+	fleet          *crfleet.Fleet
+	daemon         *crfleet.Daemon
+	policy         crpolicyfile.Policy
+	changedAccount int // index of the account changed last
+	rows           []Row
 }
 
 // Measure starts a daemon with a configuration, changes the configuration and
@@ -161,8 +161,8 @@
 
 func (r *run) change(ctx context.Context) error {
 	const stride = 7919 // a prime, so that changes are spread over the values
-	r.nextAccount = (r.nextAccount + stride) % len(r.policy.Accounts)
-	r.policy.Accounts[r.nextAccount].Rate++
+	r.changedAccount = (r.changedAccount + stride) % len(r.policy.Accounts)
+	r.policy.Accounts[r.changedAccount].Rate++
 	rev, err := r.publish()
 	if err != nil {
 		return err
