--- a/lab/crupstream/crupstream.go
+++ b/lab/crupstream/crupstream.go
@@ -77,7 +77,7 @@
 	Slots       int
 	Queue       int // maximum number of waiting requests; more are shed
 	ServiceTime time.Duration
-	Warmup      time.Duration // time after start in which the service time falls from four times its value to one
+	Warmup      time.Duration // time after the start in which the service time falls from four times ServiceTime to ServiceTime
 }
 
 // Upstream is the fake upstream, an http.Handler. It is safe for concurrent use.
