--- a/lab/crload/plan.go
+++ b/lab/crload/plan.go
@@ -1,6 +1,6 @@
 // Package crload is an open-loop load generator for running daemons: requests are sent at
 // their planned times, independent of the responses, and latency counts from the planned
-// time. A stalled fleet therefore does not reduce the load, and its latency is measured in
+// time. A stalled fleet therefore does not reduce the load, and its latency counts in
 // full. Every response is checked to be complete and to belong to its request. The command
 // `camphorlab load`, other lab packages and the end-to-end tests use it; package
 // crexperiment simulates daemons instead.
