--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -103,8 +103,9 @@
 	return last
 }
 
-// newWorkTimeout is the time after which a leaving upstream gets no new work.
-const newWorkTimeout = 3 * time.Second
+// newWorkBound is the time after the start of a drain from which an upstream must get no
+// new work.
+const newWorkBound = 3 * time.Second
 
 var _ = Describe("A leaving upstream", func() {
 	// The platform lists an instance as leaving. Requests sent to it after that may be
@@ -121,7 +122,7 @@
 		results := expectResultsMatchRuns(f, report)
 		AddReportEntry("results", results)
 		AddReportEntry("last new work after", lastNewWork(f.Target(2)).Sub(listed).String())
-		Expect(lastNewWork(f.Target(2)).Sub(listed)).To(BeNumerically("<", newWorkTimeout))
+		Expect(lastNewWork(f.Target(2)).Sub(listed)).To(BeNumerically("<", newWorkBound))
 		Expect(results[crload.Answered]).To(Equal(len(report.Samples())))
 	})
 
@@ -135,7 +136,7 @@
 		wait := timeline(at, f.Target(2).Drain)
 		report := run(leavePlan(a, 7, f.URLs()))
 		wait()
-		late := slices.DeleteFunc(report.Samples(), func(s crload.Sample) bool { return s.Planned <= at+newWorkTimeout })
+		late := slices.DeleteFunc(report.Samples(), func(s crload.Sample) bool { return s.Planned <= at+newWorkBound })
 		shed := 0
 		for _, sample := range late {
 			if sample.Status == http.StatusServiceUnavailable {
