--- a/io/crwatch/compress.go
+++ b/io/crwatch/compress.go
@@ -12,9 +12,9 @@
 
 const (
 	// minCompressBytes is the size from which a value is compressed for transfer
-	// between daemons. A configuration of 1,400 routes is half a megabyte, of which a
-	// link of 10 Mbit/s carries two a second, and a reader serves a dozen daemons.
-	// Compressed it is a tenth of that. Records are far smaller.
+	// between daemons. A configuration of 1,400 routes takes half a megabyte. A link of
+	// 10 Mbit/s transfers two of them per second, and a reader serves a dozen daemons.
+	// Compressed, it takes a tenth of that. Records are far smaller.
 	minCompressBytes = 4 << 10
 	// maxDecompressedBytes bounds the size of a decompressed value.
 	maxDecompressedBytes = 16 << 20
@@ -64,7 +64,7 @@
 			err = errDecompressedSize
 		}
 		if err != nil {
-			return nil, fmt.Errorf("unpack %s: %w", i.Key, err)
+			return nil, fmt.Errorf("decompress %s: %w", i.Key, err)
 		}
 		items[n].Value, items[n].Compressed = value, false
 	}
--- a/io/crwatch/crwatch.go
+++ b/io/crwatch/crwatch.go
@@ -64,7 +64,7 @@
 }
 
 // ErrCompacted means that the store has discarded the requested history.
-var ErrCompacted = errors.New("the store has lost this history")
+var ErrCompacted = errors.New("the store has compacted the requested history")
 
 // Store is a store that can be listed and watched.
 type Store interface {
@@ -84,17 +84,18 @@
 
 const (
 	// fleetWatchInterval is the mean time between the starts of two watches of a
-	// scope, over all daemons that read the store. The store may not deliver some
-	// changes to pending watches; a new watch then fails as compacted, and peers learn
-	// of the change from heartbeats. Each call is billed, so the readers take turns.
+	// scope, over all daemons that read the store. The store may fail to deliver some
+	// changes to pending watches. A new watch then fails with ErrCompacted, and peers
+	// detect the change from the revisions in heartbeats. Each call is billed, so the
+	// readers take turns.
 	fleetWatchInterval = 500 * time.Millisecond
 	// minWait and maxWait bound the wait of a watch. The store allows no wait above
 	// maxWait.
 	minWait = 200 * time.Millisecond
 	maxWait = 30 * time.Second
-	// minBackoff and maxBackoff bound the backoff after a failed call. Daemons count as
-	// in contact within three seconds of the store's recovery, so the store has to be
-	// reached again well within that time.
+	// minBackoff and maxBackoff bound the backoff after a failed call. A daemon has to
+	// be in contact again within three seconds of the store's recovery, so the store has
+	// to be reached well within that time.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 800 * time.Millisecond
 	// outageThreshold is the time of continuous failures after which the store counts
@@ -119,13 +120,13 @@
 	values      map[Scope]map[string]Item
 	revisions   map[Scope]crid.Revision
 	failures    atomic.Int64
-	lastRead    map[Scope]crid.Instant            // the last answer, or the start of the scope
+	lastRead    map[Scope]crid.Instant            // of the last answer, or of the start of Run
 	compactions int                               // times that the store reported compacted history
 	cancels     map[Scope]context.CancelCauseFunc // of the scopes' long watches
 
 	history     history                    // of the records
 	compressed  map[string]compressedValue // by key
-	unavailable map[Scope]bool             // cannot be read at present, or was not read yet
+	unavailable map[Scope]bool             // the scope cannot be read at present, or was not read yet
 	changed     chan struct{}              // closed at the next change
 }
 
@@ -160,7 +161,7 @@
 var errRestarted = errors.New("the watch is sent again")
 
 // RestartWatches cancels the pending watches and sends them again. A daemon whose
-// watch was lost would otherwise learn of no change until the wait of that watch is
+// watch was lost would otherwise receive no change until the wait of that watch is
 // over.
 func (f *Follower) RestartWatches() {
 	f.mu.Lock()
@@ -187,8 +188,8 @@
 	return f.opts.Clock().Sub(f.lastRead[scope])
 }
 
-// storeItems keeps the items as they were read. With complete, they replace all items
-// of the scope. The caller holds the lock.
+// storeItems stores the items as they were read. If complete is set, they replace all
+// items of the scope. The caller holds the lock.
 func (f *Follower) storeItems(scope Scope, items []Item, revision crid.Revision, complete bool) {
 	if complete {
 		f.values[scope] = make(map[string]Item, len(items))
--- a/io/crwatch/history.go
+++ b/io/crwatch/history.go
@@ -15,31 +15,32 @@
 const firstRevision crid.Revision = 1
 
 // maxHistory bounds the number of changes kept for peers that read through this
-// daemon. A peer sends its next request within milliseconds; one that missed more lists again.
+// daemon. A peer sends its next request within milliseconds; one that has missed more
+// changes lists the records again.
 const maxHistory = 2000
 
-// history is the latest changes of the records, in the order in which they came.
+// history contains the latest changes of the records, in the order of their arrival.
 type history struct {
-	items  []Item
-	oldest crid.Revision // changes after this and later revisions are complete
+	items         []Item
+	completeAfter crid.Revision // all changes after this revision are kept
 }
 
 // add appends changes and drops the oldest ones beyond maxHistory.
 func (h *history) add(items []Item) {
 	h.items = append(h.items, items...)
 	if drop := len(h.items) - maxHistory; drop > 0 {
-		h.oldest = h.items[drop-1].Revision
+		h.completeAfter = h.items[drop-1].Revision
 		h.items = append([]Item(nil), h.items[drop:]...)
 	}
 }
 
-// reset drops all changes. A complete list does not tell what was removed before its
+// reset drops all changes. A complete list does not show what was removed before its
 // revision.
-func (h *history) reset(revision crid.Revision) { h.items, h.oldest = nil, revision }
+func (h *history) reset(revision crid.Revision) { h.items, h.completeAfter = nil, revision }
 
 // after returns the changes after a revision, or [ErrCompacted] if some were dropped.
 func (h *history) after(r crid.Revision) ([]Item, error) {
-	if r < h.oldest {
+	if r < h.completeAfter {
 		return nil, ErrCompacted
 	}
 	var out []Item
@@ -69,7 +70,7 @@
 // ChangesAfter returns the changes of a scope after a revision, compressed, as soon as
 // there are any, or none when the wait is over. It returns [ErrUnavailable] at once
 // when the store becomes unavailable: records that expire during an outage do not
-// mean that their targets leave, and a peer has to know of the outage.
+// mean that their targets leave, so the peer has to be notified of the outage.
 func (f *Follower) ChangesAfter(ctx context.Context, scope Scope, after crid.Revision, wait time.Duration) ([]Item, crid.Revision, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -99,8 +100,8 @@
 	items = f.configurationAfter(after)
 	switch {
 	case scope == Configuration && len(items) > 0:
-		// A newer configuration is served even while the store is unavailable;
-		// it then usually comes from a peer.
+		// A newer configuration is served even while the store is unavailable. It
+		// then usually comes from a peer.
 	case f.unavailable[scope]:
 		return nil, 0, nil, ErrUnavailable
 	case scope == Records:
@@ -120,8 +121,8 @@
 	return out
 }
 
-// setUnavailable records whether a scope can be read, and notifies the waiters of a
-// change.
+// setUnavailable records whether a scope is unavailable, and notifies the waiters if
+// this has changed.
 func (f *Follower) setUnavailable(scope Scope, unavailable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/io/crwatch/history_test.go
+++ b/io/crwatch/history_test.go
@@ -50,19 +50,19 @@
 	}
 }
 
-type decoder struct{}
+type fakeDecoder struct{}
 
-func (decoder) Record(i crwatch.Item) (crregistry.Record, error) {
+func (fakeDecoder) Record(i crwatch.Item) (crregistry.Record, error) {
 	return crregistry.Record{Target: crid.Target(i.Key)}, nil
 }
 
-func (decoder) Plan([]byte) (*crplan.Plan, error) { return nil, errors.New("no plan") }
+func (fakeDecoder) Plan([]byte) (*crplan.Plan, error) { return nil, errors.New("no plan") }
 
 func follow(t *testing.T, s crwatch.Store) *crwatch.Follower {
 	t.Helper()
 	q := crlog.NewQueue()
 	f := crwatch.New(crwatch.Options{
-		Store: s, Decoder: decoder{}, Clock: crclock.Now, Emit: func(crevent.Event) {}, ReaderCount: func() int { return 6 },
+		Store: s, Decoder: fakeDecoder{}, Clock: crclock.Now, Emit: func(crevent.Event) {}, ReaderCount: func() int { return 6 },
 		Log: crlog.New(q, "info", "test"),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -103,7 +103,7 @@
 }
 
 // A list does not contain what was removed before it. A peer that continued from an
-// earlier revision would keep the removed items for ever.
+// earlier revision would keep the removed items forever.
 func TestChangesBeforeAListAreCompacted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := &fakeStore{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5, watch: make(chan answer)}
@@ -114,8 +114,8 @@
 	}).Should(gomega.MatchError(crwatch.ErrCompacted))
 }
 
-// The store fails while a peer waits for changes through this daemon. The peer must
-// learn of the outage before records expire, or it takes their targets for leaving.
+// The store fails while a peer waits for changes through this daemon. The peer must be notified
+// before records expire, or it would treat their targets as leaving.
 func TestChangesAfterEndsWhenTheStoreBecomesUnavailable(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := &fakeStore{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5, watch: make(chan answer)}
@@ -136,7 +136,7 @@
 	g.Eventually(result, 3*time.Second).Should(gomega.Receive(gomega.MatchError(crwatch.ErrUnavailable)))
 }
 
-// The empty state of a reader before its first list must not look like a store
+// The empty state of a reader before its first list must not be served as a store
 // without targets.
 func TestSnapshotIsUnavailableBeforeTheFirstList(t *testing.T) {
 	g := gomega.NewWithT(t)
@@ -147,7 +147,7 @@
 
 // Many daemons lack a change at the same time. Complete lists for all of them would
 // saturate the link of the daemon that they query.
-func TestAnUpdateHoldsOnlyWhatThePeerLacks(t *testing.T) {
+func TestAnUpdateContainsOnlyWhatThePeerLacks(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := &fakeStore{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5, watch: make(chan answer)}
 	f := follow(t, s)
@@ -160,8 +160,8 @@
 	g.Expect(u.RecordsRevision).To(gomega.BeZero())
 }
 
-// A configuration of half a megabyte goes from a reader to a dozen daemons over a
-// link of 10 Mbit/s. Uncompressed, the last of them gets it five seconds later.
+// A reader sends a configuration of half a megabyte to a dozen daemons over a link of
+// 10 Mbit/s. Uncompressed, the last of them would receive it after five seconds.
 func TestLargeValuesAreSentCompressed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	large := []byte(strings.Repeat(`{"name":"route","path-prefix":"/abc/"},`, 10000))
@@ -184,10 +184,10 @@
 	}
 }
 
-// A corrupt value must not be taken for a configuration.
+// A corrupt value must not be used as a configuration.
 func TestDecompressRejectsACorruptValue(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, err := crwatch.Decompress([]crwatch.Item{{Key: "op", Value: []byte("no such form"), Compressed: true}})
+	_, err := crwatch.Decompress([]crwatch.Item{{Key: "op", Value: []byte("not compressed"), Compressed: true}})
 	g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring("op")))
 }
 
@@ -205,9 +205,8 @@
 	return nil, 0, errors.New("no answer")
 }
 
-// A watch that is sent while the store does not answer is never answered. With waits of
-// three seconds, a daemon would refuse callers by an old configuration long after the
-// store has recovered.
+// A watch that is sent during an outage is never answered. With a wait of three seconds, a daemon would apply
+// an old configuration to callers long after the store has recovered.
 func TestWatchesAreShortWhileTheStoreDoesNotAnswer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := &watchRecorder{fakeStore: fakeStore{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5}, waits: make(chan time.Duration)}
@@ -234,9 +233,8 @@
 	return s.fakeStore.List(ctx, scope)
 }
 
-// A reader starts during an outage, and peers query it all the time. If it served its
-// empty list between the store's first answer and the application of that answer, the
-// peers would have no targets and refuse all callers.
+// A reader starts during an outage and is queried all the time. If it served its empty list between the store's
+// first answer and the application of that answer, its peers would have no targets and refuse all callers.
 func TestAListIsServedOnlyAfterItIsApplied(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := &recoveringStore{fakeStore: fakeStore{list: []crwatch.Item{{Key: "a", Revision: 4}}, at: 5, watch: make(chan answer)}}
@@ -244,7 +242,7 @@
 	var f *crwatch.Follower
 	served := make(chan int, 1)
 	f = crwatch.New(crwatch.Options{
-		Store: s, Decoder: decoder{}, Clock: crclock.Now, ReaderCount: func() int { return 1 }, Log: crlog.New(q, "info", "test"),
+		Store: s, Decoder: fakeDecoder{}, Clock: crclock.Now, ReaderCount: func() int { return 1 }, Log: crlog.New(q, "info", "test"),
 		Emit: func(ev crevent.Event) {
 			if _, ok := ev.(crmesh.StoreAvailable); !ok {
 				return
--- a/io/crwatch/scope.go
+++ b/io/crwatch/scope.go
@@ -15,16 +15,16 @@
 // scopeFollower follows one scope.
 type scopeFollower struct {
 	*Follower
-	scope        Scope
-	listed       bool
-	listedAt     int // Follower.compactions when the scope was listed
-	after        crid.Revision
-	aligned      bool         // the last watch ended together with those of the other daemons
-	restarted    bool         // the last watch was canceled to be sent again
-	failingSince crid.Instant // zero: calls do not fail
-	lossReported bool         // the store was reported as unavailable
-	ownLoss      bool         // reported because of this daemon's own calls
-	backoff      time.Duration
+	scope            Scope
+	listed           bool
+	listedAt         int // Follower.compactions when the scope was listed
+	after            crid.Revision
+	aligned          bool         // the last watch ended together with those of the other daemons
+	restarted        bool         // the last watch was canceled to be sent again
+	failingSince     crid.Instant // zero: calls do not fail
+	outageReported   bool         // the store was reported as unavailable
+	detectedDirectly bool         // the reason was a failed call of this daemon itself, not a report of a reader
+	backoff          time.Duration
 }
 
 // poll makes one call, a list or a watch, and applies its answer.
@@ -58,14 +58,14 @@
 }
 
 // advance records that nothing changed up to a revision, so that a daemon that reads
-// through this one can continue from there by itself.
+// through this one can continue from there when it reads the store directly.
 func (s *scopeFollower) advance(revision crid.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.storeItems(s.scope, nil, revision, false)
 }
 
-// errInterrupted means that a watch was canceled without an answer.
+// errInterrupted means that a watch was canceled before its answer, and is not a failure.
 var errInterrupted = errors.New("the watch was interrupted")
 
 // watch waits for changes, or until it is canceled.
@@ -90,13 +90,13 @@
 // nextWait returns how long the next watch waits. A change ends the watches of all
 // daemons at the same moment, and so does a restart. The waits are random, so that the
 // daemons take turns again. The first wait after such a moment is short: if the store
-// stops answering just then, it loses all watches that follow, and the one that ends
-// first detects this for all daemons.
+// stops answering just then, all watches that follow are lost, and the one that times
+// out first detects this for all daemons.
 //
-// While calls fail, a watch only has to find out whether the store answers again. A
-// watch that is sent while the store does not answer gets no answer later either. With
-// a long wait, this daemon would learn of no change for seconds after the store has
-// recovered, beyond the time in which a new configuration has to be in force.
+// While calls fail, a watch only checks whether the store answers again. A watch that
+// is sent while the store does not answer gets no answer later either. With a long
+// wait, this daemon would receive no change for seconds after the store has recovered,
+// beyond the time within which a new configuration has to be in force.
 func (s *scopeFollower) nextWait() time.Duration {
 	if s.failingSince != 0 || s.restarted {
 		s.restarted, s.aligned = false, true
@@ -111,7 +111,7 @@
 }
 
 // historyCompacted causes all scopes to be listed again. The pending watches of the
-// other scopes may have missed changes of the same time, and would return them much
+// other scopes may have missed changes from the same time; they would return these much
 // later.
 func (s *scopeFollower) historyCompacted() {
 	s.mu.Lock()
@@ -147,8 +147,8 @@
 	return nil
 }
 
-// apply stores items and emits their event. With complete, they are all items of the
-// scope.
+// apply stores items and emits their event. If complete is set, they are all items of
+// the scope.
 func (s *scopeFollower) apply(items []Item, revision crid.Revision, complete bool) {
 	now := s.opts.Clock()
 	if s.scope == Configuration {
@@ -168,17 +168,17 @@
 	s.opts.Emit(crmesh.RecordsChanged{Now: now, Changes: changes, Revision: revision})
 }
 
-// succeeded records an answer of the store. The scope becomes available to peers only
-// after the answer was applied: a peer that sent a request before would get a list without
-// targets.
+// succeeded records an answer of the store. It does not make the scope available to
+// peers; the caller does so after it has applied the answer. Before that, a peer would
+// get a list without targets.
 func (s *scopeFollower) succeeded() {
-	quiet := s.recordAnswer()
+	sinceLast := s.recordAnswer()
 	s.failingSince, s.backoff = 0, 0
-	if !s.lossReported {
+	if !s.outageReported {
 		return
 	}
-	s.lossReported, s.ownLoss = false, false
-	s.opts.Log.Event(crlog.StoreRecovered, crlog.Fields{"scope": s.scope.String(), "quiet": roundToMillis(quiet)})
+	s.outageReported, s.detectedDirectly = false, false
+	s.opts.Log.Event(crlog.StoreRecovered, crlog.Fields{"scope": s.scope.String(), "quiet": roundToMillis(sinceLast)})
 	s.emitAvailability(false, false)
 }
 
@@ -188,9 +188,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.opts.Clock()
-	quiet := now.Sub(s.lastRead[s.scope])
+	sinceLast := now.Sub(s.lastRead[s.scope])
 	s.lastRead[s.scope] = now
-	return quiet
+	return sinceLast
 }
 
 // failed records a failed call, and waits for the backoff.
@@ -203,40 +203,40 @@
 	timedOut := errors.Is(err, context.DeadlineExceeded)
 	if timedOut {
 		s.RestartWatches()
-		s.backoff = 0 // the call itself took long enough to spare the store
+		s.backoff = 0 // the timeout itself has already limited the load on the store
 	}
 	if timedOut || now.Sub(s.failingSince) >= outageThreshold || errors.Is(err, ErrUnavailable) {
-		s.reportLoss(err)
+		s.reportOutage(err)
 	}
 	s.backoff = min(max(2*s.backoff, minBackoff), maxBackoff)
-	_ = crclock.Sleep(ctx, s.backoff/2+rand.N(s.backoff/2+1)) // Run notices the end of the context
+	_ = crclock.Sleep(ctx, s.backoff/2+rand.N(s.backoff/2+1)) // Run checks whether the context has ended
 }
 
-// reportLoss reports that the store cannot be read: once because readers report it, and
-// once more when this daemon's own calls show it.
-func (s *scopeFollower) reportLoss(err error) {
-	peers := errors.Is(err, ErrUnavailable)
-	if s.lossReported && (s.ownLoss || peers) {
+// reportOutage reports that the store cannot be read: once if the readers report it, and
+// once more if this daemon's own calls fail.
+func (s *scopeFollower) reportOutage(err error) {
+	reportedByPeers := errors.Is(err, ErrUnavailable)
+	if s.outageReported && (s.detectedDirectly || reportedByPeers) {
 		return
 	}
-	s.lossReported, s.ownLoss = true, !peers
+	s.outageReported, s.detectedDirectly = true, !reportedByPeers
 	s.setUnavailable(s.scope, true)
 	s.opts.Log.Event(crlog.StoreLost, crlog.Fields{
 		"scope": s.scope.String(), "error": err.Error(), "quiet": roundToMillis(s.SinceLastRead(s.scope)),
 	})
-	s.emitAvailability(true, peers)
+	s.emitAvailability(true, reportedByPeers)
 }
 
 // emitAvailability emits an event when the records cannot be read from the store any
-// more, and when they can again. With peers, the readers of this daemon reported the
-// loss.
-func (s *scopeFollower) emitAvailability(down, peers bool) {
+// more, and when they can be read again. If reportedByPeers is set, the readers that
+// this daemon queries have reported the outage.
+func (s *scopeFollower) emitAvailability(unavailable, reportedByPeers bool) {
 	if s.scope != Records {
 		return
 	}
 	now := s.opts.Clock()
-	if down {
-		s.opts.Emit(crmesh.StoreUnavailable{Now: now, ReportedByPeers: peers})
+	if unavailable {
+		s.opts.Emit(crmesh.StoreUnavailable{Now: now, ReportedByPeers: reportedByPeers})
 		return
 	}
 	s.opts.Emit(crmesh.StoreAvailable{Now: now})
--- a/io/crwatch/scope_test.go
+++ b/io/crwatch/scope_test.go
@@ -20,31 +20,31 @@
 // turn is the mean time between two watches of a daemon in a fleet with six readers.
 const turn = 3 * time.Second
 
-// silentStore answers lists, and stops answering watches once it is silent.
-type silentStore struct {
-	mu     sync.Mutex
-	waits  map[crwatch.Scope][]time.Duration
-	starts map[crwatch.Scope][]time.Time
-	silent bool
+// unresponsiveStore answers lists, and does not answer watches while unresponsive is set.
+type unresponsiveStore struct {
+	mu           sync.Mutex
+	waits        map[crwatch.Scope][]time.Duration
+	starts       map[crwatch.Scope][]time.Time
+	unresponsive bool
 }
 
-func newSilentStore() *silentStore {
-	return &silentStore{waits: make(map[crwatch.Scope][]time.Duration), starts: make(map[crwatch.Scope][]time.Time)}
+func newUnresponsiveStore() *unresponsiveStore {
+	return &unresponsiveStore{waits: make(map[crwatch.Scope][]time.Duration), starts: make(map[crwatch.Scope][]time.Time)}
 }
 
-func (s *silentStore) List(context.Context, crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
+func (s *unresponsiveStore) List(context.Context, crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
 	return []crwatch.Item{{Key: "a", Revision: 4}}, 5, nil
 }
 
-func (s *silentStore) Watch(ctx context.Context, scope crwatch.Scope, after crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error) {
+func (s *unresponsiveStore) Watch(ctx context.Context, scope crwatch.Scope, after crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error) {
 	s.mu.Lock()
 	s.waits[scope] = append(s.waits[scope], wait)
 	s.starts[scope] = append(s.starts[scope], time.Now())
-	silent := s.silent
+	unresponsive := s.unresponsive
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, wait+time.Second)
 	defer cancel()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return nil, 0, ctx.Err()
 	}
@@ -56,19 +56,19 @@
 	}
 }
 
-func (s *silentStore) stopAnswering() {
+func (s *unresponsiveStore) stopAnswering() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent = true
+	s.unresponsive = true
 }
 
-// followFor follows a store for a duration of virtual time, and calls do halfway.
-func followFor(t *testing.T, s *silentStore, d time.Duration, do func(f *crwatch.Follower)) {
+// followFor follows a store for a duration of virtual time, and calls atHalf after half of it.
+func followFor(t *testing.T, s *unresponsiveStore, d time.Duration, atHalf func(f *crwatch.Follower)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		f := crwatch.New(crwatch.Options{
-			Store: s, Decoder: decoder{}, Clock: func() crid.Instant { return crid.Instant(time.Hour + time.Since(start)) },
+			Store: s, Decoder: fakeDecoder{}, Clock: func() crid.Instant { return crid.Instant(time.Hour + time.Since(start)) },
 			Emit: func(crevent.Event) {}, ReaderCount: func() int { return 6 }, Log: crlog.New(io.Discard, "info", "test"),
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), d)
@@ -81,16 +81,16 @@
 			}()
 		}
 		time.Sleep(d / 2)
-		do(f)
+		atHalf(f)
 		<-ctx.Done()
 		synctest.Wait()
 	})
 }
 
-// If the watches of all daemons end at one moment, the fleet learns of no change for a whole turn.
+// If the watches of all daemons ended at the same moment, a change could stay undetected for a whole turn.
 func TestWatchWaitsAreRandomized(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := newSilentStore()
+	s := newUnresponsiveStore()
 	followFor(t, s, 100*turn, func(*crwatch.Follower) {})
 	short, long := 0, 0
 	for _, wait := range s.waits[crwatch.Records][1:] {
@@ -105,20 +105,20 @@
 	g.Expect(long).To(gomega.BeNumerically(">", 20))
 }
 
-// If the store stops answering right after a change, all watches are lost, and the first to end detects it.
+// If the store stops answering right after a change, all watches are lost. The first to time out detects the outage.
 func TestTheFirstWatchAfterAChangeIsShort(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for range 20 {
-		s := newSilentStore()
+		s := newUnresponsiveStore()
 		followFor(t, s, turn, func(*crwatch.Follower) {})
 		g.Expect(s.waits[crwatch.Records][0]).To(gomega.BeNumerically("<=", turn))
 	}
 }
 
-// A daemon whose watch was lost learns of no change, although other daemons know of the loss.
+// A daemon whose watch was lost receives no change, although other daemons have detected the outage.
 func TestRestartWatchesSendsPendingWatchesAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := newSilentStore()
+	s := newUnresponsiveStore()
 	var restarted time.Time
 	followFor(t, s, 10*turn, func(f *crwatch.Follower) {
 		restarted = time.Now()
@@ -140,7 +140,7 @@
 func TestTheFirstLongWatchAfterARestartIsShort(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for range 20 {
-		s := newSilentStore()
+		s := newUnresponsiveStore()
 		followFor(t, s, 10*turn, func(f *crwatch.Follower) {
 			f.RestartWatches()
 			synctest.Wait()
@@ -153,10 +153,10 @@
 	}
 }
 
-// The watch of one scope times out. The other scope would learn of no change until its own wait is over.
+// The watch of one scope times out. The other scope would receive no change until its own wait is over.
 func TestATimedOutWatchRestartsTheOther(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := newSilentStore()
+	s := newUnresponsiveStore()
 	followFor(t, s, 10*turn, func(*crwatch.Follower) { s.stopAnswering() })
 	first := make(map[crwatch.Scope]time.Time)
 	for scope, starts := range s.starts {
@@ -172,7 +172,7 @@
 // A backoff after each watch that timed out would delay changes after the store has recovered.
 func TestATimedOutWatchIsSentAgainAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := newSilentStore()
+	s := newUnresponsiveStore()
 	followFor(t, s, 20*turn, func(*crwatch.Follower) { s.stopAnswering() })
 	starts, waits := s.starts[crwatch.Records], s.waits[crwatch.Records]
 	timedOut := 0
--- a/io/crwatch/update.go
+++ b/io/crwatch/update.go
@@ -29,14 +29,15 @@
 	return r
 }
 
-// Update is what a daemon holds of the store that a peer lacks.
+// Update contains the parts of a daemon's copy of the store that are newer than a
+// peer's copy.
 type Update struct {
 	Records         []Item        `cbor:"r"`
 	RecordsRevision crid.Revision `cbor:"n"` // zero: the peer's records are up to date
 	Configuration   []Item        `cbor:"c"`
 }
 
-// UpdateFor returns what is newer than a peer's revisions. A list of records and a
+// UpdateFor returns the parts that are newer than a peer's revisions. A list of records and a
 // configuration are tens of kilobytes each. Sending both to every peer that lacks
 // one of them would saturate the link of a daemon with many such peers.
 func (f *Follower) UpdateFor(peer Revisions) Update {
