--- a/io/crfeed/crfeed.go
+++ b/io/crfeed/crfeed.go
@@ -16,7 +16,7 @@
 // # Usage
 //
 //	feed := crfeed.New(crfeed.Options{
-//		Self: self, Store: store, Peers: peers, Readers: readers, Clock: crclock.Now, PeersPending: pending, Log: log,
+//		Self: self, Store: store, Peers: peers, Readers: readers, Clock: crclock.Now, ReadersPending: pending, Log: log,
 //	})
 //	items, revision, err := feed.Watch(ctx, crwatch.Records, after, wait)
 //	page := feed.Serve(ctx, source, query)
@@ -96,7 +96,7 @@
 	Peers        Peers
 	Readers      func() []crid.Daemon // of the own domain; none: not known yet
 	Clock        func() crid.Instant
-	PeersPending func() bool // other daemons of the own domain were not heard yet
+	ReadersPending func() bool // other daemons of the own domain were not heard yet
 	Log          *crlog.Logger
 }
 
@@ -213,7 +213,7 @@
 	f.mu.Lock()
 	last, now := f.lastCall[scope], f.opts.Clock()
 	f.mu.Unlock()
-	if now.Sub(f.started) >= startupTime || now.Sub(last) >= startupInterval || !f.opts.PeersPending() {
+	if now.Sub(f.started) >= startupTime || now.Sub(last) >= startupInterval || !f.opts.ReadersPending() {
 		return false
 	}
 	return !slices.ContainsFunc(f.opts.Readers(), func(d crid.Daemon) bool { return d != f.opts.Self })
--- a/io/crfeed/crfeed_test.go
+++ b/io/crfeed/crfeed_test.go
@@ -62,7 +62,7 @@
 	f := &fixture{store: &fakeStore{}, peers: &fakePeers{pages: make(map[crid.Daemon]croffer.FeedPage)}, readers: readers, now: start}
 	f.feed = crfeed.New(crfeed.Options{
 		Self: "self", Store: f.store, Peers: f.peers, Readers: func() []crid.Daemon { return f.readers }, Clock: func() crid.Instant { return f.now },
-		PeersPending: func() bool { return false }, Log: crlog.New(io.Discard, "info", "self"),
+		ReadersPending: func() bool { return false }, Log: crlog.New(io.Discard, "info", "self"),
 	})
 	return f
 }
@@ -239,7 +239,7 @@
 	f := &fixture{store: &fakeStore{}, peers: &fakePeers{pages: map[crid.Daemon]croffer.FeedPage{"a": servedPage()}}, readers: []crid.Daemon{"self"}, now: start}
 	f.feed = crfeed.New(crfeed.Options{
 		Self: "self", Store: f.store, Peers: f.peers, Readers: func() []crid.Daemon { return f.readers },
-		Clock: func() crid.Instant { return f.now }, PeersPending: func() bool { return pending }, Log: crlog.New(io.Discard, "info", "self"),
+		Clock: func() crid.Instant { return f.now }, ReadersPending: func() bool { return pending }, Log: crlog.New(io.Discard, "info", "self"),
 	})
 	_, _, err := f.feed.List(t.Context(), crwatch.Records)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -205,7 +205,7 @@
 	log := crlog.New(io.Discard, "info", string(id))
 	m.feed = crfeed.New(crfeed.Options{
 		Self: id, Store: storeClient{f.store, id}, Peers: m, Clock: f.now, Log: log,
-		Readers: func() []crid.Daemon { return m.view.Load().Readers }, PeersPending: func() bool { return m.view.Load().ReadersPending },
+		Readers: func() []crid.Daemon { return m.view.Load().Readers }, ReadersPending: func() bool { return m.view.Load().ReadersPending },
 	})
 	m.follower = crwatch.New(crwatch.Options{
 		Store: m.feed, Decoder: versionDecoder{}, Clock: f.now, Emit: m.emit, Log: log, ReaderCount: func() int { return m.view.Load().StoreReaders },
--- a/io/crfeed/outage_test.go
+++ b/io/crfeed/outage_test.go
@@ -154,7 +154,7 @@
 		g := gomega.NewWithT(t)
 		feed := crfeed.New(crfeed.Options{
 			Self: "self", Store: &hangingStore{}, Peers: &fakePeers{}, Readers: func() []crid.Daemon { return []crid.Daemon{"self"} },
-			Clock: func() crid.Instant { return start }, PeersPending: func() bool { return false }, Log: crlog.New(io.Discard, "info", "self"),
+			Clock: func() crid.Instant { return start }, ReadersPending: func() bool { return false }, Log: crlog.New(io.Discard, "info", "self"),
 		})
 		for _, want := range []time.Duration{1700 * time.Millisecond, 2500 * time.Millisecond, 1700 * time.Millisecond} {
 			started := time.Now()
