--- a/io/crfeed/crfeed.go
+++ b/io/crfeed/crfeed.go
@@ -3,11 +3,11 @@
 // it through one of the readers.
 //
 // The store counts and bills each call, and its rate limit does not grow with the
-// fleet. With two readers a domain, the number of calls that a change costs does not
+// fleet. With two readers per domain, the number of calls for each change does not
 // grow with the number of daemons.
 //
 // A daemon whose readers do not answer reads the store directly, so that the failure of
-// a reader costs calls but no time.
+// a reader causes more calls but no delay.
 //
 // [Feed] implements [crwatch.Store] for the follower of io/crwatch, which keeps the
 // local copy. [Feed.Serve] answers the queries of peers from that copy; io/croffer
@@ -40,39 +40,39 @@
 )
 
 const (
-	// readerWait is how long a query to a reader waits for changes. A reader that
-	// hangs but still sends heartbeats is abandoned after this time; until then, peers of
-	// other domains report changes.
+	// readerWait is how long a query to a reader waits for changes. A reader that hangs
+	// but still sends heartbeats is abandoned after this time plus readerTimeout; until
+	// then, peers of other domains report changes.
 	readerWait = 3 * time.Second
-	// readerTimeout is the time that a reader may take beyond the wait: a list of
-	// a megabyte over a slow link, on a busy processor.
+	// readerTimeout is the time that a reader may take beyond the wait. It allows for a
+	// list of a megabyte over a slow link, on a busy processor.
 	readerTimeout = 1200 * time.Millisecond
 	// readerBackoff is how long a reader that did not answer is not queried again.
 	readerBackoff = 2 * time.Second
 	// batchInterval is the least time from a change to the next watch of the store. A
 	// rolling replacement causes several changes a second, and one call returns them
-	// all. It is a part of the two seconds in which a change must be in force.
+	// all. It is a part of the two seconds within which a change must be in force.
 	batchInterval = 500 * time.Millisecond
 	// earlyTimeout is how long the answer to a watch may take beyond its wait before
 	// the watch is abandoned early.
 	earlyTimeout = 700 * time.Millisecond
-	// probeInterval is the least time between a daemon's direct calls while its
-	// readers report the store as unavailable and it does not answer this daemon
+	// probeInterval is the least time between two probes. A probe is a direct call while
+	// the readers report the store as unavailable and it has not answered this daemon
 	// either.
 	probeInterval = 2 * time.Second
-	// maxProbeWait bounds the wait of such a call.
+	// maxProbeWait bounds the wait of a watch that is a probe.
 	maxProbeWait = 100 * time.Millisecond
 	// directTime is how long a daemon reads the store directly after the store
 	// answered it although its readers report the store as unavailable. A store that
 	// rejects some machines does so for seconds.
 	directTime = 10 * time.Second
-	// startupTime is how long a daemon counts as new. When all daemons start at the
-	// same time, none knows the readers yet, and all receive each other's targets one
-	// by one. If each of them watched the store like a reader meanwhile, that would
-	// cost more calls than the rest of a day.
+	// startupTime is how long a daemon counts as new. When all daemons start at the same
+	// time, the readers are not determined yet, and each daemon receives the others'
+	// targets one by one. If each of them watched the store like a reader during this
+	// time, that would cost more calls than the rest of a day.
 	startupTime = 6 * time.Second
-	// startupInterval is the time between two calls of a new daemon that knows no
-	// other reader. It is a part of the time in which a change must be in force.
+	// startupInterval is the time between two calls of a new daemon that has found no
+	// other reader. It is a part of the time within which a change must be in force.
 	startupInterval = 1500 * time.Millisecond
 	// startupPollInterval is the time between two checks for readers during startup.
 	startupPollInterval = 100 * time.Millisecond
@@ -91,13 +91,13 @@
 
 // Options are the dependencies of a feed.
 type Options struct {
-	Self         crid.Daemon
-	Store        crwatch.Store
-	Peers        Peers
-	Readers      func() []crid.Daemon // of the own domain; none: not known yet
-	Clock        func() crid.Instant
-	ReadersPending func() bool // other daemons of the own domain were not heard yet
-	Log          *crlog.Logger
+	Self           crid.Daemon
+	Store          crwatch.Store
+	Peers          Peers
+	Readers        func() []crid.Daemon // of the own domain; empty: not determined yet
+	Clock          func() crid.Instant
+	ReadersPending func() bool // see crmesh.View.ReadersPending
+	Log            *crlog.Logger
 }
 
 // Feed reads the store directly or through a reader. It is safe for concurrent use.
@@ -112,7 +112,7 @@
 	lastChange    map[crwatch.Scope]crid.Instant // when the store last returned changes
 	lastCall      map[crwatch.Scope]crid.Instant
 	timedOutEarly map[crwatch.Scope]bool // the last watch was abandoned early
-	directUntil   crid.Instant           // until when no reader is queried
+	directUntil   crid.Instant           // until when the store is read directly
 	stopping      context.Context        //nolint:containedctx // ends the pending queries of peers
 	stop          context.CancelFunc
 }
@@ -129,8 +129,8 @@
 	}
 }
 
-// Stop ends the pending queries of peers, so that they query another daemon at once.
-// Waiting for changes, they would delay the planned stop of this daemon.
+// Stop ends the pending queries of peers, so that the peers query another daemon at
+// once. Queries that wait for changes would delay a planned stop of this daemon.
 func (f *Feed) Stop() { f.stop() }
 
 // StoreCalls returns the number of direct calls of the store so far.
@@ -173,7 +173,7 @@
 }
 
 // watchDirectly watches the store. A watch that was abandoned early is followed by one
-// with the whole timeout of the store's client, so that a slow store is still read.
+// with the full timeout of the store's client, so that a slow store can still be read.
 func (f *Feed) watchDirectly(ctx context.Context, scope crwatch.Scope, after crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error) {
 	early := f.endsEarly(scope)
 	if early {
@@ -207,8 +207,8 @@
 	return crclock.Sleep(ctx, left)
 }
 
-// startingUp reports whether this daemon is new, knows no other reader yet, and has
-// called the store for a scope within startupInterval.
+// startingUp reports whether this daemon is new, has found no other reader yet, and has
+// called the store for the scope within startupInterval.
 func (f *Feed) startingUp(scope crwatch.Scope) bool {
 	f.mu.Lock()
 	last, now := f.lastCall[scope], f.opts.Clock()
@@ -237,7 +237,8 @@
 // errReadDirectly means that this daemon has to read the store directly.
 var errReadDirectly = errors.New("no reader answers")
 
-// readThrough queries the readers one after the other.
+// readThrough queries the readers one after the other until one has the answer. It
+// returns errReadDirectly if the store has to be called directly.
 func (f *Feed) readThrough(ctx context.Context, q croffer.FeedQuery) ([]crwatch.Item, crid.Revision, error) {
 	unavailable := false
 	for _, d := range f.readersToQuery() {
@@ -312,8 +313,8 @@
 	f.backoffUntil[d] = now.Add(readerBackoff)
 }
 
-// recordResult makes this daemon read the store directly for directTime if a probe was
-// answered: the store then answers this daemon although its readers report it as
+// recordResult makes this daemon read the store directly for directTime if a probe has
+// succeeded, since the store then answers this daemon although the readers report it as
 // unavailable.
 func (f *Feed) recordResult(scope crwatch.Scope, err error) {
 	f.mu.Lock()
@@ -324,8 +325,8 @@
 	}
 }
 
-// boundWait bounds the wait of a watch that is a probe: whether the store answers this
-// daemon must be known without waiting for a change.
+// boundWait bounds the wait of a watch that is a probe, so that the store answers it
+// without waiting for a change.
 func (f *Feed) boundWait(scope crwatch.Scope, wait time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -347,9 +348,9 @@
 	return true
 }
 
-// Serve answers the query of a daemon that reads through this one. A daemon that is no
-// reader must not serve: two daemons that read through each other would both wait for
-// ever.
+// Serve answers the query of a daemon that reads through this one. A daemon that is not
+// a reader must not serve: two daemons that read through each other would both wait
+// forever.
 func (f *Feed) Serve(ctx context.Context, source Source, q croffer.FeedQuery) croffer.FeedPage {
 	if !slices.Contains(f.opts.Readers(), f.opts.Self) {
 		return croffer.FeedPage{State: croffer.FeedNotReader}
--- a/io/crfeed/crfeed_test.go
+++ b/io/crfeed/crfeed_test.go
@@ -96,9 +96,8 @@
 	g.Expect(f.peers.queried).To(gomega.BeEmpty())
 }
 
-// Both readers of a domain fail at the same time. Until their heartbeats are missed, no daemon
-// there would learn of a withdrawn key; so each reads the store directly at once, and does
-// not query the failed readers again for a while.
+// Both readers of a domain fail. A withdrawn key would be accepted there until missed heartbeats show the failure,
+// so each daemon reads the store directly at once, and does not query the failed readers again for a while.
 func TestTheStoreIsReadDirectlyWhenNoReaderAnswers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFixture("a", "b")
@@ -116,9 +115,8 @@
 	g.Expect(f.peers.queried).To(gomega.HaveLen(4))
 }
 
-// The store rejects the readers and serves everybody else. With occasional probes only, a
-// daemon learns of changes too late: a leaving target got requests for 2.6 s. So once a
-// probe was answered, the daemon reads the store directly for some seconds.
+// The store rejects only the readers. If others only probed it, changes would come too late: a leaving target
+// got requests for 2.6 s. After a successful probe, a daemon therefore reads the store directly for some seconds.
 func TestADaemonWhoseReadersAreRejectedReadsTheStoreDirectly(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFixture("a", "b")
@@ -138,8 +136,8 @@
 	g.Expect(items[0].Key).To(gomega.Equal("remote"))
 }
 
-// The store is unavailable to all. If each daemon called it as often as the readers do,
-// it would recover under the calls of the whole fleet.
+// The store is unavailable to all daemons. If each called it as often as the readers do,
+// the calls of the whole fleet would hamper its recovery.
 func TestADaemonSpacesItsProbesInAnOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFixture("a", "b")
@@ -172,7 +170,7 @@
 }
 
 // A reader has dropped the requested changes. Continuing from its newest change would miss
-// what was removed in between, so the caller has to list again.
+// what was removed in between, so the caller has to list the scope again.
 func TestWatchReturnsCompactedWhenAReaderDroppedTheChanges(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFixture("a")
@@ -193,15 +191,15 @@
 	return nil, 0, ctx.Err()
 }
 
-// Two daemons that read through each other would both wait for ever.
+// Two daemons that read through each other would both wait forever.
 func TestOnlyAReaderServesQueries(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFixture("a", "b")
 	g.Expect(f.feed.Serve(t.Context(), blockingSource{}, croffer.FeedQuery{Scope: 1}).State).To(gomega.Equal(croffer.FeedNotReader))
 }
 
-// A reader is stopped while peers wait through it for changes. If it waited for them to
-// time out, it would be killed; it ends their queries at once.
+// A reader is stopped while queries of peers wait for changes. If it waited until they time out,
+// it would be killed, so it ends them at once.
 func TestStopEndsPendingQueries(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFixture("self")
@@ -212,8 +210,8 @@
 	g.Expect(f.feed.Serve(t.Context(), blockingSource{}, croffer.FeedQuery{Scope: 1, Wait: time.Minute}).State).To(gomega.Equal(croffer.FeedNotReader))
 }
 
-// A rolling replacement causes several changes a second. A watch after each would be a
-// billed call for each; one watch every half second returns them all.
+// A rolling replacement causes several changes a second. One watch every half second returns them all;
+// one watch per change would be a billed call for each.
 func TestDirectWatchesAreSpacedAfterChanges(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFixture("self")
@@ -230,10 +228,9 @@
 	g.Expect(f.store.calls).To(gomega.Equal(2))
 }
 
-// All daemons of a domain start at the same time and know no readers. Constant watches by
-// all, answered for each new target, would exceed the store's rate limit. A new daemon
-// spaces its calls until a reader is heard, and watches constantly only if none is expected.
-func TestANewDaemonSpacesItsCallsUntilAReaderIsHeard(t *testing.T) {
+// All daemons of a domain start at once, before any reader is found. Constant watches by all, answered for each new
+// target, would exceed the store's rate limit, so they are spaced until a reader is found or none is expected.
+func TestANewDaemonSpacesItsCallsUntilAReaderIsFound(t *testing.T) {
 	g := gomega.NewWithT(t)
 	pending := true
 	f := &fixture{store: &fakeStore{}, peers: &fakePeers{pages: map[crid.Daemon]croffer.FeedPage{"a": servedPage()}}, readers: []crid.Daemon{"self"}, now: start}
@@ -268,7 +265,7 @@
 	pending = false
 	items, _, err = f.watch(t)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(items[0].Key).To(gomega.Equal("direct"), "there are no peers to wait for")
+	g.Expect(items[0].Key).To(gomega.Equal("direct"), "no reader is expected")
 
 	pending = true
 	f.now = start.Add(6 * time.Second)
--- a/io/crfeed/fleet_test.go
+++ b/io/crfeed/fleet_test.go
@@ -31,16 +31,16 @@
 	maxStartDelay  = 300 * time.Millisecond
 	localInterval  = 400 * time.Millisecond
 	remoteInterval = time.Second
-	lapse          = 1600 * time.Millisecond
+	recordGrace    = 1600 * time.Millisecond
 	tick           = 100 * time.Millisecond
 )
 
-// silence is a period in which the store answers no daemon, or only some. Calls that are
-// pending when it begins get no answer either, however long they wait.
-type silence struct {
-	from, until   time.Time
-	only          map[crid.Daemon]bool // the daemons that get no answer; nil: all
-	sparesPending bool                 // calls that came before it, and end after it, are answered
+// outage is a period in which the store answers no daemon, or only some. Calls that are
+// pending when it begins are not answered either, however long they wait.
+type outage struct {
+	from, until    time.Time
+	only           map[crid.Daemon]bool // the daemons that get no answer; nil: all
+	answersPending bool                 // calls that are received before it and end after it are answered
 }
 
 // virtualStore is a store in virtual time.
@@ -50,7 +50,7 @@
 	records  []crwatch.Item
 	plan     crwatch.Item
 	changed  chan struct{}
-	silences []silence
+	outages  []outage
 }
 
 func newVirtualStore() *virtualStore { return &virtualStore{changed: make(chan struct{})} }
@@ -70,16 +70,16 @@
 	s.records = append(s.records, crwatch.Item{Key: string(d.id), Value: []byte(d.domain), Revision: s.revision})
 }
 
-// unanswered reports whether a call that came at a time gets no answer now.
-func (s *virtualStore) unanswered(by crid.Daemon, came time.Time) bool {
+// unanswered reports whether a call that was received at a given time is not answered now.
+func (s *virtualStore) unanswered(caller crid.Daemon, receivedAt time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	for _, p := range s.silences {
-		if p.sparesPending && came.Before(p.from) && !now.Before(p.until) {
+	for _, p := range s.outages {
+		if p.answersPending && receivedAt.Before(p.from) && !now.Before(p.until) {
 			continue
 		}
-		if (p.only == nil || p.only[by]) && !now.Before(p.from) && came.Before(p.until) {
+		if (p.only == nil || p.only[caller]) && !now.Before(p.from) && receivedAt.Before(p.until) {
 			return true
 		}
 	}
@@ -108,7 +108,7 @@
 // storeClient is a daemon's client of the store.
 type storeClient struct {
 	*virtualStore
-	by crid.Daemon
+	caller crid.Daemon
 }
 
 func (c storeClient) List(ctx context.Context, scope crwatch.Scope) ([]crwatch.Item, crid.Revision, error) {
@@ -123,9 +123,9 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
 	time.Sleep(storeDelay)
-	came := time.Now()
-	end := time.NewTimer(wait)
-	defer end.Stop()
+	receivedAt := time.Now()
+	waitTimer := time.NewTimer(wait)
+	defer waitTimer.Stop()
 	for {
 		items, at, changed := c.changesAfter(scope, after)
 		if len(items) == 0 && wait > 0 {
@@ -134,10 +134,10 @@
 				return nil, 0, ctx.Err()
 			case <-changed:
 				continue
-			case <-end.C:
+			case <-waitTimer.C:
 			}
 		}
-		if c.unanswered(c.by, came) {
+		if c.unanswered(c.caller, receivedAt) {
 			<-ctx.Done()
 			return nil, 0, ctx.Err()
 		}
@@ -199,7 +199,7 @@
 func (f *fleet) add(id crid.Daemon, domain crid.Domain) {
 	m := &member{id: id, domain: domain, fleet: f, events: make(chan crevent.Event, 1024), inForce: make(map[uint64]time.Time)}
 	m.state = crmesh.New(crmesh.Params{
-		Self: id, Domain: domain, Service: "s", Address: string(id) + ":1", LocalInterval: localInterval, RemoteInterval: remoteInterval, RecordGrace: lapse,
+		Self: id, Domain: domain, Service: "s", Address: string(id) + ":1", LocalInterval: localInterval, RemoteInterval: remoteInterval, RecordGrace: recordGrace,
 	})
 	m.view.Store(&crmesh.View{Size: 1, Confirmed: 1, Reachable: 1})
 	log := crlog.New(io.Discard, "info", string(id))
@@ -222,7 +222,7 @@
 	var tasks sync.WaitGroup
 	for _, m := range f.members {
 		delay := rand.N(maxStartDelay)
-		tasks.Go(func() { m.loop(ctx) })
+		tasks.Go(func() { m.run(ctx) })
 		for _, scope := range []crwatch.Scope{crwatch.Records, crwatch.Configuration} {
 			tasks.Go(func() {
 				time.Sleep(delay)
@@ -238,7 +238,7 @@
 
 func (m *member) emit(ev crevent.Event) { m.events <- ev }
 
-func (m *member) loop(ctx context.Context) {
+func (m *member) run(ctx context.Context) {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
@@ -257,7 +257,7 @@
 	for _, eff := range m.state.Step(ev) {
 		switch eff := eff.(type) {
 		case crmesh.PublishView:
-			m.use(eff.View)
+			m.applyView(eff.View)
 		case crmesh.SendHeartbeats:
 			m.sendHeartbeats(eff)
 		case crmesh.Pull:
@@ -268,7 +268,7 @@
 	}
 }
 
-func (m *member) use(v *crmesh.View) {
+func (m *member) applyView(v *crmesh.View) {
 	m.view.Store(v)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -277,7 +277,8 @@
 	}
 }
 
-// inForceSince returns when this version or a later one was first in force; zero: never.
+// inForceSince returns when this version or a later one was first in force, or zero if
+// none was.
 func (m *member) inForceSince(version int) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/io/crfeed/outage_test.go
+++ b/io/crfeed/outage_test.go
@@ -17,16 +17,17 @@
 )
 
 const (
-	// applyTime is the time in which a confirmed change has to be in force.
+	// applyTime is the time within which a confirmed change has to be in force.
 	applyTime = 2 * time.Second
-	// recoveryTime is the time after an outage in which no change is due.
+	// recoveryTime is the time after an outage during which no change is due.
 	recoveryTime = 3 * time.Second
-	// startupTime is the time after which a new fleet has found its readers.
+	// startupTime is the time within which a new fleet finds its readers.
 	startupTime = 12 * time.Second
 	// runTime is the virtual time of a run.
 	runTime = 35 * time.Second
-	// changeLead is the time from a change to a silence that loses the watches after it.
-	changeLead = 450 * time.Millisecond
+	// outageDelay is the time from a change to the start of an outage in which the
+	// watches that follow the change are lost.
+	outageDelay = 450 * time.Millisecond
 	// runs is the number of runs of a test.
 	runs = 20
 )
@@ -44,38 +45,38 @@
 	delay   time.Duration
 }
 
-// outageParams are the number and durations of the silences of a store.
+// outageParams are the number and durations of the outages of a store.
 type outageParams struct {
-	times             int
+	count             int
 	shortest, longest time.Duration
-	afterChange       bool // a change comes just before, and only the watches after it are lost
+	afterChange       bool // the first outage follows a change, and only the watches after the change are lost
 }
 
-// silences returns random periods in which the store is silent.
-func (p outageParams) silences(r *rand.Rand, start time.Time) []silence {
-	draw := func(least, most time.Duration) time.Duration {
+// outages returns random outages.
+func (p outageParams) outages(r *rand.Rand, start time.Time) []outage {
+	randomBetween := func(least, most time.Duration) time.Duration {
 		return least + time.Duration(r.Int64N(int64(most-least)))
 	}
-	at := start.Add(draw(startupTime, startupTime+5*time.Second))
-	out := make([]silence, 0, p.times)
-	for range p.times {
-		until := at.Add(draw(p.shortest, p.longest))
-		out = append(out, silence{from: at, until: until, sparesPending: p.afterChange})
-		at = until.Add(draw(0, 2*time.Second))
+	at := start.Add(randomBetween(startupTime, startupTime+5*time.Second))
+	out := make([]outage, 0, p.count)
+	for range p.count {
+		until := at.Add(randomBetween(p.shortest, p.longest))
+		out = append(out, outage{from: at, until: until, answersPending: p.afterChange})
+		at = until.Add(randomBetween(0, 2*time.Second))
 	}
 	return out
 }
 
-// runOutage runs a fleet whose store falls silent, with a series of changes after the
-// outage, and returns the change with the largest lateness.
-func runOutage(t *testing.T, seed uint64, p outageParams, sizes ...int) lateness {
+// runOutages runs a fleet whose store has outages, with a series of changes after the
+// last one, and returns the change with the largest lateness.
+func runOutages(t *testing.T, seed uint64, p outageParams, sizes ...int) lateness {
 	t.Helper()
 	r := rand.New(rand.NewPCG(seed, 0))
 	f := newFleet(sizes...)
-	f.store.silences = p.silences(r, f.started)
-	until := f.store.silences[p.times-1].until
+	f.store.outages = p.outages(r, f.started)
+	until := f.store.outages[p.count-1].until
 	if p.afterChange {
-		time.AfterFunc(time.Until(f.store.silences[0].from.Add(-changeLead)), func() { f.store.publish(versionBeforeOutage) })
+		time.AfterFunc(time.Until(f.store.outages[0].from.Add(-outageDelay)), func() { f.store.publish(versionBeforeOutage) })
 	}
 	var confirmed []time.Time
 	at := until.Add(100 * time.Millisecond)
@@ -89,8 +90,8 @@
 	worst := lateness{delay: -runTime}
 	for i, at := range confirmed {
 		due := at.Add(applyTime)
-		if calm := until.Add(recoveryTime); due.Before(calm) {
-			due = calm
+		if recovered := until.Add(recoveryTime); due.Before(recovered) {
+			due = recovered
 		}
 		for _, m := range f.members {
 			since := m.inForceSince(i + firstVersionAfter)
@@ -105,39 +106,39 @@
 	return worst
 }
 
-// checkOutages runs a number of outages and reports each in which a change was late.
+// checkOutages repeats a run with different seeds and reports each in which a change was late.
 func checkOutages(t *testing.T, p outageParams) {
 	t.Helper()
 	for seed := range uint64(runs) {
 		var worst lateness
-		synctest.Test(t, func(t *testing.T) { worst = runOutage(t, seed, p, 7, 7, 4, 4) })
+		synctest.Test(t, func(t *testing.T) { worst = runOutages(t, seed, p, 7, 7, 4, 4) })
 		if worst.delay > 0 {
 			t.Errorf("seed %d: %s had version %d in force %v too late", seed, worst.daemon, worst.version, worst.delay)
 		}
 	}
 }
 
-// Readers whose watches were sent during a long silence would learn of no change long after it.
-func TestAChangeIsInForceInTimeAfterALongSilence(t *testing.T) {
-	checkOutages(t, outageParams{times: 1, shortest: 4 * time.Second, longest: 7 * time.Second})
+// Watches that were sent during a long outage are never answered, so readers could miss changes long after it.
+func TestAChangeIsInForceInTimeAfterALongOutage(t *testing.T) {
+	checkOutages(t, outageParams{count: 1, shortest: 4 * time.Second, longest: 7 * time.Second})
 }
 
-// Readers whose watches were lost in a short silence would learn of no change until the wait is over.
-func TestAChangeIsInForceInTimeAfterAShortSilence(t *testing.T) {
-	checkOutages(t, outageParams{times: 1, shortest: time.Millisecond, longest: 2 * time.Second})
+// Readers whose watches were lost in a short outage would receive no change until the wait of the watch is over.
+func TestAChangeIsInForceInTimeAfterAShortOutage(t *testing.T) {
+	checkOutages(t, outageParams{count: 1, shortest: time.Millisecond, longest: 2 * time.Second})
 }
 
-// A change ends all watches at one moment, and a silence right after it loses all those that follow.
+// A change ends all watches at the same moment. In an outage right after it, all watches that follow are lost.
 func TestAChangeIsInForceInTimeAfterASilenceThatFollowsAChange(t *testing.T) {
-	checkOutages(t, outageParams{times: 1, shortest: time.Second, longest: 2 * time.Second, afterChange: true})
+	checkOutages(t, outageParams{count: 1, shortest: time.Second, longest: 2 * time.Second, afterChange: true})
 }
 
-// The backoff after each unanswered call grows while the store falls silent repeatedly.
-func TestAChangeIsInForceInTimeAfterRepeatedSilences(t *testing.T) {
-	checkOutages(t, outageParams{times: 4, shortest: time.Millisecond, longest: time.Second})
+// The backoff after unanswered calls grows over repeated outages, and could delay the first call after the last.
+func TestAChangeIsInForceInTimeAfterRepeatedOutages(t *testing.T) {
+	checkOutages(t, outageParams{count: 4, shortest: time.Millisecond, longest: time.Second})
 }
 
-// hangingStore answers no watch before its client times out.
+// hangingStore answers no watch; its client times out.
 type hangingStore struct{ fakeStore }
 
 func (s *hangingStore) Watch(ctx context.Context, _ crwatch.Scope, _ crid.Revision, wait time.Duration) ([]crwatch.Item, crid.Revision, error) {
@@ -148,8 +149,8 @@
 	return nil, 0, ctx.Err()
 }
 
-// With one timeout for all watches, a silent store is detected late, or a slow one is never read.
-func TestEveryOtherWatchOfASilentStoreTimesOutEarly(t *testing.T) {
+// With one timeout for all watches, an unresponsive store is detected late, or a slow one is never read.
+func TestEveryOtherWatchOfAnUnresponsiveStoreTimesOutEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		feed := crfeed.New(crfeed.Options{
