--- a/io/crpeer/bench_test.go
+++ b/io/crpeer/bench_test.go
@@ -26,12 +26,12 @@
 	return func(context.Context, *quic.Stream) {}
 }
 
-// mtuDiscoveryTime is how long path MTU discovery of a session takes; its probes are
-// large.
+// mtuDiscoveryTime is how long path MTU discovery of a session takes. Its large probes
+// would distort the counts of bytes.
 const mtuDiscoveryTime = 5 * time.Second
 
-// newStar returns one transport and the names of n others that it knows, all in this
-// process.
+// newStar returns one transport and the names of n peers whose addresses it has. All of
+// them run in this process.
 func newStar(b *testing.B, n int) (*Transport, []crid.Daemon) {
 	b.Helper()
 	names := []string{"hub"}
@@ -138,11 +138,11 @@
 		round()
 	}
 	heartbeats := b.N * len(peers)
-	b.ReportMetric(float64((processorTime(b)-cpu).Microseconds())/float64(heartbeats), "cpu-us/beat")
-	b.ReportMetric(float64(wireBytes(sessions)-bytes)/float64(heartbeats), "wire-B/beat")
-	b.ReportMetric(float64(wirePackets(sessions)-packets)/float64(heartbeats), "packets/beat")
+	b.ReportMetric(float64((processorTime(b)-cpu).Microseconds())/float64(heartbeats), "cpu-us/heartbeat")
+	b.ReportMetric(float64(wireBytes(sessions)-bytes)/float64(heartbeats), "wire-B/heartbeat")
+	b.ReportMetric(float64(wirePackets(sessions)-packets)/float64(heartbeats), "packets/heartbeat")
 	sent, _ := hub.Traffic()
-	b.ReportMetric(float64(sent-payload)/float64(heartbeats), "payload-B/beat")
+	b.ReportMetric(float64(sent-payload)/float64(heartbeats), "payload-B/heartbeat")
 }
 
 func wireBytes(sessions []*Session) (total uint64) {
--- a/io/crpeer/crpeer.go
+++ b/io/crpeer/crpeer.go
@@ -1,7 +1,8 @@
 // Package crpeer is the transport between daemons: QUIC sessions with mutual TLS,
 // control messages as datagrams or short streams, and one bidirectional stream per
 // forward or revoke. io/crdaemon runs it, and io/crhop forwards requests over it.
-// The encoding is io/crwire's. io/crbeat is the datagram channel of io/crmesh.
+// Package io/crwire encodes the messages. io/crmesh does not use this package: its
+// daemons exchange datagrams through io/crbeat.
 //
 // A daemon dials the peers it sends to, and receives from a peer over the session
 // that the peer dialled. The name of a peer is the DNS name in its certificate.
@@ -35,12 +36,12 @@
 	"camphorroad/io/crwire"
 )
 
-// Errors of this layer.
+// Errors of sessions and streams, for errors.Is.
 var (
 	// ErrUnknownPeer reports that no address of the peer is known.
 	ErrUnknownPeer = errors.New("no address of this peer is known")
-	// ErrUnreachable reports that no session or stream could be opened; nothing was
-	// sent on the requested stream.
+	// ErrUnreachable reports that no session or stream could be opened, or that the
+	// outbox of the peer is full. Nothing was sent on the requested stream.
 	ErrUnreachable = errors.New("peer unreachable")
 )
 
@@ -51,9 +52,9 @@
 	keepAliveInterval = 2 * time.Second
 	redialBackoff     = 250 * time.Millisecond
 	maxStreams        = 4096
-	maxDatagram       = 1100
+	maxDatagramBytes  = 1100
 	messageTimeout    = 2 * time.Second
-	outboxSize        = 64
+	outboxCapacity    = 64          // messages
 	outboxIdleTimeout = time.Minute // after which the goroutine of an unused outbox ends
 	maxInboundAddrs   = 10_000
 )
@@ -61,7 +62,8 @@
 // Handler receives messages and streams from peers. Its methods are called on the
 // goroutines of the transport and must return when their context is cancelled.
 type Handler interface {
-	// HandleMessage is called for each control message, in no particular order.
+	// HandleMessage is called for each control message that can be decoded, in no
+	// particular order.
 	HandleMessage(from crid.Daemon, msg crevent.Message)
 	// AcceptSession is called once for each session that a peer dials. The returned
 	// function serves its streams, each on its own goroutine.
@@ -79,16 +81,16 @@
 
 // Transport owns the daemon's UDP socket and its sessions.
 type Transport struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-	opts   Options
-	quic   *quic.Transport
-	ln     *quic.Listener
-	addrs  atomic.Pointer[map[crid.Daemon]string]
-	dials  singleflight.Group
-	wg     sync.WaitGroup
-	sent   atomic.Int64
-	recv   atomic.Int64
+	ctx      context.Context
+	cancel   context.CancelFunc
+	opts     Options
+	quic     *quic.Transport
+	ln       *quic.Listener
+	addrs    atomic.Pointer[map[crid.Daemon]string]
+	dials    singleflight.Group
+	wg       sync.WaitGroup
+	sent     atomic.Int64
+	received atomic.Int64
 
 	mu           sync.Mutex
 	sessions     map[crid.Daemon]*Session
@@ -159,7 +161,7 @@
 func (t *Transport) Addr() string { return t.quic.Conn.LocalAddr().String() }
 
 // Traffic returns the control bytes sent and received so far.
-func (t *Transport) Traffic() (sent, received int64) { return t.sent.Load(), t.recv.Load() }
+func (t *Transport) Traffic() (sent, received int64) { return t.sent.Load(), t.received.Load() }
 
 // Close closes all sessions and waits for all goroutines.
 func (t *Transport) Close() error {
@@ -215,7 +217,7 @@
 
 // recordInboundAddr records the address that a peer dials from. Peers dial from the
 // socket they listen on, so they can be reached there. A daemon that starts while its
-// platform is unavailable has no list of instances, and can only reach the peers that
+// platform is unavailable has no list of instances, and can reach only the peers that
 // dial it.
 func (t *Transport) recordInboundAddr(peer crid.Daemon, addr string) {
 	t.mu.Lock()
@@ -270,7 +272,7 @@
 }
 
 func (t *Transport) deliver(from crid.Daemon, b []byte) {
-	t.recv.Add(int64(len(b)))
+	t.received.Add(int64(len(b)))
 	msg, err := t.opts.Registry.Decode(b)
 	if err != nil {
 		return
@@ -280,7 +282,7 @@
 
 func peerName(state tls.ConnectionState) (crid.Daemon, error) {
 	if len(state.PeerCertificates) == 0 || len(state.PeerCertificates[0].DNSNames) == 0 {
-		return "", errors.New("peer certificate names no daemon")
+		return "", errors.New("peer certificate has no DNS name")
 	}
 	return crid.Daemon(state.PeerCertificates[0].DNSNames[0]), nil
 }
--- a/io/crpeer/identity.go
+++ b/io/crpeer/identity.go
@@ -52,25 +52,25 @@
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{protocol},
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			m := id.current.Load()
+			creds := id.current.Load()
 			return &tls.Config{
 				MinVersion:   tls.VersionTLS13,
 				NextProtos:   []string{protocol},
-				Certificates: []tls.Certificate{m.cert},
+				Certificates: []tls.Certificate{creds.cert},
 				ClientAuth:   tls.RequireAndVerifyClientCert,
-				ClientCAs:    m.roots,
+				ClientCAs:    creds.roots,
 			}, nil
 		},
 	}
 }
 
 func (id *Identity) clientConfig(peer string) *tls.Config {
-	m := id.current.Load()
+	creds := id.current.Load()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{protocol},
-		Certificates: []tls.Certificate{m.cert},
-		RootCAs:      m.roots,
+		Certificates: []tls.Certificate{creds.cert},
+		RootCAs:      creds.roots,
 		ServerName:   peer,
 	}
 }
--- a/io/crpeer/idle_test.go
+++ b/io/crpeer/idle_test.go
@@ -12,9 +12,8 @@
 	"camphorroad/io/crpeer"
 )
 
-// A daemon of a large fleet sends a message to other peers from time to time. Unless
-// idle sessions are closed, it holds one with every daemon, a gigabyte of them. A
-// session with an open stream must stay.
+// Peers to which a daemon sends messages change over time. Unless idle sessions are closed, it ends up with one to
+// every daemon of a large fleet, which takes a gigabyte. A session with an open stream must stay.
 func TestUnusedSessionsAreClosed(t *testing.T) {
 	const peers = 20
 	g := gomega.NewWithT(t)
@@ -40,7 +39,7 @@
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 	}
 	g.Eventually(near.Sessions, 10*time.Second).Should(gomega.Equal(1))
-	_, err = stream.Write([]byte("still here"))
+	_, err = stream.Write([]byte("still open"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(inUse.Context().Err()).NotTo(gomega.HaveOccurred())
 	inUse.ReleaseStream()
--- a/io/crpeer/peer_test.go
+++ b/io/crpeer/peer_test.go
@@ -36,14 +36,14 @@
 }
 
 // MessageKind implements crevent.Message.
-func (knownMessage) MessageKind() string { return "note" }
+func (knownMessage) MessageKind() string { return "known" }
 
 type unknownMessage struct {
 	Text string `cbor:"t"`
 }
 
 // MessageKind implements crevent.Message.
-func (unknownMessage) MessageKind() string { return "stranger" }
+func (unknownMessage) MessageKind() string { return "unknown" }
 
 // recorder is a Handler that records messages and streams; streams stay open until the
 // session ends.
@@ -54,35 +54,35 @@
 	streams  int
 }
 
-func (b *recorder) HandleMessage(from crid.Daemon, msg crevent.Message) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.from = append(b.from, from)
+func (r *recorder) HandleMessage(from crid.Daemon, msg crevent.Message) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.from = append(r.from, from)
 	if n, ok := msg.(knownMessage); ok {
-		b.messages = append(b.messages, n.Text[:min(len(n.Text), 8)])
+		r.messages = append(r.messages, n.Text[:min(len(n.Text), 8)])
 	}
 }
 
-func (b *recorder) AcceptSession(context.Context, crid.Daemon) func(context.Context, *quic.Stream) {
+func (r *recorder) AcceptSession(context.Context, crid.Daemon) func(context.Context, *quic.Stream) {
 	return func(ctx context.Context, s *quic.Stream) {
-		b.mu.Lock()
-		b.streams++
-		b.mu.Unlock()
+		r.mu.Lock()
+		r.streams++
+		r.mu.Unlock()
 		_, _ = io.Copy(io.Discard, s)
 		<-ctx.Done()
 	}
 }
 
-func (b *recorder) received() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return append([]string(nil), b.messages...)
+func (r *recorder) received() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return append([]string(nil), r.messages...)
 }
 
-func (b *recorder) streamCount() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.streams
+func (r *recorder) streamCount() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.streams
 }
 
 func issueCerts(t *testing.T, names ...string) string {
@@ -145,20 +145,20 @@
 	unresponsive, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer func() { _ = unresponsive.Close() }()
-	near.SetAddrs(map[crid.Daemon]string{"dead": unresponsive.LocalAddr().String()})
+	near.SetAddrs(map[crid.Daemon]string{"hung": unresponsive.LocalAddr().String()})
 	start := time.Now()
 	rejected := 0
 	for range 200 {
-		if near.Send("dead", knownMessage{Text: "x"}) != nil {
+		if near.Send("hung", knownMessage{Text: "x"}) != nil {
 			rejected++
 		}
 	}
 	g.Expect(time.Since(start)).To(gomega.BeNumerically("<", 200*time.Millisecond))
 	g.Expect(rejected).To(gomega.BeNumerically(">=", 200-64-2))
-	_, err = near.Session(t.Context(), "dead")
+	_, err = near.Session(t.Context(), "hung")
 	g.Expect(err).To(gomega.MatchError(crpeer.ErrUnreachable))
 	start = time.Now()
-	_, err = near.Session(t.Context(), "dead")
+	_, err = near.Session(t.Context(), "hung")
 	g.Expect(err).To(gomega.MatchError(crpeer.ErrUnreachable))
 	g.Expect(time.Since(start)).To(gomega.BeNumerically("<", 50*time.Millisecond), "no second dial within the backoff")
 	_, err = near.Session(t.Context(), "nobody")
@@ -208,8 +208,8 @@
 	g.Eventually(rec.streamCount, 5*time.Second).Should(gomega.Equal(4096))
 }
 
-// A client has no valid certificate, or a server has another name. Neither may
-// exchange streams or messages with a daemon.
+// A client has no valid certificate, or the certificate of a server has another name.
+// Neither may exchange streams or messages with a daemon.
 func TestPeerWithoutAValidCertificateIsRejected(t *testing.T) {
 	dir := issueCerts(t, "far", "other")
 	other := issueCerts(t, "near")
@@ -306,7 +306,7 @@
 	}
 	g.Expect(farID.Reload()).To(gomega.Succeed())
 
-	g.Expect(old.Context().Err()).NotTo(gomega.HaveOccurred(), "the old session stays open")
+	g.Expect(old.Context().Err()).NotTo(gomega.HaveOccurred(), "a reload must not close open sessions")
 	near.Retire(old)
 	renewed, err := near.Session(t.Context(), "far")
 	g.Expect(err).NotTo(gomega.HaveOccurred(), "the new certificate is trusted")
--- a/io/crpeer/session.go
+++ b/io/crpeer/session.go
@@ -73,17 +73,17 @@
 	}
 }
 
-func (s *Session) alive() bool { return s.conn.Context().Err() == nil }
+func (s *Session) isOpen() bool { return s.conn.Context().Err() == nil }
 
-// Session returns the live session with a peer, and dials one if there is none. For a
-// short time after a failed dial it fails at once, so that requests do not each wait
+// Session returns the open session with a peer, and dials one if there is none. For
+// redialBackoff after a failed dial it fails at once, so that requests do not each wait
 // for the timeout of an unreachable peer.
 func (t *Transport) Session(ctx context.Context, peer crid.Daemon) (*Session, error) {
 	addr, ok := t.addrOf(peer)
 	if !ok {
 		return nil, fmt.Errorf("%w: %s", ErrUnknownPeer, peer)
 	}
-	if s, err := t.liveSession(peer, addr); s != nil || err != nil {
+	if s, err := t.existingSession(peer, addr); s != nil || err != nil {
 		return s, err
 	}
 	ch := t.dials.DoChan(string(peer)+"\x00"+addr, func() (any, error) { return t.dial(peer, addr) })
@@ -109,21 +109,23 @@
 	s.retire()
 }
 
-func (t *Transport) liveSession(peer crid.Daemon, addr string) (*Session, error) {
+// existingSession returns the open session with a peer at an address. It returns nil if
+// there is none, or an error during the backoff after a failed dial.
+func (t *Transport) existingSession(peer crid.Daemon, addr string) (*Session, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.sessions[peer]; s != nil && s.alive() && s.addr == addr {
+	if s := t.sessions[peer]; s != nil && s.isOpen() && s.addr == addr {
 		s.touch()
 		return s, nil
 	}
 	if at, ok := t.dialFailedAt[peer]; ok && time.Since(at) < redialBackoff {
-		return nil, fmt.Errorf("%w: %s failed moments ago", ErrUnreachable, peer)
+		return nil, fmt.Errorf("%w: the last dial of %s failed recently", ErrUnreachable, peer)
 	}
 	return nil, nil
 }
 
 func (t *Transport) dial(peer crid.Daemon, addr string) (*Session, error) {
-	if s, err := t.liveSession(peer, addr); s != nil || err != nil {
+	if s, err := t.existingSession(peer, addr); s != nil || err != nil {
 		return s, err
 	}
 	conn, err := t.dialQUIC(peer, addr)
@@ -154,7 +156,7 @@
 
 // Send sends a control message at most once, without a delivery guarantee. It never
 // blocks: while a peer is being dialled, messages that exceed the outbox are dropped.
-// Senders repeat messages that still matter.
+// Senders retransmit messages that are still relevant.
 func (t *Transport) Send(peer crid.Daemon, msg crevent.Message) error {
 	b, err := t.opts.Registry.Encode(msg)
 	if err != nil {
@@ -164,7 +166,7 @@
 	defer t.mu.Unlock()
 	ch, ok := t.outboxes[peer]
 	if !ok {
-		ch = make(chan []byte, outboxSize)
+		ch = make(chan []byte, outboxCapacity)
 		t.outboxes[peer] = ch
 		t.wg.Add(1)
 		go t.runOutbox(peer, ch)
@@ -178,8 +180,8 @@
 }
 
 // runOutbox sends the messages of an outbox. It returns after the outbox was idle for
-// outboxIdleTimeout; otherwise each daemon that was ever replaced would leave a
-// goroutine.
+// outboxIdleTimeout; otherwise each daemon that is replaced would leave a goroutine
+// behind.
 func (t *Transport) runOutbox(peer crid.Daemon, ch chan []byte) {
 	defer t.wg.Done()
 	idle := time.NewTimer(outboxIdleTimeout)
@@ -218,7 +220,7 @@
 		return
 	}
 	t.sent.Add(int64(len(b)))
-	if len(b) <= maxDatagram && s.conn.SendDatagram(b) == nil {
+	if len(b) <= maxDatagramBytes && s.conn.SendDatagram(b) == nil {
 		return
 	}
 	stream, err := s.conn.OpenUniStream()
@@ -233,16 +235,16 @@
 	_ = stream.Close()
 }
 
-// maxMessage bounds a control message, in bytes; the longest messages carry published
+// maxMessageBytes bounds a control message. The longest messages contain published
 // configuration values.
-const maxMessage = 4 * crwire.MaxFrame
+const maxMessageBytes = 4 * crwire.MaxFrame
 
 func readAll(r io.Reader) ([]byte, error) {
-	b, err := io.ReadAll(io.LimitReader(r, maxMessage+1))
+	b, err := io.ReadAll(io.LimitReader(r, maxMessageBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(b) > maxMessage {
+	if len(b) > maxMessageBytes {
 		return nil, crwire.ErrTooLong
 	}
 	return b, nil
