--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -53,10 +53,11 @@
 	startTimeout      = 10 * time.Second
 	stopTimeout       = 5 * time.Second
 	drainPollInterval = 20 * time.Millisecond
-	// drainNotice is how long a stopping daemon still accepts new requests after it
-	// has notified its peers, for requests that they sent before the notification.
+	// drainNotice is how long a stopping daemon still accepts new requests after it has
+	// notified its peers, for requests that they sent before they got the notification.
 	drainNotice = 300 * time.Millisecond
-	// maxUnreadyWait is how long a daemon that cannot serve accepts no connections.
+	// maxUnreadyWait is how long a daemon that cannot serve requests accepts no
+	// connections of callers.
 	maxUnreadyWait    = 15 * time.Second
 	readyPollInterval = 20 * time.Millisecond
 )
@@ -125,13 +126,13 @@
 	return crplatform.NewClient(cfg.Platform.URL)
 }
 
-func newExit(cfg crsettings.Settings, pulse *crforward.PauseDetector, m *instruments, rec *crhealth.Recorder) *crexit.Exit {
+func newExit(cfg crsettings.Settings, pauseDetector *crforward.PauseDetector, m *instruments, rec *crhealth.Recorder) *crexit.Exit {
 	specs := make([]crexit.TargetSpec, 0, len(cfg.Targets))
 	for _, t := range cfg.Targets {
 		specs = append(specs, crexit.TargetSpec{Name: crid.Target(t.Name), Service: crid.Service(t.Service), Addr: t.Addr})
 	}
 	return crexit.New(crexit.Options{
-		Targets: specs, Pulse: pulse, Clock: crclock.Now, Observe: m.observeRun, BodyIdleTimeout: cfg.Limits.BodyIdle.Duration,
+		Targets: specs, Pulse: pauseDetector, Clock: crclock.Now, Observe: m.observeRun, BodyIdleTimeout: cfg.Limits.BodyIdle.Duration,
 		Hint: rec.SetReportedUnhealthy,
 		Probe: func(target crid.Target, ok bool, took time.Duration) {
 			rec.Record(target, probeResult(ok), took, crhealth.ProbeAccount)
@@ -140,22 +141,22 @@
 }
 
 func newShell(
-	lc fx.Lifecycle, cfg crsettings.Settings, log *crlog.Logger, pulse *crforward.PauseDetector, exit *crexit.Exit, m *instruments,
+	lc fx.Lifecycle, cfg crsettings.Settings, log *crlog.Logger, pauseDetector *crforward.PauseDetector, exit *crexit.Exit, m *instruments,
 	rec *crhealth.Recorder,
 ) (*shell, error) {
 	s := &shell{
-		self:  cfg.Daemon(),
-		log:   log,
-		clock: crclock.Now,
-		pulse: pulse,
-		exit:  exit,
-		loads: crview.NewLoadRegistry(),
+		self:          cfg.Daemon(),
+		log:           log,
+		clock:         crclock.Now,
+		pauseDetector: pauseDetector,
+		exit:          exit,
+		loads:         crview.NewLoadRegistry(),
 	}
 	s.viewInput = crview.Input{Self: s.self, Domain: crid.Domain(cfg.Domain), Loads: s.loads}
 	s.tokenPool = craccount.NewTokenPool()
 	s.localSplit = newLocalSplit(cfg.Policy, s)
 	s.recorder = rec
-	s.steers = make(map[crid.Service]crhealth.RoutingUpdate)
+	s.routing = make(map[crid.Service]crhealth.RoutingUpdate)
 	params := crdaemon.DefaultParams()
 	params.Config.FleetSize = cfg.Platform.Fleet
 	params.Health = healthParams(cfg.Policy)
@@ -164,12 +165,12 @@
 	}
 	parse, load := crconfig.Parser(crpolicyfile.ParseManifest), crconfig.Loader(crpolicyfile.NewLoader().Load)
 	if cfg.Trace.File != "" {
-		rec, err := newTraceRecorder(lc, cfg.Trace, params, log)
+		trace, err := newTraceRecorder(lc, cfg.Trace, params, log)
 		if err != nil {
 			return nil, err
 		}
-		opts.Recorder = rec
-		parse, load = rec.WrapParser(parse), rec.WrapLoader(load)
+		opts.Recorder = trace
+		parse, load = trace.WrapParser(parse), trace.WrapLoader(load)
 	}
 	control := crdaemon.NewReducers(params, parse, load)
 	s.config, s.account = control.Config, control.Account
@@ -207,7 +208,7 @@
 		View:     s.view.Load,
 		Trusted:  s.isTrusted,
 		Admitter: s,
-		Forwarder: &hop{
+		Forwarder: &forwarder{
 			self: s.self, exit: s.exit, client: crhop.NewClient(peers), clock: crclock.Now,
 			recorder: s.recorder, maxBuffered: int64(cfg.Limits.ReplayBytes),
 		},
@@ -347,8 +348,8 @@
 	}
 }
 
-// reload reloads all certificates. One that cannot be loaded stays in use and does
-// not prevent the reload of the other.
+// reload reloads all certificates. If one cannot be loaded, the previous one stays in
+// use, and the other is reloaded all the same.
 func (d *daemon) reload() {
 	err := d.peerID.Reload()
 	if d.callerCert != nil {
--- a/io/crdaemon/hop.go
+++ b/io/crdaemon/hop.go
@@ -12,9 +12,9 @@
 	"camphorroad/io/crhop"
 )
 
-// hop forwards requests to the exit of this daemon directly, and to the exits of
+// forwarder forwards requests to the exit of this daemon directly, and to the exits of
 // other daemons over their sessions.
-type hop struct {
+type forwarder struct {
 	self   crid.Daemon
 	exit   *crexit.Exit
 	client *crhop.Client
@@ -24,24 +24,24 @@
 	maxBuffered int64 // largest request body, in bytes, that is buffered completely before it is sent
 }
 
-var _ crentry.Forwarder = (*hop)(nil)
+var _ crentry.Forwarder = (*forwarder)(nil)
 
 // Forward implements crentry.Forwarder.
-func (h *hop) Forward(
+func (fw *forwarder) Forward(
 	ctx context.Context, to *crroute.Target, f *crhop.Forward, body crentry.BodySource, sent func(crentry.Revoker),
 ) (*crhop.Exchange, error) {
-	if f.Length >= 0 && f.Length <= h.maxBuffered {
-		// Only a buffered body is timed: while a longer one is sent, the target may
-		// be waiting for the caller.
-		defer h.recorder.Begin(to.Name(), f.Account, h.clock()).End()
+	if f.Length >= 0 && f.Length <= fw.maxBuffered {
+		// Only requests with a buffered body are timed: while a longer body is sent, the
+		// target may be waiting for the caller.
+		defer fw.recorder.Begin(to.Name(), f.Account, fw.clock()).End()
 	}
-	if to.Daemon() == h.self {
-		ledger := h.exit.LocalLedger()
-		sent(localRevoker{ledger: ledger, clock: h.clock, id: f.ID})
-		return h.exit.Run(ctx, ledger, f, body.Open()), nil
+	if to.Daemon() == fw.self {
+		ledger := fw.exit.LocalLedger()
+		sent(localRevoker{ledger: ledger, clock: fw.clock, id: f.ID})
+		return fw.exit.Run(ctx, ledger, f, body.Open()), nil
 	}
-	return h.client.Forward(ctx, to.Daemon(), f, body.Open(), func(handle *crhop.Handle) {
-		sent(remoteRevoker{client: h.client, handle: handle})
+	return fw.client.Forward(ctx, to.Daemon(), f, body.Open(), func(handle *crhop.Handle) {
+		sent(remoteRevoker{client: fw.client, handle: handle})
 	})
 }
 
--- a/io/crdaemon/steer.go
+++ b/io/crdaemon/routing.go
@@ -11,28 +11,28 @@
 	"camphorroad/io/crentry"
 )
 
-// applySteer stores the ejections and weights of the targets of one service.
-func (s *shell) applySteer(eff crhealth.RoutingUpdate) {
-	s.steers[eff.Service] = eff
+// applyRouting stores the ejections and weights of the targets of one service.
+func (s *shell) applyRouting(eff crhealth.RoutingUpdate) {
+	s.routing[eff.Service] = eff
 	s.viewDirty = true
 }
 
-// expireSteers removes expired ejections and weights. If the verdict of an arbiter
-// were used after its expiry, the ejections of the next arbiter would be added to
-// it, and the service could fall below its floor.
-func (s *shell) expireSteers(now crid.Instant) {
-	for service, eff := range s.steers {
+// expireRouting removes expired ejections and weights. If the verdict of an arbiter
+// were used after its expiry, the ejections of the next arbiter would be added to its
+// own, and the service could fall below its floor.
+func (s *shell) expireRouting(now crid.Instant) {
+	for service, eff := range s.routing {
 		if !now.Before(eff.Until) {
-			delete(s.steers, service)
+			delete(s.routing, service)
 			s.viewDirty = true
 		}
 	}
 }
 
-// steersByTarget returns the unexpired ejections and weights by target.
-func (s *shell) steersByTarget() map[crid.Target]crview.TargetHealth {
+// targetHealth returns the unexpired ejections and weights by target.
+func (s *shell) targetHealth() map[crid.Target]crview.TargetHealth {
 	targets := make(map[crid.Target]crview.TargetHealth)
-	for _, eff := range s.steers {
+	for _, eff := range s.routing {
 		for _, t := range eff.Targets {
 			targets[t.Target] = crview.TargetHealth{Ejected: t.Ejected, Weight: t.Weight}
 		}
--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -27,15 +27,15 @@
 // shell connects the control loop to I/O: it executes effects, and holds the state
 // that request goroutines read.
 type shell struct {
-	self   crid.Daemon
-	log    *crlog.Logger
-	clock  func() crid.Instant
-	pulse  *crforward.PauseDetector
-	exit   *crexit.Exit
-	loads  *crview.LoadRegistry
-	peers  *crpeer.Transport
-	loop   *crcontrol.Loop
-	reader *platformReader
+	self          crid.Daemon
+	log           *crlog.Logger
+	clock         func() crid.Instant
+	pauseDetector *crforward.PauseDetector
+	exit          *crexit.Exit
+	loads         *crview.LoadRegistry
+	peers         *crpeer.Transport
+	loop          *crcontrol.Loop
+	reader        *platformReader
 
 	tokenPool  *craccount.TokenPool
 	localSplit *craccount.LocalSplit // nil unless the policy is "split"
@@ -51,7 +51,7 @@
 	// The following fields are used by the control goroutine only.
 	config       *crconfig.State
 	account      *craccount.State
-	steers       map[crid.Service]crhealth.RoutingUpdate
+	routing      map[crid.Service]crhealth.RoutingUpdate
 	viewInput    crview.Input
 	contactUntil crid.Instant // instant until which this daemon is in contact with the fleet
 	viewDirty    bool
@@ -91,7 +91,7 @@
 	case crconfig.WatchPlatform, crconfig.ReadPlatform, crconfig.ReadList:
 		go s.reader.perform(eff)
 	case crhealth.RoutingUpdate:
-		s.applySteer(eff)
+		s.applyRouting(eff)
 	case craccount.Deposit:
 		s.tokenPool.Deposit(eff)
 	case craccount.Withdraw:
@@ -102,8 +102,8 @@
 }
 
 // updateTrust sets until when request goroutines may use keys and policy. If a newer
-// configuration is known but cannot be fetched, the active one may contain keys
-// that were revoked in it, so nothing is trusted.
+// configuration is known but cannot be fetched, the active one may contain keys that
+// the newer one withdraws, so neither keys nor policy may be used.
 func (s *shell) updateTrust(now crid.Instant) {
 	s.configReady.Store(s.config.Ready())
 	s.refillsShares.Store(s.account.RefillsAllShares())
@@ -146,16 +146,17 @@
 	}
 }
 
-// collect runs at each tick. It detects pauses of the process and rebuilds the view
-// if its input has changed, so that several changes within a tick cause one rebuild.
-// It returns the counters of the request path as events.
+// collect runs before each tick, and when the token pool has to be drained. It detects
+// pauses of the process and rebuilds the view if its input has changed, so that several
+// changes within a tick cause one rebuild. It returns the counters of the request path
+// as events.
 func (s *shell) collect(now crid.Instant) []crevent.Event {
-	if s.pulse.Tick(now) {
+	if s.pauseDetector.Tick(now) {
 		s.log.Event(crlog.DaemonPaused, nil)
 	}
-	s.expireSteers(now)
+	s.expireRouting(now)
 	if view := s.view.Load(); s.viewDirty && view != nil {
-		s.viewInput.Health = s.steersByTarget()
+		s.viewInput.Health = s.targetHealth()
 		s.view.Store(view.WithPools(s.viewInput))
 		s.viewDirty = false
 	}
@@ -171,8 +172,8 @@
 var (
 	errNoConfiguration = errors.New("no configuration yet")
 	errPartitioned     = errors.New("cut off from the fleet")
-	errNoTokens        = errors.New("no tokens are minted here yet")
-	errNotListening    = errors.New("callers can not connect yet")
+	errNoTokens        = errors.New("token shares are not refilled here yet")
+	errNotListening    = errors.New("callers cannot connect yet")
 )
 
 // checkReady returns nil if callers can connect and be served, or the reason why not.
--- a/io/crdaemon/state.go
+++ b/io/crdaemon/state.go
@@ -28,15 +28,15 @@
 	Domain   crid.Domain    `json:"domain"`
 	Now      crid.Instant   `json:"now"` // the daemon's clock; all instants in the dump refer to it
 	Ready    string         `json:"ready"`
-	Standing bool           `json:"standing"` // it may use its keys and policy
+	Trusted  bool           `json:"standing"` // this daemon may use its keys and policy
 	Revision int64          `json:"revision"` // of the active configuration; zero if there is none
 	Parts    map[string]any `json:"parts"`
 }
 
 // accountDump is the part "account": limits of client accounts.
 type accountDump struct {
-	Control any                  `json:"control"`
-	Wallet  []craccount.PoolDump `json:"wallet"`
+	Control   any                  `json:"control"`
+	TokenPool []craccount.PoolDump `json:"wallet"`
 }
 
 // trafficDump is the part "traffic": requests and connections.
@@ -82,14 +82,14 @@
 func (d *daemon) dump(control crdaemon.Dump) stateDump {
 	now := crclock.Now()
 	parts := maps.Clone(control.Parts)
-	parts[partAccount] = accountDump{Control: control.Parts[partAccount], Wallet: d.shell.tokenPool.Dump(now)}
+	parts[partAccount] = accountDump{Control: control.Parts[partAccount], TokenPool: d.shell.tokenPool.Dump(now)}
 	parts[partTraffic] = d.traffic(now)
 	return stateDump{
 		Daemon:   d.cfg.Daemon(),
 		Domain:   crid.Domain(d.cfg.Domain),
 		Now:      now,
 		Ready:    readyText(d.shell.checkReady()),
-		Standing: d.shell.isTrusted(now),
+		Trusted:  d.shell.isTrusted(now),
 		Revision: d.shell.revision(),
 		Parts:    parts,
 	}
--- a/io/crdaemon/state_test.go
+++ b/io/crdaemon/state_test.go
@@ -29,10 +29,10 @@
 	cfg := crsettings.Defaults()
 	cfg.Name, cfg.Domain = "booking-1", "north"
 	m := newInstruments(metrics.NewRegistry())
-	pulse := crforward.NewPauseDetector(crforward.DefaultPauseThreshold, crclock.Now())
+	pauseDetector := crforward.NewPauseDetector(crforward.DefaultPauseThreshold, crclock.Now())
 	rec := crhealth.NewRecorder()
-	exit := newExit(cfg, pulse, m, rec)
-	s, err := newShell(nil, cfg, crlog.New(io.Discard, "info", cfg.Name), pulse, exit, m, rec)
+	exit := newExit(cfg, pauseDetector, m, rec)
+	s, err := newShell(nil, cfg, crlog.New(io.Discard, "info", cfg.Name), pauseDetector, exit, m, rec)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 		}
 	}
 	if _, err := d.state(t.Context(), "wallet"); !errors.Is(err, cradmin.ErrUnknownPart) {
-		t.Errorf("an unknown part gives %v", err)
+		t.Errorf("got %v for an unknown part", err)
 	}
 }
 
