--- a/io/crtrace/crtrace.go
+++ b/io/crtrace/crtrace.go
@@ -4,7 +4,7 @@
 // replays and prints traces. A trace contains the inputs of the reducers; it is not
 // a log (io/crlog) and does not follow single requests.
 //
-// A trace file starts with a line that names the format. Records follow, each a
+// A trace file starts with a line that names the format. Records follow, each of a
 // length and a CBOR array of a kind and a body. The first record is the header with
 // the parameters. Each event then has a record of the event itself, records of the
 // results of the configuration parser and loader, and a record with the digest of
@@ -54,7 +54,7 @@
 	// example because the daemon was killed.
 	ErrTruncated = errors.New("trace ends within a record")
 	// ErrInvalidRecord means that a record cannot be encoded or decoded.
-	ErrInvalidRecord = errors.New("bad record")
+	ErrInvalidRecord = errors.New("invalid record")
 )
 
 // Error is an error with the offset of the record in which it occurred.
@@ -95,7 +95,7 @@
 // done is the last record of an event.
 type done struct {
 	Effects int    `cbor:"n"`
-	Sum     uint64 `cbor:"s"` // digest of the effects, in order
+	Digest  uint64 `cbor:"s"` // of the effects, in order
 }
 
 func encode(kind string, body any) ([]byte, error) {
--- a/io/crtrace/event.go
+++ b/io/crtrace/event.go
@@ -45,7 +45,7 @@
 
 type read struct {
 	Now   crid.Instant   `cbor:"t"`
-	Value redactedChunk  `cbor:"v"`
+	Value redactedPart   `cbor:"v"`
 	Fault crconfig.Fault `cbor:"f"`
 }
 
@@ -106,12 +106,12 @@
 }
 
 // redactRead returns the recorded form of a read. A placeholder always matches its
-// digest, so a read without a fault whose data does not match is recorded as
-// FaultMissing.
+// digest, so a read without a fault whose data does not match its digest is recorded
+// with FaultMissing.
 func redactRead(ev crconfig.ReadResult) read {
-	fits := crconfig.DigestOf(ev.Data) == ev.Digest
-	r := read{Now: ev.Now, Value: redactChunk(ev.Digest, 0, len(ev.Data), ev.Data), Fault: ev.Fault}
-	if !fits && ev.Fault == crconfig.FaultNone {
+	matches := crconfig.DigestOf(ev.Data) == ev.Digest
+	r := read{Now: ev.Now, Value: redactPart(ev.Digest, 0, len(ev.Data), ev.Data), Fault: ev.Fault}
+	if !matches && ev.Fault == crconfig.FaultNone {
 		r.Fault = crconfig.FaultMissing
 	}
 	return r
@@ -180,7 +180,7 @@
 		_, _ = h.WriteString(eff.EffectName())
 		_, _ = h.Write(b)
 	}
-	return done{Effects: len(effects), Sum: h.Sum64()}, nil
+	return done{Effects: len(effects), Digest: h.Sum64()}, nil
 }
 
 // digestedPart returns the part of an effect that is digested. It excludes all data
--- a/io/crtrace/floor.go
+++ b/io/crtrace/floor.go
@@ -11,8 +11,8 @@
 )
 
 // floorInvariant checks that ejections leave each service at least as many targets as
-// its floor. It tracks the policy, the instances and the peers that this daemon knows,
-// and the routing updates of the current event.
+// its floor. It tracks the daemon's policy, list of instances and peers, and the routing
+// updates of the current event.
 type floorInvariant struct {
 	self     crid.Daemon
 	stopping bool
@@ -50,9 +50,9 @@
 
 // checkService returns an error if ejections leave a service fewer targets than its
 // floor. If the capacity is at or below the floor, no target may be ejected. A target
-// that is ejected and in slow start is not capacity. A target that is only in slow
-// start counts as capacity, since it cannot be distinguished from one whose ejection
-// has just ended.
+// that is ejected and in slow start does not count as capacity. A target that is only in
+// slow start does, since it cannot be distinguished from one whose ejection has just
+// ended.
 func (f *floorInvariant) checkService(service crid.Service, update crhealth.RoutingUpdate) error {
 	if f.snapshot == nil {
 		return nil
--- a/io/crtrace/recorder.go
+++ b/io/crtrace/recorder.go
@@ -16,7 +16,7 @@
 )
 
 // ErrFull means that the next event would exceed Options.MaxBytes.
-var ErrFull = errors.New("the trace has reached its size")
+var ErrFull = errors.New("the trace has reached its maximum size")
 
 // Options configure a Recorder.
 type Options struct {
--- a/io/crtrace/redact.go
+++ b/io/crtrace/redact.go
@@ -11,47 +11,48 @@
 
 // A published value is recorded without its content, which may contain hashes of
 // keys. Replay uses a placeholder of the same size: the digest of the value,
-// repeated. The digest is read from the first bytes of the placeholder, so that the
-// parts of a value can be joined as the original parts were. A value shorter than a
-// digest cannot contain a hash of a key and is recorded unchanged.
+// repeated. The placeholder of a part starts at the part's offset in this sequence, so
+// the placeholders of all parts join to the placeholder of the whole value, whose first
+// bytes are the digest. A value shorter than a digest cannot contain a hash of a key and
+// is recorded unchanged.
+
 const digestSize = len(crconfig.Digest{})
 
-// redactedChunk is the recorded form of a contiguous part of a value.
-type redactedChunk struct {
+// redactedPart is the recorded form of a contiguous part of a value.
+type redactedPart struct {
 	Digest  crconfig.Digest `cbor:"d"`
-	Off     int             `cbor:"o"`
+	Offset  int             `cbor:"o"`
 	Size    int             `cbor:"s"` // bytes of the whole value
-	Len     int             `cbor:"n"` // bytes of this chunk
+	Length  int             `cbor:"n"` // bytes of this part
 	Content []byte          `cbor:"p"` // set only if the value is shorter than a digest
 }
 
-func redactChunk(digest crconfig.Digest, off, size int, data []byte) redactedChunk {
-	c := redactedChunk{Digest: digest, Off: off, Size: size, Len: len(data)}
+func redactPart(digest crconfig.Digest, off, size int, data []byte) redactedPart {
+	c := redactedPart{Digest: digest, Offset: off, Size: size, Length: len(data)}
 	if size < digestSize && len(data) < digestSize {
 		c.Content = data
 	}
 	return c
 }
 
-var errChunkTooLong = errors.New("chunk of a value is longer than the maximum size of a record")
+var errPartTooLong = errors.New("part of a value is longer than the maximum size of a record")
 
-func (c redactedChunk) placeholder() ([]byte, error) {
-	if c.Content != nil || c.Len == 0 {
+func (c redactedPart) placeholder() ([]byte, error) {
+	if c.Content != nil || c.Length == 0 {
 		return c.Content, nil
 	}
-	if c.Len < 0 || c.Len > maxRecord {
-		return nil, errChunkTooLong
+	if c.Length < 0 || c.Length > maxRecord {
+		return nil, errPartTooLong
 	}
-	b := make([]byte, c.Len)
+	b := make([]byte, c.Length)
 	for i := range b {
-		at := (c.Off%digestSize + i%digestSize + digestSize) % digestSize
+		at := (c.Offset%digestSize + i%digestSize + digestSize) % digestSize
 		b[i] = c.Digest[at]
 	}
 	return b, nil
 }
 
-// digestOf returns the digest that a placeholder stands for, or the digest of a short
-// value.
+// digestOf returns the digest in a placeholder, or the digest of a short value.
 func digestOf(data []byte) crconfig.Digest {
 	if len(data) < digestSize {
 		return crconfig.DigestOf(data)
@@ -61,7 +62,7 @@
 
 // redactedPush is a crconfig.Push without the content of the values.
 type redactedPush struct {
-	Parts []redactedChunk `cbor:"p"`
+	Parts []redactedPart `cbor:"p"`
 }
 
 // MessageKind implements crevent.Message.
@@ -75,7 +76,7 @@
 	}
 	var p redactedPush
 	for _, part := range m.Parts {
-		p.Parts = append(p.Parts, redactChunk(part.Digest, part.Offset, part.Size, part.Data))
+		p.Parts = append(p.Parts, redactPart(part.Digest, part.Offset, part.Size, part.Data))
 	}
 	return p
 }
@@ -87,7 +88,7 @@
 		if err != nil {
 			return nil, err
 		}
-		m.Parts = append(m.Parts, crconfig.Part{Digest: part.Digest, Offset: part.Off, Size: part.Size, Data: data})
+		m.Parts = append(m.Parts, crconfig.Part{Digest: part.Digest, Offset: part.Offset, Size: part.Size, Data: data})
 	}
 	return m, nil
 }
--- a/io/crtrace/redact_test.go
+++ b/io/crtrace/redact_test.go
@@ -15,7 +15,7 @@
 // reader test guesses of the key, so no published value is recorded.
 func TestTraceContainsNoKeyHash(t *testing.T) {
 	hash := crpolicy.HashKey("crk_secret")
-	value := append(bytes.Repeat([]byte("filling "), 8), hash[:]...)
+	value := append(bytes.Repeat([]byte("padding "), 8), hash[:]...)
 	digest := crconfig.DigestOf(value)
 	var file memoryFile
 	rec, err := newRecorder(&file, Options{Params: crdaemon.DefaultParams(), MaxBytes: 1 << 20})
@@ -60,7 +60,7 @@
 	digest := crconfig.DigestOf(value)
 	var whole []byte
 	for _, cut := range [][2]int{{0, 7}, {7, 50}, {50, len(value)}} {
-		part, err := redactChunk(digest, cut[0], len(value), value[cut[0]:cut[1]]).placeholder()
+		part, err := redactPart(digest, cut[0], len(value), value[cut[0]:cut[1]]).placeholder()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/io/crtrace/note.go
+++ b/io/crtrace/report.go
@@ -61,7 +61,7 @@
 		if err != nil {
 			return err
 		}
-		text, err := c.diagnose(rec)
+		text, err := c.formatRecord(rec)
 		if err != nil {
 			return r.fail(err)
 		}
@@ -82,9 +82,9 @@
 	return true
 }
 
-// diagnose returns a record in CBOR's diagnostic notation. A received message is
+// formatRecord returns a record in CBOR's diagnostic notation. A received message is
 // preceded by its time and sender.
-func (c *codec) diagnose(rec record) (string, error) {
+func (c *codec) formatRecord(rec record) (string, error) {
 	body := []byte(rec.Body)
 	prefix := ""
 	if rec.Kind == kindReceived {
--- a/io/crtrace/source_test.go
+++ b/io/crtrace/source_test.go
@@ -11,17 +11,16 @@
 	"testing"
 )
 
-// An event that the codec does not know ends the recording of a running daemon. The
-// test finds event types in the source, so that it covers new ones. Notices between
-// reducers are not recorded.
+// An event type without a kind of record ends the recording of a running daemon. The types are read from the
+// source, so that new ones are covered. Effects that one reducer passes to another as events are not recorded.
 func TestEveryCoreEventIsRecorded(t *testing.T) {
 	c, err := newCodec()
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := map[string]bool{"crevent.Received": true, "crconfig.ReadResult": true, "crconfig.ListResult": true}
+	recordedTypes := map[string]bool{"crevent.Received": true, "crconfig.ReadResult": true, "crconfig.ListResult": true}
 	for typ := range c.kindByType {
-		known[typ.String()] = true
+		recordedTypes[typ.String()] = true
 	}
 	recorded := coreDependencies(t, "crdaemon")
 	events := slices.DeleteFunc(coreEvents(t), func(name string) bool {
@@ -32,7 +31,7 @@
 		t.Fatalf("only %d events were found in core", len(events))
 	}
 	for _, name := range events {
-		if !known[name] {
+		if !recordedTypes[name] {
 			t.Errorf("%s is not recorded", name)
 		}
 	}
@@ -48,12 +47,12 @@
 func coreDependencies(t *testing.T, root string) map[string]bool {
 	t.Helper()
 	out := make(map[string]bool)
-	for open := []string{root}; len(open) > 0; open = open[1:] {
-		if out[open[0]] {
+	for queue := []string{root}; len(queue) > 0; queue = queue[1:] {
+		if out[queue[0]] {
 			continue
 		}
-		out[open[0]] = true
-		open = append(open, coreImports(t, open[0])...)
+		out[queue[0]] = true
+		queue = append(queue, coreImports(t, queue[0])...)
 	}
 	return out
 }
--- a/io/crtrace/trace_test.go
+++ b/io/crtrace/trace_test.go
@@ -38,8 +38,8 @@
 	return b
 }
 
-// Fails if a change of a reducer alters the effects in a recorded run. After an
-// intended change, `make traces` records the traces again.
+// A change of a reducer must not alter the effects in a recorded run. After an intended
+// change, `make traces` records the traces again.
 func TestRecordedTracesReplayToGoldenReports(t *testing.T) {
 	for _, name := range traceNames() {
 		t.Run(name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 }
 
 // A killed daemon leaves an incomplete record at the end of its trace. The events
-// before it must still replay, so that the trace of a crash can be analyzed.
+// before it must still be replayed, so that the trace of a crash can be analyzed.
 func TestTruncatedTraceReplaysUpToLastCompleteEvent(t *testing.T) {
 	whole := readTrace(t, "calm")
 	full, err := Replay(bytes.NewReader(whole))
@@ -130,19 +130,19 @@
 
 // A replay must stop at the first event whose effects differ from the recorded ones.
 func TestReplayReportsFirstDivergentEvent(t *testing.T) {
-	const changed = 40 // number of the first event with an altered digest
+	const firstChanged = 40 // number of the first event with an altered digest
 	seen := 0
 	trace := rewriteTrace(t, readTrace(t, "calm"), func(_ int, rec *record) {
 		if rec.Kind == kindDone {
 			seen++
 		}
-		if rec.Kind == kindDone && seen >= changed {
+		if rec.Kind == kindDone && seen >= firstChanged {
 			rec.Body[len(rec.Body)-1] ^= 1
 		}
 	})
 	report, err := Replay(bytes.NewReader(trace))
 	var at *EventError
-	if !errors.Is(err, ErrDiverged) || !errors.As(err, &at) || at.Number() != changed || report.Events != changed {
+	if !errors.Is(err, ErrDiverged) || !errors.As(err, &at) || at.Number() != firstChanged || report.Events != firstChanged {
 		t.Errorf("replay returned %v after %d events", err, report.Events)
 	}
 }
@@ -151,7 +151,7 @@
 	good := readTrace(t, "calm")
 	unknown := rewriteTrace(t, good, func(n int, rec *record) {
 		if n == 1 {
-			rec.Kind = "mystery"
+			rec.Kind = "unknown"
 		}
 	})
 	long := append([]byte(magic), 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f)
@@ -254,7 +254,7 @@
 func (*memoryFile) Close() error { return nil }
 
 // A trace that reaches MaxBytes must end without an effect on the daemon, and must
-// still replay.
+// still be replayable.
 func TestRecordingStopsAtMaxBytes(t *testing.T) {
 	var file memoryFile
 	var causes []error
