--- a/io/crplatform/client.go
+++ b/io/crplatform/client.go
@@ -21,7 +21,7 @@
 // maxPages bounds the list to 64 MB. 5,500 instances take 2 MB.
 const maxPages = 64
 
-// errListChanged means that the list changed between two of its pages.
+// errListChanged means that the list changed between the requests for two of its pages.
 var errListChanged = errors.New("the list changed while it was read")
 
 // Client is a client of the platform's HTTP API. It is safe for concurrent use.
@@ -50,7 +50,7 @@
 		base: strings.TrimRight(base, "/"),
 		http: &http.Client{
 			Transport: http.DefaultTransport.(*http.Transport).Clone(),
-			// A redirect would be a second call, beyond the budget for calls.
+			// A redirect would be a second call, which could exceed the budget for calls.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}
@@ -86,13 +86,13 @@
 		return nil, err
 	}
 	if crconfig.DigestOf(data) != digest {
-		return nil, oops.Wrapf(ErrStale, "value %s has another digest", name)
+		return nil, oops.Wrapf(ErrStale, "value %s does not match the digest", name)
 	}
 	return data, nil
 }
 
-// Instances implements [Port]. It reads the list a second time if the list changed
-// between two pages.
+// Instances implements [Port]. It reads the list once more if it changed between two
+// pages.
 func (c *Client) Instances(ctx context.Context) (crinstance.List, error) {
 	list, err := c.readPages(ctx)
 	if errors.Is(err, errListChanged) {
@@ -134,7 +134,7 @@
 		return err
 	}
 	if err := json.Unmarshal(data, v); err != nil {
-		return oops.Wrapf(ErrUnavailable, "unreadable answer: %v", err)
+		return oops.Wrapf(ErrUnavailable, "invalid response: %v", err)
 	}
 	return nil
 }
@@ -142,7 +142,7 @@
 func (c *Client) get(ctx context.Context, path string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, http.NoBody)
 	if err != nil {
-		return nil, oops.Wrapf(err, "make the request")
+		return nil, oops.Wrapf(err, "create the request")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
--- a/io/crplatform/client_test.go
+++ b/io/crplatform/client_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func start(t *testing.T) (*lab.Platform, *crplatform.Client) {
+func startPlatform(t *testing.T) (*lab.Platform, *crplatform.Client) {
 	t.Helper()
 	p := lab.New(10)
 	server := httptest.NewServer(p.Handler())
@@ -52,7 +52,7 @@
 }
 
 func TestClientReadsPublishedValuesAndInstances(t *testing.T) {
-	p, c := start(t)
+	p, c := startPlatform(t)
 	ctx := t.Context()
 	b := publish(t, p, "one")
 	var instances []crinstance.Instance
@@ -81,7 +81,7 @@
 }
 
 func TestWatchWaitsForAChange(t *testing.T) {
-	p, c := start(t)
+	p, c := startPlatform(t)
 	publish(t, p, "one")
 	time.AfterFunc(50*time.Millisecond, func() { p.SetInstances(nil) })
 	head, err := c.Watch(t.Context(), 11, 10*time.Second)
@@ -93,9 +93,8 @@
 	}
 }
 
-// The platform restarts, stops answering, or is restored from a backup. The daemon must
-// distinguish these: it waits for an unavailable platform, and never accepts an older
-// revision as a change.
+// The platform restarts, stops answering, or is restored from a backup. The daemon must distinguish these:
+// it waits for an unavailable platform, and never accepts an older revision as a change.
 func TestWatchDistinguishesFaults(t *testing.T) {
 	for name, tc := range map[string]struct {
 		fault lab.Fault
@@ -107,7 +106,7 @@
 		"stale":       {lab.Fault{Mode: lab.ModeStale}, crplatform.ErrStale},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, c := start(t)
+			p, c := startPlatform(t)
 			publish(t, p, "one")
 			publish(t, p, "two")
 			p.SetFault(tc.fault)
--- a/io/crplatform/perform.go
+++ b/io/crplatform/perform.go
@@ -10,13 +10,13 @@
 	"camphorroad/core/crid"
 )
 
-// Clock returns the time of the daemon's clock, which counts suspended time.
+// Clock returns the time of the daemon's clock, which includes time in suspension.
 type Clock func() crid.Instant
 
 // Perform executes an effect of core/crconfig that calls the platform, and returns the
 // event with its result. It reports false for any other effect. It blocks until the
-// answer or the timeout, which a watch brings along, so it should run in its own
-// goroutine.
+// response or the timeout, so it should run in its own goroutine. A watch has its own
+// timeout in the effect.
 func Perform(ctx context.Context, port Port, now Clock, timeout time.Duration, effect crevent.Effect) (crevent.Event, bool) {
 	switch e := effect.(type) {
 	case crconfig.WatchPlatform:
--- a/io/crplatform/perform_test.go
+++ b/io/crplatform/perform_test.go
@@ -13,10 +13,10 @@
 	lab "camphorroad/lab/crplatform"
 )
 
-// One daemon, alone on the list, reads its configuration with core/crconfig, the client
-// and the simulated platform.
+// The only daemon on the list reads its configuration with core/crconfig, the client and
+// the simulated platform, and keeps it when the platform becomes stale.
 func TestPerformLoadsAConfiguration(t *testing.T) {
-	p, c := start(t)
+	p, c := startPlatform(t)
 	p.SetInstances([]crinstance.Instance{{Daemon: "self", Domain: "m", State: crinstance.StateLive}})
 	publish(t, p, "one")
 	params := crconfig.DefaultParams()
--- a/io/crplatform/platform.go
+++ b/io/crplatform/platform.go
@@ -30,27 +30,28 @@
 
 // Errors of all implementations of [Port], for errors.Is.
 var (
-	// ErrUnavailable means that the platform gave no usable answer in time.
+	// ErrUnavailable means that no valid response was received in time.
 	ErrUnavailable = errors.New("platform is unavailable")
 	// ErrNotFound means that the platform does not have the requested value.
 	ErrNotFound = errors.New("not found on the platform")
-	// ErrTooLarge means that the answer exceeds the platform's limit.
-	ErrTooLarge = errors.New("platform answer is too large")
-	// ErrStale means that the platform answered with an older revision than before, or
-	// with bytes that do not match the digest.
+	// ErrTooLarge means that a response exceeds the platform's size limit.
+	ErrTooLarge = errors.New("platform response is too large")
+	// ErrStale means that the platform returned an older revision than before, or
+	// bytes that do not match the digest.
 	ErrStale = errors.New("platform is stale")
 )
 
 // ManifestName is the name of the value that lists all others.
 const ManifestName = "manifest"
 
-// Port reads and watches the platform. All calls end with their context.
+// Port reads and watches the platform. All calls return when their context ends.
 type Port interface {
 	// Watch returns the platform's newest head as soon as its revision is above
 	// after, or the unchanged head when wait is over. A head older than after is
 	// returned together with ErrStale.
 	Watch(ctx context.Context, after crid.Revision, wait time.Duration) (crconfig.Head, error)
-	// Value returns the bytes of a named value. They match the digest.
+	// Value returns the bytes of a named value, or ErrStale if they do not match the
+	// digest.
 	Value(ctx context.Context, name string, digest crconfig.Digest) ([]byte, error)
 	// Instances returns the newest list of instances.
 	Instances(ctx context.Context) (crinstance.List, error)
