--- a/io/crcert/crcert.go
+++ b/io/crcert/crcert.go
@@ -33,7 +33,7 @@
 	dirMode  = 0o700
 )
 
-// ErrInvalidName reports a name that a daemon cannot have.
+// ErrInvalidName reports an invalid or reserved daemon name.
 var ErrInvalidName = errors.New("invalid daemon name")
 
 // CertPath returns the path of a daemon's certificate in dir. Its key has the same
@@ -62,8 +62,9 @@
 	return nil
 }
 
-// checkNames rejects names that would overwrite the files of the authority, after
-// which daemons would not trust each other, or write outside the directory.
+// checkNames rejects names whose files would be written outside the directory, and the
+// name of the authority. If its files were overwritten, daemons would not trust each
+// other.
 func checkNames(names []string) error {
 	valid := regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 	for _, name := range names {
