--- a/io/crcontrol/crcontrol.go
+++ b/io/crcontrol/crcontrol.go
@@ -46,19 +46,20 @@
 	Clock func() crid.Instant
 	// Execute executes one effect. It must not block, and must not call Dump.
 	Execute func(eff crevent.Effect)
-	// Collect is called before each tick, and when Wake fires. It returns the
+	// Collect is called before each tick, and for each value on Wake. It returns the
 	// counters of the request path as events. Nil: nothing is collected.
 	Collect func(now crid.Instant) []crevent.Event
 	// Wake triggers Collect without waiting for the next tick.
 	Wake <-chan struct{}
 	// Recorder records each event and its effects. Nil: no recording.
 	Recorder Recorder
-	// ObserveStep is called with the time that the reducers took for each event.
-	// Nil: not measured.
+	// ObserveStep is called with the time that the reducers took for each event. It
+	// may be nil.
 	ObserveStep func(took time.Duration)
 }
 
-// Loop owns the control state.
+// Loop is the control loop. Its goroutine is the only one that accesses the control
+// state.
 type Loop struct {
 	root    *crdaemon.Root
 	opts    Options
@@ -77,7 +78,7 @@
 	}
 }
 
-// Post queues an event without blocking.
+// Post queues an event without blocking. It returns ErrQueueFull if there is no room.
 func (l *Loop) Post(ev crevent.Event) error {
 	select {
 	case l.events <- ev:
@@ -137,7 +138,7 @@
 	if l.opts.Recorder != nil {
 		l.opts.Recorder.Event(ev)
 	}
-	effects := l.step(ev)
+	effects := l.timedStep(ev)
 	if l.opts.Recorder != nil {
 		l.opts.Recorder.Effects(effects)
 	}
@@ -146,7 +147,7 @@
 	}
 }
 
-func (l *Loop) step(ev crevent.Event) []crevent.Effect {
+func (l *Loop) timedStep(ev crevent.Event) []crevent.Effect {
 	if l.opts.ObserveStep == nil {
 		return l.root.Step(ev)
 	}
@@ -155,7 +156,8 @@
 	return l.root.Step(ev)
 }
 
-// Dump returns the control state, taken by the control goroutine.
+// Dump returns the control state between two events. The control goroutine builds it,
+// so Dump blocks unless Run is running.
 func (l *Loop) Dump(ctx context.Context) (crdaemon.Dump, error) {
 	reply := make(chan crdaemon.Dump, 1)
 	select {
