--- a/io/crwatch/crwatch.go
+++ b/io/crwatch/crwatch.go
@@ -151,7 +151,7 @@
 	s.recordAnswer()
 	for ctx.Err() == nil {
 		if err := s.poll(ctx); err != nil && ctx.Err() == nil {
-			s.failed(ctx, err)
+			s.handleFailure(ctx, err)
 		}
 	}
 	return nil
--- a/io/crwatch/scope.go
+++ b/io/crwatch/scope.go
@@ -37,12 +37,12 @@
 	case errors.Is(err, errInterrupted):
 		return nil
 	case errors.Is(err, ErrCompacted):
-		s.historyCompacted()
+		s.relistScopes()
 		return nil
 	case err != nil:
 		return err
 	}
-	s.succeeded()
+	s.recordSuccess()
 	if revision == 0 {
 		return nil
 	}
@@ -102,18 +102,18 @@
 		s.restarted, s.aligned = false, true
 		return minWait
 	}
-	turn := min(fleetWatchInterval*time.Duration(max(s.opts.ReaderCount(), 1)), maxWait*2/3)
+	meanWait := min(fleetWatchInterval*time.Duration(max(s.opts.ReaderCount(), 1)), maxWait*2/3)
 	if s.aligned {
 		s.aligned = false
-		return minWait + rand.N(max(turn-minWait, 1))
+		return minWait + rand.N(max(meanWait-minWait, 1))
 	}
-	return turn/2 + rand.N(turn)
+	return meanWait/2 + rand.N(meanWait)
 }
 
-// historyCompacted causes all scopes to be listed again. The pending watches of the
+// relistScopes causes all scopes to be listed again. The pending watches of the
 // other scopes may have missed changes from the same time; they would return these much
 // later.
-func (s *scopeFollower) historyCompacted() {
+func (s *scopeFollower) relistScopes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compactions++
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	s.succeeded()
+	s.recordSuccess()
 	s.listed, s.after, s.listedAt, s.aligned = true, revision, compactions, true
 	s.apply(items, revision, true)
 	s.setUnavailable(s.scope, false)
@@ -168,10 +168,10 @@
 	s.opts.Emit(crmesh.RecordsChanged{Now: now, Changes: changes, Revision: revision})
 }
 
-// succeeded records an answer of the store. It does not make the scope available to
+// recordSuccess records an answer of the store. It does not make the scope available to
 // peers; the caller does so after it has applied the answer. Before that, a peer would
 // get a list without targets.
-func (s *scopeFollower) succeeded() {
+func (s *scopeFollower) recordSuccess() {
 	sinceLast := s.recordAnswer()
 	s.failingSince, s.backoff = 0, 0
 	if !s.outageReported {
@@ -193,8 +193,9 @@
 	return sinceLast
 }
 
-// failed records a failed call, and waits for the backoff.
-func (s *scopeFollower) failed(ctx context.Context, err error) {
+// handleFailure records a failed call, restarts the watches if it timed out, and waits for
+// the backoff.
+func (s *scopeFollower) handleFailure(ctx context.Context, err error) {
 	s.failures.Add(1)
 	now := s.opts.Clock()
 	if s.failingSince == 0 {
--- a/io/crwatch/scope_test.go
+++ b/io/crwatch/scope_test.go
@@ -17,8 +17,8 @@
 	"camphorroad/io/crwatch"
 )
 
-// turn is the mean time between two watches of a daemon in a fleet with six readers.
-const turn = 3 * time.Second
+// meanWait is the mean wait of the watches of a daemon in a fleet with six readers.
+const meanWait = 3 * time.Second
 
 // unresponsiveStore answers lists, and does not answer watches while unresponsive is set.
 type unresponsiveStore struct {
@@ -87,15 +87,15 @@
 	})
 }
 
-// If the watches of all daemons ended at the same moment, a change could stay undetected for a whole turn.
+// If the watches of all daemons ended at the same moment, a change could stay undetected for a whole wait.
 func TestWatchWaitsAreRandomized(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newUnresponsiveStore()
-	followFor(t, s, 100*turn, func(*crwatch.Follower) {})
+	followFor(t, s, 100*meanWait, func(*crwatch.Follower) {})
 	short, long := 0, 0
 	for _, wait := range s.waits[crwatch.Records][1:] {
-		g.Expect(wait).To(gomega.BeNumerically("~", turn, turn/2))
-		if wait < turn {
+		g.Expect(wait).To(gomega.BeNumerically("~", meanWait, meanWait/2))
+		if wait < meanWait {
 			short++
 		} else {
 			long++
@@ -110,8 +110,8 @@
 	g := gomega.NewWithT(t)
 	for range 20 {
 		s := newUnresponsiveStore()
-		followFor(t, s, turn, func(*crwatch.Follower) {})
-		g.Expect(s.waits[crwatch.Records][0]).To(gomega.BeNumerically("<=", turn))
+		followFor(t, s, meanWait, func(*crwatch.Follower) {})
+		g.Expect(s.waits[crwatch.Records][0]).To(gomega.BeNumerically("<=", meanWait))
 	}
 }
 
@@ -120,7 +120,7 @@
 	g := gomega.NewWithT(t)
 	s := newUnresponsiveStore()
 	var restarted time.Time
-	followFor(t, s, 10*turn, func(f *crwatch.Follower) {
+	followFor(t, s, 10*meanWait, func(f *crwatch.Follower) {
 		restarted = time.Now()
 		f.RestartWatches()
 		synctest.Wait()
@@ -141,14 +141,14 @@
 	g := gomega.NewWithT(t)
 	for range 20 {
 		s := newUnresponsiveStore()
-		followFor(t, s, 10*turn, func(f *crwatch.Follower) {
+		followFor(t, s, 10*meanWait, func(f *crwatch.Follower) {
 			f.RestartWatches()
 			synctest.Wait()
 		})
 		for scope, waits := range s.waits {
 			at := slices.Index(waits, 200*time.Millisecond)
 			g.Expect(at).To(gomega.BeNumerically(">=", 0))
-			g.Expect(waits[at+1]).To(gomega.BeNumerically("<=", turn), "of the %v", scope)
+			g.Expect(waits[at+1]).To(gomega.BeNumerically("<=", meanWait), "of the %v", scope)
 		}
 	}
 }
@@ -157,7 +157,7 @@
 func TestATimedOutWatchRestartsTheOther(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newUnresponsiveStore()
-	followFor(t, s, 10*turn, func(*crwatch.Follower) { s.stopAnswering() })
+	followFor(t, s, 10*meanWait, func(*crwatch.Follower) { s.stopAnswering() })
 	first := make(map[crwatch.Scope]time.Time)
 	for scope, starts := range s.starts {
 		for i, at := range starts {
@@ -173,7 +173,7 @@
 func TestATimedOutWatchIsSentAgainAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newUnresponsiveStore()
-	followFor(t, s, 20*turn, func(*crwatch.Follower) { s.stopAnswering() })
+	followFor(t, s, 20*meanWait, func(*crwatch.Follower) { s.stopAnswering() })
 	starts, waits := s.starts[crwatch.Records], s.waits[crwatch.Records]
 	timedOut := 0
 	for i := range waits[1:] {
--- a/io/crwatch/update.go
+++ b/io/crwatch/update.go
@@ -37,8 +37,8 @@
 	Configuration   []Item        `cbor:"c"`
 }
 
-// UpdateFor returns the parts that are newer than a peer's revisions. A list of records and a
-// configuration are tens of kilobytes each. Sending both to every peer that lacks
+// UpdateFor returns the parts that are newer than a peer's revisions. A list of records
+// and a configuration are tens of kilobytes each. Sending both to every peer that lacks
 // one of them would saturate the link of a daemon with many such peers.
 func (f *Follower) UpdateFor(peer Revisions) Update {
 	f.mu.Lock()
