--- a/io/crfeed/crfeed.go
+++ b/io/crfeed/crfeed.go
@@ -147,7 +147,7 @@
 	}
 	f.recordCall(scope)
 	items, revision, err = f.opts.Store.List(ctx, scope)
-	f.recordResult(scope, err)
+	f.finishProbe(scope, err)
 	return items, revision, err
 }
 
@@ -165,7 +165,7 @@
 	}
 	f.recordCall(scope)
 	items, revision, err = f.watchDirectly(ctx, scope, after, f.boundWait(scope, wait))
-	f.recordResult(scope, err)
+	f.finishProbe(scope, err)
 	if len(items) > 0 {
 		f.recordChange(scope)
 	}
@@ -262,7 +262,7 @@
 			unavailable = true
 		}
 	}
-	if unavailable && !f.allowProbe(q.Scope) {
+	if unavailable && !f.startProbe(q.Scope) {
 		return nil, 0, crwatch.ErrUnavailable
 	}
 	return nil, 0, errReadDirectly
@@ -313,10 +313,10 @@
 	f.backoffUntil[d] = now.Add(readerBackoff)
 }
 
-// recordResult makes this daemon read the store directly for directTime if a probe has
+// finishProbe makes this daemon read the store directly for directTime if a probe has
 // succeeded, since the store then answers this daemon although the readers report it as
 // unavailable.
-func (f *Feed) recordResult(scope crwatch.Scope, err error) {
+func (f *Feed) finishProbe(scope crwatch.Scope, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err == nil && f.lastProbe[scope] != 0 {
@@ -336,8 +336,8 @@
 	return wait
 }
 
-// allowProbe reports whether a direct call may probe the store now, and records it.
-func (f *Feed) allowProbe(scope crwatch.Scope) bool {
+// startProbe reports whether a probe is due, and records that the next direct call is one.
+func (f *Feed) startProbe(scope crwatch.Scope) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.opts.Clock()
