--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -53,9 +53,10 @@
 	startTimeout      = 10 * time.Second
 	stopTimeout       = 5 * time.Second
 	drainPollInterval = 20 * time.Millisecond
-	// drainNotice is how long a stopping daemon still accepts new requests after it has
-	// notified its peers, for requests that they sent before they got the notification.
-	drainNotice = 300 * time.Millisecond
+	// drainNoticePeriod is how long a stopping daemon still accepts new requests after
+	// it has notified its peers, for requests that they sent before they got the
+	// notification.
+	drainNoticePeriod = 300 * time.Millisecond
 	// maxUnreadyWait is how long a daemon that cannot serve requests accepts no
 	// connections of callers.
 	maxUnreadyWait    = 15 * time.Second
@@ -367,7 +368,7 @@
 func (d *daemon) drain() error {
 	d.log.Event(crlog.DaemonDraining, nil)
 	_ = d.shell.loop.Post(crevent.Stopping{Now: crclock.Now()})
-	time.Sleep(drainNotice)
+	time.Sleep(drainNoticePeriod)
 	d.entry.Drain()
 	d.exit.Drain()
 	ctx, cancel := context.WithTimeout(context.Background(), d.cfg.Limits.DrainTime.Duration)
--- a/io/crdaemon/routing.go
+++ b/io/crdaemon/routing.go
@@ -18,8 +18,8 @@
 }
 
 // expireRouting removes expired ejections and weights. If the verdict of an arbiter
-// were used after its expiry, the ejections of the next arbiter would be added to its
-// own, and the service could fall below its floor.
+// were used after its expiry, the ejections of the next arbiter would be added to the
+// expired ones, and the service could fall below its floor.
 func (s *shell) expireRouting(now crid.Instant) {
 	for service, eff := range s.routing {
 		if !now.Before(eff.Until) {
