--- a/io/crexit/run.go
+++ b/io/crexit/run.go
@@ -181,7 +181,7 @@
 		return
 	}
 	r.writesBefore = r.conn.writes.Load()
-	if info.Reused && !crlink.NoPendingData(r.conn.Conn) {
+	if info.Reused && !crlink.Reusable(r.conn.Conn) {
 		r.conn.retire()
 	}
 }
--- a/io/crlink/crlink.go
+++ b/io/crlink/crlink.go
@@ -117,7 +117,7 @@
 		if c == nil {
 			return p.Dial(ctx)
 		}
-		if time.Since(c.lastUsed) < p.idleTimeout(c) && c.noPendingData() {
+		if time.Since(c.lastUsed) < p.idleTimeout(c) && c.reusable() {
 			return c, nil
 		}
 		c.Close()
@@ -202,12 +202,12 @@
 	_ = c.net.Close() // nothing more is sent or read on it
 }
 
-// noPendingData reports whether an idle connection has no unread data.
-func (c *Conn) noPendingData() bool { return c.br.Buffered() == 0 && NoPendingData(c.net) }
+// reusable reports whether an idle connection is still open and has no unread data.
+func (c *Conn) reusable() bool { return c.br.Buffered() == 0 && Reusable(c.net) }
 
-// NoPendingData reports whether a connection has neither unread data nor been closed by
-// the peer. It does not wait for a goroutine that reads from the connection.
-func NoPendingData(conn net.Conn) bool {
+// Reusable reports whether an idle connection is still open and has no unread data. It
+// does not wait for a goroutine that reads from the connection.
+func Reusable(conn net.Conn) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
--- a/io/crlink/crlink_test.go
+++ b/io/crlink/crlink_test.go
@@ -122,8 +122,8 @@
 	g.Expect(restarted.Runs()).To(gomega.HaveLen(1))
 }
 
-// While another goroutine blocks in Read on a connection, NoPendingData must not block.
-func TestNoPendingDataDoesNotWaitForReader(t *testing.T) {
+// While another goroutine blocks in Read on a connection, Reusable must not block.
+func TestReusableDoesNotWaitForReader(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -138,10 +138,10 @@
 		_, err := conn.Read(make([]byte, 1))
 		read <- err
 	}()
-	noData := func() bool { return crlink.NoPendingData(conn) }
-	g.Consistently(noData, 100*time.Millisecond).Should(gomega.BeTrue())
+	reusable := func() bool { return crlink.Reusable(conn) }
+	g.Consistently(reusable, 100*time.Millisecond).Should(gomega.BeTrue())
 	g.Expect(peer.Close()).To(gomega.Succeed())
-	g.Eventually(noData).Should(gomega.BeFalse())
+	g.Eventually(reusable).Should(gomega.BeFalse())
 	g.Eventually(read).Should(gomega.Receive(gomega.HaveOccurred()))
 }
 
