--- a/io/crentry/crentry.go
+++ b/io/crentry/crentry.go
@@ -120,7 +120,7 @@
 	// Without full duplex net/http reads the rest of a body before it writes
 	// the response, and a refusal would wait for a slow upload.
 	_ = http.NewResponseController(w).EnableFullDuplex()
-	crlink.CloseAfterChunks(w, r)
+	crlink.CloseAfterChunkedBody(w, r)
 	body := newBody(w, r, e.opts.ReplayBytes, e.opts.BodyIdleTimeout)
 	defer body.close()
 	if refused := e.precheck(r, n); refused != nil {
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -126,7 +126,7 @@
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
 	started := e.opts.Clock()
-	crlink.CloseAfterChunks(w, r)
+	crlink.CloseAfterChunkedBody(w, r)
 	q := &request{Entry: e, started: started, http: r, view: e.view.Load()}
 	resp := q.handle()
 	e.opts.Meter.ObserveResponse(q.class(), resp.status, resp.local, e.opts.Clock().Sub(started))
--- a/io/crlink/crlink.go
+++ b/io/crlink/crlink.go
@@ -337,11 +337,11 @@
 	return parts
 }
 
-// CloseAfterChunks closes the connection after the response if the request has a
+// CloseAfterChunkedBody closes the connection after the response if the request has a
 // chunked body. net/http ignores a Content-Length next to chunked encoding, but a proxy
 // before it may use that length instead. Bytes that the proxy takes for the rest of the
 // body would then be served as another caller's next request (request smuggling).
-func CloseAfterChunks(w http.ResponseWriter, r *http.Request) {
+func CloseAfterChunkedBody(w http.ResponseWriter, r *http.Request) {
 	if len(r.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
 	}
