--- a/io/crlink/crlink.go
+++ b/io/crlink/crlink.go
@@ -37,7 +37,7 @@
 
 const (
 	// keepAliveIdle, keepAliveInterval and keepAliveCount detect within three seconds
-	// a peer that has gone without closing the connection.
+	// a peer that has failed without closing the connection.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = 700 * time.Millisecond
 	keepAliveCount    = 2
@@ -58,9 +58,9 @@
 )
 
 // Dialer returns a dialer whose connections detect an unresponsive peer.
-func Dialer(connect time.Duration) *net.Dialer {
+func Dialer(connectTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
-		Timeout: connect,
+		Timeout: connectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
@@ -77,8 +77,8 @@
 // Options are the settings of a pool.
 type Options struct {
 	ConnectTimeout time.Duration // for the TCP handshake
-	IdleTimeout    time.Duration // for which an idle connection is kept
-	MaxIdle        int           // limit of idle connections
+	IdleTimeout    time.Duration // how long an idle connection is kept
+	MaxIdle        int           // maximum number of idle connections
 }
 
 // Pool keeps connections to one address. It is safe for concurrent use.
@@ -98,7 +98,7 @@
 
 // Conn is a connection. It serves one exchange at a time.
 type Conn struct {
-	net             net.Conn
+	conn            net.Conn
 	br              *bufio.Reader
 	lastUsed        time.Time
 	reused          bool
@@ -109,7 +109,7 @@
 // Reused reports whether the connection has served an exchange before.
 func (c *Conn) Reused() bool { return c.reused }
 
-// Get returns the most recently used idle connection that still seems open, or a new
+// Get returns the most recently used idle connection that is still reusable, or a new
 // one.
 func (p *Pool) Get(ctx context.Context) (*Conn, error) {
 	for {
@@ -151,7 +151,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("connect: %w", err)
 	}
-	return &Conn{net: conn, br: bufio.NewReaderSize(conn, 4<<10)}, nil
+	return &Conn{conn: conn, br: bufio.NewReaderSize(conn, 4<<10)}, nil
 }
 
 // Put returns a connection to the pool.
@@ -199,11 +199,11 @@
 // Close closes the connection.
 func (c *Conn) Close() {
 	c.broken = true
-	_ = c.net.Close() // nothing more is sent or read on it
+	_ = c.conn.Close() // nothing more is sent or read on it
 }
 
 // reusable reports whether an idle connection is still open and has no unread data.
-func (c *Conn) reusable() bool { return c.br.Buffered() == 0 && Reusable(c.net) }
+func (c *Conn) reusable() bool { return c.br.Buffered() == 0 && Reusable(c.conn) }
 
 // Reusable reports whether an idle connection is still open and has no unread data. It
 // does not wait for a goroutine that reads from the connection.
@@ -243,11 +243,11 @@
 
 // Exchange sends a request and reads its response. It skips responses for whose
 // headers matches returns false; a nil matches accepts the first response. When ctx
-// ends, the connection is closed, so that the peer stops working on the request.
+// ends, the connection is closed, so that the peer stops processing the request.
 //
 // After any error the peer may have received the request.
 func (c *Conn) Exchange(ctx context.Context, r Request, matches func(http.Header) bool) (*Response, error) {
-	stop := context.AfterFunc(ctx, func() { _ = c.net.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = c.conn.Close() })
 	defer stop()
 	resp, err := c.exchange(r, matches)
 	if err != nil {
@@ -261,11 +261,11 @@
 }
 
 func (c *Conn) exchange(r Request, matches func(http.Header) bool) (*Response, error) {
-	if _, err := c.net.Write(r.encode()); err != nil {
+	if _, err := c.conn.Write(r.encode()); err != nil {
 		return nil, fmt.Errorf("send: %w", err)
 	}
 	for range maxResponses {
-		//nolint:bodyclose // readBody closes it; an informational answer has none.
+		//nolint:bodyclose // readBody closes it; an informational response has none.
 		resp, err := http.ReadResponse(c.br, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, fmt.Errorf("read the answer: %w", err)
@@ -302,15 +302,15 @@
 	return body, nil
 }
 
-// encode returns the whole request in one buffer. Sent with a single write, it leaves
-// whole or not at all as far as this side can tell.
+// encode returns the whole request in one buffer. Sent with a single write, it is sent
+// completely or not at all, as far as this side can tell.
 func (r Request) encode() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.URI, r.Host)
 	if len(r.Body) > 0 || (r.Method != http.MethodGet && r.Method != http.MethodHead) {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(r.Body))
 	}
-	// A bytes.Buffer takes every write.
+	// Writes to a bytes.Buffer do not fail.
 	_ = r.Header.WriteSubset(&b, map[string]bool{"Host": true, "Content-Length": true, "Transfer-Encoding": true})
 	b.WriteString("\r\n")
 	b.Write(r.Body)
@@ -339,8 +339,8 @@
 
 // CloseAfterChunkedBody closes the connection after the response if the request has a
 // chunked body. net/http ignores a Content-Length next to chunked encoding, but a proxy
-// before it may use that length instead. Bytes that the proxy takes for the rest of the
-// body would then be served as another caller's next request (request smuggling).
+// in front of it may use that length instead. Bytes that the proxy takes for the rest of
+// the body would then be served as another caller's next request (request smuggling).
 func CloseAfterChunkedBody(w http.ResponseWriter, r *http.Request) {
 	if len(r.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
--- a/io/crlink/crlink_test.go
+++ b/io/crlink/crlink_test.go
@@ -87,8 +87,8 @@
 	g.Expect(string(resp.Body)).To(gomega.Equal("B"))
 }
 
-// A target closes the connection within its response, which must not pass for a
-// complete one.
+// A target closes the connection in the middle of its response. The part received must
+// not be returned as a complete response.
 func TestTruncatedResponseIsAnError(t *testing.T) {
 	_, pool := startTarget(t, crtarget.Behaviour{Truncate: 1})
 	_, err := exchange(t, pool, "a")
@@ -146,7 +146,7 @@
 }
 
 // When the caller cancels a running request, the connection must be closed, as otherwise
-// the target goes on working on it.
+// the target would continue to run it.
 func TestContextEndClosesConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	srv, pool := startTarget(t, crtarget.Behaviour{ServiceTime: 5 * time.Second})
