--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -206,11 +206,11 @@
 	if !x.admits(now, o) {
 		return x.refuse(now, o, refusal{reason: "sick"})
 	}
-	start := x.gate.LatestStart(now, crgate.Timing{Kind: o.Kind(), Nested: o.Call, Objective: o.ObjectiveLeft, TimeLeft: o.TimeLeft})
+	start := x.gate.LatestStart(now, crgate.Timing{Kind: o.Kind(), Nested: o.Nested, Objective: o.ObjectiveLeft, TimeLeft: o.TimeLeft})
 	if latestStart != 0 {
 		start = min(start, latestStart)
 	}
-	ticket, refused := x.gate.Admit(now, crgate.Request{Kind: o.Kind(), Nested: o.Call, Priority: o.Priority, LatestStart: start})
+	ticket, refused := x.gate.Admit(now, crgate.Request{Kind: o.Kind(), Nested: o.Nested, Priority: o.Priority, LatestStart: start})
 	if refused != nil {
 		return x.refuse(now, o, refusal{
 			reason: refused.Reason().String(), retryAfter: refused.RetryAfter(), wait: refused.EstimatedWait(), maxWait: refused.MaxWait(),
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -165,14 +165,14 @@
 		return resp
 	}
 	q.opts.Budget.RecordRequest(q.started, q.service)
-	if q.isCall() {
+	if q.isNested() {
 		q.opts.Budget.Charge(q.started, q.service, q.opts.Local.RetryRatio())
 	}
 	ctx, cancel := context.WithTimeout(q.http.Context(), q.deadline.Sub(q.opts.Clock()))
 	defer cancel()
 	defer context.AfterFunc(q.abortCtx, cancel)()
 	resp := q.dispatch(ctx)
-	if q.isCall() && resp.status >= http.StatusInternalServerError {
+	if q.isNested() && resp.status >= http.StatusInternalServerError {
 		q.opts.Local.RecordCallFailure()
 	}
 	return resp
@@ -247,9 +247,9 @@
 	return response{}, true
 }
 
-// isCall reports whether the request is a nested call by the target on this machine:
-// such calls carry no key although callers must.
-func (q *request) isCall() bool {
+// isNested reports whether the request is a nested call of the target on this machine.
+// Such calls carry no key and use routes that require none, while callers need a key.
+func (q *request) isNested() bool {
 	return q.account == nil && q.route != nil && q.route.AllowAnonymous && q.view.Plan.RequiresKey()
 }
 
--- a/io/cringress/dispatch.go
+++ b/io/cringress/dispatch.go
@@ -86,7 +86,7 @@
 	}
 	choice, ok := d.opts.Balancer.Choose(now, d.view.Targets[d.service], crplace.Request{
 		Class: d.route.Class, Domain: d.opts.Domain, Tried: d.tried, Rand: rand.Float64,
-		Silent: func(id crid.Daemon) bool { return d.view.Silent[id] }, NoRetry: !d.couldRetry(now), Nested: d.isCall(),
+		Silent: func(id crid.Daemon) bool { return d.view.Silent[id] }, NoRetry: !d.couldRetry(now), Nested: d.isNested(),
 	})
 	if !ok {
 		return false
@@ -129,7 +129,7 @@
 	o := croffer.Offer{
 		ID: d.caller.ID, From: d.opts.Self, Target: c.Target, Service: d.service, Class: d.route.Class, Priority: d.priority(),
 		TimeLeft: d.deadline.Sub(now), ObjectiveLeft: d.route.Objective - now.Sub(d.started), NoAlternative: c.LastResort, Retry: d.retrying,
-		RouteObjective: d.route.Objective, Call: d.isCall(),
+		RouteObjective: d.route.Objective, Nested: d.isNested(),
 	}
 	if c.Daemon == d.opts.Self {
 		return d.tryLocal(ctx, o)
--- a/io/croffer/croffer.go
+++ b/io/croffer/croffer.go
@@ -38,7 +38,7 @@
 	NoAlternative  bool          // no better target is available
 	Retry          bool          // the request was sent to another target before
 	RouteObjective time.Duration // latency objective of the route
-	Call           bool          // the caller is a target of the fleet
+	Nested         bool          // the caller is a target of the fleet, and one of its requests waits for this one
 }
 
 // Kind returns the kind of the request, by which its duration is estimated.
