--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -245,7 +245,7 @@
 func (x *Exit) admits(now crid.Instant, o croffer.Offer) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.estimator.UnhealthyProb(now) < crjudge.Threshold || o.NoAlternative {
+	if x.estimator.UnhealthyProb(now) < crjudge.Threshold || o.LastResort {
 		return true
 	}
 	if o.Class != crpolicy.ClassRepeat || now.Sub(x.lastTrial) < trialInterval {
--- a/io/cringress/dispatch.go
+++ b/io/cringress/dispatch.go
@@ -128,7 +128,7 @@
 	now := d.opts.Clock()
 	o := croffer.Offer{
 		ID: d.caller.ID, From: d.opts.Self, Target: c.Target, Service: d.service, Class: d.route.Class, Priority: d.priority(),
-		TimeLeft: d.deadline.Sub(now), ObjectiveLeft: d.route.Objective - now.Sub(d.started), NoAlternative: c.LastResort, Retry: d.retrying,
+		TimeLeft: d.deadline.Sub(now), ObjectiveLeft: d.route.Objective - now.Sub(d.started), LastResort: c.LastResort, Retry: d.retrying,
 		RouteObjective: d.route.Objective, Nested: d.isNested(),
 	}
 	if c.Daemon == d.opts.Self {
