--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -3,8 +3,8 @@
 // and runs them on the daemon's target. io/crexit is the exit of the daemon of
 // io/crdaemon.
 //
-// No other daemon sends requests to the target. The exit sees all responses of the
-// target, so it estimates the target's health and knows which requests did not run.
+// No other daemon sends requests to the target. The exit receives all responses of the
+// target, so it can estimate the target's health and tell which requests did not run.
 //
 // # Usage
 //
@@ -65,16 +65,16 @@
 
 // Exit runs requests on one target. It is safe for concurrent use.
 type Exit struct {
-	opts         Options
-	gate         *crgate.Gate
-	pool         *crlink.Pool
-	target       atomic.Pointer[crregistry.Record]
-	stopping     atomic.Bool
-	stopDeadline atomic.Int64 // instant by which all work must have ended; zero: none
-	failedCalls  failedCalls
-	refusalLog   logLimiter
-	idempotent   atomic.Int64 // idempotent requests running on the target
-	retries      atomic.Int64 // of these, those sent to another target before
+	opts           Options
+	gate           *crgate.Gate
+	pool           *crlink.Pool
+	target         atomic.Pointer[crregistry.Record]
+	stopping       atomic.Bool
+	stopDeadline   atomic.Int64 // instant by which all work must have ended; zero: none
+	nestedFailures nestedFailures
+	refusalLog     logLimiter
+	idempotent     atomic.Int64 // idempotent requests running on the target
+	retries        atomic.Int64 // of these, those sent to another target before
 
 	mu           sync.Mutex
 	estimator    *crjudge.Estimator
@@ -86,10 +86,10 @@
 
 // reservation is an accepted offer that waits for its request.
 type reservation struct {
-	offer  croffer.Offer
-	ticket *crgate.Ticket
-	at     crid.Instant
-	timer  *time.Timer
+	offer      croffer.Offer
+	ticket     *crgate.Ticket
+	acceptedAt crid.Instant
+	timer      *time.Timer
 }
 
 var _ croffer.Exit = (*Exit)(nil)
@@ -140,8 +140,8 @@
 // latestStart returns the latest instant at which an offer's request may start and
 // still end before the stop deadline; zero means that there is none.
 //
-// It uses the time that slow requests of the same kind take. Callers wait several
-// times as long; with their timeouts nearly no request would fit, and the target
+// It uses the time that slow requests of the same kind take. The callers' timeouts are
+// several times as long. If they were used, nearly no request would fit, and the target
 // would be idle until the next daemon has started.
 func (x *Exit) latestStart(o croffer.Offer) crid.Instant {
 	end := x.stopDeadline.Load()
@@ -175,7 +175,7 @@
 	return ""
 }
 
-// LoadReport returns the report on the target that peers get.
+// LoadReport returns the report on the target that is sent to peers.
 func (x *Exit) LoadReport() crplace.LoadReport {
 	x.mu.Lock()
 	unhealthyProb := x.estimator.UnhealthyProb(x.opts.Clock())
@@ -260,7 +260,7 @@
 	defer x.mu.Unlock()
 	x.lastTicket++
 	n := x.lastTicket
-	x.reservations[n] = &reservation{offer: o, ticket: t, at: now, timer: time.AfterFunc(reservationTimeout, func() { x.Release(n) })}
+	x.reservations[n] = &reservation{offer: o, ticket: t, acceptedAt: now, timer: time.AfterFunc(reservationTimeout, func() { x.Release(n) })}
 	return n
 }
 
@@ -329,14 +329,13 @@
 	x.opts.OnTargetChange()
 }
 
-// RecordCallFailure records that a call which the target itself made has failed.
-// Failures of requests that were running at that time do not count against the target.
-func (x *Exit) RecordCallFailure() { x.failedCalls.record(x.opts.Clock()) }
+// RecordNestedFailure records that a nested call of the target has failed. Failures of
+// requests that were running at that time do not count against the target.
+func (x *Exit) RecordNestedFailure() { x.nestedFailures.record(x.opts.Clock()) }
 
 // RetryRatio returns the share of retries among the idempotent requests running on the
-// target, which estimates the share among the calls that the target makes. Requests
-// of class once are left out: if they make no calls, counting them would make the
-// share too low.
+// target, which estimates the share among the target's nested calls. Requests of class
+// once are left out: if they make no calls, counting them would make the share too low.
 func (x *Exit) RetryRatio() float64 {
 	idempotent := x.idempotent.Load()
 	if idempotent <= 0 {
@@ -362,12 +361,12 @@
 	}
 }
 
-// failedCalls holds the time of the last failed call that the target made.
-type failedCalls struct{ last atomic.Int64 }
+// nestedFailures holds the time of the target's last failed nested call.
+type nestedFailures struct{ last atomic.Int64 }
 
-func (c *failedCalls) record(now crid.Instant) { c.last.Store(int64(now)) }
+func (c *nestedFailures) record(now crid.Instant) { c.last.Store(int64(now)) }
 
-func (c *failedCalls) since(at crid.Instant) bool {
+func (c *nestedFailures) since(at crid.Instant) bool {
 	last := c.last.Load()
 	return last != 0 && crid.Instant(last) >= at
 }
@@ -376,7 +375,8 @@
 	"Connection", "Keep-Alive", "Proxy-Connection", "Expect", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// StripHopByHop removes the headers that apply to a single connection.
+// StripHopByHop removes the headers that apply to a single connection, and
+// Content-Length, which is set again when the message is sent.
 func StripHopByHop(h http.Header) {
 	for _, list := range h.Values("Connection") {
 		for _, name := range crlink.SplitList(list) {
--- a/io/cregress/loglimiter.go
+++ b/io/cregress/loglimiter.go
@@ -12,11 +12,11 @@
 // more than serving.
 const maxRefusalsPerSecond = 10
 
-// logLimiter limits log entries of one kind per second. It is safe for concurrent use.
+// logLimiter limits log entries to maxRefusalsPerSecond. It is safe for concurrent use.
 type logLimiter struct {
 	mu     sync.Mutex
 	second int64
-	n      int
+	count  int
 }
 
 // allow reports whether another entry may be logged now.
@@ -24,8 +24,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if second := int64(now) / int64(time.Second); second != l.second {
-		l.second, l.n = second, 0
+		l.second, l.count = second, 0
 	}
-	l.n++
-	return l.n <= maxRefusalsPerSecond
+	l.count++
+	return l.count <= maxRefusalsPerSecond
 }
--- a/io/cregress/run.go
+++ b/io/cregress/run.go
@@ -38,7 +38,7 @@
 	return result
 }
 
-// log logs each run without success and a sample of the others.
+// log logs each unsuccessful run and a sample of the others.
 func (r *run) log(result croffer.Result) {
 	success := result.Outcome == croffer.Answered && result.Status < http.StatusBadRequest
 	if success && !crlog.Sampled(r.reservation.offer.ID) {
@@ -47,7 +47,7 @@
 	r.exit.opts.Log.Event(crlog.RunEnded, crlog.Fields{
 		"request": r.reservation.offer.ID, "target": string(r.target.Target), "entry": string(r.reservation.offer.From),
 		"outcome": result.Outcome.String(), "status": strconv.Itoa(result.Status), "reason": result.Reason,
-		"waited": r.started.Sub(r.reservation.at).Round(time.Millisecond).String(),
+		"waited": r.started.Sub(r.reservation.acceptedAt).Round(time.Millisecond).String(),
 		"took":   r.exit.opts.Clock().Sub(r.started).Round(time.Millisecond).String(),
 		"sick":   crlog.Percent(result.LoadReport.UnhealthyProb), "load": strconv.Itoa(result.LoadReport.Load), "slots": strconv.Itoa(result.LoadReport.Slots),
 	})
@@ -55,7 +55,7 @@
 
 func (r *run) send(ctx context.Context) croffer.Result {
 	x := r.exit
-	waited := r.started.Sub(r.reservation.at)
+	waited := r.started.Sub(r.reservation.acceptedAt)
 	left := r.reservation.offer.TimeLeft - waited - responseMargin
 	if left <= 0 {
 		x.gate.Cancel(r.started, r.reservation.ticket)
@@ -109,11 +109,11 @@
 	return result
 }
 
-// observeTimeout records a request that ran until its deadline. It counts against the
-// target if the request had the time of a slow one, unless slowTimer has recorded it
-// or a call of the target has failed meanwhile.
+// observeTimeout records a request that ran until its deadline. It does not count
+// against the target if it ran for less time than a slow request takes, if slowTimer has
+// recorded it, or if a nested call of the target has failed meanwhile.
 func (r *run) observeTimeout(now crid.Instant) {
-	if r.slow.hasFired() || r.exit.failedCalls.since(r.started) {
+	if r.slow.hasFired() || r.exit.nestedFailures.since(r.started) {
 		return
 	}
 	if slow := r.exit.gate.SlowThreshold(r.reservation.offer.Kind()); slow > 0 && now.Sub(r.started) < slow {
@@ -154,14 +154,14 @@
 		r.observeTimeout(now)
 	default:
 		x.gate.Release(now, r.reservation.ticket, 0)
-		if !x.failedCalls.since(r.started) {
+		if !x.nestedFailures.since(r.started) {
 			x.observe(now, crjudge.Failure, r.reservation.offer.ID)
 		}
 	}
 }
 
-// matchesID reports whether a response belongs to the request. A target may send a
-// second response to an earlier request before this one's.
+// matchesID reports whether a response belongs to the request. A target may first send
+// a duplicate response to an earlier request.
 func (r *run) matchesID(h http.Header) bool {
 	id := r.exit.opts.Dialect.ParseResponse(0, h).ID
 	return id == "" || r.request.ID == "" || id == r.request.ID
@@ -195,7 +195,7 @@
 	started := x.opts.Clock()
 	t.timer = time.AfterFunc(delay, func() {
 		t.mu.Lock()
-		slow := !t.ended && !x.failedCalls.since(started)
+		slow := !t.ended && !x.nestedFailures.since(started)
 		t.fired = t.fired || slow
 		t.mu.Unlock()
 		if slow {
--- a/io/cregress/stop_test.go
+++ b/io/cregress/stop_test.go
@@ -15,9 +15,8 @@
 	"camphorroad/io/croffer"
 )
 
-// A daemon has five seconds to stop; requests take half a second, their callers wait ten.
-// An exit that went by the callers' timeouts would refuse all offers and leave its target
-// idle; with machines of a service stopped in turn the others would be overloaded.
+// A daemon has 5 s to stop, requests take 0.5 s, callers wait 10 s. If the timeouts counted,
+// its target would be idle, and with machines stopped in turn the others be overloaded.
 func TestStoppingExitAcceptsOffersByTypicalDuration(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := crid.Instant(time.Hour)
@@ -37,9 +36,9 @@
 	g.Expect(x.Offer(now, offer).Accepted).To(gomega.BeTrue())
 	now = now.Add(3 * time.Second)
 	g.Expect(x.Offer(now, offer).Accepted).To(gomega.BeTrue())
-	unknown := offer
-	unknown.RouteObjective = time.Second
-	g.Expect(x.Offer(now, unknown).Reason).To(gomega.Equal("stopping"), "no duration is known for this kind")
+	otherKind := offer
+	otherKind.RouteObjective = time.Second
+	g.Expect(x.Offer(now, otherKind).Reason).To(gomega.Equal("stopping"), "no duration is known for this kind")
 	now = now.Add(1500 * time.Millisecond)
 	g.Expect(x.Offer(now, offer).Reason).To(gomega.Equal("stopping"), "the request would end after the deadline")
 }
--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -173,7 +173,7 @@
 	defer context.AfterFunc(q.abortCtx, cancel)()
 	resp := q.dispatch(ctx)
 	if q.isNested() && resp.status >= http.StatusInternalServerError {
-		q.opts.Local.RecordCallFailure()
+		q.opts.Local.RecordNestedFailure()
 	}
 	return resp
 }
