--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -121,7 +121,7 @@
 	s := d.opts.Settings
 	var out servers
 	out.caller = newServer(d.entry)
-	out.peer = newServer(croffer.Handler(d.exit, crclock.Now, croffer.Pages{
+	out.peer = newServer(croffer.Handler(d.exit, crclock.Now, croffer.StoreHandlers{
 		Copy: d.updateFor,
 		Feed: func(ctx context.Context, q croffer.FeedQuery) croffer.FeedPage {
 			return d.feed.Serve(ctx, d.follower, q)
--- a/io/croffer/client.go
+++ b/io/croffer/client.go
@@ -17,8 +17,9 @@
 const (
 	// offerTimeout is how long an exit may take to answer an offer. It covers a
 	// round trip of 3 ms between domains and the tens of milliseconds for which a
-	// busy CPU is throttled until the end of a 100 ms period. A lost packet costs
-	// 200 ms; an offer to another exit is faster then.
+	// busy process is throttled until the end of a 100 ms period of its CPU quota. It
+	// does not cover the retransmission of a lost packet after 200 ms, since an offer
+	// to another exit is faster.
 	offerTimeout = 180 * time.Millisecond
 	// connIdleTimeout is how long an idle connection to a peer is kept.
 	connIdleTimeout = 30 * time.Second
@@ -50,8 +51,8 @@
 	return p
 }
 
-// Retain closes the connections to all daemons except the given ones, and the expired
-// idle connections to those.
+// Retain closes all connections to daemons other than the given ones. Of the connections
+// to the given ones it closes those whose idle timeout has expired.
 func (c *Client) Retain(daemons map[crid.Daemon]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,13 +88,13 @@
 		return Reply{}, nil, err
 	}
 	var reply Reply
-	err = call(ctx, conn, PathOffer, body, &reply)
+	err = exchange(ctx, conn, PathOffer, body, &reply)
 	if err != nil && conn.Reused() && ctx.Err() == nil {
-		// The connection is stale, since the peer has restarted.
+		// The peer may have closed the idle connection, for example at a restart.
 		if conn, err = pool.Dial(ctx); err != nil {
 			return Reply{}, nil, err
 		}
-		err = call(ctx, conn, PathOffer, body, &reply)
+		err = exchange(ctx, conn, PathOffer, body, &reply)
 	}
 	if err != nil {
 		return Reply{}, nil, err
@@ -113,7 +114,7 @@
 		return Result{Outcome: NotSent, Reason: "the request cannot be encoded"}
 	}
 	var result Result
-	if err := call(ctx, rv.conn, PathRun+strconv.FormatUint(rv.ticket, 10), body, &result); err != nil {
+	if err := exchange(ctx, rv.conn, PathRun+strconv.FormatUint(rv.ticket, 10), body, &result); err != nil {
 		if ctx.Err() != nil {
 			return Result{Outcome: TimedOut, Reason: "no answer of the exit in time"}
 		}
@@ -123,11 +124,12 @@
 	return result
 }
 
-// Fetch reads the store data that a peer has and this daemon lacks.
+// Fetch reads the store data that a peer has and this daemon lacks. have is the
+// crwatch.Revisions of this daemon, and into points to a crwatch.Update.
 func (c *Client) Fetch(ctx context.Context, d crid.Daemon, have, into any) error {
 	body, err := cbor.Marshal(have)
 	if err != nil {
-		return fmt.Errorf("encode the question: %w", err)
+		return fmt.Errorf("encode the query: %w", err)
 	}
 	return c.post(ctx, d, PathCopy, body, into)
 }
@@ -136,7 +138,7 @@
 func (c *Client) Feed(ctx context.Context, d crid.Daemon, q FeedQuery) (FeedPage, error) {
 	body, err := cbor.Marshal(q)
 	if err != nil {
-		return FeedPage{}, fmt.Errorf("encode the question: %w", err)
+		return FeedPage{}, fmt.Errorf("encode the query: %w", err)
 	}
 	var p FeedPage
 	err = c.post(ctx, d, PathFeed, body, &p)
@@ -148,14 +150,14 @@
 	if err != nil {
 		return err
 	}
-	if err := call(ctx, conn, path, body, into); err != nil {
+	if err := exchange(ctx, conn, path, body, into); err != nil {
 		return err
 	}
 	c.pool(d).Put(conn)
 	return nil
 }
 
-func call(ctx context.Context, conn *crlink.Conn, path string, body []byte, into any) error {
+func exchange(ctx context.Context, conn *crlink.Conn, path string, body []byte, into any) error {
 	resp, err := conn.Exchange(ctx, crlink.Request{Method: http.MethodPost, URI: path, Host: "peer", Body: body}, nil)
 	if err != nil {
 		return err
--- a/io/croffer/croffer.go
+++ b/io/croffer/croffer.go
@@ -1,12 +1,12 @@
 // Package croffer is the protocol between the daemons of io/crmesh. It carries
 // requests from the daemon that received them (the entry, io/cringress) to the daemon
-// of their target (the exit, io/cregress), and reads of the store from io/crfeed. The
+// of their target (the exit, io/cregress), and the store reads of io/crfeed. The
 // daemons of io/crdaemon use io/crhop instead.
 //
 // A request is sent in two steps on one connection. The offer carries its target,
-// priority and time, and the exit accepts or refuses it at once. The entry sends the
-// request itself only after the exit has accepted the offer. Before that no exit can
-// run the request, so the entry may try another exit even if it got no reply.
+// priority and remaining time, and the exit accepts or refuses it at once. The entry
+// sends the request itself only after the exit has accepted the offer. Before that no
+// exit can run the request, so the entry may try another exit even if it got no reply.
 //
 // # Usage
 //
--- a/io/croffer/feed.go
+++ b/io/croffer/feed.go
@@ -35,6 +35,6 @@
 type FeedPage struct {
 	_        struct{} `cbor:",toarray"`
 	State    FeedState
-	Items    []crwatch.Item // packed
+	Items    []crwatch.Item // large values are compressed
 	Revision crid.Revision  // After of the next query
 }
--- a/io/croffer/server.go
+++ b/io/croffer/server.go
@@ -23,19 +23,19 @@
 // request with its body.
 const maxBodyBytes = 64 << 20
 
-// Pages serve the store reads of peers.
-type Pages struct {
+// StoreHandlers serve the store reads of peers.
+type StoreHandlers struct {
 	Copy func(have []byte) (any, error)                  // returns the store data that the peer lacks
 	Feed func(ctx context.Context, q FeedQuery) FeedPage // reads the store for the peer
 }
 
 // Handler serves the requests of other daemons.
-func Handler(exit Exit, clock func() crid.Instant, pages Pages) http.Handler {
+func Handler(exit Exit, clock func() crid.Instant, store StoreHandlers) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+PathOffer, func(w http.ResponseWriter, r *http.Request) {
 		var o Offer
-		if read(w, r, &o) {
-			write(w, exit.Offer(clock(), o))
+		if readRequest(w, r, &o) {
+			writeResponse(w, exit.Offer(clock(), o))
 		}
 	})
 	mux.HandleFunc("POST "+PathRun+"{ticket}", func(w http.ResponseWriter, r *http.Request) {
@@ -45,35 +45,37 @@
 			return
 		}
 		var req Request
-		if !read(w, r, &req) {
+		if !readRequest(w, r, &req) {
 			// The request is incomplete and will not run.
 			exit.Release(ticket)
 			return
 		}
-		write(w, exit.Run(r.Context(), ticket, req))
+		writeResponse(w, exit.Run(r.Context(), ticket, req))
 	})
 	mux.HandleFunc("POST "+PathCopy, func(w http.ResponseWriter, r *http.Request) {
 		var have cbor.RawMessage
-		if !read(w, r, &have) {
+		if !readRequest(w, r, &have) {
 			return
 		}
-		c, err := pages.Copy(have)
+		c, err := store.Copy(have)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		write(w, c)
+		writeResponse(w, c)
 	})
 	mux.HandleFunc("POST "+PathFeed, func(w http.ResponseWriter, r *http.Request) {
 		var q FeedQuery
-		if read(w, r, &q) {
-			write(w, pages.Feed(r.Context(), q))
+		if readRequest(w, r, &q) {
+			writeResponse(w, store.Feed(r.Context(), q))
 		}
 	})
 	return mux
 }
 
-func read(w http.ResponseWriter, r *http.Request, into any) bool {
+// readRequest decodes the body of a request. If it cannot, it answers with status 400 and
+// returns false.
+func readRequest(w http.ResponseWriter, r *http.Request, into any) bool {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err == nil {
 		err = cbor.Unmarshal(body, into)
@@ -85,7 +87,7 @@
 	return true
 }
 
-func write(w http.ResponseWriter, v any) {
+func writeResponse(w http.ResponseWriter, v any) {
 	body, err := cbor.Marshal(v)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
