--- a/io/cringress/dispatch.go
+++ b/io/cringress/dispatch.go
@@ -26,10 +26,10 @@
 	// costs a timeout. If three did not reply, a large part of the fleet is down or
 	// this machine is partitioned, and the caller is refused at once.
 	maxUnresponsive = 3
-	// minRetryAfter is the least Retry-After of a refusal.
+	// minRetryAfter is the least Retry-After of a refusal, before jitter.
 	minRetryAfter = 250 * time.Millisecond
-	// maxRetryAfter is the largest Retry-After: a longer one leaves targets idle that
-	// have free slots again.
+	// maxRetryAfter is the largest Retry-After when no target takes a request, before
+	// jitter. A longer one would leave targets idle that have free slots again.
 	maxRetryAfter = 1500 * time.Millisecond
 	// retryCost is the cost of a retry in the retry budget, in requests.
 	retryCost = 1
@@ -50,14 +50,14 @@
 	return d.finalResponse(ctx)
 }
 
-// dispatch is the state of one request over its targets.
+// dispatch is the state of one request while targets are tried.
 type dispatch struct {
 	*request
-	tried        []crid.Target // that it was offered to
+	tried        []crid.Target // targets that it was offered to
 	offers       int
 	unresponsive int            // exits that did not reply to an offer
 	refusals     map[string]int // counts of the reasons why targets did not run it
-	sent         int            // targets that it was sent to
+	sent         int            // number of targets that it was sent to
 	mayHaveRun   bool
 	retrying     bool          // the next send is a retry
 	retryAfter   time.Duration // smallest Retry-After of an exit
@@ -99,7 +99,7 @@
 	if d.retrying {
 		d.opts.Meter.ObserveRetry()
 		d.opts.Log.Event(crlog.RequestRetried, crlog.Fields{
-			"request": d.caller.ID, "service": string(d.service), "target": string(choice.Target), "choice": choice.Reason(), "after": d.response.reason,
+			"request": d.info.ID, "service": string(d.service), "target": string(choice.Target), "choice": choice.Reason(), "after": d.response.reason,
 		})
 	}
 	d.offers++
@@ -127,7 +127,7 @@
 func (d *dispatch) try(ctx context.Context, c crplace.Choice) (croffer.Result, bool) {
 	now := d.opts.Clock()
 	o := croffer.Offer{
-		ID: d.caller.ID, From: d.opts.Self, Target: c.Target, Service: d.service, Class: d.route.Class, Priority: d.priority(),
+		ID: d.info.ID, From: d.opts.Self, Target: c.Target, Service: d.service, Class: d.route.Class, Priority: d.priority(),
 		TimeLeft: d.deadline.Sub(now), ObjectiveLeft: d.route.Objective - now.Sub(d.started), LastResort: c.LastResort, Retry: d.retrying,
 		RouteObjective: d.route.Objective, Nested: d.isNested(),
 	}
@@ -196,7 +196,7 @@
 
 func (d *dispatch) newRequest() croffer.Request {
 	r := croffer.Request{
-		ID: d.caller.ID, Method: d.http.Method, URI: d.uri(), Host: d.http.Host,
+		ID: d.info.ID, Method: d.http.Method, URI: d.uri(), Host: d.http.Host,
 		Header: d.http.Header, Body: d.body, From: d.opts.Service, Wait: d.callerDeadline.Sub(d.opts.Clock()),
 	}
 	if d.account != nil {
@@ -205,8 +205,8 @@
 	return r
 }
 
-// uri is the path and query exactly as the caller sent them. Re-encoding the parsed URL
-// would change unusual but valid spellings.
+// uri is the path and query exactly as the caller sent them. Encoding the parsed URL
+// again would change unusual but valid escapes.
 func (d *dispatch) uri() string {
 	if strings.HasPrefix(d.http.RequestURI, "/") {
 		return d.http.RequestURI
@@ -214,8 +214,8 @@
 	return d.http.URL.RequestURI()
 }
 
-// handleResult handles the result of a request that was sent. It reports whether another target
-// may be tried.
+// handleResult handles the result of a request that an exit has accepted. It reports
+// whether another target may be tried.
 func (d *dispatch) handleResult(ctx context.Context, c crplace.Choice, r croffer.Result) bool {
 	if r.LoadReport.Slots > 0 {
 		d.opts.Balancer.Report(c.Target, r.LoadReport)
@@ -236,7 +236,7 @@
 	case croffer.Answered:
 		d.mayHaveRun = true
 		d.response = response{status: r.Status, header: http.Header(r.Header), body: r.Body}
-		d.response.choice, d.response.report = c, r.LoadReport
+		d.response.choice, d.response.loadReport = c, r.LoadReport
 		return more && r.Status >= http.StatusInternalServerError && d.mayRunAgain()
 	case croffer.TimedOut:
 		d.mayHaveRun = true
@@ -245,7 +245,7 @@
 		d.mayHaveRun = true
 		d.response = refusal(http.StatusBadGateway, r.Reason, 0)
 	}
-	d.response.choice, d.response.report = c, r.LoadReport
+	d.response.choice, d.response.loadReport = c, r.LoadReport
 	return more && d.mayRunAgain() && ctx.Err() == nil
 }
 
