--- a/io/crbeat/crbeat.go
+++ b/io/crbeat/crbeat.go
@@ -36,7 +36,7 @@
 	// relayTimeout bounds the wait for a response through a relay, which sends the
 	// request to the owner as often as this daemon would.
 	relayTimeout = requestTimeout*requestAttempts + 20*time.Millisecond
-	// maxRelays bounds the requests that are relayed concurrently. Requests over it
+	// maxRelays bounds the requests that are relayed concurrently. Further requests
 	// are dropped.
 	maxRelays = 64
 	// maxDatagram is the largest datagram that is read, in bytes.
@@ -70,7 +70,7 @@
 // Options configure a Channel.
 type Options struct {
 	Address     string
-	OnHeartbeat func(from crid.Daemon, b crmesh.Heartbeat)
+	OnHeartbeat func(from crid.Daemon, hb crmesh.Heartbeat)
 	// Grant takes a token for a peer. handled is false if another daemon has to be
 	// queried.
 	Grant func(a crid.Account, origin crquota.Origin) (ok bool, wait time.Duration, handled bool)
@@ -116,7 +116,7 @@
 			return nil
 		}
 		if err != nil {
-			continue // a closed port of one peer is reported here; other peers are not affected
+			continue // for example a closed port of one peer, which does not affect the others
 		}
 		var m message
 		if cbor.Unmarshal(buf[:n], &m) == nil {
@@ -133,18 +133,18 @@
 		c.handleRequest(ctx, from, *m.Request)
 	case m.Response != nil:
 		c.mu.Lock()
-		waiting := c.pending[m.Response.Number]
+		responses := c.pending[m.Response.Number]
 		delete(c.pending, m.Response.Number)
 		c.mu.Unlock()
-		if waiting != nil {
-			waiting <- *m.Response
+		if responses != nil {
+			responses <- *m.Response
 		}
 	}
 }
 
 // SendHeartbeat sends a heartbeat to peers.
-func (c *Channel) SendHeartbeat(to []crid.Daemon, b crmesh.Heartbeat) {
-	data, err := cbor.Marshal(message{Heartbeat: &b})
+func (c *Channel) SendHeartbeat(to []crid.Daemon, hb crmesh.Heartbeat) {
+	data, err := cbor.Marshal(message{Heartbeat: &hb})
 	if err != nil {
 		return
 	}
@@ -155,9 +155,9 @@
 	}
 }
 
-// handleRequest responds to a token request or relays it to the owner. During a
-// network partition two daemons may see different owners; if both granted tokens, the
-// account would get twice its rate.
+// handleRequest responds to a token request or relays it to the owner. During a network
+// partition daemons may disagree about the owner of an account. If two of them granted
+// tokens, the account would get twice its rate.
 func (c *Channel) handleRequest(ctx context.Context, from netip.AddrPort, req tokenRequest) {
 	ok, wait, handled := c.opts.Grant(req.Account, req.Origin)
 	if !handled && req.Origin != crquota.FromRelay {
@@ -211,18 +211,18 @@
 	if err != nil {
 		return false, 0, err
 	}
-	waiting := make(chan tokenResponse, 1)
+	responses := make(chan tokenResponse, 1)
 	c.mu.Lock()
 	c.lastNumber++
 	req.Number = c.lastNumber
-	c.pending[req.Number] = waiting
+	c.pending[req.Number] = responses
 	c.mu.Unlock()
 	defer c.removePending(req.Number)
 	for range attempts {
 		c.send(netip.AddrPortFrom(addr, c.port), message{Request: &req})
 		timer := time.NewTimer(timeout)
 		select {
-		case resp := <-waiting:
+		case resp := <-responses:
 			timer.Stop()
 			return resp.OK, resp.Wait, nil
 		case <-ctx.Done():
--- a/io/crbeat/crbeat_test.go
+++ b/io/crbeat/crbeat_test.go
@@ -47,9 +47,8 @@
 // notOwner is an Options.Grant that leaves all accounts to other daemons.
 func notOwner(crid.Account, crquota.Origin) (bool, time.Duration, bool) { return false, 0, false }
 
-// An entry and the owner of an account cannot reach each other, and both reach a third
-// daemon, which must relay the request. Otherwise callers at the entry would be
-// limited to a share of the rate for the whole partition.
+// An entry and the owner of an account reach each other only through a third daemon. It must
+// relay the request, or callers at the entry would be limited to a share of the rate.
 func TestRequestIsRelayedToTheOwner(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const port = 28411
@@ -70,8 +69,8 @@
 	g.Expect(requested).To(gomega.Receive(gomega.Equal(crid.Account("survey"))))
 }
 
-// The owner is unreachable for all. The relay must not respond, and the entry must not
-// take a timeout for a token.
+// No daemon can reach the owner. The relay must not respond, and the entry must not count
+// the timeout as a granted token.
 func TestRelayWithoutAnOwnerDoesNotRespond(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const port = 28412
@@ -86,22 +85,22 @@
 	g.Expect(ok).To(gomega.BeFalse())
 }
 
-// Two daemons see each other as the owner of an account. A request must not be relayed
+// Two daemons regard each other as the owner of an account. A request must not be relayed
 // between them forever.
 func TestRequestIsRelayedOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const port = 28413
 	entry := listen(t, "127.0.40.1", port, notOwner)
-	one := listen(t, "127.0.40.2", port, notOwner)
-	other := listen(t, "127.0.40.3", port, notOwner)
-	one.SetRelay(func(ctx context.Context, a crid.Account, _ crquota.Origin) (bool, time.Duration, error) {
-		return one.RequestToken(ctx, "127.0.40.3", a, crquota.FromRelay)
+	first := listen(t, "127.0.40.2", port, notOwner)
+	second := listen(t, "127.0.40.3", port, notOwner)
+	first.SetRelay(func(ctx context.Context, a crid.Account, _ crquota.Origin) (bool, time.Duration, error) {
+		return first.RequestToken(ctx, "127.0.40.3", a, crquota.FromRelay)
 	})
-	other.SetRelay(func(context.Context, crid.Account, crquota.Origin) (bool, time.Duration, error) {
+	second.SetRelay(func(context.Context, crid.Account, crquota.Origin) (bool, time.Duration, error) {
 		t.Error("the request was relayed a second time")
 		return false, 0, errors.New("relayed again")
 	})
-	run(t, entry, one, other)
+	run(t, entry, first, second)
 	_, _, err := entry.RequestToken(t.Context(), "127.0.40.2", "survey", crquota.FromPeer)
 	g.Expect(err).To(gomega.MatchError(crbeat.ErrNoResponse))
 }
