--- a/io/crbeat/crbeat.go
+++ b/io/crbeat/crbeat.go
@@ -36,9 +36,9 @@
 	// relayTimeout bounds the wait for a response through a relay, which sends the
 	// request to the owner as often as this daemon would.
 	relayTimeout = requestTimeout*requestAttempts + 20*time.Millisecond
-	// maxRelays bounds the requests that are relayed concurrently. Further requests
-	// are dropped.
-	maxRelays = 64
+	// maxConcurrentRelays bounds the requests that are relayed concurrently. Further
+	// requests are dropped.
+	maxConcurrentRelays = 64
 	// maxDatagram is the largest datagram that is read, in bytes.
 	maxDatagram = 1400
 )
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen for messages: %w", err)
 	}
-	return &Channel{opts: opts, conn: conn, port: addr.Port(), pending: make(map[uint64]chan tokenResponse), relaySlots: make(chan struct{}, maxRelays)}, nil
+	return &Channel{opts: opts, conn: conn, port: addr.Port(), pending: make(map[uint64]chan tokenResponse), relaySlots: make(chan struct{}, maxConcurrentRelays)}, nil
 }
 
 // Run receives messages until ctx is cancelled.
--- a/io/crmesh/crmesh.go
+++ b/io/crmesh/crmesh.go
@@ -68,7 +68,7 @@
 // Run starts a daemon, serves until ctx is cancelled, drains, and returns.
 func Run(ctx context.Context, opts Options) error {
 	// net/http logs unsolicited response bytes to the standard logger. They may
-	// contain account data, and bypass the numbered events.
+	// contain account data, and such lines are not numbered events.
 	log.SetOutput(io.Discard)
 	if m := opts.Settings.Limits.Memory; m > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitRatio * float64(m) * (1 << 20)))
@@ -153,7 +153,8 @@
 	return net.JoinHostPort(s.PeerListenHost(), strconv.Itoa(s.Listen.Ports[0]))
 }
 
-func group(ctx context.Context, tasks ...func(context.Context) error) *errgroup.Group {
+// startTasks runs the tasks concurrently. The first error cancels the others.
+func startTasks(ctx context.Context, tasks ...func(context.Context) error) *errgroup.Group {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, task := range tasks {
 		g.Go(func() error { return task(ctx) })
--- a/io/crmesh/crmesh_test.go
+++ b/io/crmesh/crmesh_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// A failing target recovers. Idempotent requests probe it, and it gets all kinds of
-// requests again.
+// A failing target recovers. Idempotent requests are sent to it as a trial, and then it
+// gets all kinds of requests again.
 func TestRecoveredTargetIsUsedAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
@@ -87,9 +87,8 @@
 	g.Eventually(nonIdempotentRuns, 6*time.Second, 30*time.Millisecond).Should(gomega.BeNumerically(">", 3))
 }
 
-// A target runs a non-idempotent request and resets the connection before its
-// response. Whether it ran is unknown, so it must be neither retried nor reported as
-// refused.
+// A target runs a non-idempotent request and resets the connection before its response.
+// The request may have run, so it must be neither retried nor reported as refused.
 func TestLostResponseIsNeitherRetriedNorReportedAsRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
@@ -103,8 +102,8 @@
 	}
 }
 
-// A target sheds requests. That proves that they did not run, so they are retried on
-// another target, whatever their kind.
+// A target sheds requests. These did not run, so they must be retried on another target,
+// even if they are not idempotent.
 func TestRequestShedByATargetIsRetriedElsewhere(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
@@ -149,8 +148,8 @@
 	}
 }
 
-// All slots of a service are taken for long. A caller must be refused at once, with a
-// Retry-After header, and its request must not have run.
+// All slots of a service are taken for a long time. A caller must be refused at once, with
+// a Retry-After header, and its request must not have run.
 func TestFullServiceRefusesWithoutRunning(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
@@ -192,9 +191,9 @@
 	}
 }
 
-// A key is removed while its caller is connected. Every daemon must refuse it within
+// A key is withdrawn while its caller is connected. Every daemon must refuse it within
 // two seconds.
-func TestRevokedKeyIsRefusedByAllDaemons(t *testing.T) {
+func TestWithdrawnKeyIsRefusedByAllDaemons(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	f.publish(2, 500, "k2")
@@ -205,8 +204,8 @@
 	}
 }
 
-// The store refuses one daemon while a key is removed. The daemon must get the change
-// from its peers.
+// The store refuses one daemon's requests while a key is withdrawn. The daemon must get
+// the change from its peers.
 func TestDaemonWithoutTheStoreUpdatesFromPeers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
@@ -220,8 +219,8 @@
 	g.Expect(m.call(http.MethodGet, "/look/", "k2").status).To(gomega.Equal(http.StatusOK))
 }
 
-// The store compacts its history while the open watches miss a change. A new watch of
-// one daemon finds it, and the others receive it from there.
+// The store compacts its history after the open watches have missed a change. A new watch
+// of one daemon must return it, and the other daemons must receive it from that one.
 func TestChangeLostByCompactionIsFound(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 4)
@@ -248,7 +247,7 @@
 	g.Expect(m.call(http.MethodGet, "/look/", "k1").status).To(gomega.Equal(http.StatusOK))
 }
 
-// A target registers as draining. A moment later no machine may send it new requests.
+// A target registers as draining. Within 1.2 s all machines must stop sending it requests.
 func TestDrainingTargetGetsNoNewRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
@@ -261,8 +260,8 @@
 	g.Expect(f.machines[1].target.Runs()).To(gomega.HaveLen(before))
 }
 
-// An address is reused by another target before the daemons have heard of it. That
-// target rejects the request by its ID, and the request is retried elsewhere.
+// Another target uses an address before the store records it. It rejects requests that
+// name the old target, and these must be retried elsewhere.
 func TestOtherTargetAtAReusedAddressRunsNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
@@ -278,7 +277,8 @@
 	g.Expect(other.Runs()).To(gomega.BeEmpty())
 }
 
-// One account exceeds its rate through all daemons together.
+// One account exceeds its rate by requests to all daemons. The limit must hold for their
+// sum.
 func TestRateLimitHoldsAcrossDaemons(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
@@ -383,8 +383,7 @@
 }
 
 // A daemon is stopped while its target is the only one that serves. Requests that end
-// within the grace period must still be served, or the target would be idle until the
-// next daemon has started.
+// within the grace period must still be served, or the target would be idle.
 func TestStoppingDaemonServesRequestsThatEndInTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
@@ -428,9 +427,9 @@
 		l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", address+":"+strconv.Itoa(m.cfg.Listen.Ports[0]))
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		defer func() { _ = l.Close() }()
-		silent := &machine{id: "dark-" + strconv.Itoa(i)}
-		silent.cfg.Target, silent.cfg.Domain = address+":80", "a"
-		f.register(silent, "ready")
+		unresponsive := &machine{id: "unresponsive-" + strconv.Itoa(i)}
+		unresponsive.cfg.Target, unresponsive.cfg.Domain = address+":80", "a"
+		f.register(unresponsive, "ready")
 	}
 	g.Eventually(func() int { return strings.Count(m.state(), `"Target"`) }, 3*time.Second).Should(gomega.Equal(7))
 	m.target.Close()
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -32,12 +32,12 @@
 
 const (
 	// callerDrainTime is how long a stopping daemon still accepts requests from
-	// callers. They learn of the stop from two probes of the ready page, a second
+	// callers. Callers detect the stop by two probes of the ready page, a second
 	// apart.
 	callerDrainTime = 2600 * time.Millisecond
 	// shutdownReserve is subtracted from the grace period, so that the process ends
-	// before it is killed. A request that is still at a target then is cut, so the
-	// reserve is no longer than the exit takes.
+	// before it is killed. Requests that targets are still running when the reserve
+	// begins are cut, so it is no longer than the process needs to end.
 	shutdownReserve = 150 * time.Millisecond
 	// finalAnswerMargin is the time before the end of the drain at which callers of
 	// requests still in progress get an answer with what is known of them.
@@ -80,7 +80,7 @@
 
 // run serves until ctx is cancelled, then drains.
 func (d *daemon) run(ctx context.Context) error {
-	// The servers and tasks run on during the drain, after ctx is cancelled.
+	// The servers and tasks continue to run during the drain, after ctx is cancelled.
 	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	servers, err := d.listen(serveCtx)
@@ -93,8 +93,8 @@
 		"pages": d.adminAddress(), "target": d.opts.Settings.Target,
 	})
 	logCtx, stopLogs := context.WithCancel(context.WithoutCancel(ctx))
-	logWriter := group(logCtx, func(ctx context.Context) error { return d.queue.Run(ctx, d.opts.Log) })
-	tasks := group(serveCtx,
+	logWriter := startTasks(logCtx, func(ctx context.Context) error { return d.queue.Run(ctx, d.opts.Log) })
+	tasks := startTasks(serveCtx,
 		func(ctx context.Context) error { return d.loop.run(ctx, d.effectHandler(ctx)) },
 		func(ctx context.Context) error { return d.follower.Run(ctx, crwatch.Records) },
 		func(ctx context.Context) error { return d.follower.Run(ctx, crwatch.Configuration) },
@@ -149,7 +149,8 @@
 	return out, nil
 }
 
-// updateFor returns the records and configuration that a peer is missing.
+// updateFor returns the records and configuration that a peer lacks. data is the encoded
+// crwatch.Revisions of the peer.
 func (d *daemon) updateFor(data []byte) (any, error) {
 	var have crwatch.Revisions
 	if err := cbor.Unmarshal(data, &have); err != nil {
@@ -216,8 +217,8 @@
 	if err != nil && (d.entry.InFlight() > 0 || !d.exit.Idle()) {
 		d.log.Event(crlog.MeshDrainIncomplete, crlog.Fields{"open": strconv.FormatInt(d.entry.InFlight(), 10), "error": err.Error()})
 	}
-	for _, page := range s.admin {
-		_ = page.Close() // readers of the admin pages retry
+	for _, server := range s.admin {
+		_ = server.Close() // readers of the admin pages retry
 	}
 }
 
@@ -247,8 +248,8 @@
 	}
 }
 
-// reload reads the settings again on a signal. An error must not end the process: an
-// unhandled SIGHUP would.
+// reload reads and checks the settings again on a signal, but does not apply them. It
+// logs an error and continues, while an unhandled SIGHUP would end the process.
 func (d *daemon) reload(ctx context.Context) error {
 	for {
 		select {
@@ -294,10 +295,10 @@
 func newChannel(opts Options, loop *loop, limiter *ownerLimiter) (*crbeat.Channel, error) {
 	return crbeat.Listen(crbeat.Options{
 		Address: peerAddress(opts.Settings),
-		OnHeartbeat: func(from crid.Daemon, b crmesh.Heartbeat) {
-			loop.emit(crmesh.HeartbeatReceived{Now: crclock.Now(), From: from, Heartbeat: b})
+		OnHeartbeat: func(from crid.Daemon, hb crmesh.Heartbeat) {
+			loop.emit(crmesh.HeartbeatReceived{Now: crclock.Now(), From: from, Heartbeat: hb})
 		},
-		Grant: limiter.answer,
+		Grant: limiter.grant,
 	})
 }
 
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -29,8 +29,7 @@
 	pullTimeout = 600 * time.Millisecond
 )
 
-// loop owns the control state. Its run method is the only goroutine that steps the
-// reducer.
+// loop owns the control state. Only the goroutine of its run method steps the reducer.
 type loop struct {
 	state  *crmesh.State
 	events chan crevent.Event
--- a/io/crmesh/meters.go
+++ b/io/crmesh/meters.go
@@ -23,11 +23,11 @@
 type meters struct {
 	registry metrics.Registry
 	latency  map[crpolicy.Class]metrics.Histogram // in nanoseconds; exported in seconds
-	repeats  metrics.Counter
+	retries  metrics.Counter
 }
 
 func newMeters(r metrics.Registry) *meters {
-	m := &meters{registry: r, latency: make(map[crpolicy.Class]metrics.Histogram), repeats: metrics.NewRegisteredCounter("repeats.total", r)}
+	m := &meters{registry: r, latency: make(map[crpolicy.Class]metrics.Histogram), retries: metrics.NewRegisteredCounter("repeats.total", r)}
 	for _, class := range []crpolicy.Class{crpolicy.ClassOnce, crpolicy.ClassRepeat} {
 		sample := metrics.NewExpDecaySample(sampleSize, sampleAlpha)
 		m.latency[class] = metrics.NewRegisteredHistogram("request."+class.String()+".seconds", r, sample)
@@ -38,19 +38,19 @@
 var _ cringress.Meter = (*meters)(nil)
 
 // ObserveResponse implements cringress.Meter.
-func (m *meters) ObserveResponse(class crpolicy.Class, status int, own bool, took time.Duration) {
+func (m *meters) ObserveResponse(class crpolicy.Class, status int, local bool, latency time.Duration) {
 	name := "answers.target." + strconv.Itoa(status) + ".total"
-	if own {
+	if local {
 		name = "answers.own." + strconv.Itoa(status) + ".total"
 	}
 	metrics.GetOrRegisterCounter(name, m.registry).Inc(1)
-	if h := m.latency[class]; h != nil && !own {
-		h.Update(int64(took))
+	if h := m.latency[class]; h != nil && !local {
+		h.Update(int64(latency))
 	}
 }
 
 // ObserveRetry implements cringress.Meter.
-func (m *meters) ObserveRetry() { m.repeats.Inc(1) }
+func (m *meters) ObserveRetry() { m.retries.Inc(1) }
 
 // registerGauges registers the metrics that are read when the metrics page is
 // requested.
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -18,13 +18,14 @@
 	"camphorroad/io/crlog"
 )
 
-// maxRelays bounds the daemons that a token request is sent through, one after the
-// other. Under a partial network partition, about one in three of them is cut off from
-// one side or the other.
-const maxRelays = 2
+// maxRelayAttempts bounds the relays that are tried, one after the other, for a token
+// request. In a partial network partition about one in three relays cannot reach this
+// daemon or the owner.
+const maxRelayAttempts = 2
 
-// ownerBackoff is how long a daemon that did not answer gets no further requests.
-const ownerBackoff = time.Second
+// requestBackoff is how long no further requests are sent over a route after an
+// unanswered one.
+const requestBackoff = time.Second
 
 // ownerLimiter keeps the token buckets of the accounts that this daemon owns.
 type ownerLimiter struct {
@@ -37,25 +38,25 @@
 	return &ownerLimiter{self: crid.Daemon(opts.Settings.Address), loop: loop, limiter: crquota.NewOwnerLimiter()}
 }
 
-// decide returns how a token request for an account is handled: granted here, or sent
-// on.
-func (m *ownerLimiter) decide(name crid.Account, by crquota.Origin) crquota.Action {
-	return m.loop.view.Load().TokenStep(name, m.self, by)
+// decide returns how a token request for an account is handled: granted here, or
+// forwarded.
+func (l *ownerLimiter) decide(name crid.Account, origin crquota.Origin) crquota.Action {
+	return l.loop.view.Load().TokenStep(name, l.self, origin)
 }
 
-// answer takes a token for a peer. handled is false if another daemon has to be queried.
-func (m *ownerLimiter) answer(name crid.Account, by crquota.Origin) (ok bool, wait time.Duration, handled bool) {
-	if step := m.decide(name, by); step.To != "" || !step.Grant {
+// grant takes a token for a peer. handled is false if another daemon has to be queried.
+func (l *ownerLimiter) grant(name crid.Account, origin crquota.Origin) (ok bool, wait time.Duration, handled bool) {
+	if action := l.decide(name, origin); action.To != "" || !action.Grant {
 		return false, 0, false
 	}
-	ok, wait = m.take(name)
+	ok, wait = l.take(name)
 	return ok, wait, true
 }
 
-// take takes a token from an account's bucket. An account that is not in this daemon's
-// plan is allowed: the daemon that sends the request has a newer plan.
-func (m *ownerLimiter) take(name crid.Account) (ok bool, wait time.Duration) {
-	v := m.loop.view.Load()
+// take takes a token from an account's bucket. It grants a token for an account that is
+// not in this daemon's plan, since the daemon that sends the request has a newer plan.
+func (l *ownerLimiter) take(name crid.Account) (ok bool, wait time.Duration) {
+	v := l.loop.view.Load()
 	if v.Plan == nil {
 		return true, 0
 	}
@@ -64,7 +65,7 @@
 		return true, 0
 	}
 	share := v.RateShare()
-	return m.limiter.Take(crclock.Now(), a.Name, a.Rate*share, a.Burst*share)
+	return l.limiter.Take(crclock.Now(), a.Name, a.Rate*share, a.Burst*share)
 }
 
 // quota requests tokens from the owner of an account. While the owner does not answer,
@@ -77,23 +78,23 @@
 	channel      *crbeat.Channel
 	log          *crlog.Logger
 	mu           sync.Mutex
-	backoffUntil map[route]crid.Instant
+	backoffUntil map[tokenRoute]crid.Instant
 }
 
 var _ cringress.Quota = (*quota)(nil)
 
-func newQuota(opts Options, loop *loop, m *ownerLimiter, ch *crbeat.Channel, l *crlog.Logger) *quota {
+func newQuota(opts Options, loop *loop, owner *ownerLimiter, ch *crbeat.Channel, l *crlog.Logger) *quota {
 	q := &quota{
-		self: crid.Daemon(opts.Settings.Address), loop: loop, owner: m, fallback: crquota.NewFallbackLimiter(rand.Float64), channel: ch, log: l,
-		backoffUntil: make(map[route]crid.Instant),
+		self: crid.Daemon(opts.Settings.Address), loop: loop, owner: owner, fallback: crquota.NewFallbackLimiter(rand.Float64), channel: ch, log: l,
+		backoffUntil: make(map[tokenRoute]crid.Instant),
 	}
 	ch.SetRelay(q.relay)
 	return q
 }
 
-// route is a daemon and the role in which it is queried. One that does not answer as the
-// owner may still answer as a relay.
-type route struct {
+// tokenRoute is a daemon and the role in which it is queried. A daemon that does not
+// answer as the owner may still answer as a relay.
+type tokenRoute struct {
 	to     crid.Daemon
 	origin crquota.Origin
 }
@@ -110,12 +111,12 @@
 	// one.
 	v := q.loop.view.Load()
 	excluded := []crid.Daemon{action.To, q.self}
-	for range maxRelays {
+	for range maxRelayAttempts {
 		d := crquota.Relay(a.Name, v.Live, excluded...)
 		if d == "" {
 			break
 		}
-		if ok, wait, err := q.request(ctx, route{to: d, origin: crquota.ToRelay}, a.Name); err == nil {
+		if ok, wait, err := q.request(ctx, tokenRoute{to: d, origin: crquota.ToRelay}, a.Name); err == nil {
 			return ok, wait
 		}
 		excluded = append(excluded, d)
@@ -124,21 +125,21 @@
 }
 
 // relay requests a token on behalf of a peer.
-func (q *quota) relay(ctx context.Context, a crid.Account, by crquota.Origin) (ok bool, wait time.Duration, err error) {
-	return q.execute(ctx, a, q.owner.decide(a, by))
+func (q *quota) relay(ctx context.Context, a crid.Account, origin crquota.Origin) (ok bool, wait time.Duration, err error) {
+	return q.execute(ctx, a, q.owner.decide(a, origin))
 }
 
-// errNoRoute reports that a request must not be sent on.
-var errNoRoute = errors.New("no daemon to request the token from")
+// errNoTokenRoute reports that a request must not be forwarded.
+var errNoTokenRoute = errors.New("no daemon to request the token from")
 
-// execute sends a token request as decided, or takes a token here if no other daemon
-// answers.
-func (q *quota) execute(ctx context.Context, a crid.Account, step crquota.Action) (ok bool, wait time.Duration, err error) {
-	err = errNoRoute
-	if step.To != "" {
-		ok, wait, err = q.request(ctx, route{to: step.To, origin: step.Origin}, a)
+// execute forwards a token request as the action says. If the action allows a grant, it
+// takes a token here when no other daemon answers.
+func (q *quota) execute(ctx context.Context, a crid.Account, action crquota.Action) (ok bool, wait time.Duration, err error) {
+	err = errNoTokenRoute
+	if action.To != "" {
+		ok, wait, err = q.request(ctx, tokenRoute{to: action.To, origin: action.Origin}, a)
 	}
-	if err != nil && step.Grant {
+	if err != nil && action.Grant {
 		ok, wait = q.owner.take(a)
 		return ok, wait, nil
 	}
@@ -150,7 +151,7 @@
 
 // request sends a token request over a route unless the route is in backoff, and
 // starts a backoff if no answer comes.
-func (q *quota) request(ctx context.Context, r route, a crid.Account) (ok bool, wait time.Duration, err error) {
+func (q *quota) request(ctx context.Context, r tokenRoute, a crid.Account) (ok bool, wait time.Duration, err error) {
 	if q.inBackoff(r) {
 		return false, 0, errBackoff
 	}
@@ -161,16 +162,16 @@
 	return ok, wait, err
 }
 
-func (q *quota) inBackoff(r route) bool {
+func (q *quota) inBackoff(r tokenRoute) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return crclock.Now().Before(q.backoffUntil[r])
 }
 
-func (q *quota) startBackoff(r route, a crid.Account) {
+func (q *quota) startBackoff(r tokenRoute, a crid.Account) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.backoffUntil[r] = crclock.Now().Add(ownerBackoff)
+	q.backoffUntil[r] = crclock.Now().Add(requestBackoff)
 	if r.origin != crquota.ToRelay {
 		q.loop.emit(crmesh.TokenRequestUnanswered{Now: crclock.Now(), Peer: r.to})
 	}
