--- a/io/crmesh/crmesh_test.go
+++ b/io/crmesh/crmesh_test.go
@@ -20,11 +20,11 @@
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	for range 20 {
-		a := f.machines[0].call(http.MethodPost, "/hold/7?x=1", "k1")
-		g.Expect(a.status).To(gomega.Equal(http.StatusOK))
-		g.Expect(a.body).To(gomega.Equal("answer to " + a.id + " POST /hold/7?x=1\n"))
-		g.Expect(a.header.Get("Response-Seal")).To(gomega.Equal("s"))
-		runs := f.runs(a.id)
+		resp := f.machines[0].call(http.MethodPost, "/hold/7?x=1", "k1")
+		g.Expect(resp.status).To(gomega.Equal(http.StatusOK))
+		g.Expect(resp.body).To(gomega.Equal("answer to " + resp.id + " POST /hold/7?x=1\n"))
+		g.Expect(resp.header.Get("Response-Seal")).To(gomega.Equal("s"))
+		runs := f.runs(resp.id)
 		g.Expect(runs).To(gomega.HaveLen(1))
 		g.Expect(runs[0].Body).To(gomega.Equal("the body"))
 		g.Expect(runs[0].Account).To(gomega.Equal("t1"))
@@ -50,11 +50,11 @@
 	f.machines[2].target.SetBehaviour(crtarget.Behaviour{Error: 1})
 	failed := 0
 	for i := range 80 {
-		a := f.machines[i%4].call(http.MethodPost, "/hold/", "k1")
-		if a.status != http.StatusOK {
+		resp := f.machines[i%4].call(http.MethodPost, "/hold/", "k1")
+		if resp.status != http.StatusOK {
 			failed++
 		}
-		g.Expect(f.runs(a.id)).To(gomega.HaveLen(1))
+		g.Expect(f.runs(resp.id)).To(gomega.HaveLen(1))
 		time.Sleep(5 * time.Millisecond)
 	}
 	g.Expect(failed).To(gomega.BeNumerically("<=", 3))
@@ -96,9 +96,9 @@
 		m.target.SetBehaviour(crtarget.Behaviour{Reset: 1})
 	}
 	for range 10 {
-		a := f.machines[0].call(http.MethodPost, "/hold/", "k1")
-		g.Expect(a.status).To(gomega.Equal(http.StatusBadGateway))
-		g.Expect(f.runs(a.id)).To(gomega.HaveLen(1))
+		resp := f.machines[0].call(http.MethodPost, "/hold/", "k1")
+		g.Expect(resp.status).To(gomega.Equal(http.StatusBadGateway))
+		g.Expect(f.runs(resp.id)).To(gomega.HaveLen(1))
 	}
 }
 
@@ -109,8 +109,8 @@
 	f := newFleet(t, 2)
 	f.machines[0].target.SetBehaviour(crtarget.Behaviour{Shed: 1})
 	for range 10 {
-		a := f.machines[0].call(http.MethodPost, "/hold/", "k1")
-		g.Expect(a.status).To(gomega.Equal(http.StatusOK))
+		resp := f.machines[0].call(http.MethodPost, "/hold/", "k1")
+		g.Expect(resp.status).To(gomega.Equal(http.StatusOK))
 	}
 }
 
@@ -142,9 +142,9 @@
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 1)
 	for _, uri := range []string{"/look/a%2Fb?x=%20y&&z", "/look/a;b=c/?", "/look/%7Eme"} {
-		a := f.machines[0].call(http.MethodGet, uri, "k1")
-		g.Expect(a.status).To(gomega.Equal(http.StatusOK))
-		g.Expect(f.runs(a.id)[0].URI).To(gomega.Equal(uri))
+		resp := f.machines[0].call(http.MethodGet, uri, "k1")
+		g.Expect(resp.status).To(gomega.Equal(http.StatusOK))
+		g.Expect(f.runs(resp.id)[0].URI).To(gomega.Equal(uri))
 	}
 }
 
@@ -165,10 +165,10 @@
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			a := f.machines[i%2].call(http.MethodPost, "/hold/", "k1")
-			if a.status == http.StatusServiceUnavailable {
+			resp := f.machines[i%2].call(http.MethodPost, "/hold/", "k1")
+			if resp.status == http.StatusServiceUnavailable {
 				mu.Lock()
-				refused = append(refused, a)
+				refused = append(refused, resp)
 				mu.Unlock()
 			}
 		}()
@@ -176,12 +176,12 @@
 	done.Wait()
 	g.Expect(refused).NotTo(gomega.BeEmpty())
 	fast := 0
-	for _, a := range refused {
-		g.Expect(f.runs(a.id)).To(gomega.BeEmpty())
-		after, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
+	for _, resp := range refused {
+		g.Expect(f.runs(resp.id)).To(gomega.BeEmpty())
+		after, err := strconv.ParseFloat(resp.header.Get("Retry-After"), 64)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(after).To(gomega.BeNumerically(">", 0.1))
-		if a.took < 300*time.Millisecond {
+		if resp.took < 300*time.Millisecond {
 			fast++
 		}
 	}
@@ -287,21 +287,21 @@
 	began := time.Now()
 	served := 0
 	for i := 0; time.Since(began) < 3*time.Second; i++ {
-		a := f.machines[i%3].call(http.MethodGet, "/look/", "k1")
-		if a.status == http.StatusOK {
+		resp := f.machines[i%3].call(http.MethodGet, "/look/", "k1")
+		if resp.status == http.StatusOK {
 			served++
 			continue
 		}
-		g.Expect(a.status).To(gomega.Equal(http.StatusTooManyRequests))
-		g.Expect(a.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
+		g.Expect(resp.status).To(gomega.Equal(http.StatusTooManyRequests))
+		g.Expect(resp.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
 	}
 	g.Expect(served).To(gomega.BeNumerically(">=", 50))
 	g.Expect(served).To(gomega.BeNumerically("<=", 20*3+20+20))
 }
 
 // A daemon is stopped while requests run at its target and arrive at its caller port.
-// None may be cut, and peers must send it nothing more.
-func TestShutdownCutsNoRequest(t *testing.T) {
+// None may be aborted, and peers must send it nothing more.
+func TestShutdownAbortsNoRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	for _, m := range f.machines {
@@ -321,10 +321,10 @@
 					return
 				default:
 				}
-				a := f.machines[i%2].call(http.MethodPost, "/hold/", "k1")
-				if a.status != http.StatusOK && a.status != http.StatusTooManyRequests {
+				resp := f.machines[i%2].call(http.MethodPost, "/hold/", "k1")
+				if resp.status != http.StatusOK && resp.status != http.StatusTooManyRequests {
 					mu.Lock()
-					failed = append(failed, a)
+					failed = append(failed, resp)
 					mu.Unlock()
 				}
 			}
@@ -338,8 +338,8 @@
 	g.Expect(f.machines[2].log.String()).To(gomega.ContainSubstring(`"event":603`))
 }
 
-// A request takes nearly the whole grace period of a stopping daemon. Its response
-// must not be cut.
+// A request takes nearly the whole grace period of a stopping daemon. The caller must
+// still get its response.
 func TestShutdownUsesItsGracePeriod(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 1)
@@ -395,9 +395,9 @@
 		f.machines[1].shutDown()
 	}()
 	g.Eventually(f.machines[1].ready).ShouldNot(gomega.Equal(http.StatusOK))
-	a := f.machines[0].call(http.MethodPost, "/hold/", "k1")
-	g.Expect(a.status).To(gomega.Equal(http.StatusOK))
-	g.Expect(f.runs(a.id)).To(gomega.HaveLen(1))
+	resp := f.machines[0].call(http.MethodPost, "/hold/", "k1")
+	g.Expect(resp.status).To(gomega.Equal(http.StatusOK))
+	g.Expect(f.runs(resp.id)).To(gomega.HaveLen(1))
 	<-stopping
 }
 
@@ -433,9 +433,9 @@
 	}
 	g.Eventually(func() int { return strings.Count(m.state(), `"Target"`) }, 3*time.Second).Should(gomega.Equal(7))
 	m.target.Close()
-	a := f.machines[0].call(http.MethodPost, "/hold/", "k1")
-	g.Expect(a.status).To(gomega.Equal(http.StatusServiceUnavailable))
-	g.Expect(a.took).To(gomega.BeNumerically("<", 800*time.Millisecond))
+	resp := f.machines[0].call(http.MethodPost, "/hold/", "k1")
+	g.Expect(resp.status).To(gomega.Equal(http.StatusServiceUnavailable))
+	g.Expect(resp.took).To(gomega.BeNumerically("<", 800*time.Millisecond))
 	g.Eventually(f.machines[0].log.String, time.Second, 10*time.Millisecond).Should(gomega.ContainSubstring("silent: 3"))
 }
 
--- a/io/crmesh/daemon.go
+++ b/io/crmesh/daemon.go
@@ -37,7 +37,7 @@
 	callerDrainTime = 2600 * time.Millisecond
 	// shutdownReserve is subtracted from the grace period, so that the process ends
 	// before it is killed. Requests that targets are still running when the reserve
-	// begins are cut, so it is no longer than the process needs to end.
+	// begins are aborted, so it is no longer than the process needs to end.
 	shutdownReserve = 150 * time.Millisecond
 	// finalAnswerMargin is the time before the end of the drain at which callers of
 	// requests still in progress get an answer with what is known of them.
--- a/io/crmesh/fleet_test.go
+++ b/io/crmesh/fleet_test.go
@@ -62,18 +62,18 @@
 	t        *testing.T
 	store    *crstore.Store
 	machines []*machine
-	ports    int
+	basePort int
 }
 
-var nextPort atomic.Int64
+var nextBasePort atomic.Int64
 
-func init() { nextPort.Store(21000) }
+func init() { nextBasePort.Store(21000) }
 
 // newFleet starts machines, alternately in domains a and b, with a target of service
 // s1 each, and waits until all serve.
 func newFleet(t *testing.T, n int) *fleet {
 	t.Helper()
-	f := &fleet{t: t, store: crstore.New(), ports: int(nextPort.Add(20))}
+	f := &fleet{t: t, store: crstore.New(), basePort: int(nextBasePort.Add(20))}
 	f.publish(1, 500, "k1")
 	t.Cleanup(f.shutDown)
 	for i := range n {
@@ -121,7 +121,7 @@
 	f.t.Helper()
 	g := gomega.NewWithT(f.t)
 	m := &machine{t: f.t, address: "127.0.0." + strconv.Itoa(10+i), id: "i-" + strconv.Itoa(i), log: &syncBuffer{}}
-	target, err := crtarget.Start(crtarget.Options{Address: m.address + ":" + strconv.Itoa(f.ports), ID: m.id, Slots: 4})
+	target, err := crtarget.Start(crtarget.Options{Address: m.address + ":" + strconv.Itoa(f.basePort), ID: m.id, Slots: 4})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	m.target = target
 	f.t.Cleanup(target.Close)
@@ -133,11 +133,11 @@
 		f.store.ServeHTTP(w, r)
 	}))
 	f.t.Cleanup(m.store.CloseClientConnections)
-	at := func(port int) string { return m.address + ":" + strconv.Itoa(f.ports+port) }
+	at := func(offset int) string { return m.address + ":" + strconv.Itoa(f.basePort+offset) }
 	m.cfg = crsite.Settings{
 		Name: m.id, Address: m.address, Domain: crid.Domain("ab"[i%2 : i%2+1]), Service: "s1", Target: target.Address(), Log: "info",
-		Seeds:  []string{"127.0.0.10:" + strconv.Itoa(f.ports+5)},
-		Listen: crsite.Listen{Caller: at(1), Ready: at(2), Control: at(5), Ports: []int{f.ports + 3, f.ports + 4}},
+		Seeds:  []string{"127.0.0.10:" + strconv.Itoa(f.basePort+5)},
+		Listen: crsite.Listen{Caller: at(1), Ready: at(2), Control: at(5), Ports: []int{f.basePort + 3, f.basePort + 4}},
 		Store:  crsite.Store{Address: strings.TrimPrefix(m.store.URL, "http://")},
 		Bounds: crsite.Bounds{Drain: 2000, Grace: 3, Ratio: 0.2, Slack: 50, Window: 10},
 	}
