--- a/io/crlink/crlink_test.go
+++ b/io/crlink/crlink_test.go
@@ -87,8 +87,8 @@
 	g.Expect(string(resp.Body)).To(gomega.Equal("B"))
 }
 
-// A target closes the connection within its response, which must not pass for a
-// complete one.
+// A target closes the connection in the middle of its response. The part received must
+// not be returned as a complete response.
 func TestTruncatedResponseIsAnError(t *testing.T) {
 	_, pool := startTarget(t, crtarget.Behaviour{Truncate: 1})
 	_, err := exchange(t, pool, "a")
@@ -122,8 +122,8 @@
 	g.Expect(restarted.Runs()).To(gomega.HaveLen(1))
 }
 
-// While another goroutine blocks in Read on a connection, NoPendingData must not block.
-func TestNoPendingDataDoesNotWaitForReader(t *testing.T) {
+// While another goroutine blocks in Read on a connection, Reusable must not block.
+func TestReusableDoesNotWaitForReader(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -138,15 +138,15 @@
 		_, err := conn.Read(make([]byte, 1))
 		read <- err
 	}()
-	noData := func() bool { return crlink.NoPendingData(conn) }
-	g.Consistently(noData, 100*time.Millisecond).Should(gomega.BeTrue())
+	reusable := func() bool { return crlink.Reusable(conn) }
+	g.Consistently(reusable, 100*time.Millisecond).Should(gomega.BeTrue())
 	g.Expect(peer.Close()).To(gomega.Succeed())
-	g.Eventually(noData).Should(gomega.BeFalse())
+	g.Eventually(reusable).Should(gomega.BeFalse())
 	g.Eventually(read).Should(gomega.Receive(gomega.HaveOccurred()))
 }
 
 // When the caller cancels a running request, the connection must be closed, as otherwise
-// the target goes on working on it.
+// the target would continue to run it.
 func TestContextEndClosesConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	srv, pool := startTarget(t, crtarget.Behaviour{ServiceTime: 5 * time.Second})
--- a/io/crmesh/crmesh_test.go
+++ b/io/crmesh/crmesh_test.go
@@ -20,11 +20,11 @@
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	for range 20 {
-		a := f.machines[0].call(http.MethodPost, "/hold/7?x=1", "k1")
-		g.Expect(a.status).To(gomega.Equal(http.StatusOK))
-		g.Expect(a.body).To(gomega.Equal("answer to " + a.id + " POST /hold/7?x=1\n"))
-		g.Expect(a.header.Get("Response-Seal")).To(gomega.Equal("s"))
-		runs := f.runs(a.id)
+		resp := f.machines[0].call(http.MethodPost, "/hold/7?x=1", "k1")
+		g.Expect(resp.status).To(gomega.Equal(http.StatusOK))
+		g.Expect(resp.body).To(gomega.Equal("answer to " + resp.id + " POST /hold/7?x=1\n"))
+		g.Expect(resp.header.Get("Response-Seal")).To(gomega.Equal("s"))
+		runs := f.runs(resp.id)
 		g.Expect(runs).To(gomega.HaveLen(1))
 		g.Expect(runs[0].Body).To(gomega.Equal("the body"))
 		g.Expect(runs[0].Account).To(gomega.Equal("t1"))
@@ -50,11 +50,11 @@
 	f.machines[2].target.SetBehaviour(crtarget.Behaviour{Error: 1})
 	failed := 0
 	for i := range 80 {
-		a := f.machines[i%4].call(http.MethodPost, "/hold/", "k1")
-		if a.status != http.StatusOK {
+		resp := f.machines[i%4].call(http.MethodPost, "/hold/", "k1")
+		if resp.status != http.StatusOK {
 			failed++
 		}
-		g.Expect(f.runs(a.id)).To(gomega.HaveLen(1))
+		g.Expect(f.runs(resp.id)).To(gomega.HaveLen(1))
 		time.Sleep(5 * time.Millisecond)
 	}
 	g.Expect(failed).To(gomega.BeNumerically("<=", 3))
@@ -63,8 +63,8 @@
 	}
 }
 
-// A failing target recovers. Idempotent requests probe it, and it gets all kinds of
-// requests again.
+// A failing target recovers. Idempotent requests are sent to it as a trial, and then it
+// gets all kinds of requests again.
 func TestRecoveredTargetIsUsedAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
@@ -87,9 +87,8 @@
 	g.Eventually(nonIdempotentRuns, 6*time.Second, 30*time.Millisecond).Should(gomega.BeNumerically(">", 3))
 }
 
-// A target runs a non-idempotent request and resets the connection before its
-// response. Whether it ran is unknown, so it must be neither retried nor reported as
-// refused.
+// A target runs a non-idempotent request and resets the connection before its response.
+// The request may have run, so it must be neither retried nor reported as refused.
 func TestLostResponseIsNeitherRetriedNorReportedAsRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
@@ -97,21 +96,21 @@
 		m.target.SetBehaviour(crtarget.Behaviour{Reset: 1})
 	}
 	for range 10 {
-		a := f.machines[0].call(http.MethodPost, "/hold/", "k1")
-		g.Expect(a.status).To(gomega.Equal(http.StatusBadGateway))
-		g.Expect(f.runs(a.id)).To(gomega.HaveLen(1))
+		resp := f.machines[0].call(http.MethodPost, "/hold/", "k1")
+		g.Expect(resp.status).To(gomega.Equal(http.StatusBadGateway))
+		g.Expect(f.runs(resp.id)).To(gomega.HaveLen(1))
 	}
 }
 
-// A target sheds requests. That proves that they did not run, so they are retried on
-// another target, whatever their kind.
+// A target sheds requests. These did not run, so they must be retried on another target,
+// even if they are not idempotent.
 func TestRequestShedByATargetIsRetriedElsewhere(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
 	f.machines[0].target.SetBehaviour(crtarget.Behaviour{Shed: 1})
 	for range 10 {
-		a := f.machines[0].call(http.MethodPost, "/hold/", "k1")
-		g.Expect(a.status).To(gomega.Equal(http.StatusOK))
+		resp := f.machines[0].call(http.MethodPost, "/hold/", "k1")
+		g.Expect(resp.status).To(gomega.Equal(http.StatusOK))
 	}
 }
 
@@ -143,14 +142,14 @@
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 1)
 	for _, uri := range []string{"/look/a%2Fb?x=%20y&&z", "/look/a;b=c/?", "/look/%7Eme"} {
-		a := f.machines[0].call(http.MethodGet, uri, "k1")
-		g.Expect(a.status).To(gomega.Equal(http.StatusOK))
-		g.Expect(f.runs(a.id)[0].URI).To(gomega.Equal(uri))
+		resp := f.machines[0].call(http.MethodGet, uri, "k1")
+		g.Expect(resp.status).To(gomega.Equal(http.StatusOK))
+		g.Expect(f.runs(resp.id)[0].URI).To(gomega.Equal(uri))
 	}
 }
 
-// All slots of a service are taken for long. A caller must be refused at once, with a
-// Retry-After header, and its request must not have run.
+// All slots of a service are taken for a long time. A caller must be refused at once, with
+// a Retry-After header, and its request must not have run.
 func TestFullServiceRefusesWithoutRunning(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
@@ -166,10 +165,10 @@
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			a := f.machines[i%2].call(http.MethodPost, "/hold/", "k1")
-			if a.status == http.StatusServiceUnavailable {
+			resp := f.machines[i%2].call(http.MethodPost, "/hold/", "k1")
+			if resp.status == http.StatusServiceUnavailable {
 				mu.Lock()
-				refused = append(refused, a)
+				refused = append(refused, resp)
 				mu.Unlock()
 			}
 		}()
@@ -177,12 +176,12 @@
 	done.Wait()
 	g.Expect(refused).NotTo(gomega.BeEmpty())
 	fast := 0
-	for _, a := range refused {
-		g.Expect(f.runs(a.id)).To(gomega.BeEmpty())
-		after, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
+	for _, resp := range refused {
+		g.Expect(f.runs(resp.id)).To(gomega.BeEmpty())
+		after, err := strconv.ParseFloat(resp.header.Get("Retry-After"), 64)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(after).To(gomega.BeNumerically(">", 0.1))
-		if a.took < 300*time.Millisecond {
+		if resp.took < 300*time.Millisecond {
 			fast++
 		}
 	}
@@ -192,9 +191,9 @@
 	}
 }
 
-// A key is removed while its caller is connected. Every daemon must refuse it within
+// A key is withdrawn while its caller is connected. Every daemon must refuse it within
 // two seconds.
-func TestRevokedKeyIsRefusedByAllDaemons(t *testing.T) {
+func TestWithdrawnKeyIsRefusedByAllDaemons(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	f.publish(2, 500, "k2")
@@ -205,8 +204,8 @@
 	}
 }
 
-// The store refuses one daemon while a key is removed. The daemon must get the change
-// from its peers.
+// The store refuses one daemon's requests while a key is withdrawn. The daemon must get
+// the change from its peers.
 func TestDaemonWithoutTheStoreUpdatesFromPeers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
@@ -220,8 +219,8 @@
 	g.Expect(m.call(http.MethodGet, "/look/", "k2").status).To(gomega.Equal(http.StatusOK))
 }
 
-// The store compacts its history while the open watches miss a change. A new watch of
-// one daemon finds it, and the others receive it from there.
+// The store compacts its history after the open watches have missed a change. A new watch
+// of one daemon must return it, and the other daemons must receive it from that one.
 func TestChangeLostByCompactionIsFound(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 4)
@@ -248,7 +247,7 @@
 	g.Expect(m.call(http.MethodGet, "/look/", "k1").status).To(gomega.Equal(http.StatusOK))
 }
 
-// A target registers as draining. A moment later no machine may send it new requests.
+// A target registers as draining. Within 1.2 s all machines must stop sending it requests.
 func TestDrainingTargetGetsNoNewRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
@@ -261,8 +260,8 @@
 	g.Expect(f.machines[1].target.Runs()).To(gomega.HaveLen(before))
 }
 
-// An address is reused by another target before the daemons have heard of it. That
-// target rejects the request by its ID, and the request is retried elsewhere.
+// Another target uses an address before the store records it. It rejects requests that
+// name the old target, and these must be retried elsewhere.
 func TestOtherTargetAtAReusedAddressRunsNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
@@ -278,7 +277,8 @@
 	g.Expect(other.Runs()).To(gomega.BeEmpty())
 }
 
-// One account exceeds its rate through all daemons together.
+// One account exceeds its rate by requests to all daemons. The limit must hold for their
+// sum.
 func TestRateLimitHoldsAcrossDaemons(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
@@ -287,21 +287,21 @@
 	began := time.Now()
 	served := 0
 	for i := 0; time.Since(began) < 3*time.Second; i++ {
-		a := f.machines[i%3].call(http.MethodGet, "/look/", "k1")
-		if a.status == http.StatusOK {
+		resp := f.machines[i%3].call(http.MethodGet, "/look/", "k1")
+		if resp.status == http.StatusOK {
 			served++
 			continue
 		}
-		g.Expect(a.status).To(gomega.Equal(http.StatusTooManyRequests))
-		g.Expect(a.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
+		g.Expect(resp.status).To(gomega.Equal(http.StatusTooManyRequests))
+		g.Expect(resp.header.Get("Retry-After")).NotTo(gomega.BeEmpty())
 	}
 	g.Expect(served).To(gomega.BeNumerically(">=", 50))
 	g.Expect(served).To(gomega.BeNumerically("<=", 20*3+20+20))
 }
 
 // A daemon is stopped while requests run at its target and arrive at its caller port.
-// None may be cut, and peers must send it nothing more.
-func TestShutdownCutsNoRequest(t *testing.T) {
+// None may be aborted, and peers must send it nothing more.
+func TestShutdownAbortsNoRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 3)
 	for _, m := range f.machines {
@@ -321,10 +321,10 @@
 					return
 				default:
 				}
-				a := f.machines[i%2].call(http.MethodPost, "/hold/", "k1")
-				if a.status != http.StatusOK && a.status != http.StatusTooManyRequests {
+				resp := f.machines[i%2].call(http.MethodPost, "/hold/", "k1")
+				if resp.status != http.StatusOK && resp.status != http.StatusTooManyRequests {
 					mu.Lock()
-					failed = append(failed, a)
+					failed = append(failed, resp)
 					mu.Unlock()
 				}
 			}
@@ -338,8 +338,8 @@
 	g.Expect(f.machines[2].log.String()).To(gomega.ContainSubstring(`"event":603`))
 }
 
-// A request takes nearly the whole grace period of a stopping daemon. Its response
-// must not be cut.
+// A request takes nearly the whole grace period of a stopping daemon. The caller must
+// still get its response.
 func TestShutdownUsesItsGracePeriod(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 1)
@@ -383,8 +383,7 @@
 }
 
 // A daemon is stopped while its target is the only one that serves. Requests that end
-// within the grace period must still be served, or the target would be idle until the
-// next daemon has started.
+// within the grace period must still be served, or the target would be idle.
 func TestStoppingDaemonServesRequestsThatEndInTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, 2)
@@ -396,9 +395,9 @@
 		f.machines[1].shutDown()
 	}()
 	g.Eventually(f.machines[1].ready).ShouldNot(gomega.Equal(http.StatusOK))
-	a := f.machines[0].call(http.MethodPost, "/hold/", "k1")
-	g.Expect(a.status).To(gomega.Equal(http.StatusOK))
-	g.Expect(f.runs(a.id)).To(gomega.HaveLen(1))
+	resp := f.machines[0].call(http.MethodPost, "/hold/", "k1")
+	g.Expect(resp.status).To(gomega.Equal(http.StatusOK))
+	g.Expect(f.runs(resp.id)).To(gomega.HaveLen(1))
 	<-stopping
 }
 
@@ -428,15 +427,15 @@
 		l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", address+":"+strconv.Itoa(m.cfg.Listen.Ports[0]))
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		defer func() { _ = l.Close() }()
-		silent := &machine{id: "dark-" + strconv.Itoa(i)}
-		silent.cfg.Target, silent.cfg.Domain = address+":80", "a"
-		f.register(silent, "ready")
+		unresponsive := &machine{id: "unresponsive-" + strconv.Itoa(i)}
+		unresponsive.cfg.Target, unresponsive.cfg.Domain = address+":80", "a"
+		f.register(unresponsive, "ready")
 	}
 	g.Eventually(func() int { return strings.Count(m.state(), `"Target"`) }, 3*time.Second).Should(gomega.Equal(7))
 	m.target.Close()
-	a := f.machines[0].call(http.MethodPost, "/hold/", "k1")
-	g.Expect(a.status).To(gomega.Equal(http.StatusServiceUnavailable))
-	g.Expect(a.took).To(gomega.BeNumerically("<", 800*time.Millisecond))
+	resp := f.machines[0].call(http.MethodPost, "/hold/", "k1")
+	g.Expect(resp.status).To(gomega.Equal(http.StatusServiceUnavailable))
+	g.Expect(resp.took).To(gomega.BeNumerically("<", 800*time.Millisecond))
 	g.Eventually(f.machines[0].log.String, time.Second, 10*time.Millisecond).Should(gomega.ContainSubstring("silent: 3"))
 }
 
--- a/io/croffer/croffer.go
+++ b/io/croffer/croffer.go
@@ -1,12 +1,12 @@
 // Package croffer is the protocol between the daemons of io/crmesh. It carries
 // requests from the daemon that received them (the entry, io/cringress) to the daemon
-// of their target (the exit, io/cregress), and reads of the store from io/crfeed. The
+// of their target (the exit, io/cregress), and the store reads of io/crfeed. The
 // daemons of io/crdaemon use io/crhop instead.
 //
 // A request is sent in two steps on one connection. The offer carries its target,
-// priority and time, and the exit accepts or refuses it at once. The entry sends the
-// request itself only after the exit has accepted the offer. Before that no exit can
-// run the request, so the entry may try another exit even if it got no reply.
+// priority and remaining time, and the exit accepts or refuses it at once. The entry
+// sends the request itself only after the exit has accepted the offer. Before that no
+// exit can run the request, so the entry may try another exit even if it got no reply.
 //
 // # Usage
 //
@@ -35,10 +35,10 @@
 	Priority       int
 	TimeLeft       time.Duration // until the caller gets an answer in any case
 	ObjectiveLeft  time.Duration // until the latency objective is missed; zero or less: it is missed
-	NoAlternative  bool          // no better target is available
+	LastResort     bool          // no better target is available
 	Retry          bool          // the request was sent to another target before
 	RouteObjective time.Duration // latency objective of the route
-	Call           bool          // the caller is a target of the fleet
+	Nested         bool          // the caller is a target of the fleet, and one of its requests waits for this one
 }
 
 // Kind returns the kind of the request, by which its duration is estimated.
