--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -31,7 +31,7 @@
 	CallerDisconnected     = 641
 	RequestRetried         = 642
 	RequestServed          = 643
-	OwnerSilent            = 650
+	OwnerUnresponsive      = 650
 )
 
 func meshEntries() []Entry {
@@ -129,7 +129,7 @@
 			"a request succeeded and is part of the log sample", none, none,
 		},
 		{
-			OwnerSilent, LevelWarn, "account owner silent",
+			OwnerUnresponsive, LevelWarn, "account owner silent",
 			"the daemon that owns the account's token bucket did not answer, or the relay in the field `through` did not", "the query is relayed through another daemon; if that also fails, the account is limited to this daemon's fraction of its rate", none,
 		},
 	}
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -174,5 +174,5 @@
 	if r.origin != crquota.ToRelay {
 		q.loop.emit(crmesh.TokenRequestUnanswered{Now: crclock.Now(), Peer: r.to})
 	}
-	q.log.Event(crlog.OwnerSilent, crlog.Fields{"peer": string(r.to), "account": string(a), "through": strconv.FormatBool(r.origin == crquota.ToRelay)})
+	q.log.Event(crlog.OwnerUnresponsive, crlog.Fields{"peer": string(r.to), "account": string(a), "through": strconv.FormatBool(r.origin == crquota.ToRelay)})
 }
