--- a/io/crfeed/crfeed.go
+++ b/io/crfeed/crfeed.go
@@ -251,7 +251,7 @@
 		}
 		switch {
 		case err != nil:
-			f.opts.Log.Event(crlog.ReaderSilent, crlog.Fields{"reader": string(d), "scope": q.Scope.String(), "error": err.Error()})
+			f.opts.Log.Event(crlog.ReaderUnresponsive, crlog.Fields{"reader": string(d), "scope": q.Scope.String(), "error": err.Error()})
 			f.backOff(d)
 		case page.State == croffer.FeedServed:
 			return items, max(page.Revision, q.After), nil
--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -21,7 +21,7 @@
 	CopiedFromPeer         = 616
 	PeerCopyFailed         = 617
 	ReadersChanged         = 618
-	ReaderSilent           = 619
+	ReaderUnresponsive     = 619
 	PeerSilent             = 620
 	PeerRecovered          = 621
 	TargetSuspicionChanged = 630
@@ -91,7 +91,7 @@
 			"daemons of the domain were added or removed, or are rejected by the store", "the daemons in the event read the store for the domain", none,
 		},
 		{
-			ReaderSilent, LevelWarn, "reader silent",
+			ReaderUnresponsive, LevelWarn, "reader silent",
 			"a reader of the domain did not answer a query", "another reader is queried, or the store itself",
 			"if it persists, check the network between the machines",
 		},
