--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -22,7 +22,7 @@
 	PeerCopyFailed         = 617
 	ReadersChanged         = 618
 	ReaderUnresponsive     = 619
-	PeerSilent             = 620
+	PeersUnresponsive      = 620
 	PeerRecovered          = 621
 	TargetSuspicionChanged = 630
 	RunEnded               = 631
@@ -96,7 +96,7 @@
 			"if it persists, check the network between the machines",
 		},
 		{
-			PeerSilent, LevelWarn, "peers silent",
+			PeersUnresponsive, LevelWarn, "peers silent",
 			"no heartbeats arrived from these peers", "their targets are used as a last resort", "if it persists, check the network between the machines",
 		},
 		{PeerRecovered, LevelInfo, "peers recovered", "heartbeats arrive again", none, none},
