--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -23,7 +23,7 @@
 	ReadersChanged         = 618
 	ReaderUnresponsive     = 619
 	PeersUnresponsive      = 620
-	PeerRecovered          = 621
+	PeersRecovered         = 621
 	TargetSuspicionChanged = 630
 	RunEnded               = 631
 	OfferRefused           = 632
@@ -99,7 +99,7 @@
 			PeersUnresponsive, LevelWarn, "peers silent",
 			"no heartbeats arrived from these peers", "their targets are used as a last resort", "if it persists, check the network between the machines",
 		},
-		{PeerRecovered, LevelInfo, "peers recovered", "heartbeats arrive again", none, none},
+		{PeersRecovered, LevelInfo, "peers recovered", "heartbeats arrive again", none, none},
 		{
 			TargetSuspicionChanged, LevelInfo, "target judged",
 			"the probability that the target is sick, estimated from its answers, rose above the threshold or fell below it",
--- a/io/crmesh/loop.go
+++ b/io/crmesh/loop.go
@@ -197,7 +197,7 @@
 		d.log.Event(crlog.PeersUnresponsive, crlog.Fields{"peers": joinKeys(v.Unresponsive)})
 	}
 	if len(v.Unresponsive) < len(before.Unresponsive) {
-		d.log.Event(crlog.PeerRecovered, crlog.Fields{"silent": joinKeys(v.Unresponsive)})
+		d.log.Event(crlog.PeersRecovered, crlog.Fields{"silent": joinKeys(v.Unresponsive)})
 	}
 }
 
