--- a/command/log/log.go
+++ b/command/log/log.go
@@ -233,7 +233,7 @@
 		return slices.Contains(c.targets, l.fields["target"])
 	case crlog.OwnerUnresponsive:
 		return entry && slices.Contains(c.accounts, l.fields["account"])
-	case crlog.PeersUnresponsive, crlog.PeersRecovered, crlog.StoreLost, crlog.StoreRecovered, crlog.PlanApplied, crlog.PlanRejected,
+	case crlog.PeersUnresponsive, crlog.PeersRecovered, crlog.StoreUnavailable, crlog.StoreRecovered, crlog.PlanApplied, crlog.PlanRejected,
 		crlog.MeshStarted, crlog.MeshReady, crlog.MeshStopping, crlog.MeshPaused, crlog.LogDropped:
 		return entry
 	}
--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -12,7 +12,7 @@
 	SettingsRejected       = 606
 	LogDropped             = 607
 	MeshDrainIncomplete    = 608
-	StoreLost              = 610
+	StoreUnavailable       = 610
 	StoreRecovered         = 611
 	RecordInvalid          = 612
 	PlanRejected           = 613
@@ -64,7 +64,7 @@
 			"requests were still in flight at the end of the grace period", "those requests were aborted", none,
 		},
 		{
-			StoreLost, LevelWarn, "store lost",
+			StoreUnavailable, LevelWarn, "store lost",
 			"the store does not answer, or rejects this daemon", "known records and configuration stay in use; newer ones come from peers", "repair the store or the network path to it",
 		},
 		{StoreRecovered, LevelInfo, "store recovered", "the store answers again", none, none},
--- a/io/crwatch/scope.go
+++ b/io/crwatch/scope.go
@@ -221,7 +221,7 @@
 	}
 	s.lossReported, s.ownLoss = true, !peers
 	s.setUnavailable(s.scope, true)
-	s.opts.Log.Event(crlog.StoreLost, crlog.Fields{
+	s.opts.Log.Event(crlog.StoreUnavailable, crlog.Fields{
 		"scope": s.scope.String(), "error": err.Error(), "quiet": roundToMillis(s.SinceLastRead(s.scope)),
 	})
 	s.emitAvailability(true, peers)
