--- a/command/log/log.go
+++ b/command/log/log.go
@@ -229,7 +229,7 @@
 	}
 	entry := slices.Contains(c.entries, l.daemon)
 	switch l.event {
-	case crlog.TargetSuspicionChanged:
+	case crlog.TargetHealthChanged:
 		return slices.Contains(c.targets, l.fields["target"])
 	case crlog.OwnerUnresponsive:
 		return entry && slices.Contains(c.accounts, l.fields["account"])
--- a/io/cregress/cregress.go
+++ b/io/cregress/cregress.go
@@ -323,7 +323,7 @@
 	if !changed {
 		return
 	}
-	x.opts.Log.Event(crlog.TargetSuspicionChanged, crlog.Fields{
+	x.opts.Log.Event(crlog.TargetHealthChanged, crlog.Fields{
 		"target": string(x.Target()), "before": crlog.Percent(before), "sick": crlog.Percent(after), "request": id,
 	})
 	x.opts.OnTargetChange()
--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -3,35 +3,35 @@
 // Events 600 to 699, logged by daemons that find their fleet through records in
 // the store (io/crmesh).
 const (
-	MeshStarted            = 600
-	MeshReady              = 601
-	MeshStopping           = 602
-	MeshStopped            = 603
-	MeshPaused             = 604
-	SettingsRead           = 605
-	SettingsRejected       = 606
-	LogDropped             = 607
-	MeshDrainIncomplete    = 608
-	StoreUnavailable       = 610
-	StoreRecovered         = 611
-	RecordInvalid          = 612
-	PlanRejected           = 613
-	PlanApplied            = 614
-	TargetsChanged         = 615
-	CopiedFromPeer         = 616
-	PeerCopyFailed         = 617
-	ReadersChanged         = 618
-	ReaderUnresponsive     = 619
-	PeersUnresponsive      = 620
-	PeersRecovered         = 621
-	TargetSuspicionChanged = 630
-	RunEnded               = 631
-	OfferRefused           = 632
-	RequestFailed          = 640
-	CallerDisconnected     = 641
-	RequestRetried         = 642
-	RequestServed          = 643
-	OwnerUnresponsive      = 650
+	MeshStarted         = 600
+	MeshReady           = 601
+	MeshStopping        = 602
+	MeshStopped         = 603
+	MeshPaused          = 604
+	SettingsRead        = 605
+	SettingsRejected    = 606
+	LogDropped          = 607
+	MeshDrainIncomplete = 608
+	StoreUnavailable    = 610
+	StoreRecovered      = 611
+	RecordInvalid       = 612
+	PlanRejected        = 613
+	PlanApplied         = 614
+	TargetsChanged      = 615
+	CopiedFromPeer      = 616
+	PeerCopyFailed      = 617
+	ReadersChanged      = 618
+	ReaderUnresponsive  = 619
+	PeersUnresponsive   = 620
+	PeersRecovered      = 621
+	TargetHealthChanged = 630
+	RunEnded            = 631
+	OfferRefused        = 632
+	RequestFailed       = 640
+	CallerDisconnected  = 641
+	RequestRetried      = 642
+	RequestServed       = 643
+	OwnerUnresponsive   = 650
 )
 
 func meshEntries() []Entry {
@@ -101,7 +101,7 @@
 		},
 		{PeersRecovered, LevelInfo, "peers recovered", "heartbeats arrive again", none, none},
 		{
-			TargetSuspicionChanged, LevelInfo, "target judged",
+			TargetHealthChanged, LevelInfo, "target judged",
 			"the probability that the target is sick, estimated from its answers, rose above the threshold or fell below it",
 			"above the threshold, the target gets only occasional idempotent requests", none,
 		},
