--- a/io/crlog/catalogue_health.go
+++ b/io/crlog/catalogue_health.go
@@ -6,18 +6,18 @@
 	return []Entry{
 		{
 			crhealth.EventEjected, LevelWarn, "target ejected",
-			"the arbiter found a target wrong, failing, slow or stalled compared with its peers; `detail` gives the cause and the ejection time",
+			"the arbiter found that a target gives wrong responses, or fails, is slow or stalls compared with its peers; `detail` gives the cause and the ejection time",
 			"the target gets no new requests", "none immediately; check the target",
 		},
 		{
-			crhealth.EventUnejected, LevelInfo, "target returned",
-			"the ejection time is over, or the target is needed to keep the floor",
+			crhealth.EventUnejected, LevelInfo, "ejection ended",
+			"the ejection time is over, or the target is needed to meet the floor",
 			"the target gets requests again, at a tenth of its weight at first", none,
 		},
 		{
 			crhealth.EventKeptForFloor, LevelError, "floor holds",
-			"a target is sick, but ejecting it would leave fewer targets than the floor",
-			"requests still go to the sick target", "repair it, add targets, or publish a lower floor",
+			"a target is unhealthy, but ejecting it would leave fewer targets than the floor",
+			"requests still go to the unhealthy target", "repair it, add targets, or publish a lower floor",
 		},
 		{
 			crhealth.EventArbiterStarted, LevelInfo, "arbiter started",
@@ -42,7 +42,7 @@
 		{
 			crhealth.EventDigestsLate, LevelWarn, "health digests late",
 			"the health digests exceed the byte budget",
-			"sick targets are detected later", "see the limits in design note 05",
+			"unhealthy targets are detected later", "see the limits in design note 05",
 		},
 	}
 }
--- a/io/crlog/catalogue_member.go
+++ b/io/crlog/catalogue_member.go
@@ -37,7 +37,7 @@
 		{
 			crmember.EventColdStart, LevelWarn, "cold start",
 			"a majority of the voters restarted",
-			"requests were refused until then", "none after a planned start; otherwise find out why the voters stopped",
+			"requests were refused until this event", "none after a planned start; otherwise find out why the voters stopped",
 		},
 		{
 			crmember.EventPeerReachable, LevelInfo, "peer reachable",
@@ -45,8 +45,8 @@
 			none, none,
 		},
 		{
-			crmember.EventPeerUnreachable, LevelWarn, "peer lost",
-			"messages did not pass in both directions for the lease horizon; in fleets of more than 31 daemons logged for voters only",
+			crmember.EventPeerUnreachable, LevelWarn, "peer unreachable",
+			"messages did not pass in both directions for the contact timeout; in fleets of more than 31 daemons, logged for voters only",
 			"its targets get no requests from this daemon", "check the peer and the network path to it",
 		},
 		{
--- a/io/crlog/catalogue_mesh.go
+++ b/io/crlog/catalogue_mesh.go
@@ -1,7 +1,6 @@
 package crlog
 
-// Events 600 to 699, logged by daemons that find their fleet through records in
-// the store (io/crmesh).
+// Events 600 to 699, logged by a daemon started by camphorroad join (io/crmesh).
 const (
 	MeshStarted         = 600
 	MeshReady           = 601
@@ -64,7 +63,7 @@
 			"requests were still in flight at the end of the grace period", "those requests were aborted", none,
 		},
 		{
-			StoreUnavailable, LevelWarn, "store lost",
+			StoreUnavailable, LevelWarn, "store unavailable",
 			"the store does not answer, or rejects this daemon", "known records and configuration stay in use; newer ones come from peers", "repair the store or the network path to it",
 		},
 		{StoreRecovered, LevelInfo, "store recovered", "the store answers again", none, none},
@@ -84,25 +83,25 @@
 		},
 		{
 			PeerCopyFailed, LevelWarn, "copy from a peer failed",
-			"the peer did not answer", "another peer is asked", none,
+			"the peer did not answer", "another peer is queried", none,
 		},
 		{
 			ReadersChanged, LevelInfo, "readers changed",
 			"daemons of the domain were added or removed, or are rejected by the store", "the daemons in the event read the store for the domain", none,
 		},
 		{
-			ReaderUnresponsive, LevelWarn, "reader silent",
+			ReaderUnresponsive, LevelWarn, "reader unresponsive",
 			"a reader of the domain did not answer a query", "another reader is queried, or the store itself",
 			"if it persists, check the network between the machines",
 		},
 		{
-			PeersUnresponsive, LevelWarn, "peers silent",
+			PeersUnresponsive, LevelWarn, "peers unresponsive",
 			"no heartbeats arrived from these peers", "their targets are used as a last resort", "if it persists, check the network between the machines",
 		},
 		{PeersRecovered, LevelInfo, "peers recovered", "heartbeats arrive again", none, none},
 		{
-			TargetHealthChanged, LevelInfo, "target judged",
-			"the probability that the target is sick, estimated from its answers, rose above the threshold or fell below it",
+			TargetHealthChanged, LevelInfo, "target health changed",
+			"the probability that the target is unhealthy, estimated from its responses and given in the field `sick`, rose above the threshold or fell below it",
 			"above the threshold, the target gets only occasional idempotent requests", none,
 		},
 		{
@@ -121,7 +120,7 @@
 		},
 		{CallerDisconnected, LevelInfo, "caller disconnected", "the connection of the caller closed before the response was written", none, none},
 		{
-			RequestRetried, LevelInfo, "request sent again",
+			RequestRetried, LevelInfo, "request retried",
 			"an idempotent request failed at a target", "it is sent to another target", none,
 		},
 		{
@@ -129,8 +128,8 @@
 			"a request succeeded and is part of the log sample", none, none,
 		},
 		{
-			OwnerUnresponsive, LevelWarn, "account owner silent",
-			"the daemon that owns the account's token bucket did not answer, or the relay in the field `through` did not", "the query is relayed through another daemon; if that also fails, the account is limited to this daemon's fraction of its rate", none,
+			OwnerUnresponsive, LevelWarn, "account owner unresponsive",
+			"the daemon that owns the account's token bucket did not answer, or, if the field `through` is true, the relay to it did not", "the query is relayed through another daemon; if that also fails, the account is limited to this daemon's fraction of its rate", none,
 		},
 	}
 }
--- a/io/crlog/crlog.go
+++ b/io/crlog/crlog.go
@@ -1,7 +1,7 @@
 // Package crlog writes the log of a daemon: numbered events as JSON lines. The
 // catalogue describes each number; docs/events.md and `camphorroad events list`
 // are generated from it. Both kinds of daemon, io/crdaemon and io/crmesh, log
-// through it. The command package log reads these lines back.
+// through it. Package command/log reads these lines.
 //
 // # Usage
 //
--- a/io/crlog/queue_test.go
+++ b/io/crlog/queue_test.go
@@ -14,8 +14,8 @@
 // blockedWriter blocks each write until release is closed.
 type blockedWriter struct{ release chan struct{} }
 
-func (s blockedWriter) Write(p []byte) (int, error) {
-	<-s.release
+func (w blockedWriter) Write(p []byte) (int, error) {
+	<-w.release
 	return len(p), nil
 }
 
@@ -41,7 +41,7 @@
 	g.Expect(<-ended).To(gomega.Succeed())
 }
 
-func TestRunFlushesAfterCancel(t *testing.T) {
+func TestQueueFlushesAfterCancel(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := crlog.NewQueue()
 	log := crlog.New(q, "info", "d1")
