--- a/io/crsite/crsite.go
+++ b/io/crsite/crsite.go
@@ -82,11 +82,11 @@
 
 // Bounds are the limits that the operator guarantees to callers.
 type Bounds struct {
-	Drain  int     `toml:"drain"`  // ms for which a leaving target still accepts requests
-	Grace  float64 `toml:"grace"`  // s from SIGTERM to SIGKILL
-	Ratio  float64 `toml:"ratio"`  // retries allowed for each request
-	Slack  float64 `toml:"slack"`  // retries allowed in a window in addition to Ratio
-	Window float64 `toml:"window"` // s; length of the window in which retries are counted
+	DrainMillis int     `toml:"drain"`  // ms for which a leaving target still accepts requests
+	Grace       float64 `toml:"grace"`  // s from SIGTERM to SIGKILL
+	Ratio       float64 `toml:"ratio"`  // retries allowed for each request
+	Slack       float64 `toml:"slack"`  // retries allowed in a window in addition to Ratio
+	Window      float64 `toml:"window"` // s; length of the window in which retries are counted
 }
 
 // GracePeriod returns the time between SIGTERM and SIGKILL.
@@ -107,7 +107,7 @@
 // left at that moment looks the same as one that expired: kept longer than the
 // drain time, it would route requests to a target that has exited.
 func (b Bounds) MissingRecordTTL() time.Duration {
-	return min(maxMissingRecordTTL, time.Duration(b.Drain)*time.Millisecond-drainMargin)
+	return min(maxMissingRecordTTL, time.Duration(b.DrainMillis)*time.Millisecond-drainMargin)
 }
 
 // RetryWindow returns the length of the window in which retries are counted.
@@ -124,7 +124,7 @@
 
 // Parse decodes and validates settings. The name of the file is used in errors.
 func Parse(file string, data []byte) (Settings, error) {
-	s := Settings{Log: "info", Bounds: Bounds{Drain: defaultDrain, Grace: defaultGrace, Ratio: defaultRatio, Window: defaultWindow}}
+	s := Settings{Log: "info", Bounds: Bounds{DrainMillis: defaultDrain, Grace: defaultGrace, Ratio: defaultRatio, Window: defaultWindow}}
 	dec := toml.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&s); err != nil {
@@ -174,7 +174,7 @@
 	if len(s.Listen.Ports) != 2 || s.Listen.Ports[1]-s.Listen.Ports[0] < 1 {
 		return errors.New("listen.ports: need the first and the last port of a range of at least two")
 	}
-	if s.Bounds.Grace <= 0 || s.Bounds.Window <= 0 || s.Bounds.Ratio < 0 || s.Bounds.Slack < 0 || s.Bounds.Drain <= 0 {
+	if s.Bounds.Grace <= 0 || s.Bounds.Window <= 0 || s.Bounds.Ratio < 0 || s.Bounds.Slack < 0 || s.Bounds.DrainMillis <= 0 {
 		return errors.New("bounds: drain, grace and window must be positive, ratio and slack not negative")
 	}
 	return nil
--- a/io/crsite/crsite_test.go
+++ b/io/crsite/crsite_test.go
@@ -50,7 +50,7 @@
 func TestMissingRecordTTLIsShorterThanDrain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, drain := range []int{1000, 2000, 2500, 9000} {
-		ttl := crsite.Bounds{Drain: drain}.MissingRecordTTL()
+		ttl := crsite.Bounds{DrainMillis: drain}.MissingRecordTTL()
 		g.Expect(ttl).To(gomega.BeNumerically("<=", time.Duration(drain)*time.Millisecond-300*time.Millisecond))
 		g.Expect(ttl).To(gomega.BeNumerically("<=", 2200*time.Millisecond))
 	}
