--- a/io/crmesh/crmesh_test.go
+++ b/io/crmesh/crmesh_test.go
@@ -345,7 +345,7 @@
 	f := newFleet(t, 1)
 	m := f.machines[0]
 	m.shutDown()
-	m.cfg.Bounds.Grace = 1.6
+	m.cfg.Bounds.GraceSeconds = 1.6
 	m.start()
 	f.waitReady()
 	m.target.SetBehaviour(crtarget.Behaviour{ServiceTime: 1300 * time.Millisecond})
@@ -364,7 +364,7 @@
 	f := newFleet(t, 2)
 	m := f.machines[0]
 	m.shutDown()
-	m.cfg.Bounds.Grace = 1.6
+	m.cfg.Bounds.GraceSeconds = 1.6
 	m.start()
 	f.waitReady()
 	for _, other := range f.machines {
