--- a/io/crmesh/fleet_test.go
+++ b/io/crmesh/fleet_test.go
@@ -139,7 +139,7 @@
 		Seeds:  []string{"127.0.0.10:" + strconv.Itoa(f.ports+5)},
 		Listen: crsite.Listen{Caller: at(1), Ready: at(2), Control: at(5), Ports: []int{f.ports + 3, f.ports + 4}},
 		Store:  crsite.Store{Address: strings.TrimPrefix(m.store.URL, "http://")},
-		Bounds: crsite.Bounds{DrainMillis: 2000, GraceSeconds: 3, Ratio: 0.2, Slack: 50, Window: 10},
+		Bounds: crsite.Bounds{DrainMillis: 2000, GraceSeconds: 3, Ratio: 0.2, Slack: 50, WindowSeconds: 10},
 	}
 	f.machines = append(f.machines, m)
 	m.start()
--- a/io/crsite/crsite.go
+++ b/io/crsite/crsite.go
@@ -82,11 +82,11 @@
 
 // Bounds are the limits that the operator guarantees to callers.
 type Bounds struct {
-	DrainMillis  int     `toml:"drain"`  // ms for which a leaving target still accepts requests
-	GraceSeconds float64 `toml:"grace"`  // s from SIGTERM to SIGKILL
-	Ratio        float64 `toml:"ratio"`  // retries allowed for each request
-	Slack        float64 `toml:"slack"`  // retries allowed in a window in addition to Ratio
-	Window       float64 `toml:"window"` // s; length of the window in which retries are counted
+	DrainMillis   int     `toml:"drain"`  // ms for which a leaving target still accepts requests
+	GraceSeconds  float64 `toml:"grace"`  // s from SIGTERM to SIGKILL
+	Ratio         float64 `toml:"ratio"`  // retries allowed for each request
+	Slack         float64 `toml:"slack"`  // retries allowed in a window in addition to Ratio
+	WindowSeconds float64 `toml:"window"` // s; length of the window in which retries are counted
 }
 
 // GracePeriod returns the time between SIGTERM and SIGKILL.
@@ -113,7 +113,9 @@
 }
 
 // RetryWindow returns the length of the window in which retries are counted.
-func (b Bounds) RetryWindow() time.Duration { return time.Duration(b.Window * float64(time.Second)) }
+func (b Bounds) RetryWindow() time.Duration {
+	return time.Duration(b.WindowSeconds * float64(time.Second))
+}
 
 // Load reads and validates a settings file.
 func Load(file string) (Settings, error) {
@@ -126,7 +128,7 @@
 
 // Parse decodes and validates settings. The name of the file is used in errors.
 func Parse(file string, data []byte) (Settings, error) {
-	s := Settings{Log: "info", Bounds: Bounds{DrainMillis: defaultDrain, GraceSeconds: defaultGrace, Ratio: defaultRatio, Window: defaultWindow}}
+	s := Settings{Log: "info", Bounds: Bounds{DrainMillis: defaultDrain, GraceSeconds: defaultGrace, Ratio: defaultRatio, WindowSeconds: defaultWindow}}
 	dec := toml.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&s); err != nil {
@@ -176,7 +178,7 @@
 	if len(s.Listen.Ports) != 2 || s.Listen.Ports[1]-s.Listen.Ports[0] < 1 {
 		return errors.New("listen.ports: need the first and the last port of a range of at least two")
 	}
-	if s.Bounds.GraceSeconds <= 0 || s.Bounds.Window <= 0 || s.Bounds.Ratio < 0 || s.Bounds.Slack < 0 || s.Bounds.DrainMillis <= 0 {
+	if s.Bounds.GraceSeconds <= 0 || s.Bounds.WindowSeconds <= 0 || s.Bounds.Ratio < 0 || s.Bounds.Slack < 0 || s.Bounds.DrainMillis <= 0 {
 		return errors.New("bounds: drain, grace and window must be positive, ratio and slack not negative")
 	}
 	return nil
