--- a/io/crmesh/crmesh.go
+++ b/io/crmesh/crmesh.go
@@ -70,7 +70,7 @@
 	// net/http logs unsolicited response bytes to the standard logger. They may
 	// contain account data, and bypass the numbered events.
 	log.SetOutput(io.Discard)
-	if m := opts.Settings.Limits.Memory; m > 0 {
+	if m := opts.Settings.Limits.MemoryMB; m > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitRatio * float64(m) * (1 << 20)))
 	}
 	var d *daemon
--- a/io/crsite/crsite.go
+++ b/io/crsite/crsite.go
@@ -77,7 +77,7 @@
 
 // Limits are the resource limits of the machine.
 type Limits struct {
-	Memory int `toml:"memory"` // MB
+	MemoryMB int `toml:"memory"` // MB
 }
 
 // Bounds are the limits that the operator guarantees to callers.
