--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -180,7 +180,7 @@
 func newTraceRecorder(lc fx.Lifecycle, cfg crsettings.Trace, params crdaemon.Params, log *crlog.Logger) (*crtrace.Recorder, error) {
 	rec, err := crtrace.Create(cfg.File, crtrace.Options{
 		Params:   params,
-		MaxBytes: cfg.Size,
+		MaxBytes: cfg.MaxBytes,
 		OnStop:   func(err error) { log.Event(crlog.TraceStopped, crlog.Fields{"error": err.Error()}) },
 	})
 	if err != nil {
--- a/io/crsettings/check.go
+++ b/io/crsettings/check.go
@@ -61,7 +61,7 @@
 	c.checkDuration("limits.bodyidle", s.Limits.BodyIdle)
 	c.checkDuration("limits.draintime", s.Limits.DrainTime)
 	positive("limits.holdinflight", s.Limits.HoldInFlight > 0)
-	positive("trace.size", s.Trace.Size > 0)
+	positive("trace.size", s.Trace.MaxBytes > 0)
 	if s.Limits.ReplayBytes < 0 {
 		c.addProblem("limits.replaybytes", "must not be negative; 0 buffers no request body for retries")
 	}
--- a/io/crsettings/crsettings.go
+++ b/io/crsettings/crsettings.go
@@ -79,8 +79,8 @@
 // Trace configures the recording of control events for replay. It is meant for
 // debugging only: instances have no spare disk space.
 type Trace struct {
-	File string `toml:"file"` // overwritten at each start; empty: no recording
-	Size int64  `toml:"size"` // recording stops at this size, in bytes
+	File     string `toml:"file"` // overwritten at each start; empty: no recording
+	MaxBytes int64  `toml:"size"` // recording stops at this size, in bytes
 }
 
 // Duration is a time.Duration that is decoded from text such as "250ms".
@@ -112,7 +112,7 @@
 	return Settings{
 		Log:      Log{Level: "info"},
 		Platform: Platform{Fleet: defaultFleetSize},
-		Trace:    Trace{Size: defaultTraceBytes},
+		Trace:    Trace{MaxBytes: defaultTraceBytes},
 		Policy:   defaultPolicy(),
 		Limits: Limits{
 			HeaderBytes:  32 << 10,
