--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -157,7 +157,7 @@
 	s.recorder = rec
 	s.steers = make(map[crid.Service]crhealth.RoutingUpdate)
 	params := crdaemon.DefaultParams()
-	params.Config.FleetSize = cfg.Platform.Fleet
+	params.Config.FleetSize = cfg.Platform.FleetSize
 	params.Health = healthParams(cfg.Policy)
 	opts := crcontrol.Options{
 		Clock: crclock.Now, Execute: s.execute, Collect: s.collect, Wake: s.tokenPool.DrainNeeded(), ObserveStep: m.observeStep,
--- a/io/crsettings/check.go
+++ b/io/crsettings/check.go
@@ -55,7 +55,7 @@
 			c.addProblem(key, "must be above zero")
 		}
 	}
-	positive("platform.fleet", s.Platform.Fleet > 0)
+	positive("platform.fleet", s.Platform.FleetSize > 0)
 	positive("limits.headerbytes", s.Limits.HeaderBytes > 0)
 	c.checkDuration("limits.headertime", s.Limits.HeaderTime)
 	c.checkDuration("limits.bodyidle", s.Limits.BodyIdle)
--- a/io/crsettings/crsettings.go
+++ b/io/crsettings/crsettings.go
@@ -41,8 +41,8 @@
 
 // Platform configures access to the platform.
 type Platform struct {
-	URL   string `toml:"url"`
-	Fleet int    `toml:"fleet"` // daemons that may start at the same time; each limits its reads to its part of the platform's rate
+	URL       string `toml:"url"`
+	FleetSize int    `toml:"fleet"` // daemons that may start at the same time; each limits its reads to its part of the platform's rate
 }
 
 // TLS holds paths of PEM files. The DNS name in Cert must be the daemon's name.
@@ -111,7 +111,7 @@
 func Defaults() Settings {
 	return Settings{
 		Log:      Log{Level: "info"},
-		Platform: Platform{Fleet: defaultFleetSize},
+		Platform: Platform{FleetSize: defaultFleetSize},
 		Trace:    Trace{MaxBytes: defaultTraceBytes},
 		Policy:   defaultPolicy(),
 		Limits: Limits{
