--- a/io/crsite/crsite.go
+++ b/io/crsite/crsite.go
@@ -22,10 +22,10 @@
 
 // Defaults of Bounds.
 const (
-	defaultDrain  = 2000 // ms: time for which a leaving target still accepts requests
-	defaultGrace  = 6    // s: from SIGTERM to SIGKILL
-	defaultRatio  = 0.2
-	defaultWindow = 10 // s
+	defaultDrainMillis   = 2000 // time for which a leaving target still accepts requests
+	defaultGraceSeconds  = 6    // from SIGTERM to SIGKILL
+	defaultRatio         = 0.2
+	defaultWindowSeconds = 10
 )
 
 // Error reports an invalid settings file.
@@ -56,7 +56,7 @@
 	Caller  string `toml:"caller"`  // callers on this machine
 	Ready   string `toml:"ready"`   // readiness endpoint
 	Control string `toml:"control"` // queries of daemons that use this one as a seed
-	Pages   string `toml:"pages"`   // admin endpoints, state and metrics; empty: the second of Ports
+	Pages   string `toml:"pages"`   // admin endpoints, state and metrics; empty: Settings.Address with the port after the first of Ports
 	Ports   []int  `toml:"ports"`   // first and last port for traffic between daemons
 	Host    string `toml:"host"`    // IP address to listen on for peers; empty: Settings.Address
 }
@@ -77,16 +77,16 @@
 
 // Limits are the resource limits of the machine.
 type Limits struct {
-	MemoryMB int `toml:"memory"` // MB
+	MemoryMB int `toml:"memory"` // memory of the machine
 }
 
 // Bounds are the limits that the operator guarantees to callers.
 type Bounds struct {
-	DrainMillis   int     `toml:"drain"`  // ms for which a leaving target still accepts requests
-	GraceSeconds  float64 `toml:"grace"`  // s from SIGTERM to SIGKILL
-	Ratio         float64 `toml:"ratio"`  // retries allowed for each request
-	Slack         float64 `toml:"slack"`  // retries allowed in a window in addition to Ratio
-	WindowSeconds float64 `toml:"window"` // s; length of the window in which retries are counted
+	DrainMillis   int     `toml:"drain"`  // time for which a leaving target still accepts requests
+	GraceSeconds  float64 `toml:"grace"`  // time from SIGTERM to SIGKILL
+	Ratio         float64 `toml:"ratio"`  // retries allowed per request
+	Slack         float64 `toml:"slack"`  // retries that the whole fleet may make in a window, in addition to Ratio
+	WindowSeconds float64 `toml:"window"` // length of the window in which retries are counted
 }
 
 // GracePeriod returns the time between SIGTERM and SIGKILL.
@@ -106,8 +106,8 @@
 
 // MissingRecordTTL returns how long a record that disappeared during an outage of
 // the store is kept after the store has recovered. The record of a target that
-// left at that moment looks the same as one that expired: kept longer than the
-// drain time, it would route requests to a target that has exited.
+// left at that moment looks the same as one that expired. If it were kept longer
+// than the drain time, requests would be routed to a target that has exited.
 func (b Bounds) MissingRecordTTL() time.Duration {
 	return min(maxMissingRecordTTL, time.Duration(b.DrainMillis)*time.Millisecond-drainMargin)
 }
@@ -128,7 +128,7 @@
 
 // Parse decodes and validates settings. The name of the file is used in errors.
 func Parse(file string, data []byte) (Settings, error) {
-	s := Settings{Log: "info", Bounds: Bounds{DrainMillis: defaultDrain, GraceSeconds: defaultGrace, Ratio: defaultRatio, WindowSeconds: defaultWindow}}
+	s := Settings{Log: "info", Bounds: Bounds{DrainMillis: defaultDrainMillis, GraceSeconds: defaultGraceSeconds, Ratio: defaultRatio, WindowSeconds: defaultWindowSeconds}}
 	dec := toml.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&s); err != nil {
