--- a/io/crsettings/crsettings.go
+++ b/io/crsettings/crsettings.go
@@ -36,7 +36,7 @@
 type Listen struct {
 	HTTP  string `toml:"http"`  // callers
 	Peer  string `toml:"peer"`  // other daemons, UDP
-	Admin string `toml:"admin"` // operators: state, metrics, health
+	Admin string `toml:"admin"` // operators: readiness, state, metrics
 }
 
 // Platform configures access to the platform.
--- a/io/crsettings/problem.go
+++ b/io/crsettings/problem.go
@@ -22,18 +22,18 @@
 
 // Error implements error.
 func (p Problem) Error() string {
-	at := p.File
+	location := p.File
 	if p.Line > 0 {
-		at = fmt.Sprintf("%s:%d", p.File, p.Line)
+		location = fmt.Sprintf("%s:%d", p.File, p.Line)
 	}
 	text := p.What
 	if p.Key != "" {
 		text = p.Key + " " + p.What
 	}
-	if at == "" {
+	if location == "" {
 		return text
 	}
-	return at + ": " + text
+	return location + ": " + text
 }
 
 // Problems are all errors of one settings file, ordered by line.
@@ -53,7 +53,7 @@
 type keyLines map[string]int
 
 func newKeyLines(b []byte) keyLines {
-	at := make(keyLines)
+	lines := make(keyLines)
 	section := ""
 	counts := make(map[string]int)
 	for i, line := range strings.Split(string(b), "\n") {
@@ -64,18 +64,18 @@
 			name = strings.TrimSpace(name)
 			section = fmt.Sprintf("%s[%d]", name, counts[name])
 			counts[name]++
-			at[section] = i + 1
+			lines[section] = i + 1
 		case strings.HasPrefix(line, "["):
 			name, _, _ := strings.Cut(line[1:], "]")
 			section = strings.TrimSpace(name)
-			at[section] = i + 1
+			lines[section] = i + 1
 		default:
 			if key, _, ok := strings.Cut(line, "="); ok {
-				at[joinKey(section, strings.TrimSpace(key))] = i + 1
+				lines[joinKey(section, strings.TrimSpace(key))] = i + 1
 			}
 		}
 	}
-	return at
+	return lines
 }
 
 func joinKey(section, key string) string {
@@ -87,12 +87,12 @@
 
 // line returns the line of the key, or of its table if the key is missing. It
 // returns zero if both are missing.
-func (at keyLines) line(key string) int {
-	if line, ok := at[key]; ok {
+func (k keyLines) line(key string) int {
+	if line, ok := k[key]; ok {
 		return line
 	}
 	if i := strings.LastIndex(key, "."); i > 0 {
-		return at[key[:i]]
+		return k[key[:i]]
 	}
 	return 0
 }
--- a/io/crsettings/settings_test.go
+++ b/io/crsettings/settings_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-var row = regexp.MustCompile("(?m)^\\| `([a-z.]+)` \\| ([^|]*) \\|")
+var settingRow = regexp.MustCompile("(?m)^\\| `([a-z.]+)` \\| ([^|]*) \\|")
 
 // docs/operate/settings.md must list every setting with its default.
 func TestSettingsPageIsComplete(t *testing.T) {
@@ -76,7 +76,7 @@
 	want := make(map[string]string)
 	collectDefaults(reflect.ValueOf(crsettings.Defaults()), "", want)
 	documented := make(map[string]bool)
-	for _, cells := range row.FindAllStringSubmatch(string(page), -1) {
+	for _, cells := range settingRow.FindAllStringSubmatch(string(page), -1) {
 		key, value := cells[1], cells[2]
 		documented[key] = true
 		def, ok := want[key]
