--- a/io/cradmin/cradmin.go
+++ b/io/cradmin/cradmin.go
@@ -23,8 +23,8 @@
 // Options configure the admin endpoints.
 type Options struct {
 	Ready func() error // returns nil if the daemon is ready, or the reason why not
-	// State returns the state dump, or only the named part if part is not empty. It
-	// returns ErrUnknownPart if there is no part of that name.
+	// State returns the state dump, or only the named part if part is not empty. Its
+	// error matches ErrUnknownPart if there is no part of that name.
 	State   func(ctx context.Context, part string) (any, error)
 	Metrics metrics.Registry
 }
@@ -34,13 +34,13 @@
 	gin.SetMode(gin.ReleaseMode)
 	router := gin.New()
 	router.Use(gin.Recovery())
-	router.GET("/ready", func(c *gin.Context) { ready(c, opts.Ready) })
-	router.GET("/state", func(c *gin.Context) { state(c, opts.State) })
-	router.GET("/metrics", func(c *gin.Context) { scrape(c, opts.Metrics) })
+	router.GET("/ready", func(c *gin.Context) { serveReady(c, opts.Ready) })
+	router.GET("/state", func(c *gin.Context) { serveState(c, opts.State) })
+	router.GET("/metrics", func(c *gin.Context) { serveMetrics(c, opts.Metrics) })
 	return router
 }
 
-func ready(c *gin.Context, check func() error) {
+func serveReady(c *gin.Context, check func() error) {
 	if err := check(); err != nil {
 		c.JSON(http.StatusServiceUnavailable, gin.H{"ready": false, "reason": err.Error()})
 		return
@@ -48,7 +48,7 @@
 	c.JSON(http.StatusOK, gin.H{"ready": true})
 }
 
-func state(c *gin.Context, dump func(ctx context.Context, part string) (any, error)) {
+func serveState(c *gin.Context, dump func(ctx context.Context, part string) (any, error)) {
 	v, err := dump(c.Request.Context(), c.Query("part"))
 	if errors.Is(err, ErrUnknownPart) {
 		c.JSON(http.StatusNotFound, gin.H{"error": err.Error()})
--- a/io/cradmin/scrape.go
+++ b/io/cradmin/scrape.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	prefix      = "camphorroad_"
-	contentType = "text/plain; version=0.0.4"
+	namePrefix  = "camphorroad_"
+	contentType = "text/plain; version=0.0.4" // of the Prometheus text format
 )
 
-func scrape(c *gin.Context, registry metrics.Registry) {
+func serveMetrics(c *gin.Context, registry metrics.Registry) {
 	var b bytes.Buffer
 	writeMetrics(&b, registry)
 	c.Data(http.StatusOK, contentType, b.Bytes())
@@ -36,7 +36,7 @@
 		case metrics.Counter:
 			writeValue(w, name, "counter", m.Count())
 		case metrics.Gauge:
-			writeValue(w, name, typeOf(name), m.Value())
+			writeValue(w, name, valueType(name), m.Value())
 		case metrics.Histogram:
 			writeSummary(w, name, m.Snapshot())
 		}
@@ -44,10 +44,10 @@
 }
 
 func exposedName(name string) string {
-	return prefix + strings.NewReplacer(".", "_", "-", "_").Replace(name)
+	return namePrefix + strings.NewReplacer(".", "_", "-", "_").Replace(name)
 }
 
-func typeOf(name string) string {
+func valueType(name string) string {
 	if strings.HasSuffix(name, "_total") {
 		return "counter"
 	}
--- a/io/cradmin/scrape_test.go
+++ b/io/cradmin/scrape_test.go
@@ -14,7 +14,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-func TestMetricsPage(t *testing.T) {
+func TestMetricsInPrometheusTextFormat(t *testing.T) {
 	r := metrics.NewRegistry()
 	metrics.NewRegisteredCounter("runs.failed.total", r).Inc(2)
 	metrics.NewRegisteredFunctionalGauge("retries.total", r, func() int64 { return 7 })
