--- a/io/crpolicyfile/bundle.go
+++ b/io/crpolicyfile/bundle.go
@@ -13,9 +13,10 @@
 )
 
 // shardBytes is the preferred size of a value. A change makes every daemon fetch
-// one value and the manifest, so both should be small: with S bytes a value and
-// T bytes in all, a change costs S + 60·T/S bytes. The minimum is at S = sqrt(60·T),
-// 45 KB for the 33 MB of 410,000 accounts.
+// one value and the manifest, so both should be small. With S bytes per value,
+// T bytes in total and 60 bytes per entry of the manifest, a change costs
+// S + 60·T/S bytes. The minimum is at S = sqrt(60·T), 45 KB for the 33 MB of
+// 410,000 accounts.
 const shardBytes = 32 << 10
 
 // The kinds of values. The name of a value begins with its kind.
@@ -32,8 +33,8 @@
 	Data []byte
 }
 
-// Bundle is what one publishing step puts on the platform. Its bytes depend on the
-// policies alone, not on the order of the files.
+// Bundle is what the platform publishes as one configuration: the manifest and the
+// values. Its bytes depend on the policies alone, not on the order of the files.
 type Bundle struct {
 	manifest []byte
 	values   []Value
@@ -81,13 +82,13 @@
 		return Bundle{}, oops.Wrapf(err, "encode the manifest")
 	}
 	if len(b.manifest) >= crconfig.MaxValueSize {
-		return Bundle{}, oops.Errorf("the manifest has %d bytes, the platform holds less than %d", len(b.manifest), crconfig.MaxValueSize)
+		return Bundle{}, oops.Errorf("the manifest has %d bytes; the platform accepts fewer than %d", len(b.manifest), crconfig.MaxValueSize)
 	}
 	return b, nil
 }
 
-// packShards distributes items by the hash of their names over a number of values that is
-// a power of two, so that a change of one item changes one value.
+// packShards distributes items by the hash of their names over a number of values, so
+// that a change of one item changes one value. The number is a power of two.
 func packShards[T any](mode cbor.EncMode, kind string, items []T, name func(T) string) ([]Value, error) {
 	if len(items) == 0 {
 		return nil, nil
@@ -121,7 +122,7 @@
 			return nil, oops.Wrapf(err, "encode a shard of %ss", kind)
 		}
 		if len(data) >= crconfig.MaxValueSize {
-			return nil, oops.Errorf("%s shard %d has %d bytes, the platform holds less than %d", kind, i, len(data), crconfig.MaxValueSize)
+			return nil, oops.Errorf("%s shard %d has %d bytes; the platform accepts fewer than %d", kind, i, len(data), crconfig.MaxValueSize)
 		}
 		values = append(values, Value{Name: shardName(kind, i), Data: data})
 	}
--- a/io/crpolicyfile/file.go
+++ b/io/crpolicyfile/file.go
@@ -94,7 +94,7 @@
 	problems Problems
 }
 
-func (r *reader) add(key, what, hint string) {
+func (r *reader) addProblem(key, what, hint string) {
 	pos := r.index.find(key)
 	r.problems = append(r.problems, Problem{
 		File: r.file.Name, Line: pos.line, Column: pos.column, Key: key, What: what, Hint: hint,
@@ -106,20 +106,20 @@
 	if !r.decode(&c) {
 		return
 	}
-	check := checker{source: r.file.Name, seen: r.seen, add: r.add}
+	check := checker{source: r.file.Name, seen: r.seen, addProblem: r.addProblem}
 	switch {
 	case c.Service != nil:
-		svc := r.service(c)
-		check.service(svc)
+		svc := r.toService(c)
+		check.checkService(svc)
 		policy.Services = append(policy.Services, svc)
 	case c.Probe != nil || len(c.Routes) > 0:
-		r.add("service", "a probe or route without its service", "add a [service] table with a name")
+		r.addProblem("service", "a probe or route without a service", "add a [service] table with a name")
 	case len(c.Account) == 0:
-		r.add("-", "neither a service nor an account", "add a [service] or [[account]] table")
+		r.addProblem("-", "neither a service nor an account", "add a [service] or [[account]] table")
 	}
 	for i, a := range c.Account {
-		acct := r.account(i, a)
-		check.account(fmt.Sprintf("account[%d]", i), acct)
+		acct := r.toAccount(i, a)
+		check.checkAccount(fmt.Sprintf("account[%d]", i), acct)
 		policy.Accounts = append(policy.Accounts, acct)
 	}
 }
@@ -141,11 +141,11 @@
 	if errors.As(err, &bad) {
 		// The library's message may quote the value, and the value may be a plain
 		// key that was pasted by mistake. So only its position is reported.
-		r.addDecodeError(bad, "not readable as TOML of the expected type", "correct the syntax or the type of the value")
+		r.addDecodeError(bad, "invalid TOML, or a value of the wrong type", "correct the syntax or the type of the value")
 		return false
 	}
 	if err != nil {
-		r.add("-", "not readable as TOML of the expected type", "correct the syntax or the type of the value")
+		r.addProblem("-", "invalid TOML, or a value of the wrong type", "correct the syntax or the type of the value")
 		return false
 	}
 	return true
@@ -162,7 +162,7 @@
 	})
 }
 
-func (r *reader) service(c fileContent) crpolicy.Service {
+func (r *reader) toService(c fileContent) crpolicy.Service {
 	svc := crpolicy.Service{
 		Name:         crid.Service(c.Service.Name),
 		Floor:        c.Service.Floor,
@@ -174,38 +174,38 @@
 		IdentityEcho: c.Service.Echo,
 	}
 	if !r.index.has("service.floor") {
-		r.add("service.floor", "missing", "give the least number of healthy targets that ejection must leave")
+		r.addProblem("service.floor", "missing", "give the minimum number of healthy targets that ejection must leave")
 	}
 	if c.Probe != nil {
 		svc.Probe = crpolicy.Probe{
 			Path:     c.Probe.Path,
 			Status:   c.Probe.Status,
 			Body:     c.Probe.Body,
-			Interval: duration(c.Probe.Every),
+			Interval: parseDuration(c.Probe.Every),
 		}
 		if c.Probe.Path == "" {
-			r.add("probe.path", "missing", "give the path to request, such as \"/probe\"")
+			r.addProblem("probe.path", "missing", "give the path to request, such as \"/probe\"")
 		}
 	}
 	for _, fr := range c.Routes {
-		svc.Routes = append(svc.Routes, route(fr))
+		svc.Routes = append(svc.Routes, toRoute(fr))
 	}
 	return svc
 }
 
-func route(fr fileRoute) crpolicy.Route {
+func toRoute(fr fileRoute) crpolicy.Route {
 	return crpolicy.Route{
 		Name:    crid.Route(fr.Name),
 		Host:    fr.Host,
 		Methods: fr.Methods,
 		Prefix:  fr.Prefix,
-		Class:   classOf(fr.Class),
-		Timeout: duration(fr.Timeout),
+		Class:   parseClass(fr.Class),
+		Timeout: parseDuration(fr.Timeout),
 	}
 }
 
-// classOf returns zero for an unknown name, which validation rejects.
-func classOf(name string) crpolicy.Class {
+// parseClass returns zero for an unknown name, which validation rejects.
+func parseClass(name string) crpolicy.Class {
 	switch name {
 	case "once":
 		return crpolicy.ClassOnce
@@ -215,8 +215,8 @@
 	return 0
 }
 
-// duration returns zero for a text that is no duration, which validation rejects.
-func duration(text string) time.Duration {
+// parseDuration returns zero for a text that is not a duration, which validation rejects.
+func parseDuration(text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		return 0
@@ -224,15 +224,15 @@
 	return d
 }
 
-func (r *reader) account(i int, fa fileAccount) crpolicy.Account {
+func (r *reader) toAccount(i int, fa fileAccount) crpolicy.Account {
 	acct := crpolicy.Account{Name: crid.Account(fa.Name), Rate: fa.Rate, Burst: fa.Burst}
 	for n, text := range fa.Keys {
 		hash, ok := parseHash(text)
 		if !ok {
-			// The text is not quoted: it may be a plain key, which would end in
+			// The text is not quoted: it may be a plain key, which would be printed to
 			// terminals and CI logs.
 			key := fmt.Sprintf("account[%d].keys[%d]", i, n)
-			r.add(key, "not a SHA-256 in 64 lower-case hex digits", hintHash)
+			r.addProblem(key, "not a SHA-256 in 64 lower-case hex digits", hintHash)
 			continue
 		}
 		acct.Keys = append(acct.Keys, hash)
--- a/io/crpolicyfile/load.go
+++ b/io/crpolicyfile/load.go
@@ -11,13 +11,13 @@
 
 // Errors of published values.
 var (
-	// ErrManifest means that the bytes are no valid manifest.
-	ErrManifest = errors.New("not a manifest")
+	// ErrManifest means that the bytes are not a valid manifest.
+	ErrManifest = errors.New("invalid manifest")
 	// ErrValue means that a value is missing, altered or cannot be decoded.
-	ErrValue = errors.New("bad value")
+	ErrValue = errors.New("invalid value")
 )
 
-// The function types belong to crconfig, so that core does not import this package.
+// The function types are declared in crconfig, since core must not import this package.
 var (
 	_ crconfig.Parser = ParseManifest
 	_ crconfig.Loader = Load
@@ -37,10 +37,10 @@
 	last := ""
 	for _, e := range m.Entries {
 		if e.Name <= last {
-			return crconfig.Manifest{}, oops.Wrapf(ErrManifest, "entry %q is out of order or twice", e.Name)
+			return crconfig.Manifest{}, oops.Wrapf(ErrManifest, "entry %q is out of order or duplicated", e.Name)
 		}
 		if e.Size <= 0 || e.Size >= crconfig.MaxValueSize {
-			return crconfig.Manifest{}, oops.Wrapf(ErrManifest, "entry %q has %d bytes", e.Name, e.Size)
+			return crconfig.Manifest{}, oops.Wrapf(ErrManifest, "entry %q has an invalid size of %d bytes", e.Name, e.Size)
 		}
 		last = e.Name
 	}
--- a/io/crpolicyfile/load_bench_test.go
+++ b/io/crpolicyfile/load_bench_test.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// BenchmarkChange measures a change of one account in a daemon with the previous
-// configuration in force: to load it, and to find the accounts that may differ, compared
-// with a walk through all.
+// BenchmarkChange measures a change of one account in a daemon that has loaded the
+// previous configuration: the time to load it, and the time to find the accounts that
+// may differ, compared with a walk through all accounts.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{20_000, 410_000} {
 		policy := manyAccounts(n)
@@ -70,26 +70,26 @@
 		})
 		b.Run(fmt.Sprintf("accounts=%d/since", n), func(b *testing.B) {
 			for b.Loop() {
-				walk(previous, snap.AccountsSince(previous))
+				lookUpAll(previous, snap.AccountsSince(previous))
 			}
 		})
 		b.Run(fmt.Sprintf("accounts=%d/walk", n), func(b *testing.B) {
 			for b.Loop() {
-				walk(previous, snap.Accounts())
+				lookUpAll(previous, snap.Accounts())
 			}
 		})
 	}
 }
 
-// walk looks up every account in the previous configuration, as craccount does.
-func walk(previous *crpolicy.Snapshot, accounts []crpolicy.Account) {
+// lookUpAll looks up every account in the previous configuration, as craccount does.
+func lookUpAll(previous *crpolicy.Snapshot, accounts []crpolicy.Account) {
 	for _, a := range accounts {
 		previous.Account(a.Name)
 	}
 }
 
-// BenchmarkSnapshot measures the memory of a configuration in force, with the bytes of
-// its values for peers, and the time to look up a key.
+// BenchmarkSnapshot measures the memory of a loaded configuration, including the bytes of
+// its values that are kept for peers, and the time to look up a key.
 func BenchmarkSnapshot(b *testing.B) {
 	const accounts = 410_000
 	for _, keys := range []int{1, 2} {
@@ -102,7 +102,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			before := heap()
+			before := liveHeapBytes()
 			m, values := unpackBundle(b, bundle)
 			for name, data := range values {
 				values[name] = bytes.Clone(data)
@@ -112,7 +112,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			used := heap() - before
+			used := liveHeapBytes() - before
 			h := crpolicy.HashKey("account-000007")
 			for b.Loop() {
 				if _, ok := snap.AccountByKey(h); !ok {
@@ -127,8 +127,9 @@
 	}
 }
 
-// heap returns the live heap. It collects twice, since buffer pools survive one collection.
-func heap() uint64 {
+// liveHeapBytes returns the bytes of the live liveHeapBytes. It collects garbage twice, since buffer pools
+// survive one collection.
+func liveHeapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/io/crpolicyfile/loader.go
+++ b/io/crpolicyfile/loader.go
@@ -17,22 +17,23 @@
 )
 
 // Load validates a published configuration in the daemon: it checks every value against
-// its digest, decodes it, applies the rules of the publishing step, and indexes the
-// result. One problem rejects the whole configuration.
+// its digest, decodes it, applies the rules of [Build], and indexes the result. A single
+// problem rejects the whole configuration.
 func Load(rev crid.Revision, m crconfig.Manifest, values map[string][]byte) (*crpolicy.Snapshot, error) {
 	return NewLoader().Load(rev, m, values)
 }
 
 // Loader loads successive configurations. It caches the decoded values of the last one
-// that it accepted, and does not decode or check a value on its own again while its
-// digest is the same. It accepts what [Load] accepts, with the same result; of several
-// problems it may report another one. It must be used by one goroutine only.
+// that it accepted. A value that is unchanged is neither decoded again nor validated
+// again on its own. A Loader accepts what [Load] accepts, with the same result, but it
+// may report a different problem if there are several. It must be used by one goroutine
+// only.
 type Loader struct {
 	cached   map[string]value // by name
-	shards   int              // of accounts
+	shards   int              // number of account shards
 	services []crpolicy.Service
 	snapshot *crpolicy.Snapshot
-	decoded  int
+	decoded  int // number of values
 }
 
 // NewLoader returns a loader that has accepted nothing yet.
@@ -46,7 +47,7 @@
 	digest   crconfig.Digest
 	data     []byte
 	services []crpolicy.Service
-	shard    int            // of accounts
+	shard    int            // index of the account shard
 	accounts *crpolicy.Part // nil for a value of services
 }
 
@@ -102,7 +103,7 @@
 		return nil
 	}
 	if len(data) != e.Size || crconfig.DigestOf(data) != e.Digest {
-		return oops.Wrapf(ErrValue, "%s is missing or not what the manifest names", e.Name)
+		return oops.Wrapf(ErrValue, "%s is missing, or differs from its size or digest in the manifest", e.Name)
 	}
 	v, err := n.decode(e.Name, data)
 	if err != nil {
@@ -125,7 +126,7 @@
 	case kindAccount:
 		shard, err := strconv.Atoi(number)
 		if err != nil || shard < 0 || shard >= crpolicy.MaxParts || shardName(kind, shard) != name {
-			return value{}, oops.Wrapf(ErrValue, "%s is no shard of accounts", name)
+			return value{}, oops.Wrapf(ErrValue, "%s is not a valid name of an account shard", name)
 		}
 		return n.decodeAccounts(name, shard, data)
 	}
@@ -145,17 +146,17 @@
 		return value{}, badValue(name, err)
 	}
 	if len(accounts) >= crpolicy.MaxParts {
-		return value{}, oops.Wrapf(ErrValue, "%s holds too many accounts", name)
+		return value{}, oops.Wrapf(ErrValue, "%s contains too many accounts", name)
 	}
-	check := n.checker(name, newRegistry())
+	check := n.newChecker(name, newRegistry())
 	for i, a := range accounts {
-		check.account(fmt.Sprintf("account[%d]", i), a)
+		check.checkAccount(fmt.Sprintf("account[%d]", i), a)
 	}
 	return value{shard: shard, accounts: crpolicy.NewPart(accounts, data)}, nil
 }
 
-func (n *loading) checker(name string, seen *registry) checker {
-	return checker{source: name, seen: seen, add: func(key, what, hint string) {
+func (n *loading) newChecker(name string, seen *registry) checker {
+	return checker{source: name, seen: seen, addProblem: func(key, what, hint string) {
 		n.problems = append(n.problems, Problem{File: name, Key: key, What: what, Hint: hint})
 	}}
 }
@@ -173,9 +174,9 @@
 		if v.accounts == nil || (n.shards == n.previous.shards && !n.changed(e.Name)) {
 			continue
 		}
-		if stray, ok := v.accounts.Misplaced(v.shard, n.shards); ok {
-			n.checker(e.Name, nil).add("account", fmt.Sprintf("%s belongs in another value", stray),
-				"publish what `camphorroad policy build` made")
+		if misplaced, ok := v.accounts.Misplaced(v.shard, n.shards); ok {
+			n.newChecker(e.Name, nil).addProblem("account", fmt.Sprintf("%s belongs in another value", misplaced),
+				"publish the output of `camphorroad policy build`")
 		}
 	}
 }
@@ -195,9 +196,9 @@
 	}
 	seen := newRegistry()
 	for _, name := range services {
-		check := n.checker(name, seen)
+		check := n.newChecker(name, seen)
 		for _, svc := range n.cached[name].services {
-			check.service(svc)
+			check.checkService(svc)
 		}
 		n.services = append(n.services, n.cached[name].services...)
 	}
@@ -224,7 +225,7 @@
 	snapshot, err := crpolicy.Assemble(n.previous.snapshot, rev, n.services, parts)
 	var conflict *crpolicy.KeyConflict
 	if errors.As(err, &conflict) {
-		n.checker(shardName(kindAccount, conflict.Part), nil).add("account.keys", conflict.Error(), hintKeyConflict)
+		n.newChecker(shardName(kindAccount, conflict.Part), nil).addProblem("account.keys", conflict.Error(), hintKeyConflict)
 		return n.problems.err()
 	}
 	n.snapshot = snapshot
--- a/io/crpolicyfile/loader_test.go
+++ b/io/crpolicyfile/loader_test.go
@@ -25,8 +25,8 @@
 	return p
 }
 
-// publisher packs policies. It returns values with an unchanged digest as the same
-// slice, like a daemon, which keeps them.
+// publisher packs policies. It returns a value with an unchanged digest as the same
+// slice, as in a daemon, which keeps unchanged values.
 type publisher struct {
 	published map[crconfig.Digest][]byte
 }
@@ -50,9 +50,8 @@
 	return m, values
 }
 
-// The rate of one account changes. If all values were decoded again, the control plane
-// of a fleet with 410,000 accounts would stall for more than a second at each of 11,000
-// changes a day.
+// The rate of one account changes. If all values were decoded again, a fleet with 410,000
+// accounts would stall its control plane for over a second at each of 11,000 changes a day.
 func TestChangeOfOneAccountDecodesOneValue(t *testing.T) {
 	policy := manyAccounts(2_000)
 	var pub publisher
@@ -74,10 +73,9 @@
 	}
 }
 
-// Accounts and keys are added, removed and moved, also into conflicts. If the cache of the
-// previous configuration leaked into the next one, a withdrawn key would stay valid, a
-// new one would be rejected, or two accounts would share one.
-func TestCachedLoadEqualsAFreshLoad(t *testing.T) {
+// Accounts and keys are added, removed and moved, sometimes into conflicts. With a stale
+// cache, a withdrawn key stays valid, a new one is rejected, or two accounts share one.
+func TestCachedLoadEqualsUncachedLoad(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	policy := manyAccounts(700)
 	policy.Services = []crpolicy.Service{validService("booking", "/b"), validService("dispatch", "/d")}
@@ -91,7 +89,7 @@
 		got, gotErr := l.Load(rev, m, values)
 		want, wantErr := crpolicyfile.Load(rev, m, values)
 		if (gotErr == nil) != (wantErr == nil) {
-			t.Fatalf("revision %d: %v, a fresh load: %v", rev, gotErr, wantErr)
+			t.Fatalf("revision %d: %v, without the cache: %v", rev, gotErr, wantErr)
 		}
 		if gotErr != nil {
 			rejected++
@@ -111,15 +109,16 @@
 	}}
 }
 
-// edit makes one random change of the kinds that operators make.
-func edit(rng *rand.Rand, p *crpolicyfile.Policy, mark int) {
+// edit makes one random change of the kinds that operators make. A new key is derived
+// from keySeed.
+func edit(rng *rand.Rand, p *crpolicyfile.Policy, keySeed int) {
 	i, j := rng.IntN(len(p.Accounts)), rng.IntN(len(p.Accounts))
 	a, b := &p.Accounts[i], p.Accounts[j]
 	switch rng.IntN(7) {
 	case 0: // the keys are withdrawn
 		a.Keys = nil
 	case 1: // another key is issued
-		a.Keys = append(slices.Clone(a.Keys), crpolicy.HashKey(fmt.Sprint("new", mark)))
+		a.Keys = append(slices.Clone(a.Keys), crpolicy.HashKey(fmt.Sprint("new", keySeed)))
 	case 2: // the keys of another account are added
 		a.Keys = append(slices.Clone(a.Keys), b.Keys...)
 	case 3: // two accounts swap their keys
@@ -137,28 +136,28 @@
 func compare(t *testing.T, rev crid.Revision, got, want *crpolicy.Snapshot, previous, next crpolicyfile.Policy) {
 	t.Helper()
 	if got.Revision() != rev || !reflect.DeepEqual(got.Services(), want.Services()) || !reflect.DeepEqual(got.Accounts(), want.Accounts()) {
-		t.Fatalf("revision %d differs from a fresh load", rev)
+		t.Fatalf("revision %d differs from a load without the cache", rev)
 	}
 	for _, a := range slices.Concat(previous.Accounts, next.Accounts) {
 		for _, k := range a.Keys {
 			g, gok := got.AccountByKey(k)
 			w, wok := want.AccountByKey(k)
 			if gok != wok || g.Name != w.Name {
-				t.Fatalf("revision %d: a key of %s finds %q, by a fresh load %q", rev, a.Name, g.Name, w.Name)
+				t.Fatalf("revision %d: a key of %s belongs to %q, without the cache to %q", rev, a.Name, g.Name, w.Name)
 			}
 		}
 	}
 	for _, a := range next.Accounts {
 		for _, k := range a.Keys {
 			if g, _ := got.AccountByKey(k); g.Name != a.Name {
-				t.Fatalf("revision %d: the key of %s finds %q", rev, a.Name, g.Name)
+				t.Fatalf("revision %d: the key of %s belongs to %q", rev, a.Name, g.Name)
 			}
 		}
 	}
 }
 
-// A foreign publisher puts an account into two values. Each of the two rates could be in
-// force in some daemons.
+// A publisher other than `camphorroad policy build` puts an account into two values. Some
+// daemons could apply one of the two rates, and some the other.
 func TestAccountInTwoValuesIsRejected(t *testing.T) {
 	var pub publisher
 	_, values := pub.publish(t, manyAccounts(700))
--- a/io/crpolicyfile/policyfile_test.go
+++ b/io/crpolicyfile/policyfile_test.go
@@ -52,7 +52,7 @@
 		t.Fatal("bad files were accepted")
 	}
 	if strings.Contains(err.Error(), "crk_") {
-		t.Error("a plain key is echoed")
+		t.Error("the error contains a plain key")
 	}
 	golden(t, "problems.golden", err.Error()+"\n")
 }
@@ -105,23 +105,23 @@
 		t.Errorf("loaded %+v at %d", svc, snap.Revision())
 	}
 	if acct, ok := snap.AccountByKey(crpolicy.HashKey("test")); !ok || acct.Name != "survey-north" {
-		t.Errorf("key finds %q", acct.Name)
+		t.Errorf("key belongs to %q", acct.Name)
 	}
 }
 
-// A value is truncated or altered in transit, or a publisher skips validation. Without
-// the validation in the daemon, a part of a policy would be in force.
+// A value is missing or altered in transit, or a publisher skips validation. Without the
+// validation in the daemon, a partial or invalid policy would become active.
 func TestLoadRejectsTheWholeConfiguration(t *testing.T) {
 	b, err := crpolicyfile.Build(read(t, "booking.toml", "accounts.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	m, values := unpackBundle(t, b)
-	notValidated, err := crpolicyfile.Pack(crpolicyfile.Policy{Accounts: []crpolicy.Account{{Name: "a", Rate: -1, Burst: 1}}})
+	unvalidated, err := crpolicyfile.Pack(crpolicyfile.Policy{Accounts: []crpolicy.Account{{Name: "a", Rate: -1, Burst: 1}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	invalid, invalidValues := unpackBundle(t, notValidated)
+	invalid, invalidValues := unpackBundle(t, unvalidated)
 	altered := map[string][]byte{}
 	for name, data := range values {
 		altered[name] = append([]byte{data[0] ^ 1}, data[1:]...)
@@ -141,7 +141,7 @@
 		})
 	}
 	if _, err := crpolicyfile.ParseManifest([]byte("junk")); err == nil {
-		t.Error("junk is a manifest")
+		t.Error("junk was accepted as a manifest")
 	}
 }
 
--- a/io/crpolicyfile/problem.go
+++ b/io/crpolicyfile/problem.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// Problem is an error in a policy file, with a hint how to correct it.
+// Problem is an error in a policy file, with a hint on how to correct it.
 type Problem struct {
 	File   string `json:"file"`
 	Line   int    `json:"line"`   // from 1; zero: the whole file
 	Column int    `json:"column"` // from 1, in bytes
-	Key    string `json:"key"`    // such as route[2].timeout, counted from zero
+	Key    string `json:"key"`    // such as route[2].timeout, with indexes from zero
 	What   string `json:"what"`
 	Hint   string `json:"hint"`
 }
