--- a/command/log/log.go
+++ b/command/log/log.go
@@ -1,5 +1,5 @@
-// Package log holds the commands that read the logs that daemons wrote. The log
-// itself and its catalogue of events are in io/crlog.
+// Package log holds the commands that read the logs of daemons. Package io/crlog writes
+// the logs and holds the catalogue of events.
 package log
 
 import (
@@ -21,11 +21,11 @@
 	Explain ExplainOptions `cmd:"" help:"Print the events of one request from all daemons' logs, in order of time."`
 }
 
-// contextWindow is the time before and after a request's own lines in which those about its targets,
-// its entry and its account are selected. A target's verdict lasts about eight seconds.
+// contextWindow is the time before and after a request's own lines in which lines about its targets,
+// its entry and its account are selected. The estimate of a target's health decays with a time constant of eight seconds.
 const contextWindow = 8 * time.Second
 
-// Reading a log fails at a line longer than maxLineBytes.
+// maxLineBytes limits the length of a line. Reading a log with a longer line fails.
 const maxLineBytes = 1 << 20
 
 // ExplainOptions are the options of `log explain`.
@@ -42,11 +42,11 @@
 
 // Help is shown with the command's flags.
 func (*ExplainOptions) Help() string {
-	return `Prints the log lines of one request in order of time, and those of the same time
-that bear on it: verdicts on its targets, peers that were silent for its entry,
-its account's owner, and the store. Lines that are not log events are counted on
-standard error. Exits with 1 if the request is in no log; of the requests that
-succeeded, one in 32 is logged.
+	return `Prints the log lines of one request in order of time. Lines from about the same
+time are included if they concern the health of its targets, the owner of its
+account, or the state of its entry daemon, of that daemon's peers and of the store.
+Lines that are not log events are counted on standard error. Exits with 1 if no
+log contains the request; of the requests that succeeded, one in 32 is logged.
 
 EXAMPLES
   $ camphorroad log explain c421071f40c7c5d7 *.log
@@ -63,7 +63,7 @@
 	raw    string
 }
 
-// Run prints the lines of the request and those that bear on it.
+// Run prints the lines of the request and those related to it.
 func (o *ExplainOptions) Run(f *factory.Factory) error {
 	all, skipped, err := o.read(f.In)
 	if err != nil {
@@ -76,7 +76,7 @@
 	}
 	selected := explain(all, o.Request)
 	if len(selected) == 0 {
-		return fmt.Errorf("no log line is about request %s", o.Request)
+		return fmt.Errorf("no log line has the request ID %s", o.Request)
 	}
 	return o.print(f, selected)
 }
@@ -184,7 +184,7 @@
 	return s
 }
 
-// explain returns the request's lines and those that bear on it, in order of time.
+// explain returns the request's lines and those related to it, in order of time.
 func explain(all []line, request string) []line {
 	own := slices.DeleteFunc(slices.Clone(all), func(l line) bool { return l.fields["request"] != request })
 	if len(own) == 0 {
@@ -222,7 +222,7 @@
 	}
 }
 
-// isRelevant reports whether a line that is not the request's own bears on it.
+// isRelevant reports whether a line that is not the request's own is related to it.
 func (c *requestContext) isRelevant(l line) bool {
 	if l.at.Before(c.first) || l.at.After(c.last) {
 		return false
--- a/command/log/log_test.go
+++ b/command/log/log_test.go
@@ -12,21 +12,21 @@
 	"camphorroad/command/log"
 )
 
-const entryLog = `{"daemon":"entry-1","event":620,"level":"warning","msg":"peers silent","peers":"10.0.0.9","time":"2026-12-03T05:00:01.000Z"}
+const entryLog = `{"daemon":"entry-1","event":620,"level":"warning","msg":"peers unresponsive","peers":"10.0.0.9","time":"2026-12-03T05:00:01.000Z"}
 {"account":"north","daemon":"entry-1","event":640,"level":"info","msg":"request not served","request":"q7","status":"500","target":"t2","time":"2026-12-03T05:00:02.040Z"}
-{"daemon":"entry-1","event":642,"level":"info","msg":"request sent again","request":"q7","target":"t2","time":"2026-12-03T05:00:02.020Z"}
+{"daemon":"entry-1","event":642,"level":"info","msg":"request retried","request":"q7","target":"t2","time":"2026-12-03T05:00:02.020Z"}
 {"daemon":"entry-1","event":640,"level":"info","msg":"request not served","request":"q8","status":"503","time":"2026-12-03T05:00:02.050Z"}
 not a log event
 `
 
 const exitLog = `10.0.0.2 {"daemon":"exit-1","event":631,"level":"info","msg":"run ended","request":"q7","target":"t1","status":"500","time":"2026-12-03T05:00:02.010Z"}
-10.0.0.2 {"daemon":"exit-1","event":630,"level":"info","msg":"target judged","target":"t1","sick":"86%","request":"q5","time":"2026-12-03T05:00:01.900Z"}
-10.0.0.2 {"daemon":"exit-1","event":630,"level":"info","msg":"target judged","target":"t9","sick":"86%","time":"2026-12-03T05:00:01.900Z"}
-10.0.0.2 {"daemon":"exit-1","event":630,"level":"info","msg":"target judged","target":"t1","sick":"86%","time":"2026-12-03T04:00:01.900Z"}
+10.0.0.2 {"daemon":"exit-1","event":630,"level":"info","msg":"target health changed","target":"t1","sick":"86%","request":"q5","time":"2026-12-03T05:00:01.900Z"}
+10.0.0.2 {"daemon":"exit-1","event":630,"level":"info","msg":"target health changed","target":"t9","sick":"86%","time":"2026-12-03T05:00:01.900Z"}
+10.0.0.2 {"daemon":"exit-1","event":630,"level":"info","msg":"target health changed","target":"t1","sick":"86%","time":"2026-12-03T04:00:01.900Z"}
 `
 
-// A request enters at one daemon and fails at a target of another. Its events and the verdicts
-// on its targets are printed in order of time. Other requests, targets and times are left out.
+// A request enters at one daemon and fails at a target of another. Its events and those about its
+// targets are printed in order of time. Events of other requests, targets and times are omitted.
 func TestExplainSortsEventsByTime(t *testing.T) {
 	dir := t.TempDir()
 	var files []string
