--- a/cmd/camphorroad/main.go
+++ b/cmd/camphorroad/main.go
@@ -1,4 +1,4 @@
-// Command camphorroad runs the daemon beside each upstream instance, and holds the
+// Command camphorroad runs the daemon beside each upstream instance, and provides the
 // commands for its operators.
 package main
 
--- a/command/cert/cert.go
+++ b/command/cert/cert.go
@@ -12,12 +12,12 @@
 
 // Commands are the subcommands of `cert`.
 type Commands struct {
-	Dev DevOptions `cmd:"" help:"Create a certificate authority and daemons' certificates for development."`
+	Dev DevOptions `cmd:"" help:"Create a certificate authority and certificates of daemons for development."`
 }
 
 // DevOptions are the options of `cert dev`.
 type DevOptions struct {
-	Out   string   `required:"" placeholder:"DIR" help:"Directory to write to; an authority in it is reused."`
+	Out   string   `required:"" placeholder:"DIR" help:"Directory to write to; an existing authority in it is reused."`
 	Names []string `arg:"" name:"daemon" help:"Names of daemons."`
 }
 
--- a/command/command.go
+++ b/command/command.go
@@ -1,5 +1,5 @@
 // Package command is the command tree of camphorroad, which cmd/camphorroad runs. The
-// commands are in the packages below; package factory parses the command line.
+// subpackages hold the commands; package factory parses the command line.
 //
 // # Usage
 //
@@ -35,7 +35,7 @@
 	Version versionOptions  `cmd:"" help:"Print the version."`
 }
 
-// RunProcess runs the command that args name with the streams and signals of the
+// RunProcess runs the command that args select, with the streams and signals of the
 // process, and returns the exit code.
 func RunProcess(args []string) int {
 	return factory.Program{
--- a/command/events/events.go
+++ b/command/events/events.go
@@ -27,9 +27,10 @@
 
 // Help is shown with the command's flags.
 func (*ListOptions) Help() string {
-	return `Prints number, level, name, cause and symptom of each event, and the action to
-take. The level tells an operator on call how urgent the event is: info is normal
-operation, warning means that something is lost, error that somebody has to act.
+	return `Prints the number, level and name of each event, its cause, its effect on callers
+or operators (NOTICE), and the action to take. The levels for an operator on call:
+info is normal operation, warning is a degradation that recovers without
+intervention, error needs an operator.
 
 EXAMPLES
   $ camphorroad events list
--- a/command/factory/factory.go
+++ b/command/factory/factory.go
@@ -1,6 +1,6 @@
-// Package factory parses the command lines of camphorroad and camphorlab, and gives
-// commands their streams, output formats and exit codes. In tests the streams are
-// buffers in memory.
+// Package factory parses the command lines of camphorroad and camphorlab, and provides
+// their commands with streams, output formats and exit codes. Tests replace the streams
+// by buffers in memory.
 //
 // # Usage
 //
@@ -24,7 +24,7 @@
 	ExitUsage   = 2
 )
 
-// ErrUsage marks errors in the arguments or the input of a command.
+// ErrUsage is wrapped by errors in the arguments or the input of a command.
 var ErrUsage = errors.New("usage")
 
 // Factory holds the streams of a command.
--- a/command/factory/parse.go
+++ b/command/factory/parse.go
@@ -18,7 +18,7 @@
 	Tree        any // pointer to a struct with kong tags
 }
 
-// Run parses the arguments, runs the command that they name and returns the
+// Run parses the arguments, runs the command that they select and returns the
 // exit code. A command's Run method may take ctx and f as parameters.
 func (p Program) Run(ctx context.Context, f *Factory, args []string) int {
 	parser, err := kong.New(p.Tree,
--- a/command/factory/parse_test.go
+++ b/command/factory/parse_test.go
@@ -8,8 +8,8 @@
 	"camphorroad/command/factory"
 )
 
-// A usage error must refer to the help of the command: that of the program does not list the
-// command's flags.
+// A usage error must refer to the help of the command, since the help of the program does not
+// list the command's flags.
 func TestUsageErrorNamesCommandHelp(t *testing.T) {
 	var tree struct {
 		Policy struct {
--- a/command/join/join.go
+++ b/command/join/join.go
@@ -26,7 +26,7 @@
 func (*Options) Help() string {
 	return `Runs the daemon beside a target of the platform until SIGTERM or SIGINT; it then
 drains and exits with 0. It finds targets, peers and its configuration in the
-platform's store. SIGHUP reloads the settings.
+platform's store. SIGHUP checks the settings file; changes apply at the next start.
 
 EXAMPLES
   $ camphorroad join --config /etc/camphorroad/boot.toml
--- a/command/key/hash.go
+++ b/command/key/hash.go
@@ -22,7 +22,8 @@
 
 // Help is shown with the command's flags.
 func (*HashOptions) Help() string {
-	return `Reads one key from standard input, since process lists show arguments.
+	return `Reads one key from standard input and prints its hash. The key is not an argument,
+since process lists show arguments.
 
 EXAMPLES
   $ camphorroad key hash < key.txt`
--- a/command/key/key_test.go
+++ b/command/key/key_test.go
@@ -26,9 +26,9 @@
 	if !strings.HasPrefix(secret, key.Prefix) || len(secret) != 47 {
 		t.Errorf("key is %q", secret)
 	}
-	again, err := run(t, secret+"\n", key.NewHash())
-	if err != nil || again != hash {
-		t.Errorf("hash is %q and %q, %v", hash, again, err)
+	rehashed, err := run(t, secret+"\n", key.NewHash())
+	if err != nil || rehashed != hash {
+		t.Errorf("key new prints the hash %q, key hash prints %q, %v", hash, rehashed, err)
 	}
 }
 
--- a/command/key/new.go
+++ b/command/key/new.go
@@ -9,10 +9,11 @@
 	"camphorroad/core/crpolicy"
 )
 
-// Prefix starts every key, so that secret scanners can find leaked keys.
+// Prefix is the start of every key, so that secret scanners can find leaked keys.
 const Prefix = "crk_"
 
-// keyBytes is enough randomness to publish the unsalted hash of a key safely.
+// keyBytes is the number of random bytes in a key. With 32, publishing the unsalted hash
+// of a key is safe.
 const keyBytes = 32
 
 // NewOptions are the options of `key new`.
--- a/command/policy/build.go
+++ b/command/policy/build.go
@@ -30,7 +30,8 @@
 
 // Help is shown with the command's flags.
 func (*BuildOptions) Help() string {
-	return `Writes DIR/manifest and DIR/values/DIGEST. The same policies give the same bytes.
+	return `Writes DIR/manifest and a file DIR/values/DIGEST for each value. The same policies
+give the same bytes.
 
 EXAMPLES
   $ camphorroad policy build --out bundle */policy.toml accounts.toml`
@@ -62,7 +63,8 @@
 	return o.print(f, b)
 }
 
-// writeBundle writes the manifest last, so that all values exist once the manifest does.
+// writeBundle writes the manifest last, so that all values that it names exist when it
+// appears.
 func writeBundle(dir string, b crpolicyfile.Bundle) error {
 	values := filepath.Join(dir, "values")
 	if err := os.MkdirAll(values, 0o755); err != nil {
--- a/command/policy/check.go
+++ b/command/policy/check.go
@@ -9,8 +9,8 @@
 	"camphorroad/io/crpolicyfile"
 )
 
-// ErrInvalid is returned after the faults of policy files were printed.
-var ErrInvalid = errors.New("the policy files are invalid; correct the faults listed and check again")
+// ErrInvalid is returned after the problems of the policy files have been printed.
+var ErrInvalid = errors.New("the policy files are invalid; correct the problems listed and check again")
 
 // CheckOptions are the options of `policy check`.
 type CheckOptions struct {
@@ -23,7 +23,8 @@
 
 // Help is shown with the command's flags.
 func (*CheckOptions) Help() string {
-	return `Checks the files as policy build and every daemon do, and prints all faults at once.
+	return `Checks the files by the rules of "policy build" and of every daemon, and prints all
+problems at once.
 
 EXAMPLES
   $ camphorroad policy check booking/policy.toml accounts.toml
@@ -36,7 +37,7 @@
 	Problems crpolicyfile.Problems `json:"problems"`
 }
 
-// Run checks the files. Faults go to the diagnostics, or into the JSON result.
+// Run checks the files. Problems are printed to ErrOut, or in the JSON result.
 func (o *CheckOptions) Run(f *factory.Factory) error {
 	files, err := readFiles(o.Files)
 	if err != nil {
@@ -65,8 +66,10 @@
 	})
 }
 
-func reportProblems(f *factory.Factory, problems crpolicyfile.Problems, quiet bool) error {
-	if !quiet {
+// reportProblems prints the problems to ErrOut, unless they are already in the result,
+// and returns ErrInvalid.
+func reportProblems(f *factory.Factory, problems crpolicyfile.Problems, inResult bool) error {
+	if !inResult {
 		fmt.Fprintln(f.ErrOut, problems.Error())
 	}
 	return ErrInvalid
--- a/command/policy/policy_test.go
+++ b/command/policy/policy_test.go
@@ -14,7 +14,7 @@
 
 const testdata = "../../io/crpolicyfile/testdata/"
 
-func TestCheck(t *testing.T) {
+func TestCheckPrintsCountsOrProblems(t *testing.T) {
 	for name, tc := range map[string]struct {
 		file, out, diagnostics string
 		err                    error
--- a/command/serve/serve.go
+++ b/command/serve/serve.go
@@ -55,13 +55,13 @@
 	return crdaemon.Run(ctx, cfg, f.ErrOut, reload)
 }
 
-// checkCertificates loads the files that the daemon loads at its start. Otherwise
-// settings that name a missing file, or the key of another certificate, would pass
-// the check, and the daemon would fail to restart.
+// checkCertificates loads the files that the daemon loads at its start. Without it,
+// settings that name a missing file, or the key of another certificate, would pass the
+// check, and the daemon would fail to restart.
 func checkCertificates(file string, cfg crsettings.Settings) error {
 	t := cfg.TLS
 	if _, err := crpeer.LoadIdentity(t.Cert, t.Key, t.CA); err != nil {
-		return fmt.Errorf("%s: tls.cert, tls.key and tls.ca: %w; name readable PEM files that belong together", file, err)
+		return fmt.Errorf("%s: tls.cert, tls.key and tls.ca: %w; give readable PEM files that match each other", file, err)
 	}
 	if err := checkCertificateName(file, cfg); err != nil {
 		return err
@@ -70,20 +70,20 @@
 		return nil
 	}
 	if _, err := crentry.LoadCertificate(t.CallerCert, t.CallerKey); err != nil {
-		return fmt.Errorf("%s: tls.callercert and tls.callerkey: %w; name readable PEM files that belong together", file, err)
+		return fmt.Errorf("%s: tls.callercert and tls.callerkey: %w; give readable PEM files that match each other", file, err)
 	}
 	return nil
 }
 
-// checkCertificateName rejects another daemon's certificate. With it the daemon would
-// start, but peers would refuse sessions to it, since they expect its name.
+// checkCertificateName rejects another daemon's certificate. With such a certificate the
+// daemon would start, but peers would refuse sessions to it, since they expect its name.
 func checkCertificateName(file string, cfg crsettings.Settings) error {
 	pair, err := tls.LoadX509KeyPair(cfg.TLS.Cert, cfg.TLS.Key)
 	if err != nil {
 		return fmt.Errorf("%s: tls.cert: %w", file, err)
 	}
 	if err := pair.Leaf.VerifyHostname(cfg.Name); err != nil {
-		return fmt.Errorf("%s: tls.cert is not for %q: %w; name this daemon's own certificate", file, cfg.Name, err)
+		return fmt.Errorf("%s: tls.cert is not for %q: %w; give this daemon's own certificate", file, cfg.Name, err)
 	}
 	return nil
 }
--- a/command/serve/serve_test.go
+++ b/command/serve/serve_test.go
@@ -22,10 +22,10 @@
 // If the check accepts a missing file or another daemon's certificate, the daemon does not
 // restart, or peers refuse sessions to it.
 func TestCheckRejectsMissingAndMismatchedCertificates(t *testing.T) {
-	for name, want := range map[string]string{
+	for pair, want := range map[string]string{ // names of the certificate and the key
 		"a a": "", "b a": "tls.cert", "missing a": "tls.cert", "b b": `tls.cert is not for "a"`,
 	} {
-		certFile, keyFile, _ := strings.Cut(name, " ")
+		certFile, keyFile, _ := strings.Cut(pair, " ")
 		dir := t.TempDir()
 		var out bytes.Buffer
 		f := &factory.Factory{Out: &out, ErrOut: &out}
@@ -39,7 +39,7 @@
 		}
 		err := (&serve.Options{Config: file, Check: true}).Run(t.Context(), f)
 		if (err == nil) != (want == "") || (err != nil && !strings.Contains(err.Error(), want)) {
-			t.Errorf("%s: got %v", name, err)
+			t.Errorf("%s: got %v", pair, err)
 		}
 	}
 }
--- a/command/state/state.go
+++ b/command/state/state.go
@@ -1,5 +1,5 @@
-// Package state holds the command that prints the state dump of a running daemon's
-// admin address, which io/cradmin serves.
+// Package state holds the command that requests the state dump from the admin address of
+// a running daemon, which io/cradmin serves, and prints it.
 package state
 
 import (
--- a/command/state/state_test.go
+++ b/command/state/state_test.go
@@ -12,7 +12,7 @@
 	"camphorroad/io/cradmin"
 )
 
-func TestShow(t *testing.T) {
+func TestShowPrintsStateOrError(t *testing.T) {
 	srv := httptest.NewServer(cradmin.New(cradmin.Options{State: func(_ context.Context, part string) (any, error) {
 		if part == "health" {
 			return nil, cradmin.ErrUnknownPart
@@ -21,17 +21,17 @@
 	}}))
 	defer srv.Close()
 	addr := strings.TrimPrefix(srv.URL, "http://")
-	for _, tt := range []struct{ part, want, fault string }{
+	for _, tt := range []struct{ part, want, wantErr string }{
 		{part: "", want: `"part": ""`},
 		{part: "member", want: `"part": "member"`},
-		{part: "health", fault: "no such part of the state"},
+		{part: "health", wantErr: "no such part of the state"},
 	} {
 		var out bytes.Buffer
 		err := state.NewShow(addr, tt.part).Run(t.Context(), &factory.Factory{Out: &out})
 		switch {
-		case tt.fault != "" && (err == nil || !strings.Contains(err.Error(), tt.fault)):
+		case tt.wantErr != "" && (err == nil || !strings.Contains(err.Error(), tt.wantErr)):
 			t.Errorf("part %q gives %v", tt.part, err)
-		case tt.fault == "" && (err != nil || !strings.Contains(out.String(), tt.want)):
+		case tt.wantErr == "" && (err != nil || !strings.Contains(out.String(), tt.want)):
 			t.Errorf("part %q gives %v and %q", tt.part, err, out.String())
 		}
 	}
--- a/command/trace/trace.go
+++ b/command/trace/trace.go
@@ -12,7 +12,7 @@
 
 // Commands are the subcommands of `trace`.
 type Commands struct {
-	Replay ReplayOptions `cmd:"" help:"Run a trace's events through the reducers again and check effects and invariants."`
+	Replay ReplayOptions `cmd:"" help:"Replay a trace's events through the reducers and check effects and invariants."`
 	Show   ShowOptions   `cmd:"" help:"Print a trace's records, one per line."`
 }
 
@@ -27,9 +27,10 @@
 
 // Help is shown with the command's flags.
 func (*ReplayOptions) Help() string {
-	return `Prints a report of the replay, also if the replay fails. Exits with 1 if the file
-can not be read to its end, if an effect differs from the recorded one, or if an
-invariant is violated. The error gives the number of the event in trace show.
+	return `Prints a report of the replay, even if the replay fails. Exits with 1 if the file
+cannot be read to its end, if an effect differs from the recorded one, or if an
+invariant is violated. The error gives the number of the event as printed by
+"camphorroad trace show".
 
 EXAMPLES
   $ camphorroad trace replay daemon.trace`
@@ -67,7 +68,7 @@
 // Help is shown with the command's flags.
 func (*ShowOptions) Help() string {
 	return `Prints each record with the number of the event it belongs to, its kind, and its
-content in CBOR's diagnostic notation. A trace holds no key and no hash of one.
+content in CBOR's diagnostic notation. A trace contains no client key and no hash of one.
 
 EXAMPLES
   $ camphorroad trace show daemon.trace | grep received`
