--- a/command/events/events.go
+++ b/command/events/events.go
@@ -48,7 +48,7 @@
 	}
 	var rows [][]string
 	for _, e := range crlog.Catalogue() {
-		rows = append(rows, []string{strconv.Itoa(e.Number), e.Level.String(), e.Name, e.Cause, e.Notice, e.Action})
+		rows = append(rows, []string{strconv.Itoa(e.Number), e.Level.String(), e.Name, e.Cause, e.Effect, e.Action})
 	}
 	return f.Table([]string{"NUMBER", "LEVEL", "NAME", "CAUSE", "NOTICE", "ACTION"}, rows)
 }
--- a/io/crlog/catalogue.go
+++ b/io/crlog/catalogue.go
@@ -29,7 +29,7 @@
 	Level  Level  `json:"level"`
 	Name   string `json:"name"`   // the log line's message
 	Cause  string `json:"cause"`  // condition under which it is logged
-	Notice string `json:"notice"` // effect on callers or operators
+	Effect string `json:"notice"` // effect on callers or operators
 	Action string `json:"action"` // what the operator should do
 }
 
@@ -97,7 +97,7 @@
 		return err
 	}
 	for _, e := range entries {
-		if _, err := fmt.Fprintf(w, "| %d | %s | %s | %s | %s | %s |\n", e.Number, e.Level, e.Name, e.Cause, e.Notice, e.Action); err != nil {
+		if _, err := fmt.Fprintf(w, "| %d | %s | %s | %s | %s | %s |\n", e.Number, e.Level, e.Name, e.Cause, e.Effect, e.Action); err != nil {
 			return err
 		}
 	}
--- a/io/crlog/catalogue_test.go
+++ b/io/crlog/catalogue_test.go
@@ -46,7 +46,7 @@
 			t.Errorf("event %d follows %d", e.Number, last)
 		}
 		last = e.Number
-		for _, cell := range []string{e.Name, e.Cause, e.Notice, e.Action} {
+		for _, cell := range []string{e.Name, e.Cause, e.Effect, e.Action} {
 			if cell == "" || strings.ContainsAny(cell, "|\n") {
 				t.Errorf("event %d has a cell that is empty or breaks the table: %q", e.Number, cell)
 			}
