--- a/command/command.go
+++ b/command/command.go
@@ -26,7 +26,7 @@
 	Serve   serve.Options   `cmd:"" help:"Run a daemon."`
 	Join    join.Options    `cmd:"" help:"Run a daemon that joins its fleet through the platform's store."`
 	Policy  policy.Options  `cmd:"" help:"Check policy files and build the bundle to publish."`
-	Key     key.Options     `cmd:"" help:"Generate and hash client keys."`
+	Key     key.Commands    `cmd:"" help:"Generate and hash client keys."`
 	Cert    cert.Commands   `cmd:"" help:"Issue certificates for development."`
 	State   state.Commands  `cmd:"" help:"Inspect a running daemon."`
 	Trace   trace.Commands  `cmd:"" help:"Replay and print the control events that a daemon recorded."`
--- a/command/key/key.go
+++ b/command/key/key.go
@@ -1,8 +1,8 @@
 // Package key holds the commands that generate and hash the keys of client accounts.
 package key
 
-// Options are the subcommands of `key`.
-type Options struct {
+// Commands are the subcommands of `key`.
+type Commands struct {
 	New  NewOptions  `cmd:"" help:"Generate a key and its hash."`
 	Hash HashOptions `cmd:"" help:"Hash a key read from standard input."`
 }
