--- a/command/command.go
+++ b/command/command.go
@@ -25,7 +25,7 @@
 type tree struct {
 	Serve   serve.Options   `cmd:"" help:"Run a daemon."`
 	Join    join.Options    `cmd:"" help:"Run a daemon that joins its fleet through the platform's store."`
-	Policy  policy.Options  `cmd:"" help:"Check policy files and build the bundle to publish."`
+	Policy  policy.Commands `cmd:"" help:"Check policy files and build the bundle to publish."`
 	Key     key.Commands    `cmd:"" help:"Generate and hash client keys."`
 	Cert    cert.Commands   `cmd:"" help:"Issue certificates for development."`
 	State   state.Commands  `cmd:"" help:"Inspect a running daemon."`
--- a/command/policy/policy.go
+++ b/command/policy/policy.go
@@ -10,8 +10,8 @@
 	"camphorroad/io/crpolicyfile"
 )
 
-// Options are the subcommands of `policy`.
-type Options struct {
+// Commands are the subcommands of `policy`.
+type Commands struct {
 	Check CheckOptions `cmd:"" help:"Check policy files together."`
 	Build BuildOptions `cmd:"" help:"Build the bundle to publish."`
 }
