--- a/io/crlog/catalogue.go
+++ b/io/crlog/catalogue.go
@@ -33,7 +33,7 @@
 	Action string `json:"action"` // what the operator should do
 }
 
-// none is the text of an empty Notice or Action.
+// none is the text of an empty Effect or Action.
 const none = "nothing"
 
 // Catalogue returns every event that the daemon can log, in order of number.
--- a/io/crpolicyfile/loader.go
+++ b/io/crpolicyfile/loader.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n := loading{Loader: Loader{cached: make(map[string]value, len(m.Entries))}, previous: l, mode: mode}
+	n := pendingLoad{Loader: Loader{cached: make(map[string]value, len(m.Entries))}, previous: l, mode: mode}
 	for _, e := range m.Entries {
 		if err := n.loadValue(e, values[e.Name]); err != nil {
 			return nil, err
@@ -81,8 +81,9 @@
 	return l.snapshot, nil
 }
 
-// loading is a configuration that is being validated.
-type loading struct {
+// pendingLoad is the state of a Loader for a configuration that is being validated. It
+// replaces the previous state if the configuration is accepted.
+type pendingLoad struct {
 	Loader
 	previous *Loader
 	mode     cbor.DecMode
@@ -90,13 +91,13 @@
 }
 
 // changed reports whether a value differs from the previous configuration's.
-func (n *loading) changed(name string) bool {
+func (n *pendingLoad) changed(name string) bool {
 	previous, ok := n.previous.cached[name]
 	return !ok || previous.digest != n.cached[name].digest
 }
 
 // loadValue takes one value from the cache, or checks and decodes it.
-func (n *loading) loadValue(e crconfig.Entry, data []byte) error {
+func (n *pendingLoad) loadValue(e crconfig.Entry, data []byte) error {
 	v, ok := n.previous.cached[e.Name]
 	if ok && v.matches(e, data) && len(data) == e.Size {
 		n.cached[e.Name] = v
@@ -116,7 +117,7 @@
 	return nil
 }
 
-func (n *loading) decode(name string, data []byte) (value, error) {
+func (n *pendingLoad) decode(name string, data []byte) (value, error) {
 	kind, number, _ := strings.Cut(name, "/")
 	switch kind {
 	case kindService:
@@ -140,7 +141,7 @@
 	return oops.Wrapf(ErrValue, "%s: %v", name, err)
 }
 
-func (n *loading) decodeAccounts(name string, shard int, data []byte) (value, error) {
+func (n *pendingLoad) decodeAccounts(name string, shard int, data []byte) (value, error) {
 	var accounts []crpolicy.Account
 	if err := n.mode.Unmarshal(data, &accounts); err != nil {
 		return value{}, badValue(name, err)
@@ -155,7 +156,7 @@
 	return value{shard: shard, accounts: crpolicy.NewPart(accounts, data)}, nil
 }
 
-func (n *loading) newChecker(name string, seen *registry) checker {
+func (n *pendingLoad) newChecker(name string, seen *registry) checker {
 	return checker{source: name, seen: seen, addProblem: func(key, what, hint string) {
 		n.problems = append(n.problems, Problem{File: name, Key: key, What: what, Hint: hint})
 	}}
@@ -164,7 +165,7 @@
 // checkShards checks that every account is in the shard that the hash of its name
 // selects. This detects an account in two shards, which would have two rates, without a
 // search of the other shards.
-func (n *loading) checkShards(entries []crconfig.Entry) {
+func (n *pendingLoad) checkShards(entries []crconfig.Entry) {
 	n.shards = 1
 	for _, e := range entries {
 		n.shards = max(n.shards, 1<<bits.Len(uint(n.cached[e.Name].shard)))
@@ -183,7 +184,7 @@
 
 // checkServices checks all services together if one of their values changed: their
 // names and routes must not conflict between values.
-func (n *loading) checkServices(entries []crconfig.Entry) {
+func (n *pendingLoad) checkServices(entries []crconfig.Entry) {
 	var services []string
 	for _, e := range entries {
 		if n.cached[e.Name].accounts == nil {
@@ -215,7 +216,7 @@
 }
 
 // assemble indexes the configuration, which detects keys that two accounts have.
-func (n *loading) assemble(rev crid.Revision) error {
+func (n *pendingLoad) assemble(rev crid.Revision) error {
 	parts := make([]*crpolicy.Part, n.shards)
 	for _, v := range n.cached {
 		if v.accounts != nil {
--- a/io/crpolicyfile/loader_test.go
+++ b/io/crpolicyfile/loader_test.go
@@ -95,7 +95,7 @@
 			rejected++
 			continue
 		}
-		compare(t, rev, got, want, policy, next)
+		compareSnapshots(t, rev, got, want, policy, next)
 		policy = next
 	}
 	if rejected < 5 || rejected > 30 {
@@ -133,7 +133,7 @@
 	}
 }
 
-func compare(t *testing.T, rev crid.Revision, got, want *crpolicy.Snapshot, previous, next crpolicyfile.Policy) {
+func compareSnapshots(t *testing.T, rev crid.Revision, got, want *crpolicy.Snapshot, previous, next crpolicyfile.Policy) {
 	t.Helper()
 	if got.Revision() != rev || !reflect.DeepEqual(got.Services(), want.Services()) || !reflect.DeepEqual(got.Accounts(), want.Accounts()) {
 		t.Fatalf("revision %d differs from a load without the cache", rev)
--- a/io/crpolicyfile/policyfile_test.go
+++ b/io/crpolicyfile/policyfile_test.go
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-func read(t *testing.T, names ...string) []crpolicyfile.File {
+func readTestdata(t *testing.T, names ...string) []crpolicyfile.File {
 	t.Helper()
 	var files []crpolicyfile.File
 	for _, name := range names {
@@ -29,7 +29,7 @@
 	return files
 }
 
-func golden(t *testing.T, name, got string) {
+func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -47,22 +47,22 @@
 }
 
 func TestAllProblemsOfAllFilesAreReported(t *testing.T) {
-	_, err := crpolicyfile.Build(read(t, "booking.toml", "accounts.toml", "bad.toml", "type.toml"))
+	_, err := crpolicyfile.Build(readTestdata(t, "booking.toml", "accounts.toml", "bad.toml", "type.toml"))
 	if err == nil {
 		t.Fatal("bad files were accepted")
 	}
 	if strings.Contains(err.Error(), "crk_") {
 		t.Error("the error contains a plain key")
 	}
-	golden(t, "problems.golden", err.Error()+"\n")
+	compareGolden(t, "problems.golden", err.Error()+"\n")
 }
 
 func TestBundleIsDeterministic(t *testing.T) {
-	one, err := crpolicyfile.Build(read(t, "booking.toml", "accounts.toml"))
+	one, err := crpolicyfile.Build(readTestdata(t, "booking.toml", "accounts.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	two, err := crpolicyfile.Build(read(t, "accounts.toml", "booking.toml"))
+	two, err := crpolicyfile.Build(readTestdata(t, "accounts.toml", "booking.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 	for _, v := range one.Values() {
 		fmt.Fprintf(&b, "%s\t%s\t%d\n", v.Name, crconfig.DigestOf(v.Data), len(v.Data))
 	}
-	golden(t, "bundle.golden", b.String())
+	compareGolden(t, "bundle.golden", b.String())
 }
 
 func unpackBundle(t testing.TB, b crpolicyfile.Bundle) (crconfig.Manifest, map[string][]byte) {
@@ -91,7 +91,7 @@
 }
 
 func TestLoadReturnsTheBuiltPolicy(t *testing.T) {
-	b, err := crpolicyfile.Build(read(t, "booking.toml", "accounts.toml"))
+	b, err := crpolicyfile.Build(readTestdata(t, "booking.toml", "accounts.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 // A value is missing or altered in transit, or a publisher skips validation. Without the
 // validation in the daemon, a partial or invalid policy would become active.
 func TestLoadRejectsTheWholeConfiguration(t *testing.T) {
-	b, err := crpolicyfile.Build(read(t, "booking.toml", "accounts.toml"))
+	b, err := crpolicyfile.Build(readTestdata(t, "booking.toml", "accounts.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/io/crsite/crsite.go
+++ b/io/crsite/crsite.go
@@ -132,7 +132,7 @@
 	dec := toml.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&s); err != nil {
-		return Settings{}, &Error{file: file, detail: describe(err)}
+		return Settings{}, &Error{file: file, detail: describeDecodeError(err)}
 	}
 	if err := s.validate(); err != nil {
 		return Settings{}, &Error{file: file, detail: err.Error()}
@@ -140,7 +140,7 @@
 	return s, nil
 }
 
-func describe(err error) string {
+func describeDecodeError(err error) string {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		row, column := strict.Errors[0].Position()
