--- a/command/command.go
+++ b/command/command.go
@@ -1,5 +1,5 @@
 // Package command is the command tree of camphorroad, which cmd/camphorroad runs. The
-// commands are in the packages below; package factory parses the command line.
+// subpackages hold the commands; package factory parses the command line.
 //
 // # Usage
 //
@@ -25,8 +25,8 @@
 type tree struct {
 	Serve   serve.Options   `cmd:"" help:"Run a daemon."`
 	Join    join.Options    `cmd:"" help:"Run a daemon that joins its fleet through the platform's store."`
-	Policy  policy.Options  `cmd:"" help:"Check policy files and build the bundle to publish."`
-	Key     key.Options     `cmd:"" help:"Generate and hash client keys."`
+	Policy  policy.Commands `cmd:"" help:"Check policy files and build the bundle to publish."`
+	Key     key.Commands    `cmd:"" help:"Generate and hash client keys."`
 	Cert    cert.Commands   `cmd:"" help:"Issue certificates for development."`
 	State   state.Commands  `cmd:"" help:"Inspect a running daemon."`
 	Trace   trace.Commands  `cmd:"" help:"Replay and print the control events that a daemon recorded."`
@@ -35,7 +35,7 @@
 	Version versionOptions  `cmd:"" help:"Print the version."`
 }
 
-// RunProcess runs the command that args name with the streams and signals of the
+// RunProcess runs the command that args select, with the streams and signals of the
 // process, and returns the exit code.
 func RunProcess(args []string) int {
 	return factory.Program{
--- a/io/crdaemon/crdaemon.go
+++ b/io/crdaemon/crdaemon.go
@@ -159,7 +159,7 @@
 	s.recorder = rec
 	s.routing = make(map[crid.Service]crhealth.RoutingUpdate)
 	params := crdaemon.DefaultParams()
-	params.Config.FleetSize = cfg.Platform.Fleet
+	params.Config.FleetSize = cfg.Platform.FleetSize
 	params.Health = healthParams(cfg.Policy)
 	opts := crcontrol.Options{
 		Clock: crclock.Now, Execute: s.execute, Collect: s.collect, Wake: s.tokenPool.DrainNeeded(), ObserveStep: m.observeStep,
@@ -182,7 +182,7 @@
 func newTraceRecorder(lc fx.Lifecycle, cfg crsettings.Trace, params crdaemon.Params, log *crlog.Logger) (*crtrace.Recorder, error) {
 	rec, err := crtrace.Create(cfg.File, crtrace.Options{
 		Params:   params,
-		MaxBytes: cfg.Size,
+		MaxBytes: cfg.MaxBytes,
 		OnStop:   func(err error) { log.Event(crlog.TraceStopped, crlog.Fields{"error": err.Error()}) },
 	})
 	if err != nil {
--- a/io/crpolicyfile/loader.go
+++ b/io/crpolicyfile/loader.go
@@ -17,22 +17,23 @@
 )
 
 // Load validates a published configuration in the daemon: it checks every value against
-// its digest, decodes it, applies the rules of the publishing step, and indexes the
-// result. One problem rejects the whole configuration.
+// its digest, decodes it, applies the rules of [Build], and indexes the result. A single
+// problem rejects the whole configuration.
 func Load(rev crid.Revision, m crconfig.Manifest, values map[string][]byte) (*crpolicy.Snapshot, error) {
 	return NewLoader().Load(rev, m, values)
 }
 
 // Loader loads successive configurations. It caches the decoded values of the last one
-// that it accepted, and does not decode or check a value on its own again while its
-// digest is the same. It accepts what [Load] accepts, with the same result; of several
-// problems it may report another one. It must be used by one goroutine only.
+// that it accepted. A value that is unchanged is neither decoded again nor validated
+// again on its own. A Loader accepts what [Load] accepts, with the same result, but it
+// may report a different problem if there are several. It must be used by one goroutine
+// only.
 type Loader struct {
 	cached   map[string]value // by name
-	shards   int              // of accounts
+	shards   int              // number of account shards
 	services []crpolicy.Service
 	snapshot *crpolicy.Snapshot
-	decoded  int
+	decoded  int // number of values
 }
 
 // NewLoader returns a loader that has accepted nothing yet.
@@ -46,7 +47,7 @@
 	digest   crconfig.Digest
 	data     []byte
 	services []crpolicy.Service
-	shard    int            // of accounts
+	shard    int            // index of the account shard
 	accounts *crpolicy.Part // nil for a value of services
 }
 
@@ -61,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n := loading{Loader: Loader{cached: make(map[string]value, len(m.Entries))}, previous: l, mode: mode}
+	n := pendingLoad{Loader: Loader{cached: make(map[string]value, len(m.Entries))}, previous: l, mode: mode}
 	for _, e := range m.Entries {
 		if err := n.loadValue(e, values[e.Name]); err != nil {
 			return nil, err
@@ -80,8 +81,9 @@
 	return l.snapshot, nil
 }
 
-// loading is a configuration that is being validated.
-type loading struct {
+// pendingLoad is the state of a Loader for a configuration that is being validated. It
+// replaces the previous state if the configuration is accepted.
+type pendingLoad struct {
 	Loader
 	previous *Loader
 	mode     cbor.DecMode
@@ -89,20 +91,20 @@
 }
 
 // changed reports whether a value differs from the previous configuration's.
-func (n *loading) changed(name string) bool {
+func (n *pendingLoad) changed(name string) bool {
 	previous, ok := n.previous.cached[name]
 	return !ok || previous.digest != n.cached[name].digest
 }
 
 // loadValue takes one value from the cache, or checks and decodes it.
-func (n *loading) loadValue(e crconfig.Entry, data []byte) error {
+func (n *pendingLoad) loadValue(e crconfig.Entry, data []byte) error {
 	v, ok := n.previous.cached[e.Name]
 	if ok && v.matches(e, data) && len(data) == e.Size {
 		n.cached[e.Name] = v
 		return nil
 	}
 	if len(data) != e.Size || crconfig.DigestOf(data) != e.Digest {
-		return oops.Wrapf(ErrValue, "%s is missing or not what the manifest names", e.Name)
+		return oops.Wrapf(ErrValue, "%s is missing, or differs from its size or digest in the manifest", e.Name)
 	}
 	v, err := n.decode(e.Name, data)
 	if err != nil {
@@ -115,7 +117,7 @@
 	return nil
 }
 
-func (n *loading) decode(name string, data []byte) (value, error) {
+func (n *pendingLoad) decode(name string, data []byte) (value, error) {
 	kind, number, _ := strings.Cut(name, "/")
 	switch kind {
 	case kindService:
@@ -125,7 +127,7 @@
 	case kindAccount:
 		shard, err := strconv.Atoi(number)
 		if err != nil || shard < 0 || shard >= crpolicy.MaxParts || shardName(kind, shard) != name {
-			return value{}, oops.Wrapf(ErrValue, "%s is no shard of accounts", name)
+			return value{}, oops.Wrapf(ErrValue, "%s is not a valid name of an account shard", name)
 		}
 		return n.decodeAccounts(name, shard, data)
 	}
@@ -139,23 +141,23 @@
 	return oops.Wrapf(ErrValue, "%s: %v", name, err)
 }
 
-func (n *loading) decodeAccounts(name string, shard int, data []byte) (value, error) {
+func (n *pendingLoad) decodeAccounts(name string, shard int, data []byte) (value, error) {
 	var accounts []crpolicy.Account
 	if err := n.mode.Unmarshal(data, &accounts); err != nil {
 		return value{}, badValue(name, err)
 	}
 	if len(accounts) >= crpolicy.MaxParts {
-		return value{}, oops.Wrapf(ErrValue, "%s holds too many accounts", name)
+		return value{}, oops.Wrapf(ErrValue, "%s contains too many accounts", name)
 	}
-	check := n.checker(name, newRegistry())
+	check := n.newChecker(name, newRegistry())
 	for i, a := range accounts {
-		check.account(fmt.Sprintf("account[%d]", i), a)
+		check.checkAccount(fmt.Sprintf("account[%d]", i), a)
 	}
 	return value{shard: shard, accounts: crpolicy.NewPart(accounts, data)}, nil
 }
 
-func (n *loading) checker(name string, seen *registry) checker {
-	return checker{source: name, seen: seen, add: func(key, what, hint string) {
+func (n *pendingLoad) newChecker(name string, seen *registry) checker {
+	return checker{source: name, seen: seen, addProblem: func(key, what, hint string) {
 		n.problems = append(n.problems, Problem{File: name, Key: key, What: what, Hint: hint})
 	}}
 }
@@ -163,7 +165,7 @@
 // checkShards checks that every account is in the shard that the hash of its name
 // selects. This detects an account in two shards, which would have two rates, without a
 // search of the other shards.
-func (n *loading) checkShards(entries []crconfig.Entry) {
+func (n *pendingLoad) checkShards(entries []crconfig.Entry) {
 	n.shards = 1
 	for _, e := range entries {
 		n.shards = max(n.shards, 1<<bits.Len(uint(n.cached[e.Name].shard)))
@@ -173,16 +175,16 @@
 		if v.accounts == nil || (n.shards == n.previous.shards && !n.changed(e.Name)) {
 			continue
 		}
-		if stray, ok := v.accounts.Misplaced(v.shard, n.shards); ok {
-			n.checker(e.Name, nil).add("account", fmt.Sprintf("%s belongs in another value", stray),
-				"publish what `camphorroad policy build` made")
+		if misplaced, ok := v.accounts.Misplaced(v.shard, n.shards); ok {
+			n.newChecker(e.Name, nil).addProblem("account", fmt.Sprintf("%s belongs in another value", misplaced),
+				"publish the output of `camphorroad policy build`")
 		}
 	}
 }
 
 // checkServices checks all services together if one of their values changed: their
 // names and routes must not conflict between values.
-func (n *loading) checkServices(entries []crconfig.Entry) {
+func (n *pendingLoad) checkServices(entries []crconfig.Entry) {
 	var services []string
 	for _, e := range entries {
 		if n.cached[e.Name].accounts == nil {
@@ -195,9 +197,9 @@
 	}
 	seen := newRegistry()
 	for _, name := range services {
-		check := n.checker(name, seen)
+		check := n.newChecker(name, seen)
 		for _, svc := range n.cached[name].services {
-			check.service(svc)
+			check.checkService(svc)
 		}
 		n.services = append(n.services, n.cached[name].services...)
 	}
@@ -214,7 +216,7 @@
 }
 
 // assemble indexes the configuration, which detects keys that two accounts have.
-func (n *loading) assemble(rev crid.Revision) error {
+func (n *pendingLoad) assemble(rev crid.Revision) error {
 	parts := make([]*crpolicy.Part, n.shards)
 	for _, v := range n.cached {
 		if v.accounts != nil {
@@ -224,7 +226,7 @@
 	snapshot, err := crpolicy.Assemble(n.previous.snapshot, rev, n.services, parts)
 	var conflict *crpolicy.KeyConflict
 	if errors.As(err, &conflict) {
-		n.checker(shardName(kindAccount, conflict.Part), nil).add("account.keys", conflict.Error(), hintKeyConflict)
+		n.newChecker(shardName(kindAccount, conflict.Part), nil).addProblem("account.keys", conflict.Error(), hintKeyConflict)
 		return n.problems.err()
 	}
 	n.snapshot = snapshot
--- a/io/crpolicyfile/policyfile_test.go
+++ b/io/crpolicyfile/policyfile_test.go
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-func read(t *testing.T, names ...string) []crpolicyfile.File {
+func readTestdata(t *testing.T, names ...string) []crpolicyfile.File {
 	t.Helper()
 	var files []crpolicyfile.File
 	for _, name := range names {
@@ -29,7 +29,7 @@
 	return files
 }
 
-func golden(t *testing.T, name, got string) {
+func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -47,22 +47,22 @@
 }
 
 func TestAllProblemsOfAllFilesAreReported(t *testing.T) {
-	_, err := crpolicyfile.Build(read(t, "booking.toml", "accounts.toml", "bad.toml", "type.toml"))
+	_, err := crpolicyfile.Build(readTestdata(t, "booking.toml", "accounts.toml", "bad.toml", "type.toml"))
 	if err == nil {
 		t.Fatal("bad files were accepted")
 	}
 	if strings.Contains(err.Error(), "crk_") {
-		t.Error("a plain key is echoed")
+		t.Error("the error contains a plain key")
 	}
-	golden(t, "problems.golden", err.Error()+"\n")
+	compareGolden(t, "problems.golden", err.Error()+"\n")
 }
 
 func TestBundleIsDeterministic(t *testing.T) {
-	one, err := crpolicyfile.Build(read(t, "booking.toml", "accounts.toml"))
+	one, err := crpolicyfile.Build(readTestdata(t, "booking.toml", "accounts.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	two, err := crpolicyfile.Build(read(t, "accounts.toml", "booking.toml"))
+	two, err := crpolicyfile.Build(readTestdata(t, "accounts.toml", "booking.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 	for _, v := range one.Values() {
 		fmt.Fprintf(&b, "%s\t%s\t%d\n", v.Name, crconfig.DigestOf(v.Data), len(v.Data))
 	}
-	golden(t, "bundle.golden", b.String())
+	compareGolden(t, "bundle.golden", b.String())
 }
 
 func unpackBundle(t testing.TB, b crpolicyfile.Bundle) (crconfig.Manifest, map[string][]byte) {
@@ -91,7 +91,7 @@
 }
 
 func TestLoadReturnsTheBuiltPolicy(t *testing.T) {
-	b, err := crpolicyfile.Build(read(t, "booking.toml", "accounts.toml"))
+	b, err := crpolicyfile.Build(readTestdata(t, "booking.toml", "accounts.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,23 +105,23 @@
 		t.Errorf("loaded %+v at %d", svc, snap.Revision())
 	}
 	if acct, ok := snap.AccountByKey(crpolicy.HashKey("test")); !ok || acct.Name != "survey-north" {
-		t.Errorf("key finds %q", acct.Name)
+		t.Errorf("key belongs to %q", acct.Name)
 	}
 }
 
-// A value is truncated or altered in transit, or a publisher skips validation. Without
-// the validation in the daemon, a part of a policy would be in force.
+// A value is missing or altered in transit, or a publisher skips validation. Without the
+// validation in the daemon, a partial or invalid policy would become active.
 func TestLoadRejectsTheWholeConfiguration(t *testing.T) {
-	b, err := crpolicyfile.Build(read(t, "booking.toml", "accounts.toml"))
+	b, err := crpolicyfile.Build(readTestdata(t, "booking.toml", "accounts.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	m, values := unpackBundle(t, b)
-	notValidated, err := crpolicyfile.Pack(crpolicyfile.Policy{Accounts: []crpolicy.Account{{Name: "a", Rate: -1, Burst: 1}}})
+	unvalidated, err := crpolicyfile.Pack(crpolicyfile.Policy{Accounts: []crpolicy.Account{{Name: "a", Rate: -1, Burst: 1}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	invalid, invalidValues := unpackBundle(t, notValidated)
+	invalid, invalidValues := unpackBundle(t, unvalidated)
 	altered := map[string][]byte{}
 	for name, data := range values {
 		altered[name] = append([]byte{data[0] ^ 1}, data[1:]...)
@@ -141,7 +141,7 @@
 		})
 	}
 	if _, err := crpolicyfile.ParseManifest([]byte("junk")); err == nil {
-		t.Error("junk is a manifest")
+		t.Error("junk was accepted as a manifest")
 	}
 }
 
--- a/io/crsettings/crsettings.go
+++ b/io/crsettings/crsettings.go
@@ -36,13 +36,13 @@
 type Listen struct {
 	HTTP  string `toml:"http"`  // callers
 	Peer  string `toml:"peer"`  // other daemons, UDP
-	Admin string `toml:"admin"` // operators: state, metrics, health
+	Admin string `toml:"admin"` // operators: readiness, state, metrics
 }
 
 // Platform configures access to the platform.
 type Platform struct {
-	URL   string `toml:"url"`
-	Fleet int    `toml:"fleet"` // daemons that may start at the same time; each limits its reads to its part of the platform's rate
+	URL       string `toml:"url"`
+	FleetSize int    `toml:"fleet"` // daemons that may start at the same time; each limits its reads to its part of the platform's rate
 }
 
 // TLS holds paths of PEM files. The DNS name in Cert must be the daemon's name.
@@ -79,8 +79,8 @@
 // Trace configures the recording of control events for replay. It is meant for
 // debugging only: instances have no spare disk space.
 type Trace struct {
-	File string `toml:"file"` // overwritten at each start; empty: no recording
-	Size int64  `toml:"size"` // recording stops at this size, in bytes
+	File     string `toml:"file"` // overwritten at each start; empty: no recording
+	MaxBytes int64  `toml:"size"` // recording stops at this size, in bytes
 }
 
 // Duration is a time.Duration that is decoded from text such as "250ms".
@@ -111,8 +111,8 @@
 func Defaults() Settings {
 	return Settings{
 		Log:      Log{Level: "info"},
-		Platform: Platform{Fleet: defaultFleetSize},
-		Trace:    Trace{Size: defaultTraceBytes},
+		Platform: Platform{FleetSize: defaultFleetSize},
+		Trace:    Trace{MaxBytes: defaultTraceBytes},
 		Policy:   defaultPolicy(),
 		Limits: Limits{
 			HeaderBytes:  32 << 10,
--- a/io/crsite/crsite.go
+++ b/io/crsite/crsite.go
@@ -22,10 +22,10 @@
 
 // Defaults of Bounds.
 const (
-	defaultDrain  = 2000 // ms: time for which a leaving target still accepts requests
-	defaultGrace  = 6    // s: from SIGTERM to SIGKILL
-	defaultRatio  = 0.2
-	defaultWindow = 10 // s
+	defaultDrainMillis   = 2000 // time for which a leaving target still accepts requests
+	defaultGraceSeconds  = 6    // from SIGTERM to SIGKILL
+	defaultRatio         = 0.2
+	defaultWindowSeconds = 10
 )
 
 // Error reports an invalid settings file.
@@ -56,7 +56,7 @@
 	Caller  string `toml:"caller"`  // callers on this machine
 	Ready   string `toml:"ready"`   // readiness endpoint
 	Control string `toml:"control"` // queries of daemons that use this one as a seed
-	Pages   string `toml:"pages"`   // admin endpoints, state and metrics; empty: the second of Ports
+	Pages   string `toml:"pages"`   // admin endpoints, state and metrics; empty: Settings.Address with the port after the first of Ports
 	Ports   []int  `toml:"ports"`   // first and last port for traffic between daemons
 	Host    string `toml:"host"`    // IP address to listen on for peers; empty: Settings.Address
 }
@@ -77,20 +77,22 @@
 
 // Limits are the resource limits of the machine.
 type Limits struct {
-	Memory int `toml:"memory"` // MB
+	MemoryMB int `toml:"memory"` // memory of the machine
 }
 
 // Bounds are the limits that the operator guarantees to callers.
 type Bounds struct {
-	Drain  int     `toml:"drain"`  // ms for which a leaving target still accepts requests
-	Grace  float64 `toml:"grace"`  // s from SIGTERM to SIGKILL
-	Ratio  float64 `toml:"ratio"`  // retries allowed for each request
-	Slack  float64 `toml:"slack"`  // retries allowed in a window in addition to Ratio
-	Window float64 `toml:"window"` // s; length of the window in which retries are counted
+	DrainMillis   int     `toml:"drain"`  // time for which a leaving target still accepts requests
+	GraceSeconds  float64 `toml:"grace"`  // time from SIGTERM to SIGKILL
+	Ratio         float64 `toml:"ratio"`  // retries allowed per request
+	Slack         float64 `toml:"slack"`  // retries that the whole fleet may make in a window, in addition to Ratio
+	WindowSeconds float64 `toml:"window"` // length of the window in which retries are counted
 }
 
 // GracePeriod returns the time between SIGTERM and SIGKILL.
-func (b Bounds) GracePeriod() time.Duration { return time.Duration(b.Grace * float64(time.Second)) }
+func (b Bounds) GracePeriod() time.Duration {
+	return time.Duration(b.GraceSeconds * float64(time.Second))
+}
 
 const (
 	// maxMissingRecordTTL is the time in which running targets renew records that
@@ -104,14 +106,16 @@
 
 // MissingRecordTTL returns how long a record that disappeared during an outage of
 // the store is kept after the store has recovered. The record of a target that
-// left at that moment looks the same as one that expired: kept longer than the
-// drain time, it would route requests to a target that has exited.
+// left at that moment looks the same as one that expired. If it were kept longer
+// than the drain time, requests would be routed to a target that has exited.
 func (b Bounds) MissingRecordTTL() time.Duration {
-	return min(maxMissingRecordTTL, time.Duration(b.Drain)*time.Millisecond-drainMargin)
+	return min(maxMissingRecordTTL, time.Duration(b.DrainMillis)*time.Millisecond-drainMargin)
 }
 
 // RetryWindow returns the length of the window in which retries are counted.
-func (b Bounds) RetryWindow() time.Duration { return time.Duration(b.Window * float64(time.Second)) }
+func (b Bounds) RetryWindow() time.Duration {
+	return time.Duration(b.WindowSeconds * float64(time.Second))
+}
 
 // Load reads and validates a settings file.
 func Load(file string) (Settings, error) {
@@ -124,11 +128,11 @@
 
 // Parse decodes and validates settings. The name of the file is used in errors.
 func Parse(file string, data []byte) (Settings, error) {
-	s := Settings{Log: "info", Bounds: Bounds{Drain: defaultDrain, Grace: defaultGrace, Ratio: defaultRatio, Window: defaultWindow}}
+	s := Settings{Log: "info", Bounds: Bounds{DrainMillis: defaultDrainMillis, GraceSeconds: defaultGraceSeconds, Ratio: defaultRatio, WindowSeconds: defaultWindowSeconds}}
 	dec := toml.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&s); err != nil {
-		return Settings{}, &Error{file: file, detail: describe(err)}
+		return Settings{}, &Error{file: file, detail: describeDecodeError(err)}
 	}
 	if err := s.validate(); err != nil {
 		return Settings{}, &Error{file: file, detail: err.Error()}
@@ -136,7 +140,7 @@
 	return s, nil
 }
 
-func describe(err error) string {
+func describeDecodeError(err error) string {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		row, column := strict.Errors[0].Position()
@@ -174,7 +178,7 @@
 	if len(s.Listen.Ports) != 2 || s.Listen.Ports[1]-s.Listen.Ports[0] < 1 {
 		return errors.New("listen.ports: need the first and the last port of a range of at least two")
 	}
-	if s.Bounds.Grace <= 0 || s.Bounds.Window <= 0 || s.Bounds.Ratio < 0 || s.Bounds.Slack < 0 || s.Bounds.Drain <= 0 {
+	if s.Bounds.GraceSeconds <= 0 || s.Bounds.WindowSeconds <= 0 || s.Bounds.Ratio < 0 || s.Bounds.Slack < 0 || s.Bounds.DrainMillis <= 0 {
 		return errors.New("bounds: drain, grace and window must be positive, ratio and slack not negative")
 	}
 	return nil
--- a/io/crwatch/scope.go
+++ b/io/crwatch/scope.go
@@ -222,7 +222,7 @@
 	}
 	s.outageReported, s.detectedDirectly = true, !reportedByPeers
 	s.setUnavailable(s.scope, true)
-	s.opts.Log.Event(crlog.StoreLost, crlog.Fields{
+	s.opts.Log.Event(crlog.StoreUnavailable, crlog.Fields{
 		"scope": s.scope.String(), "error": err.Error(), "quiet": roundToMillis(s.SinceLastRead(s.scope)),
 	})
 	s.emitAvailability(true, reportedByPeers)
