--- a/io/crdaemon/shell.go
+++ b/io/crdaemon/shell.go
@@ -172,8 +172,8 @@
 var (
 	errNoConfiguration = errors.New("no configuration yet")
 	errPartitioned     = errors.New("cut off from the fleet")
-	errNoTokens        = errors.New("token shares are not refilled here yet")
-	errNotListening    = errors.New("callers cannot connect yet")
+	errNoTokens        = errors.New("no tokens are minted here yet")
+	errNotListening    = errors.New("callers can not connect yet")
 )
 
 // checkReady returns nil if callers can connect and be served, or the reason why not.
