--- a/core/crhealth/chaos_test.go
+++ b/core/crhealth/chaos_test.go
@@ -38,7 +38,7 @@
 	case 2:
 		clear(w.behaviours)
 	case 3:
-		n.paused = !n.paused
+		n.suspended = !n.suspended
 	case 4:
 		n.isolated = !n.isolated
 	case 5:
@@ -66,7 +66,7 @@
 }
 
 // If the ejections of two arbiters added up, a service would fall below its floor.
-// Targets become unhealthy while daemons pause, restart, lose messages in one
+// Targets become unhealthy while daemons are suspended, restart, lose messages in one
 // direction, hold stale lists, and the arbiter changes.
 func TestFloorHoldsUnderRandomFaults(t *testing.T) {
 	t.Parallel()
--- a/core/crhealth/entry.go
+++ b/core/crhealth/entry.go
@@ -172,9 +172,9 @@
 // handleVerdict puts a verdict in force until ValidFor after the digest that it
 // answers was sent.
 //
-// If the validity started at the arrival, a verdict delayed in a queue or by a paused
-// process would still be in force after a new arbiter has taken over. The ejections of
-// both would add up, and the service would fall below its floor.
+// If the validity started at the arrival, a verdict delayed in a queue or by a
+// suspended process would still be in force after a new arbiter has taken over. The
+// ejections of both would add up, and the service would fall below its floor.
 func (s *State) handleVerdict(from crid.Daemon, v Verdict) {
 	e := s.entries[v.Service]
 	if e == nil || v.Incarnation != s.incarnation {
--- a/core/crhealth/fault_test.go
+++ b/core/crhealth/fault_test.go
@@ -216,16 +216,16 @@
 	g.Expect(w.ejectedSomewhere()).To(gomega.BeEmpty())
 }
 
-// The arbiter is paused. Its ejections must end within ValidFor at every entry, and the
-// next arbiter must detect the unhealthy target itself.
-func TestPausedArbiterIsReplaced(t *testing.T) {
+// The arbiter is suspended. Its ejections must end within ValidFor at every entry, and
+// the next arbiter must detect the unhealthy target itself.
+func TestSuspendedArbiterIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := defaultWorld(DefaultParams())
 	w.run(5 * time.Second)
 	w.behaviours[unhealthy] = endWith(ResultFailed, 1)
 	g.Expect(detect(w, unhealthy)).To(gomega.BeNumerically(">", 0))
 	former := w.arbiter()
-	former.paused = true
+	former.suspended = true
 	w.run(2 * time.Second)
 	g.Expect(w.ejectedSomewhere()).To(gomega.BeEmpty())
 	var rest []crid.Daemon
@@ -240,7 +240,7 @@
 
 	// The former arbiter resumes with a full inbox and the old list.
 	before := w.ejected[unhealthy]
-	former.paused = false
+	former.suspended = false
 	former.isolated = true
 	w.run(3 * time.Second)
 	g.Expect(w.ejected[unhealthy]).To(gomega.Equal(before))
--- a/core/crhealth/lease.go
+++ b/core/crhealth/lease.go
@@ -138,7 +138,7 @@
 }
 
 // holdsLease reports whether this daemon holds the lease at the time of the event. A
-// process that was paused finds by its clock that the lease has expired.
+// process that was suspended finds by its clock that the lease has expired.
 func (s *State) holdsLease() bool {
 	if s.params.LocalOnly || !s.params.hasGuard(guardLease) {
 		return true
--- a/core/crhealth/stall.go
+++ b/core/crhealth/stall.go
@@ -35,18 +35,18 @@
 		return Finding{}
 	}
 	span := v.unresponsiveSpan(target)
-	own := v.unanswered(target, span)
+	own := v.overdueOrBad(target, span)
 	if own < minBad {
 		return Finding{}
 	}
-	var responses, unanswered []float64
+	var responses, overdueOrBad []float64
 	for _, peer := range v.targets {
 		if peer != target {
 			responses = append(responses, float64(v.responses(peer, stallSpan)))
-			unanswered = append(unanswered, float64(v.unanswered(peer, span)))
+			overdueOrBad = append(overdueOrBad, float64(v.overdueOrBad(peer, span)))
 		}
 	}
-	excess := float64(own) - median(unanswered)
+	excess := float64(own) - median(overdueOrBad)
 	if median(responses) == 0 || excess < minBad {
 		return Finding{}
 	}
@@ -71,12 +71,12 @@
 	return v.detector.records[target].window.responses(v.state.now, span)
 }
 
-// unanswered counts the attempts that are overdue now or ended badly in the span, with
+// overdueOrBad counts the attempts that are overdue now or ended badly in the span, with
 // a cap for each group of accounts.
 //
 // A caller may send a few requests that take far longer than all others. Without the
 // cap, the target that they reach would be found stalled.
-func (v *evaluation) unanswered(target crid.Target, span time.Duration) uint32 {
+func (v *evaluation) overdueOrBad(target crid.Target, span time.Duration) uint32 {
 	limit := v.overdueLimit()
 	groups := v.detector.records[target].window.sum(v.state.now, span).groups
 	for _, c := range v.pending(target) {
@@ -137,9 +137,9 @@
 // exitIsUnresponsive reports whether the daemon beside the target has stopped sending
 // digests.
 //
-// While that daemon is frozen, no attempt reaches its target, which looks stalled.
-// The membership protocol detects the frozen daemon, and the target is healthy when it
-// resumes.
+// While that daemon is suspended, no attempt reaches its target, which looks stalled.
+// The membership protocol detects the suspended daemon, and the target is healthy when
+// it resumes.
 func (v *evaluation) exitIsUnresponsive(target crid.Target) bool {
 	exit := v.detector.senders[v.state.placements[target].daemon]
 	return exit != nil && !exit.idle && v.state.now.Sub(exit.lastSeen) > exitTimeout
--- a/core/crhealth/stall_test.go
+++ b/core/crhealth/stall_test.go
@@ -176,8 +176,8 @@
 }
 
 // Requests may wait for long because they take seconds by nature, stall on any target,
-// depend on one database, or meet a frozen daemon. Ejections would then leave less
-// capacity for the same work.
+// depend on one database, or meet a suspended daemon. Ejections would then leave
+// less capacity for the same work.
 func TestLongRequestsAreNotTakenForAStall(t *testing.T) {
 	t.Parallel()
 	setAll := func(w *world, act behaviour) {
@@ -194,8 +194,8 @@
 		},
 		"one account's stall": func(w *world, _ stallShape) { setAll(w, longRequests(1, time.Hour, "a1")) },
 		"all stall":           func(w *world, _ stallShape) { setAll(w, flapping(4*time.Second, endWith(ResultStalled, 1))) },
-		"daemon frozen": func(w *world, _ stallShape) {
-			w.nodes["d03"].paused = true
+		"daemon suspended": func(w *world, _ stallShape) {
+			w.nodes["d03"].suspended = true
 			resumesAt := w.now + 1500*time.Millisecond
 			w.behaviours[unhealthy] = func(now time.Duration, account crid.Account, rng *rand.Rand) (Result, time.Duration) {
 				result, took := healthy(now, account, rng)
@@ -210,11 +210,11 @@
 					w := s.world(seed)
 					begin(w, s)
 					w.run(1500 * time.Millisecond)
-					w.nodes["d03"].paused = false
+					w.nodes["d03"].suspended = false
 					w.run(12 * time.Second)
 					g := gomega.NewWithT(t)
 					g.Expect(w.causes).NotTo(gomega.HaveKey(CauseStalled.String()), "%s, seed %d", s.name, seed)
-					if name != "daemon frozen" {
+					if name != "daemon suspended" {
 						g.Expect(w.ejected).To(gomega.BeEmpty(), "%s, seed %d", s.name, seed)
 					}
 				}
--- a/core/crhealth/world_test.go
+++ b/core/crhealth/world_test.go
@@ -29,7 +29,7 @@
 	clockOffset   time.Duration
 	clockRate     float64
 	incarnation   uint64
-	paused        bool
+	suspended     bool
 	isolated      bool // receives no lease
 	leaseRevision crid.Revision
 	inbox         []delivery
@@ -198,7 +198,7 @@
 	w.renewLeases()
 	for _, name := range w.names {
 		n := w.nodes[name]
-		if n.paused {
+		if n.suspended {
 			continue
 		}
 		w.deliver(n)
@@ -238,7 +238,7 @@
 	}
 	for _, name := range w.names {
 		n := w.nodes[name]
-		if n.paused || n.isolated || !slices.Contains(w.members, name) {
+		if n.suspended || n.isolated || !slices.Contains(w.members, name) {
 			continue
 		}
 		if w.nextMembers != nil {
@@ -261,7 +261,7 @@
 	w.nextMembers = members
 	w.switchAt = w.now + leaseTime*102/100
 	for _, name := range w.names {
-		if n := w.nodes[name]; !n.paused && !n.isolated {
+		if n := w.nodes[name]; !n.suspended && !n.isolated {
 			w.announceHandover(n)
 		}
 	}
@@ -316,7 +316,7 @@
 	union := make(map[crid.Target]bool)
 	for _, n := range w.nodes {
 		st := n.routing[booking]
-		if n.paused || !n.clock(w.now).Before(st.Until) {
+		if n.suspended || !n.clock(w.now).Before(st.Until) {
 			continue
 		}
 		for _, t := range st.Targets {
