--- a/core/crroute/crroute_test.go
+++ b/core/crroute/crroute_test.go
@@ -160,7 +160,7 @@
 	g.Expect(pickCounts(p, info, 50)).To(gomega.HaveLen(2), "avoidance ends by itself")
 }
 
-// A target answers every request at once with an error, so it has the fewest
+// A target responds to every request at once with an error, so it has the fewest
 // requests in flight. Compared by load alone it would fail nearly all callers.
 func TestTwoChoicesDoesNotPreferFastFailingTarget(t *testing.T) {
 	g := gomega.NewWithT(t)
@@ -252,7 +252,7 @@
 	for range 5 {
 		draining.RecordShed(1)
 		busy.RecordShed(1)
-		busy.RecordAnswer()
+		busy.RecordResponse()
 	}
 	g.Expect(draining.Avoided(2)).To(gomega.BeTrue())
 	g.Expect(busy.Avoided(2)).To(gomega.BeFalse())
--- a/core/crroute/dump.go
+++ b/core/crroute/dump.go
@@ -27,7 +27,7 @@
 	Status   string        `json:"status"`
 	Weight   int           `json:"weight"`   // of FullWeight
 	InFlight int64         `json:"inflight"` // requests from this daemon
-	Failures int64         `json:"strikes"`  // failures since the last answer
+	Failures int64         `json:"strikes"`  // failures since the last successful response
 	Avoided  time.Duration `json:"avoided"`  // remaining time of avoidance; zero: not avoided
 }
 
--- a/core/crroute/load.go
+++ b/core/crroute/load.go
@@ -47,8 +47,10 @@
 	l.reportedAt.Store(int64(now))
 }
 
-// RecordAnswer resets the failure count and ends avoidance: the target was reached and answered.
-func (l *Load) RecordAnswer() {
+// RecordResponse records a successful response: one that is neither a failure nor a
+// refusal because of load. It resets the failure count and ends avoidance, since the
+// target was reached and responded.
+func (l *Load) RecordResponse() {
 	if l.failures.Load() != 0 {
 		l.failures.Store(0)
 	}
@@ -57,7 +59,7 @@
 	}
 }
 
-// RecordFailure records a failed answer. Without it, a target that fails at once
+// RecordFailure records a failed response. Without it, a target that fails at once
 // would seem the least loaded, since it has few requests in flight.
 func (l *Load) RecordFailure() { l.addFailure() }
 
@@ -71,9 +73,10 @@
 }
 
 // RecordShed records that the target refused a request because of load. A target
-// is avoided after several such refusals without an answer in between: it has
-// nothing in flight, and would seem the least loaded. In an overload, targets
-// that also answer requests are not avoided, since an answer resets the count.
+// is avoided after several such refusals without a successful response in between:
+// it has nothing in flight, and would seem the least loaded. In an overload,
+// targets that also respond successfully are not avoided, since each such response
+// resets the count.
 func (l *Load) RecordShed(now crid.Instant) {
 	if n := l.addFailure(); n >= shedThreshold {
 		l.avoidFor(shedBase, n-shedThreshold+1, now)
