--- a/io/crexit/hop_test.go
+++ b/io/crexit/hop_test.go
@@ -110,9 +110,9 @@
 // BenchmarkHop compares a forward over a session to an exit and its upstream with the
 // same request sent directly to the upstream.
 func BenchmarkHop(b *testing.B) {
-	answer := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") })
+	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") })
 	b.Run("forward", func(b *testing.B) {
-		h := newHop(b, answer, service)
+		h := newHop(b, handler, service)
 		var n uint64
 		var mu sync.Mutex
 		measure(b, func() (time.Duration, error) {
@@ -132,7 +132,7 @@
 		b.ReportMetric(float64(stats.PacketsLost), "lost")
 	})
 	b.Run("direct", func(b *testing.B) {
-		srv := httptest.NewServer(answer)
+		srv := httptest.NewServer(handler)
 		defer srv.Close()
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 		measure(b, func() (time.Duration, error) {
