--- a/io/cringress/cringress.go
+++ b/io/cringress/cringress.go
@@ -97,7 +97,7 @@
 // InFlight is the number of requests in flight.
 func (e *Entry) InFlight() int64 { return e.inFlight.Load() }
 
-// Abort cancels the requests in flight and answers each with what is known of its
+// Abort cancels the requests in flight and responds to each with what is known of its
 // outcome. It is called shortly before the process exits, as their callers would
 // otherwise get no response.
 func (e *Entry) Abort() { e.abort() }
