--- a/io/crhop/crhop.go
+++ b/io/crhop/crhop.go
@@ -83,7 +83,7 @@
 	FaultConnectFailed                   // the upstream accepted no connection; nothing ran
 	FaultRequestBody                     // the request body was truncated; not a failure of the target
 	FaultNotReady                        // the exit has no policy for the target yet; nothing ran
-	FaultShed                            // the target answers only with overload responses, so the exit refuses; nothing ran
+	FaultShed                            // the target gives only overload responses, so the exit refuses; nothing ran
 )
 
 // Response is the head of the exit's response.
