--- a/io/crwire/crwire.go
+++ b/io/crwire/crwire.go
@@ -164,7 +164,7 @@
 	return w.w.Flush()
 }
 
-// Abort writes the mark for a body that could not be read to its end, and flushes.
+// Abort writes the abort mark, for a body that could not be read to its end, and flushes.
 // A reset of the stream would also discard what the receiver has not read yet, and the
 // receiver could not distinguish a failed source from a failed connection.
 func (w *Writer) Abort() error {
