--- a/core/crmesh/peer.go
+++ b/core/crmesh/peer.go
@@ -105,7 +105,8 @@
 // unansweredTimeout is how long a peer may leave token requests unanswered, without a
 // heartbeat, before it counts as unresponsive. Peers of other domains send a heartbeat
 // every two seconds in a fleet of a hundred. Three missed ones take six seconds, in which
-// each request of its accounts would wait without an answer and get only a part of the rate.
+// each request of its accounts would wait without an answer and then use a fallback bucket,
+// which has only a fraction of the rate.
 const unansweredTimeout = time.Second
 
 // handleUnanswered marks a peer as unresponsive that has answered no token request and
--- a/core/crmesh/reader_test.go
+++ b/core/crmesh/reader_test.go
@@ -204,7 +204,7 @@
 
 // Peers of other domains send their first heartbeat within two seconds in a fleet of a
 // hundred. If they counted as unreachable until then, each restart would limit the accounts
-// of the daemon to a part of their rate.
+// of the daemon to a fraction of their rate.
 func TestNewDaemonCountsPeersBeforeTheirFirstHeartbeat(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
@@ -217,8 +217,8 @@
 }
 
 // The owner of some accounts loses power. Peers of other domains would miss its heartbeats
-// only after six seconds in a fleet of a hundred, and limit its accounts to a part of their
-// rate until then. Unanswered token requests show the failure sooner.
+// only after six seconds in a fleet of a hundred, and limit its accounts to a fraction of
+// their rate until then. Unanswered token requests show the failure sooner.
 func TestPeerWithUnansweredRequestsIsUnresponsiveSoon(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := crmesh.New(params())
