--- a/io/crbeat/crbeat_test.go
+++ b/io/crbeat/crbeat_test.go
@@ -48,7 +48,7 @@
 func notOwner(crid.Account, crquota.Origin) (bool, time.Duration, bool) { return false, 0, false }
 
 // An entry and the owner of an account reach each other only through a third daemon. It must
-// relay the request, or callers at the entry would be limited to a share of the rate.
+// relay the request, or callers at the entry would be limited to a fraction of the rate.
 func TestRequestIsRelayedToTheOwner(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const port = 28411
