--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -69,7 +69,7 @@
 }
 
 // quota requests tokens from the owner of an account. While the owner does not answer,
-// it falls back on this daemon's share of the rate.
+// it uses a fallback bucket, which has this daemon's fraction of the rate.
 type quota struct {
 	self         crid.Daemon
 	loop         *loop
@@ -107,8 +107,8 @@
 		return ok, wait
 	}
 	// A network partition between two machines leaves most others reachable from both.
-	// Without a relay, an account would be limited to a share of its rate during each
-	// one.
+	// Without a relay, an account would be limited to a fraction of its rate during
+	// each one.
 	v := q.loop.view.Load()
 	excluded := []crid.Daemon{action.To, q.self}
 	for range maxRelayAttempts {
