--- a/core/crmesh/event.go
+++ b/core/crmesh/event.go
@@ -174,10 +174,10 @@
 	return crquota.Decide(a, v.Members, v.Owners, self, origin)
 }
 
-// RateShare returns the fraction of an account's rate that this daemon grants as its
+// RateFraction returns the fraction of an account's rate that this daemon grants as its
 // owner. A daemon that receives no heartbeats may be one of many that have just started,
 // each of which would grant the whole rate to its own callers.
-func (v *View) RateShare() float64 {
+func (v *View) RateFraction() float64 {
 	if len(v.Live) <= 1 {
 		return crquota.RateFraction(1, v.Confirmed)
 	}
--- a/io/crmesh/quota.go
+++ b/io/crmesh/quota.go
@@ -64,8 +64,8 @@
 	if !known || a.Rate <= 0 {
 		return true, 0
 	}
-	share := v.RateShare()
-	return l.limiter.Take(crclock.Now(), a.Name, a.Rate*share, a.Burst*share)
+	fraction := v.RateFraction()
+	return l.limiter.Take(crclock.Now(), a.Name, a.Rate*fraction, a.Burst*fraction)
 }
 
 // quota requests tokens from the owner of an account. While the owner does not answer,
