--- a/core/crmember/cluster_test.go
+++ b/core/crmember/cluster_test.go
@@ -17,8 +17,8 @@
 	inc       crid.Incarnation
 	clockBase crid.Instant
 	clockRate float64
-	paused    bool
-	queue     []packet // packets that arrived while it was paused
+	suspended bool
+	queue     []packet // packets that arrived while it was suspended
 	lease     Lease
 	peers     map[crid.Daemon]Peer
 	sent      []crevent.Message
@@ -191,7 +191,7 @@
 		c.deliver()
 		if c.now%(5*quantum) == 0 {
 			for _, d := range c.names() {
-				if n := c.nodes[d]; !n.paused {
+				if n := c.nodes[d]; !n.suspended {
 					c.step(d, crevent.Tick{Now: n.clock(c.now)})
 				}
 			}
@@ -224,7 +224,7 @@
 		n := c.nodes[p.to]
 		switch {
 		case n == nil || c.cuts[link{p.from, p.to}] && c.delays[link{p.from, p.to}] == 0:
-		case n.paused:
+		case n.suspended:
 			n.queue = append(n.queue, p)
 		default:
 			c.step(p.to, crevent.Received{Now: n.clock(c.now), From: p.from, Msg: p.msg})
@@ -235,7 +235,7 @@
 // resume resumes a daemon. Queued packets arrive before its first tick.
 func (c *cluster) resume(d crid.Daemon) {
 	n := c.nodes[d]
-	n.paused = false
+	n.suspended = false
 	queue := n.queue
 	n.queue = nil
 	for _, p := range queue {
--- a/core/crmember/lease_test.go
+++ b/core/crmember/lease_test.go
@@ -68,7 +68,7 @@
 // Daemon a is suspended and the others replace it. It resumes with a queue of
 // heartbeats from before the change.
 func resumedProcess(c *cluster) {
-	c.nodes["a"].paused = true
+	c.nodes["a"].suspended = true
 	c.run(time.Second)
 	c.partition(daemons("a"), daemons("b", "c", "d", "e"))
 	for _, d := range daemons("b", "c", "d", "e") {
@@ -216,17 +216,17 @@
 // answers, and the expiry wait if one does not, which might be cut off and still act.
 func TestHandoverGap(t *testing.T) {
 	cases := map[string]struct {
-		pauseOne bool
-		bound    time.Duration
+		suspendOne bool
+		bound      time.Duration
 	}{
-		"all answer": {false, time.Second},
-		"one paused": {true, 3 * time.Second},
+		"all answer":    {false, time.Second},
+		"one suspended": {true, 3 * time.Second},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			c := startedCluster(0, newList(1, "a", "b", "c", "d", "e"))
-			c.nodes["e"].paused = tc.pauseOne
+			c.nodes["e"].suspended = tc.suspendOne
 			c.run(5 * time.Second)
 			c.start("f")
 			second := newList(2, "a", "b", "c", "d", "f")
--- a/core/crmember/rapid_test.go
+++ b/core/crmember/rapid_test.go
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// Under loss, reordering, duplicates, pauses, restarts, one-way cuts, clock drift and
+// Under loss, reordering, duplicates, suspensions, restarts, one-way cuts, clock drift and
 // stale lists, no two daemons may hold leases under different lists, or an account gets
 // more than its rate. At most one daemon recovers at a time, the limit without a disk.
 func TestLeasesUnderOneListOnly(t *testing.T) {
@@ -51,7 +51,7 @@
 			"extend":  m.extendSide,
 			"slow":    m.delayLink,
 			"heal":    m.heal,
-			"pause":   func(rt *rapid.T) { c.nodes[m.pick(rt)].paused = true },
+			"pause":   func(rt *rapid.T) { c.nodes[m.pick(rt)].suspended = true },
 			"unpause": func(rt *rapid.T) { c.resume(m.pick(rt)) },
 			"restart": m.restart,
 			"run":     m.run,
@@ -117,14 +117,14 @@
 
 func (m *faultMachine) read(rt *rapid.T) {
 	d := m.pick(rt)
-	if !m.cluster.nodes[d].paused {
+	if !m.cluster.nodes[d].suspended {
 		m.cluster.deliverList(d, rapid.SampledFrom(m.lists).Draw(rt, "list"))
 	}
 }
 
 func (m *faultMachine) readAll(*rapid.T) {
 	for _, d := range m.names {
-		if !m.cluster.nodes[d].paused {
+		if !m.cluster.nodes[d].suspended {
 			m.cluster.deliverList(d, m.lists[len(m.lists)-1])
 		}
 	}
@@ -173,7 +173,7 @@
 	list := newList(crid.Revision(len(m.lists)+1), side...)
 	m.lists = append(m.lists, list)
 	for _, d := range side {
-		if !m.cluster.nodes[d].paused {
+		if !m.cluster.nodes[d].suspended {
 			m.cluster.deliverList(d, list)
 		}
 	}
