--- a/core/crhealth/stall_test.go
+++ b/core/crhealth/stall_test.go
@@ -107,7 +107,7 @@
 		load.End()
 		switch a.result {
 		case ResultOK:
-			load.RecordResponse()
+			load.RecordSuccess()
 		case ResultStalled:
 			load.RecordUnreachable(n.clock(now))
 			w.stalledAttempts[a.target]--
--- a/core/crroute/crroute_test.go
+++ b/core/crroute/crroute_test.go
@@ -252,7 +252,7 @@
 	for range 5 {
 		draining.RecordShed(1)
 		busy.RecordShed(1)
-		busy.RecordResponse()
+		busy.RecordSuccess()
 	}
 	g.Expect(draining.Avoided(2)).To(gomega.BeTrue())
 	g.Expect(busy.Avoided(2)).To(gomega.BeFalse())
--- a/core/crroute/load.go
+++ b/core/crroute/load.go
@@ -47,10 +47,10 @@
 	l.reportedAt.Store(int64(now))
 }
 
-// RecordResponse records a successful response: one that is neither a failure nor a
+// RecordSuccess records a successful response: one that is neither a failure nor a
 // refusal because of load. It resets the failure count and ends avoidance, since the
 // target was reached and responded.
-func (l *Load) RecordResponse() {
+func (l *Load) RecordSuccess() {
 	if l.failures.Load() != 0 {
 		l.failures.Store(0)
 	}
--- a/io/crentry/serve.go
+++ b/io/crentry/serve.go
@@ -259,7 +259,7 @@
 		target.Load().RecordFailure()
 		s.observe(target, OutcomeFailed, took)
 	default:
-		target.Load().RecordResponse()
+		target.Load().RecordSuccess()
 		s.observe(target, OutcomeOK, took)
 		return true
 	}
