--- a/lab/crsoak/relay.go
+++ b/lab/crsoak/relay.go
@@ -21,7 +21,7 @@
 	linkModes = int(OneWay) + 1
 )
 
-// String returns the name of the mode.
+// String returns the name of the mode; "silent" is Stall.
 func (m LinkMode) String() string {
 	return [linkModes]string{"pass", "delay", "reset", "silent", "one way"}[m]
 }
