--- a/core/craccount/craccount.go
+++ b/core/craccount/craccount.go
@@ -12,10 +12,10 @@
 // Owners refill only under a membership lease ([crmember.Lease]). The refill clock, by which they
 // refill, advances only while this daemon holds one.
 //
-// [State] is the reducer of both roles, owner and entry daemon, and part of core/crdaemon.
-// [TokenPool] is the concurrency-safe side that request goroutines take tokens from. Package
-// crquota enforces the same limits for core/crmesh, with one owner for a whole account and a
-// message for each request.
+// [State] is the reducer of both roles, owner and entry daemon; core/crdaemon runs it. [TokenPool]
+// is the concurrency-safe side that request goroutines take tokens from. Package crquota enforces
+// the same limits for core/crmesh, with one owner for a whole account and a message for each
+// request.
 //
 // # Usage
 //
--- a/core/crbudget/crbudget.go
+++ b/core/crbudget/crbudget.go
@@ -1,11 +1,11 @@
 // Package crbudget implements a retry budget: it limits retries, the attempts that send a request
-// to a further target. It is used by io/cringress, where requests enter. Packages craccount and
-// crquota limit the callers' requests themselves.
+// to a further target. The daemon of `camphorroad join` uses it in io/cringress, where requests
+// enter. Packages craccount and crquota limit the callers' requests themselves.
 //
 // The limit holds for the whole fleet: in any window, a fraction of a service's requests plus a
-// slack. Each daemon enforces its own part without messages: the fraction of the requests that
-// entered at this daemon, and an equal part of the slack. The sum over all daemons therefore stays
-// within the limit whatever the other daemons do.
+// fixed number of retries, the slack. Each daemon enforces its own part without messages: the
+// fraction of the requests that entered at this daemon, and an equal part of the slack. The sum
+// over all daemons therefore stays within the limit whatever the other daemons do.
 //
 // # Usage
 //
--- a/core/crconfig/notice.go
+++ b/core/crconfig/notice.go
@@ -1,8 +1,9 @@
-// Package crconfig decides which configuration a daemon applies. It elects the
-// daemons that read the platform and fetches newer configurations and lists of
-// instances from peers. The reducer of core/crdaemon runs it beside the other
-// reducers. The validated content of a configuration is a [crpolicy.Snapshot],
-// which crconfig only distributes.
+// Package crconfig decides which configuration a daemon of `camphorroad serve`
+// applies. It elects the daemons that read the users' platform (io/crplatform)
+// and fetches newer configurations and lists of instances from peers. The root
+// reducer of core/crdaemon runs it beside the other reducers. The validated
+// content of a configuration is a [crpolicy.Snapshot], which crconfig only
+// distributes.
 //
 // The platform assigns one growing revision to everything it publishes. In every
 // failure domain a few readers, ranked by rendezvous hashing over the reachable
--- a/core/crdaemon/crdaemon.go
+++ b/core/crdaemon/crdaemon.go
@@ -1,7 +1,8 @@
-// Package crdaemon implements the root reducer of a daemon: it passes each
-// event to the reducers of membership, configuration, accounts and health, and
-// the notices of each to the others. It does no I/O; the package io/crdaemon of
-// the same name builds the daemon and performs the effects.
+// Package crdaemon implements the root reducer of the daemon of `camphorroad
+// serve`: it passes each event to the reducers of membership, configuration,
+// accounts and health, and the notices of each to the others. Package crevent
+// defines events and notices. Package crdaemon does no I/O; the package
+// io/crdaemon of the same name builds the daemon and performs the effects.
 //
 // # Usage
 //
--- a/core/crevent/crevent.go
+++ b/core/crevent/crevent.go
@@ -1,7 +1,7 @@
 // Package crevent defines the inputs and outputs of the reducers in core:
 // events, effects, and the control messages between daemons. Package crdaemon
-// combines several reducers under one root, and the packages in io perform the
-// effects.
+// combines several reducers under one root, core/crmesh is a single reducer,
+// and the packages in io perform the effects.
 //
 // A reducer has the method
 //
--- a/core/crforward/doc.go
+++ b/core/crforward/doc.go
@@ -2,8 +2,10 @@
 // forward at most once, and by which the entry daemon determines whether it may
 // report a request as not run.
 //
-// A request goes caller -> entry -> session -> exit -> upstream. A forward is
-// one attempt at sending a request to an exit. The exit (io/crexit) keeps one
+// A request goes caller -> entry -> session -> exit -> upstream. The entry is
+// the daemon that receives it, the exit is the daemon that serves its target,
+// and the session (io/crpeer) is the connection between them. A forward is one
+// attempt at sending a request to an exit. The exit (io/crexit) keeps one
 // [Ledger] per session. Only the exit has a record of whether a forward was
 // started, and [Ledger.Start] is the last check before the upstream is called.
 // The entry (io/crentry) keeps one [Tracker] per request: it records what is
--- a/core/crgate/crgate.go
+++ b/core/crgate/crgate.go
@@ -1,10 +1,10 @@
 // Package crgate implements admission control for the slots of one target.
 //
-// A target runs as many requests at once as it has slots, so that its own
-// queue, which has neither priorities nor deadlines, stays empty. Other requests
-// wait in the [Gate]: those of the highest priority first, each until its latest
-// useful start. A request that cannot start in time is refused at
-// once, while another target can still serve it.
+// A target runs as many requests at once as it has slots, so that its own queue,
+// which has neither priorities nor deadlines, stays empty. Other requests wait
+// in the [Gate]: those of the highest priority first, each until the latest
+// instant at which starting it is still useful. A request that cannot start in
+// time is refused at once, while another target can still serve it.
 //
 // The wait is estimated from the service times of each kind of request
 // (core/crpace), so that a mixture of short and long requests is estimated
--- a/core/crhealth/crhealth.go
+++ b/core/crhealth/crhealth.go
@@ -1,14 +1,14 @@
-// Package crhealth ejects unhealthy targets by outlier detection over the whole
-// fleet. Ejections never take the healthy capacity of a service below its floor.
+// Package crhealth ejects unhealthy targets by outlier detection over the whole fleet.
+// Ejections never take the healthy capacity of a service below a minimum, its floor.
 //
-// Traffic goroutines of every daemon count their attempts in a [Recorder]. The
-// reducer [State], which core/crdaemon runs, sends the counts as a [Digest] to the
-// service's arbiter: the daemon with the highest rendezvous hash for the service
-// among the members of the active list. The arbiter adds up the evidence of all
-// entries, compares each target with its peers ([PeerJudge]) and replies to each digest
-// with a [Verdict]. A verdict is valid for a bounded time from the sending of the
-// digest that it answers. The verdicts of an arbiter that is down or partitioned
-// therefore expire, and the next arbiter sends its first verdict only then.
+// Traffic goroutines of every daemon count their attempts in a [Recorder]. The reducer
+// [State], which core/crdaemon runs, sends the counts as a [Digest] to the service's
+// arbiter: the daemon with the highest rendezvous hash for the service among the
+// members of the active instance list (core/crmember). The arbiter adds up the counts
+// of all entry daemons, compares each target with its peers ([PeerJudge]) and replies
+// to each digest with a [Verdict]. A verdict is valid for a bounded time from the
+// sending of the digest that it answers. The verdicts of an arbiter that is down or
+// partitioned therefore expire, and the next arbiter sends its first verdict only then.
 // docs/design/05-ejection.md gives the argument.
 //
 // Package crjudge, in contrast, estimates the health of one target from the responses
--- a/core/crinstance/crinstance.go
+++ b/core/crinstance/crinstance.go
@@ -3,7 +3,8 @@
 //
 // A [List] with a given revision never changes. Daemons may hold lists of different
 // revisions for any length of time. core/crmember decides which list is active. A daemon
-// that reads target records from the store uses core/crregistry instead.
+// that reads target records from the store (`camphorroad join`) uses core/crregistry
+// instead.
 //
 // # Usage
 //
--- a/core/crjudge/crjudge.go
+++ b/core/crjudge/crjudge.go
@@ -1,6 +1,6 @@
 // Package crjudge estimates whether a target is unhealthy from the responses that its
-// exit receives. Package crhealth, in contrast, compares the targets of a service with
-// each other, by the counts of all daemons.
+// exit receives. It is used by io/cregress. Package crhealth, in contrast, compares the
+// targets of a service with each other, by the counts of all daemons.
 //
 // The target is modeled as a hidden Markov process with two states, healthy and
 // unhealthy. Each observation updates the probability of the unhealthy state by Bayes'
--- a/core/crmember/crmember.go
+++ b/core/crmember/crmember.go
@@ -5,12 +5,13 @@
 // Daemons exchange heartbeats ([Heartbeat]). A heartbeat echoes the receiver's latest
 // one, and counts as a contact from the instant at which that one was sent. A daemon
 // holds a lease under a list while a majority of the list's voters has made contact
-// within the contact timeout and holds that list as its newest. At no time do two
-// daemons hold leases under different lists; docs/design/02-lease.md gives the
-// argument and its limits. A daemon that adopts a newer list has no lease during the
-// handover to it. The handover ends when a majority of the voters of each older list
-// has acknowledged the newer one for a whole [Params.ExpiryWait], or every daemon of the
-// older lists has.
+// within the contact timeout and holds that list as its newest. The voters are all
+// daemons of a list, or in a large fleet a limited number, taken from the domains in
+// turn. At no time do two daemons hold leases under different lists;
+// docs/design/02-lease.md gives the argument and its limits. A daemon that adopts a
+// newer list has no lease during the handover to it. The handover ends when a majority
+// of the voters of each older list has acknowledged the newer one for a whole
+// [Params.ExpiryWait], or every daemon of the older lists has.
 //
 // core/crdaemon runs the reducer and passes its notices to core/crconfig,
 // core/craccount and core/crhealth. core/crinstance defines the lists. core/crmesh
--- a/core/crmesh/crmesh.go
+++ b/core/crmesh/crmesh.go
@@ -1,7 +1,8 @@
-// Package crmesh tracks the fleet for a daemon that reads its configuration and the
-// target records from the store: which plan is in force, which targets exist, which
-// peers are up, which daemons read the store, and from which peer to pull what the
-// store does not deliver.
+// Package crmesh tracks the fleet for the daemon of `camphorroad join`, which reads
+// its configuration and the target records from the store of the users' platform:
+// which routing plan (core/crplan) is in force, which targets exist, which peers
+// are up, which daemons read the store, and from which peer to pull what the store
+// does not deliver.
 //
 // [State] is a reducer that io/crmesh runs. It reads no clock and does no I/O, and
 // one goroutine owns it. The code that handles requests reads an immutable [View].
--- a/core/crquota/crquota.go
+++ b/core/crquota/crquota.go
@@ -1,6 +1,7 @@
-// Package crquota enforces the rates of client accounts across the fleet of a mesh. It is used by
-// core/crmesh and io/crmesh. Package craccount enforces them for core/crdaemon, where several
-// owners share an account's limit and entry daemons hold tokens ahead of demand.
+// Package crquota enforces the rates of client accounts across the fleet of the daemons of
+// `camphorroad join`. It is used by core/crmesh and io/crmesh. Package craccount enforces them for
+// core/crdaemon, where several owners share an account's limit and entry daemons hold tokens ahead
+// of demand.
 //
 // Each account has one owner among the reachable daemons, selected by rendezvous hashing. The owner
 // keeps the account's token bucket, and an entry daemon requests a token from it for every
--- a/core/crregistry/crregistry.go
+++ b/core/crregistry/crregistry.go
@@ -1,5 +1,6 @@
 // Package crregistry keeps the target records of the store for core/crmesh, and decides
-// whether a record that is missing still counts.
+// whether a record that is missing still counts. A record is what a target has
+// registered in the store, such as its service and its address.
 //
 // Records expire during an outage of the store although their targets are up.
 // Therefore a record that is missing after an outage is kept for a grace period. A
--- a/core/crslot/queue.go
+++ b/core/crslot/queue.go
@@ -7,8 +7,9 @@
 // took, so that it cannot exceed its share by sending many requests or long
 // ones. A request that cannot meet its deadline is refused at once.
 //
-// [OverloadBackoff] states for how long requests of class once are refused for a
-// target that answers only with overload responses.
+// [OverloadBackoff] states for how long requests of class once, which must run
+// at most once, are refused for a target that answers only with overload
+// responses.
 //
 // Package crgate assigns slots in io/cregress by priority instead, without
 // fairness between accounts.
