--- a/io/crbeat/crbeat.go
+++ b/io/crbeat/crbeat.go
@@ -1,7 +1,7 @@
-// Package crbeat sends heartbeats and token requests with their responses between
-// daemons, one per UDP datagram. A lost heartbeat is replaced by the next one; a lost
-// request is sent again. io/crmesh uses it. Its peers are identified by address;
-// io/crpeer has authenticated sessions over QUIC.
+// Package crbeat sends heartbeats, and the token requests of core/crquota with their
+// responses, between daemons, one per UDP datagram. A lost heartbeat is replaced by
+// the next one; a lost request is sent again. io/crmesh uses it. Its peers are
+// identified by address; io/crpeer has authenticated sessions over QUIC.
 //
 // # Usage
 //
--- a/io/crfeed/crfeed.go
+++ b/io/crfeed/crfeed.go
@@ -1,6 +1,6 @@
-// Package crfeed limits the number of daemons that read the store. A daemon that is
-// one of the readers of its domain reads the store directly; any other daemon reads
-// it through one of the readers.
+// Package crfeed limits the number of daemons of io/crmesh that read the store. A
+// daemon that is one of the readers of its failure domain reads the store directly; any
+// other daemon reads it through one of the readers.
 //
 // The store counts and bills each call, and its rate limit does not grow with the
 // fleet. With two readers per domain, the number of calls for each change does not
--- a/io/crmesh/crmesh.go
+++ b/io/crmesh/crmesh.go
@@ -1,7 +1,8 @@
 // Package crmesh assembles and runs the daemon that finds its fleet through the
-// records in the store: ingress, egress, messages between daemons, the watches on
-// the store, the control loop and the admin endpoints. The command join uses it.
-// The state machine behind the control loop is core/crmesh.
+// records in the platform's key-value store (package platform): ingress, egress,
+// messages between daemons, the watches on the store, the control loop and the
+// admin endpoints. The command join uses it. The state machine behind the control
+// loop is core/crmesh.
 //
 // # Usage
 //
--- a/io/crwatch/crwatch.go
+++ b/io/crwatch/crwatch.go
@@ -1,15 +1,16 @@
 // Package crwatch keeps a local copy of a store that can be listed and watched, and
 // turns its changes into events of the control plane.
 //
-// One goroutine follows each [Scope]: it lists the scope, watches it from the
-// revision of the list, and lists it again when the store has compacted the history
-// in between. An outage is logged once. Failed calls are retried with backoff, so
-// that a fleet does not overload a store that has just recovered.
+// One goroutine follows each [Scope], a part of the store: it lists the scope,
+// watches it from the revision of the list, and lists it again when the store has
+// compacted the history in between. An outage is logged once. Failed calls are
+// retried with backoff, so that a fleet does not overload a store that has just
+// recovered.
 //
-// A daemon creates one [Follower]. Its [Store] is io/crfeed, which reads the store
-// directly or through another daemon; package platform implements the direct calls
-// and the [Decoder]. Peers read what a follower holds with [Follower.Snapshot],
-// [Follower.ChangesAfter] and [Follower.UpdateFor].
+// A daemon of io/crmesh creates one [Follower]. Its [Store] is io/crfeed, which
+// reads the store directly or through another daemon; package platform implements
+// the direct calls and the [Decoder]. Peers read what a follower holds with
+// [Follower.Snapshot], [Follower.ChangesAfter] and [Follower.UpdateFor].
 //
 // # Usage
 //
